--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,8 +23,8 @@
     ProbeAnswered,
     RequestArrived,
     RequestClass,
-    Settings,
     SetTimer,
+    Settings,
     TimerFired,
 )
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -8,9 +8,9 @@
 
 from weldhatch.consensus import raft
 from weldhatch.consensus.messages import Entry
+from weldhatch.consensus.persistent_state import Saved
 from weldhatch.consensus.raft import Busy, Commit, Load, NotLeader, Raft, Say, Stored, Times, Write
-from weldhatch.consensus.saved import Saved
-from weldhatch.consensus.vouched import Vouched
+from weldhatch.consensus.rejoin import Vouched
 
 
 class Voters:
--- a/tests/test_health_check.py
+++ b/tests/test_health_check.py
@@ -7,14 +7,13 @@
 
 from weldhatch.platform import health_check, server_link, servers
 from weldhatch.platform.health_check import (
-    SUSPECT_SPAN_S,
-    SUSPECT_QUIET_S,
-    QUIET_S,
     CELLS_MOST,
+    QUIET_S,
+    SUSPECT_QUIET_S,
+    SUSPECT_SPAN_S,
     HealthCheckSchedule,
 )
 
-
 PLACED = """
     owner send START a1 class=safe
     s1 expect SET_UP a1
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -6,7 +6,6 @@
 from conftest import SECOND, Driver, machines, make_class, make_settings, of
 
 import weldhatch.policy as module
-from weldhatch.policy import ABSENT, FAULTS, HOME, RANKED, STALE_US, STARTING, _rank
 from weldhatch import (
     AttemptEnded,
     Cancel,
@@ -32,6 +31,7 @@
     TaskAdopted,
     Topic,
 )
+from weldhatch.policy import ABSENT, FAULTS, HOME, RANKED, STALE_US, STARTING, _rank
 
 
 def ended(request, machine, outcome, attempt=0, **changes):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -19,8 +19,8 @@
 from weldhatch.client import Api, ApiError, BuildMachine, Outcome, Submitter, Task
 from weldhatch.policy import Policy
 from weldhatch.pullqueue import durable
-from weldhatch.store import folded
 from weldhatch.pullqueue.front import PullQueue
+from weldhatch.store import folded
 from weldhatch.store.log import Log, LogError
 
 
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -23,7 +23,7 @@
 from weldhatch.sim.halls import HallPlay
 from weldhatch.sim.linear import Call, broken, linearisable, once, versions, words
 from weldhatch.sim.loop import LIFE, Life, VirtualLoop
-from weldhatch.sim.play import SCENARIOS, play, plan_of
+from weldhatch.sim.play import SCENARIOS, plan_of, play
 from weldhatch.sim.world import World
 
 ROOT = Path(__file__).parent.parent
--- a/weldhatch/agreement/book.py
+++ b/weldhatch/agreement/book.py
@@ -1,7 +1,7 @@
 """What a process keeps of the agreement: its own epoch, whom it has met, a voter's log, the last state.
 
 Records are JSON arrays: ["begins", epoch, token], ["met", name, epoch, token], ["held", lineage, state], and
-["raft", ...] with those of `consensus.saved`.
+["raft", ...] with those of `consensus.persistent_state`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterator
 
 from weldhatch.config import ConfigError
-from weldhatch.consensus.saved import Saved
+from weldhatch.consensus.persistent_state import Saved
 from weldhatch.sites.epochs import EpochBook
 from weldhatch.store.commit import PROBE
 from weldhatch.store.folded import FoldedStore
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -16,7 +16,8 @@
 
 import click
 from rich.console import Console
-from rich.progress import BarColumn, Progress as Bar, TextColumn, TimeElapsedColumn
+from rich.progress import BarColumn, TextColumn, TimeElapsedColumn
+from rich.progress import Progress as Bar
 
 from weldhatch import config, plans
 from weldhatch.applying.journal import Journal, held_by, story
--- a/weldhatch/cli/sim.py
+++ b/weldhatch/cli/sim.py
@@ -20,7 +20,7 @@
 from weldhatch import config
 from weldhatch.sim import faults
 from weldhatch.sim.faults import Fault
-from weldhatch.sim.play import SCENARIOS, Result, Scenario, play, plan_of, unfit
+from weldhatch.sim.play import SCENARIOS, Result, Scenario, plan_of, play, unfit
 
 SHOWN = 10  # broken seeds that are listed
 
--- a/weldhatch/consensus/raft.py
+++ b/weldhatch/consensus/raft.py
@@ -21,8 +21,8 @@
     StandNow,
     Vote,
 )
-from weldhatch.consensus.saved import Saved
-from weldhatch.consensus.vouched import Vouched
+from weldhatch.consensus.persistent_state import Saved
+from weldhatch.consensus.rejoin import Vouched
 
 ENTRIES_MOST = 64  # in one message
 ANEW = -1  # in the place of a match: nothing here is of this lineage, send all of it
--- a/weldhatch/policy.py
+++ b/weldhatch/policy.py
@@ -13,9 +13,34 @@
 from itertools import islice
 
 from weldhatch.interface import (
-    Action, AttemptEnded, Cancel, Effect, Event, Fail, ListForm, Log, Machine, MachinesChanged, MachineState,
-    Note, Offer, Outcome, Placed, Probe, ProbeAnswered, Reason, Refuse, RequestArrived, RequestGone, Scope,
-    SetTimer, Settings, Subscribe, TaskAdopted, TimerFired, Topic,
+    Action,
+    AttemptEnded,
+    Cancel,
+    Effect,
+    Event,
+    Fail,
+    ListForm,
+    Log,
+    Machine,
+    MachinesChanged,
+    MachineState,
+    Note,
+    Offer,
+    Outcome,
+    Placed,
+    Probe,
+    ProbeAnswered,
+    Reason,
+    Refuse,
+    RequestArrived,
+    RequestGone,
+    Scope,
+    SetTimer,
+    Settings,
+    Subscribe,
+    TaskAdopted,
+    TimerFired,
+    Topic,
 )
 from weldhatch.state import Holdings, Node, Request, shuffled
 
--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -8,8 +8,8 @@
 
 from weldhatch import config, plans
 from weldhatch.pullqueue.counter import Counter
-from weldhatch.pullqueue.front import PullQueue
 from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.front import PullQueue
 from weldhatch.pullqueue.http import Request
 from weldhatch.pullqueue.operators import WordError, read_word
 
--- a/weldhatch/rules/member.py
+++ b/weldhatch/rules/member.py
@@ -13,7 +13,7 @@
 
 from weldhatch import interface as i
 from weldhatch.consensus import messages, raft
-from weldhatch.consensus.saved import Saved
+from weldhatch.consensus.persistent_state import Saved
 from weldhatch.rules.coordinator import Coordinator, Spans
 from weldhatch.rules.effects import Came, Event, Hold, Out, Reach, Say, Shared, Write
 from weldhatch.rules.group import Group
--- a/weldhatch/sim/bugs.py
+++ b/weldhatch/sim/bugs.py
@@ -14,7 +14,7 @@
 from unittest import mock
 
 from weldhatch.consensus.raft import Raft
-from weldhatch.consensus.vouched import Vouched
+from weldhatch.consensus.rejoin import Vouched
 from weldhatch.net.connection import Connection
 from weldhatch.pullqueue import front
 from weldhatch.pullqueue.durable import Durable
--- a/weldhatch/sim/play.py
+++ b/weldhatch/sim/play.py
@@ -23,8 +23,8 @@
 from weldhatch.sim.api import SimApi
 from weldhatch.sim.faults import DRIFT, LEAP_S, Fault
 from weldhatch.sim.loop import Stalled
-from weldhatch.standins.plain import PLAIN
 from weldhatch.sim.world import World
+from weldhatch.standins.plain import PLAIN
 
 STATED = 2.0
 CALM_S = 1.5  # nothing breaks for so long at first
--- a/weldhatch/standins/council.py
+++ b/weldhatch/standins/council.py
@@ -15,7 +15,7 @@
 
 from weldhatch import config
 from weldhatch import interface as i
-from weldhatch.consensus.saved import Saved
+from weldhatch.consensus.persistent_state import Saved
 from weldhatch.rules import table
 from weldhatch.rules.coordinator import Spans
 from weldhatch.rules.member import Came, Hold, Member, Reach, Say, Write
