--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -27,9 +27,9 @@
 import msgspec
 import numpy as np
 
-from weldhatch.sites import frames, words
+from weldhatch.sites import frames, messages
+from weldhatch.sites.messages import Work
 from weldhatch.sites.routing import Stays
-from weldhatch.sites.words import Work
 from weldhatch.standins.region import Region, settings
 from weldhatch.standins.sites import Faults, explore
 
@@ -164,14 +164,14 @@
         ("s" * 200, "b" * 400),
         1,
     )
-    offer = words.Offered((12, 34567), work, 4_000_000)
+    offer = messages.Offered((12, 34567), work, 4_000_000)
     out = {}
-    kind = words.Offered
+    kind = messages.Offered
 
-    def as_cbor(word: words.Offered) -> bytes:
+    def as_cbor(word: messages.Offered) -> bytes:
         return cbor2.dumps(msgspec.to_builtins(word))
 
-    def read_cbor(data: bytes) -> words.Offered:
+    def read_cbor(data: bytes) -> messages.Offered:
         return msgspec.convert(cbor2.loads(data), kind)
 
     for name, write, read in (
--- a/tests/test_abroad.py
+++ b/tests/test_abroad.py
@@ -25,7 +25,7 @@
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.sites import frames
-from weldhatch.sites.lending import Lending
+from weldhatch.sites.handoff_source import Lending
 from weldhatch.sites.link import Link
 from weldhatch.sites.session import Hello
 
--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -13,17 +13,17 @@
 
 from weldhatch import config
 from weldhatch import interface as i
-from weldhatch.agreement import codec, governor
-from weldhatch.agreement.book import AgreementBook, Fold
-from weldhatch.agreement.desk import Desk
-from weldhatch.agreement.node import Agreement
 from weldhatch.cli.main import main
+from weldhatch.cluster import codec, front_controller
+from weldhatch.cluster.control_api import Desk
+from weldhatch.cluster.node import Agreement
+from weldhatch.cluster.storage import AgreementBook, Fold
 from weldhatch.consensus.messages import Append, Entry
+from weldhatch.coordination import compatibility, drain_reports
+from weldhatch.coordination.compatibility import Overlap, Unfit
+from weldhatch.coordination.messages import Ask, Learn
+from weldhatch.coordination.state_machine import Group
 from weldhatch.pullqueue.operators import STATES
-from weldhatch.rules import lists, table
-from weldhatch.rules.group import Group
-from weldhatch.rules.table import Overlap, Unfit
-from weldhatch.rules.words import Ask, Learn
 from weldhatch.sites.session import Faulty
 from weldhatch.standins.rig import settings, until
 from weldhatch.store.log import LogError
@@ -66,29 +66,31 @@
     ],
 )
 def test_the_difference_of_two_values_says_how_they_may_overlap(new, overlap):
-    (change,) = table.changes(BASE, new)
+    (change,) = compatibility.changes(BASE, new)
     assert change.overlap is overlap
-    assert table.waits_for_all([change]) == (overlap in (Overlap.WIDENS, Overlap.SWITCHES))
+    assert compatibility.waits_for_all([change]) == (overlap in (Overlap.WIDENS, Overlap.SWITCHES))
 
 
 def test_what_is_acted_on_meanwhile_is_the_narrower_of_both_whichever_is_newer():
     new = replace(of_class(spread_most=5, worth=9.0), max_attempts=2, cold_sends=20.0)
-    for narrow in (table.meet(BASE, new), table.meet(new, BASE)):
+    for narrow in (compatibility.meet(BASE, new), compatibility.meet(new, BASE)):
         told = narrow.settings
         assert (told.max_attempts, told.cold_sends, told.classes[0].spread_most) == (2, BASE.cold_sends, 3)
         assert narrow.allows("a")
-    assert table.meet(BASE, new).settings.classes[0].worth == 1.0  # what is free waits for its version
+    assert (
+        compatibility.meet(BASE, new).settings.classes[0].worth == 1.0
+    )  # what is free waits for its version
 
 
 def test_a_switch_blocks_its_class_and_one_of_all_blocks_all():
-    narrow = table.meet(BASE, of_class(effect=i.Effect.UNSAFE))
+    narrow = compatibility.meet(BASE, of_class(effect=i.Effect.UNSAFE))
     assert (narrow.allows("a"), narrow.allows("b")) == (False, True)
-    assert not table.meet(BASE, replace(BASE, confirms_running=False)).allows("b")
+    assert not compatibility.meet(BASE, replace(BASE, confirms_running=False)).allows("b")
 
 
 def test_safe_work_is_touched_by_its_own_classes_and_by_what_is_for_all():
     def touched(new):
-        return table.touches_safe(table.changes(BASE, new), BASE, new)
+        return compatibility.touches_safe(compatibility.changes(BASE, new), BASE, new)
 
     keyed = replace(BASE, classes=(BASE.classes[0], replace(BASE.classes[1], window_us=9)))
     assert not touched(keyed)
@@ -109,7 +111,7 @@
 )
 def test_what_no_running_dispatcher_can_move_to_names_its_key(new, key):
     with pytest.raises(Unfit) as unfit:
-        table.changes(BASE, new)
+        compatibility.changes(BASE, new)
     assert unfit.value.key == key
 
 
@@ -119,8 +121,8 @@
         bold: bool = False
 
     with pytest.raises(AssertionError, match="bold"):
-        table._check(More, table.CLASSES)
-    assert {one.name for one in fields(i.Settings)} == table.SETTINGS.keys() | table.LISTS
+        compatibility._check(More, compatibility.CLASSES)
+    assert {one.name for one in fields(i.Settings)} == compatibility.SETTINGS.keys() | compatibility.LISTS
 
 
 # ---- the group's state -----------------------------------------------------------------------------------
@@ -185,14 +187,14 @@
 
 
 def test_operators_states_are_ordered():
-    assert STATES.keys() <= lists.ORDER.keys()
+    assert STATES.keys() <= drain_reports.ORDER.keys()
 
 
 # ---- lists -----------------------------------------------------------------------------------------------
 
 
 def test_what_one_list_narrows_counts_for_those_with_an_older_one():
-    told = lists.Lists()
+    told = drain_reports.Lists()
     told.take(7, {"s1": "draining", "s2": "gone", "s3": "ready"}, "g1")
     assert [told.acts(uid, 6) for uid in ("s1", "s2", "s3")] == ["draining", "gone", "ready"]
     assert told.acts("s1", 8) == "ready"  # its own list is newer
@@ -203,7 +205,7 @@
 
 
 def test_two_lists_of_one_revision_the_narrower_acts_and_it_is_told():
-    told = lists.Lists()
+    told = drain_reports.Lists()
     told.take(7, {"s1": "draining"}, "g1")
     told.take(7, {"s1": "ready"}, "g2")
     assert told.acts("s1", 7, "ready") == "draining"
@@ -213,17 +215,17 @@
 
 
 def test_a_dispatcher_tells_only_what_is_news():
-    told = lists.Lists()
+    told = drain_reports.Lists()
     states = {"s1": "draining", "s2": "ready"}
     assert told.news(3, states) == {"s1": "draining"}
     told.take(3, told.news(3, states), "g1")
     assert told.news(3, states) == {}
     assert told.news(4, {"s1": "ready", "s2": "ready"}) == {"s1": "ready"}
     assert told.news(2, {"s1": "ready"}) == {}
-    for n in range(lists.ENTRIES_MOST + 5):
+    for n in range(drain_reports.ENTRIES_MOST + 5):
         told.entries[f"x{n}"] = [n, "gone"]
     told.take(9, {"y": "gone"}, "g1")
-    assert len(told.entries) == lists.ENTRIES_MOST
+    assert len(told.entries) == drain_reports.ENTRIES_MOST
     assert "x0" not in told.entries
 
 
@@ -452,6 +454,6 @@
 
 
 def test_events_are_one_json_object_a_line(capsys):
-    governor.events()("leads", term=3)
+    front_controller.events()("leads", term=3)
     told = json.loads(capsys.readouterr().err)
     assert (told["event"], told["term"]) == ("agreement.leads", 3)
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -15,12 +15,12 @@
 
 from weldhatch import config
 from weldhatch import interface as i
-from weldhatch.alone import Alone
 from weldhatch.serving import Gateway
+from weldhatch.standalone_zones import Alone
 from weldhatch.standins.realm import settings as realm_settings
 from weldhatch.standins.rig import until
-from weldhatch.zones.marshal import Times
-from weldhatch.zones.solitary import Solitary
+from weldhatch.zones.failover_leader import Times
+from weldhatch.zones.standalone import Solitary
 from weldhatch.zones.state import Phase
 
 
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.rules.coordinator import Coordinator
-from weldhatch.rules.group import Word
-from weldhatch.rules.holder import Footing, Holder
+from weldhatch.coordination.leader import Coordinator
+from weldhatch.coordination.lease_holder import Footing, Holder
+from weldhatch.coordination.state_machine import Word
 from weldhatch.standins import council
 from weldhatch.standins.council import KINDS, Contradiction, Council, scenario, settings, settled
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from weldhatch.sites import lending, taking, words
-from weldhatch.sites.lending import Busy, Lender, Lending
-from weldhatch.sites.taking import Taker, Taking
-from weldhatch.sites.words import Work
+from weldhatch.sites import handoff_source, handoff_target, messages
+from weldhatch.sites.handoff_source import Busy, Lender, Lending
+from weldhatch.sites.handoff_target import Taker, Taking
+from weldhatch.sites.messages import Work
 from weldhatch.standins.sites import Broken, Faults, explore
 
 
@@ -38,9 +38,9 @@
 
 
 def offered_twice(self, word, draining=False, hear=Taker.hear):
-    if isinstance(word, words.Offered) and self.taken.get(word.id):
-        self.taken[word.id] = taking.Borrowed(word.id, word.work)
-        return [taking.Try(self.site, word.id, word.work, word.left_us)]
+    if isinstance(word, messages.Offered) and self.taken.get(word.id):
+        self.taken[word.id] = handoff_target.Borrowed(word.id, word.work)
+        return [handoff_target.Try(self.site, word.id, word.work, word.left_us)]
     return hear(self, word, draining)
 
 
@@ -71,7 +71,7 @@
     effects = time_up(self, id)
     if id in self.lent:
         self._remove(self.lent[id])
-        effects.insert(0, lending.Write(("over", id)))
+        effects.insert(0, handoff_source.Write(("over", id)))
     return effects
 
 
@@ -112,36 +112,38 @@
 
 
 def said(effects):
-    return [effect.word for effect in effects if isinstance(effect, lending.Say | taking.Say)]
+    return [effect.word for effect in effects if isinstance(effect, handoff_source.Say | handoff_target.Say)]
 
 
 def test_a_task_that_crossed_too_many_sites_is_returned_and_never_passed_on():
     taker = Taker("a")
-    effects = taker.hear(words.Offered((1, 1), work(hops=taking.HOPS_MOST), 500_000))
-    assert said(effects) == [words.Returned((1, 1))]
+    effects = taker.hear(messages.Offered((1, 1), work(hops=handoff_target.HOPS_MOST), 500_000))
+    assert said(effects) == [messages.Returned((1, 1))]
 
 
 def test_a_draining_site_takes_nothing_new_and_still_answers_for_what_it_took():
     _, taker, id, offer = hand_over()
     taker.hear(offer)
-    assert said(taker.hear(words.Offered((3, 9), UNSAFE, 500_000), draining=True)) == [words.Returned((3, 9))]
-    assert said(taker.hear(offer, draining=True)) == [words.Taken(id)]
+    assert said(taker.hear(messages.Offered((3, 9), UNSAFE, 500_000), draining=True)) == [
+        messages.Returned((3, 9))
+    ]
+    assert said(taker.hear(offer, draining=True)) == [messages.Taken(id)]
 
 
 def test_an_offer_without_time_is_returned():
-    assert said(Taker("a").hear(words.Offered((1, 1), UNSAFE, 0))) == [words.Returned((1, 1))]
+    assert said(Taker("a").hear(messages.Offered((1, 1), UNSAFE, 0))) == [messages.Returned((1, 1))]
 
 
 def test_words_of_a_site_that_it_was_not_lent_to_change_nothing():
     lender, _, id, _ = hand_over(to="b")
-    assert lender.hear("c", words.Returned(id)) == []
+    assert lender.hear("c", messages.Returned(id)) == []
     assert lender.lent[id].phase is Lending.OUT
 
 
 def test_a_word_that_it_never_started_after_it_stood_changes_nothing():
     lender, _, id, _ = hand_over()
-    lender.hear("b", words.Stood(id, "d"))
-    assert lender.hear("b", words.Returned(id)) == []
+    lender.hear("b", messages.Stood(id, "d"))
+    assert lender.hear("b", messages.Returned(id)) == []
     assert lender.lent[id].phase is Lending.STANDS
 
 
@@ -149,10 +151,10 @@
     _, taker, id, offer = hand_over()
     taker.hear(offer)
     taker.stands(id, "d")
-    effects = taker.hear(words.Floor((3, 2)))
-    assert taking.Free("a", id, taking.CALLED_OFF) in effects
+    effects = taker.hear(messages.Floor((3, 2)))
+    assert handoff_target.Free("a", id, handoff_target.CALLED_OFF) in effects
     taker.ended(id, 31)
-    taker.hear(words.Closed(id))
+    taker.hear(messages.Closed(id))
     assert not taker.taken and not taker.tombs
     assert taker.hear(offer) == []  # a copy that was long under way
 
@@ -161,7 +163,7 @@
     lender, _, id, _ = hand_over()
     with pytest.raises(Busy):
         lender.begin(UNSAFE)
-    assert lending.Answer(id, "failed") in lender.forget("b")
+    assert handoff_source.Answer(id, "failed") in lender.forget("b")
     lender.begin(UNSAFE)
     with pytest.raises(Busy, match="under way here"):
         lender.lend("b", UNSAFE, 1)
@@ -169,7 +171,7 @@
 
 def test_records_fold_to_the_same_and_a_record_of_no_kind_is_refused():
     lender, taker, id, offer = hand_over()
-    lender.hear("b", words.Stood(id, "d"))
+    lender.hear("b", messages.Stood(id, "d"))
     lender.freed(id, 16)
     other, _ = lender.lend("b", work(key=8), 1)
     fresh = Lender(0)
@@ -178,9 +180,9 @@
     assert fresh.lent == lender.lent and fresh.keys == lender.keys and fresh.floor == lender.floor
     taker.hear(offer)
     taker.stands(id, "d")
-    taker.hear(words.Withdrawn(other))
-    taker.hear(words.Withdrawn((3, 7)))
-    taker.hear(words.Closed((3, 7)))
+    taker.hear(messages.Withdrawn(other))
+    taker.hear(messages.Withdrawn((3, 7)))
+    taker.hear(messages.Closed((3, 7)))
     again = Taker("a")
     for record in taker.records():
         again.take(record)
@@ -192,7 +194,7 @@
 
 def test_too_many_transfers_after_an_open_one_are_refused():
     lender, _, _, _ = hand_over()
-    with mock.patch.object(lending, "SPAN_MOST", 5):
+    with mock.patch.object(handoff_source, "SPAN_MOST", 5):
         for n in range(100, 104):
             lender.lend("b", work(key=n), 1)
         with pytest.raises(Busy, match="still open"):
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -14,7 +14,7 @@
     for path in (ROOT / "weldhatch").rglob("*.py")
 }
 PACKAGES = {
-    "agreement",
+    "cluster",
     "applying",
     "cli",
     "client",
@@ -28,7 +28,7 @@
     "planning",
     "platform",
     "pullqueue",
-    "rules",
+    "coordination",
     "sim",
     "sites",
     "standins",
@@ -51,14 +51,14 @@
     "sites": {"core", "net", "store"},
     "consensus": set(),
     "zones": set(),
-    "rules": {"consensus", "zones"},
-    "agreement": {"consensus", "core", "net", "pullqueue", "rules", "sites", "store", "zones"},
+    "coordination": {"consensus", "zones"},
+    "cluster": {"consensus", "core", "net", "pullqueue", "coordination", "sites", "store", "zones"},
 }
 # Modules that hold decisions take clock and randomness as arguments, and do no I/O.
 PURE = (
     "weldhatch.planning.",
     "weldhatch.consensus.",
-    "weldhatch.rules.",
+    "weldhatch.coordination.",
     "weldhatch.zones.",
     "weldhatch.policy",
     "weldhatch.sim.faults",
@@ -144,9 +144,9 @@
         "weldhatch.policy",
         "weldhatch.state",
         "weldhatch.consensus.raft",
-        "weldhatch.rules.member",
-        "weldhatch.zones.keeper",
-        "weldhatch.zones.solitary",
+        "weldhatch.coordination.node",
+        "weldhatch.zones.failover_member",
+        "weldhatch.zones.standalone",
         "weldhatch.sim.faults",
     )
     allowed = {"random"} if name in seeded else set()  # the type of what they are given
@@ -168,5 +168,5 @@
     assert loaded - standard == {"tornado", "weldhatch"}
     assert not loaded & {"sqlite3", "unittest"}
     # What dispatchers that talk to each other need is of no use where they share nothing.
-    off = {"agreement", "alone", "consensus", "rules", "sim", "sites", "zones"}
+    off = {"cluster", "standalone_zones", "consensus", "coordination", "sim", "sites", "zones"}
     assert not {name.split(".")[1] for name in modules if name.startswith("weldhatch.")} & off
--- a/tests/test_realm.py
+++ b/tests/test_realm.py
@@ -5,10 +5,10 @@
 from unittest import mock
 
 from weldhatch.standins.realm import Realm
-from weldhatch.zones import shares
-from weldhatch.zones.hush import Hush
-from weldhatch.zones.marshal import Marshal, Times
-from weldhatch.zones.sight import Cut, Sight
+from weldhatch.zones import start_quota
+from weldhatch.zones.failover_leader import Marshal, Times
+from weldhatch.zones.observations import Cut, Sight
+from weldhatch.zones.silence_detector import Hush
 from weldhatch.zones.state import Phase, Zones
 
 
@@ -149,12 +149,12 @@
 
     def test_shares_that_hold_for_ever(self):
         with mock.patch.object(
-            shares.Purse, "left", lambda self, now, place, uid: 1 if place in self._held else 0
+            start_quota.Purse, "left", lambda self, now, place, uid: 1 if place in self._held else 0
         ):
             self.assertGreater(self.peak_of(seeds=(0,)), 1.0)
 
     def test_epochs_that_do_not_wait_for_a_window(self):
-        with mock.patch.object(shares.Ledger, "lasts", 0.05):
+        with mock.patch.object(start_quota.Ledger, "lasts", 0.05):
             self.assertGreater(self.peak_of(seeds=(0, 1), pace=0.003), 1.0)
 
     def test_returning_without_steps_or_shares(self):
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -15,9 +15,9 @@
 from click.testing import CliRunner
 
 from weldhatch.cli.main import root
+from weldhatch.coordination.lease_holder import Footing, Holder
 from weldhatch.net.connection import Connection
 from weldhatch.pullqueue import front
-from weldhatch.rules.holder import Footing, Holder
 from weldhatch.sim import bugs, faults, promises
 from weldhatch.sim.faults import Fault
 from weldhatch.sim.halls import HallPlay
--- a/tests/test_sites_routing.py
+++ b/tests/test_sites_routing.py
@@ -6,8 +6,8 @@
 import pytest
 
 from weldhatch.sites import routing
+from weldhatch.sites.messages import Work
 from weldhatch.sites.routing import Router, Stays, Summary
-from weldhatch.sites.words import Work
 
 WORK = Work("lookup", "SAFE", 1, 1, 1.0, 2.0)
 FULL, ROOMY = Summary({"lookup": 0}, 100, waiting=9), Summary({"lookup": 60}, 100)
--- a/tests/test_sites_wire.py
+++ b/tests/test_sites_wire.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from weldhatch.net.ring import Ring
-from weldhatch.sites import frames, session, words
+from weldhatch.sites import frames, messages, session
 from weldhatch.sites.session import Ack, Beat, Faulty, Full, Hello, Message, Session, stale
 
 
@@ -158,18 +158,18 @@
     assert (fault in told) if fault else told == ""
 
 
-WORK = words.Work("c", "UNSAFE", 7, 1, 0.5, 2.0, "t", ("a", "b"), 1)
+WORK = messages.Work("c", "UNSAFE", 7, 1, 0.5, 2.0, "t", ("a", "b"), 1)
 ALL = [Hello(1, "a", 3, "t", (2, "u"), "s", 9, False), Message(1, 2, b"\0x"), Ack(4, ((0, 9),)), Beat(5, 6)]
 WORDS = [
-    words.Offered((1, 2), WORK, 5),
-    words.Withdrawn((1, 2)),
-    words.Freed((1, 2), 16),
-    words.Closed((1, 2)),
-    words.Floor((1, 2)),
-    words.Taken((1, 2)),
-    words.Stood((1, 2), "d"),
-    words.Returned((1, 2), 7),
-    words.Ended((1, 2), 41, True),
+    messages.Offered((1, 2), WORK, 5),
+    messages.Withdrawn((1, 2)),
+    messages.Freed((1, 2), 16),
+    messages.Closed((1, 2)),
+    messages.Floor((1, 2)),
+    messages.Taken((1, 2)),
+    messages.Stood((1, 2), "d"),
+    messages.Returned((1, 2), 7),
+    messages.Ended((1, 2), 41, True),
 ]
 
 
--- a/tests/test_zone_verdicts.py
+++ b/tests/test_zone_verdicts.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 from weldhatch import interface as i
-from weldhatch.rules.coordinator import Coordinator, Spans
-from weldhatch.rules.group import Group
-from weldhatch.rules.words import Ask
-from weldhatch.rules.zoning import Zoning
+from weldhatch.coordination.leader import Coordinator, Spans
+from weldhatch.coordination.messages import Ask
+from weldhatch.coordination.state_machine import Group
+from weldhatch.coordination.zone_leader import Zoning
 from weldhatch.standins.realm import settings as realm_settings
-from weldhatch.zones.marshal import Marshal, Times
+from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.state import Phase, Zones
 
 ZONES = ("z0", "z1", "z2")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,12 +12,12 @@
 from weldhatch import config
 from weldhatch import interface as i
 from weldhatch.standins.realm import settings as realm_settings
-from weldhatch.zones import fair, room
-from weldhatch.zones.budgets import Attempts, Ramp
-from weldhatch.zones.hush import DEAF_S, FIRST_S, Hush
-from weldhatch.zones.keeper import Keeper
-from weldhatch.zones.shares import Ledger, Purse, Share, allowed
-from weldhatch.zones.sight import Cut, Look, Sight, Sign
+from weldhatch.zones import capacity, load_shedding
+from weldhatch.zones.failover_member import Keeper
+from weldhatch.zones.observations import Cut, Look, Sight, Sign
+from weldhatch.zones.retry_budget import Attempts, Ramp
+from weldhatch.zones.silence_detector import DEAF_S, FIRST_S, Hush
+from weldhatch.zones.start_quota import Ledger, Purse, Share, allowed
 from weldhatch.zones.state import Zones
 
 ZONES = ("z0", "z1", "z2")
@@ -102,7 +102,7 @@
     def test_together_they_lose_the_part_and_nobody_within_its_share_loses_any(self, part, rates, weights):
         shares = dict(zip("abcdefgh", weights, strict=True))
         room = (1 - part) * sum(rates.values())
-        kept = fair.borne(rates, shares, room)
+        kept = load_shedding.borne(rates, shares, room)
         self.assertAlmostEqual(sum(kept.values()), room, places=6)
         whole = sum(shares[name] for name in rates)
         for name, rate in rates.items():
@@ -111,22 +111,27 @@
                 self.assertAlmostEqual(kept[name], rate)
         cut = [kept[name] / shares[name] for name in rates if kept[name] < rates[name] * (1 - 1e-9)]
         self.assertTrue(not cut or max(cut) - min(cut) < 1e-6 * max(cut) + 1e-9)  # the others get alike
-        for name, one in fair.parts(part, rates, shares).items():
+        for name, one in load_shedding.parts(part, rates, shares).items():
             self.assertAlmostEqual(one, 1 - kept[name] / rates[name], delta=0.006)
 
     def test_shares_are_what_the_settings_give_all_tenants(self):
         some = (i.Tenant("a", 5.0, 0.4, 8.0), i.Tenant("b", 5.0, 0.6, 0.0))
-        self.assertEqual(fair.weights(some), {"a": 5.0, "b": 5.0})
-        self.assertEqual(fair.weights((i.Tenant("a"), i.Tenant("b", portion=1.0))), {"a": 1.0, "b": 1.0})
-        self.assertEqual(fair.of_shed({"lookup": 0.5}, [], some), {})
+        self.assertEqual(load_shedding.weights(some), {"a": 5.0, "b": 5.0})
+        self.assertEqual(
+            load_shedding.weights((i.Tenant("a"), i.Tenant("b", portion=1.0))), {"a": 1.0, "b": 1.0}
+        )
+        self.assertEqual(load_shedding.of_shed({"lookup": 0.5}, [], some), {})
         told = [{"tenants": {"lookup": {"a": 4.0, "nobody": 50.0}}}, {"tenants": {"lookup": {"b": 4.0}}}]
         self.assertEqual(
-            fair.of_shed({"lookup": 0.5, "import": 1.0}, told, some), {"lookup": {"a": 0.5, "b": 0.5}}
+            load_shedding.of_shed({"lookup": 0.5, "import": 1.0}, told, some),
+            {"lookup": {"a": 0.5, "b": 0.5}},
         )
 
     def test_a_report_names_the_greatest_rates(self):
         rates = {("lookup", f"tenant-{n}"): float(n) for n in range(40)}
-        self.assertEqual(list(fair.rates_told(rates)["lookup"]), [f"tenant-{n}" for n in range(39, 31, -1)])
+        self.assertEqual(
+            list(load_shedding.rates_told(rates)["lookup"]), [f"tenant-{n}" for n in range(39, 31, -1)]
+        )
 
 
 class Hushed(unittest.TestCase):
@@ -265,28 +270,28 @@
 
     def test_what_the_rest_can_bear_is_not_turned_away(self):
         rates = {"lookup": 10.0}
-        self.assertEqual(room.first_level(room.Need(90.0, 100.0), rates, self.classes), 0.0)
+        self.assertEqual(capacity.first_level(capacity.Need(90.0, 100.0), rates, self.classes), 0.0)
 
     def test_the_least_worth_goes_first(self):
-        need, rates = room.Need(100.0, 50.0), {"lookup": 10.0, "import": 10.0, "writer": 10.0}
+        need, rates = capacity.Need(100.0, 50.0), {"lookup": 10.0, "import": 10.0, "writer": 10.0}
         self.assertAlmostEqual(need.short, 0.55)
-        level = room.first_level(need, rates, self.classes)
-        shed = room.shed_of(level, self.classes)
+        level = capacity.first_level(need, rates, self.classes)
+        shed = capacity.shed_of(level, self.classes)
         self.assertEqual(shed, {"lookup": 1.0, "import": 0.65})
-        self.assertAlmostEqual(room.level_of(shed), level)
+        self.assertAlmostEqual(capacity.level_of(shed), level)
 
     def test_it_is_more_where_the_rest_fills_up_and_less_where_it_has_room(self):
-        levels = [room.next_level(1.0, free, 100.0, 3) for free in (2.0, 12.0, 30.0)]
+        levels = [capacity.next_level(1.0, free, 100.0, 3) for free in (2.0, 12.0, 30.0)]
         self.assertEqual(levels, [1.25, 1.0, 0.75])
-        self.assertEqual(room.next_level(3.0, 0.0, 100.0, 3), 3.0)
+        self.assertEqual(capacity.next_level(3.0, 0.0, 100.0, 3), 3.0)
 
     def test_one_that_lies_about_its_room_is_outvoted(self):
         told = [{"size": {"z1": size}, "stands": {"z1": 1.0}} for size in (10.0, 12.0)]
         told.append({"size": {"z1": 9000.0}})
-        self.assertEqual(room.free_in(told, ["z1"]), (10.0, 12.0))
+        self.assertEqual(capacity.free_in(told, ["z1"]), (10.0, 12.0))
 
     def test_a_zone_that_has_just_lost_its_tasks_still_counts_for_what_it_carried(self):
-        carried = room.Carried()
+        carried = capacity.Carried()
         for at, cores in ((0.0, 5.0), (1.0, 80.0), (2.0, 60.0), (3.0, 0.0)):
             carried.hear(at, "z1", cores)
         self.assertEqual((carried.most(3.0, "z1"), carried.most(7.5, "z1")), (80.0, 60.0))
--- a/weldhatch/cli/zones_chart.py
+++ b/weldhatch/cli/zones_chart.py
@@ -20,7 +20,7 @@
 
 
 def draw(timeline: list[dict], out: str) -> None:
-    """`timeline`: samples of `zones.marshal`; `out`: a PNG."""
+    """`timeline`: samples of `zones.failover_leader`; `out`: a PNG."""
     times = [one["s"] - timeline[0]["s"] for one in timeline]
     places = sorted({name for one in timeline for name in one["phases"]})
     figure, (states, starts, shares) = plt.subplots(
--- a/weldhatch/agreement/codec.py
+++ b/weldhatch/cluster/codec.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from weldhatch.consensus import messages
-from weldhatch.rules import words
+from weldhatch.coordination import messages as coordination_messages
 from weldhatch.sites.session import Faulty
 
 PART = 8 * 1024
@@ -29,7 +29,12 @@
     messages.StandNow,
     messages.Seen,
 )
-_WORDS = (words.Ask, words.Learn, words.Submit, words.Result)
+_WORDS = (
+    coordination_messages.Ask,
+    coordination_messages.Learn,
+    coordination_messages.Submit,
+    coordination_messages.Result,
+)
 _KINDS = {RAFT: _RAFT, WORDS: _WORDS}
 _NUMBER = {kind: (stream, number) for stream, kinds in _KINDS.items() for number, kind in enumerate(kinds)}
 _READERS = {at: msgspec.msgpack.Decoder(kind) for kind, at in _NUMBER.items()}
@@ -37,13 +42,13 @@
 _pair = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
 
 
-def encode(word: messages.Message | words.Word) -> tuple[int, bytes]:
+def encode(word: messages.Message | coordination_messages.Word) -> tuple[int, bytes]:
     """The stream of a word, and its bytes."""
     stream, number = _NUMBER[type(word)]
     return stream, _pack((number, word))
 
 
-def decode(stream: int, data: bytes) -> messages.Message | words.Word:
+def decode(stream: int, data: bytes) -> messages.Message | coordination_messages.Word:
     """Raises Faulty for what is no word of this stream."""
     try:
         number, rest = _pair(data)
--- a/weldhatch/agreement/desk.py
+++ b/weldhatch/cluster/control_api.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 from weldhatch import config
-from weldhatch.agreement.node import Agreement, Unreached, clock
+from weldhatch.cluster.node import Agreement, Unreached, clock
+from weldhatch.coordination import compatibility
 from weldhatch.pullqueue.counter import Counter
 from weldhatch.pullqueue.faults import HttpError
 from weldhatch.pullqueue.http import Request
 from weldhatch.pullqueue.operators import WordError, read_word
-from weldhatch.rules import table
 
 WHY_MOST = 500
 ACTIVE_S = 20.0  # a plan that has become a proposal is waited for so long
@@ -100,7 +100,7 @@
             old = self._read(active.tree) if active is not None else new
             return [
                 {"key": one.key, "from": one.old, "to": one.new, "overlap": one.overlap.value}
-                for one in table.changes(old, new)
+                for one in compatibility.changes(old, new)
             ]
         except ValueError as fault:
             raise HttpError(400, str(fault), str(fault).partition(":")[0]) from None
@@ -134,7 +134,7 @@
         text = result["text"]
         if result.get("then") and result.get("now"):
             try:
-                moved = table.changes(self._read(result["then"]), self._read(result["now"]))
+                moved = compatibility.changes(self._read(result["then"]), self._read(result["now"]))
             except ValueError:
                 return text
             text += "".join(f"\n  {one.key}: {one.old!r} then, {one.new!r} now" for one in moved)
--- a/weldhatch/agreement/roll.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from weldhatch import interface as i
-from weldhatch.rules.holder import Holder
-from weldhatch.zones.narrowed import Narrowed
+from weldhatch.coordination.lease_holder import Holder
+from weldhatch.zones.endpoint_overlay import Narrowed
 
 GONE_MOST = 5000  # machines that went, and that the group may not know of yet
 
--- a/weldhatch/agreement/governor.py
+++ b/weldhatch/cluster/front_controller.py
@@ -15,17 +15,17 @@
 
 from weldhatch import config
 from weldhatch import interface as i
-from weldhatch.agreement.desk import Desk
-from weldhatch.agreement.gate import Gate
-from weldhatch.agreement.node import Agreement, Unreached, clock
-from weldhatch.agreement.roll import Roll
-from weldhatch.agreement.zoner import Zoner
+from weldhatch.cluster.admission import Gate
+from weldhatch.cluster.control_api import Desk
+from weldhatch.cluster.endpoint_list import Roll
+from weldhatch.cluster.node import Agreement, Unreached, clock
+from weldhatch.cluster.zone_agent import Zoner
+from weldhatch.coordination import compatibility
+from weldhatch.coordination.lease_holder import Footing
 from weldhatch.core.driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.abroad import link_contexts
-from weldhatch.rules import table
-from weldhatch.rules.holder import Footing
-from weldhatch.zones.narrowed import Narrowed
+from weldhatch.zones.endpoint_overlay import Narrowed
 
 
 class Front(Protocol):
@@ -85,8 +85,8 @@
 
         def fits(settings: i.Settings) -> str:
             try:
-                table.changes(front.settings, settings)
-            except table.Unfit as unfit:
+                compatibility.changes(front.settings, settings)
+            except compatibility.Unfit as unfit:
                 return str(unfit)
             return ""
 
--- a/weldhatch/agreement/node.py
+++ b/weldhatch/cluster/node.py
@@ -1,4 +1,4 @@
-"""One process in the agreement: links, store and clock for what `rules.member` decides. No decisions here."""
+"""One process of the cluster: links, store and clock for `coordination.node`, which takes all decisions."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from random import Random
 
 from weldhatch import interface as i
-from weldhatch.agreement.book import AgreementBook
-from weldhatch.agreement.peers import Peers
+from weldhatch.cluster.peers import Peers
+from weldhatch.cluster.storage import AgreementBook
 from weldhatch.config import AgreementFile, ConfigError
 from weldhatch.consensus.messages import Message
-from weldhatch.rules import member
-from weldhatch.rules.coordinator import Spans
-from weldhatch.rules.words import Word
-from weldhatch.zones.marshal import Times
+from weldhatch.coordination import node
+from weldhatch.coordination.leader import Spans
+from weldhatch.coordination.messages import Word
+from weldhatch.zones.failover_leader import Times
 
 TICK = 0.0375  # of the stated time: half of the beat of voters
 HOLDS_S = 0.02  # how often it is looked whether something is held
@@ -56,7 +56,7 @@
         begin = None
         if self.book.fresh and told.name in told.voters and told.listen is not None:
             begin = {name: f"{host}:{port}" for name, (host, port) in told.voters.items()}
-        self.member = member.Member(
+        self.member = node.Member(
             told.name,
             self.book.epoch,
             self.book.token,
@@ -118,22 +118,22 @@
         out, self.member.out = self.member.out, []
         for effect in out:
             match effect:
-                case member.Write(words):
+                case node.Write(words):
                     self.book.write(list(words)).add_done_callback(self._wrote)
-                case member.Say(to, word):
+                case node.Say(to, word):
                     self.peers.say(to, word)
-                case member.Hold(lineage, state):
+                case node.Hold(lineage, state):
                     self.book.hold(lineage, state)
                     self._changed()
-                case member.Reach(voters):
+                case node.Reach(voters):
                     self.peers.dial(voters)
-                case member.Came(id, result):
+                case node.Came(id, result):
                     waiting = self._waiting.get(id)
                     if waiting is not None and not waiting.done():
                         waiting.set_result(result)
-                case member.Shared(shares, asked):
+                case node.Shared(shares, asked):
                     self._shared(shares, asked)
-                case member.Event(name, fields):
+                case node.Event(name, fields):
                     self._event(name, **fields)
                     if name == "footing":
                         self._changed()
--- a/weldhatch/agreement/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -8,12 +8,12 @@
 import ssl
 from collections.abc import Callable
 
-from weldhatch.agreement import codec
-from weldhatch.agreement.book import AgreementBook
+from weldhatch.cluster import codec
+from weldhatch.cluster.storage import AgreementBook
 from weldhatch.config import AgreementFile
 from weldhatch.consensus.messages import Message
+from weldhatch.coordination.messages import Word
 from weldhatch.net.budget import Budget, Share
-from weldhatch.rules.words import Word
 from weldhatch.sites.link import Door, Ears, Link
 
 LOOK_S = 0.5  # a link looks as often for silence, and acknowledges: a group has many links
--- a/weldhatch/agreement/zoner.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -1,4 +1,4 @@
-"""Zones at one front: time, events and probes for what `zones.keeper` decides. No decisions here."""
+"""Zones at one front: time, events and probes for what `zones.failover_member` decides. No decisions here."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from random import Random
 
 from weldhatch import interface as i
-from weldhatch.agreement.node import Agreement, Unreached
+from weldhatch.cluster.node import Agreement, Unreached
 from weldhatch.core.driver import Driver
-from weldhatch.zones.keeper import Keeper
-from weldhatch.zones.shares import Share
+from weldhatch.zones.failover_member import Keeper
+from weldhatch.zones.start_quota import Share
 from weldhatch.zones.state import Phase
 
 TICK_S = 0.1
--- a/weldhatch/config.py
+++ b/weldhatch/config.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from weldhatch.planning.engine import Patience
     from weldhatch.planning.fleet import Fleet
-    from weldhatch.zones.marshal import Times
+    from weldhatch.zones.failover_leader import Times
 
 # ---- what the platform tells a dispatcher -----------------------------------------------------------------
 
@@ -361,7 +361,9 @@
     told = _key(tree, "zones", dict, {})
     if not told:
         return None
-    from weldhatch.zones.marshal import Times  # only where it is used: `run` on the platform needs none of it
+    from weldhatch.zones.failover_leader import (
+        Times,  # only where it is used: `run` on the platform needs none of it
+    )
 
     spans = {name: default for name, default in asdict(Times()).items() if name != "quorum"}
     for key in told:
--- a/weldhatch/rules/effects.py
+++ b/weldhatch/coordination/effects.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from weldhatch.consensus import messages
-from weldhatch.rules.words import Word
+from weldhatch.coordination.messages import Word
 
 
 @dataclass(slots=True, frozen=True)
--- a/weldhatch/rules/coordinator.py
+++ b/weldhatch/coordination/leader.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 
 from weldhatch import interface as i
-from weldhatch.rules import table
-from weldhatch.rules.group import Group
-from weldhatch.rules.words import Ask, Learn
+from weldhatch.coordination import compatibility
+from weldhatch.coordination.messages import Ask, Learn
+from weldhatch.coordination.state_machine import Group
 
 COMMANDS_MOST = 200  # that are sent as a difference; more, and the whole state goes
 
@@ -75,7 +75,7 @@
     read: Callable[[dict], i.Settings]  # a version's settings; ConfigError for what is none
     lives: dict[tuple[str, int, str], Life] = field(default_factory=dict)
     log: dict[int, str] = field(default_factory=dict)  # the last commands by index
-    _changes: dict[tuple[int, int], tuple[list[table.Change], bool]] = field(default_factory=dict)
+    _changes: dict[tuple[int, int], tuple[list[compatibility.Change], bool]] = field(default_factory=dict)
 
     # ---- granting --------------------------------------------------------------------------------------
 
@@ -175,7 +175,7 @@
     def _despite(group: Group) -> list[str]:
         return group.prepared.despite if group.prepared is not None else []
 
-    def changes(self, group: Group) -> tuple[list[table.Change], bool]:
+    def changes(self, group: Group) -> tuple[list[compatibility.Change], bool]:
         """What the prepared version changes, and whether safe work is touched. Raises Unfit, ConfigError."""
         prepared = group.prepared
         if group.active is None:
@@ -183,8 +183,8 @@
         key = group.active.number, prepared.number
         if key not in self._changes:
             old, new = self.read(group.active.tree), self.read(prepared.tree)
-            found = table.changes(old, new)
-            self._changes = {key: (found, table.touches_safe(found, old, new))}
+            found = compatibility.changes(old, new)
+            self._changes = {key: (found, compatibility.touches_safe(found, old, new))}
         return self._changes[key]
 
     def waits_for(self, now: float, group: Group) -> dict[str, str]:
@@ -193,7 +193,7 @@
             return {}
         found, safe = self.changes(group)
         # What tightens is acted on by whoever hears of it: then only the answers are waited for.
-        wide = group.active is None or table.waits_for_all(found)
+        wide = group.active is None or compatibility.waits_for_all(found)
         span = self.spans.ground if safe and wide else self.spans.lease
         return self.waits(now, group, group.prepared_at, span, group.prepared.number)
 
--- a/weldhatch/rules/holder.py
+++ b/weldhatch/coordination/lease_holder.py
@@ -12,11 +12,11 @@
 from enum import Enum
 
 from weldhatch import interface as i
-from weldhatch.rules import table
-from weldhatch.rules.coordinator import Spans
-from weldhatch.rules.group import Group
-from weldhatch.rules.lists import narrower
-from weldhatch.rules.words import Ask, Learn
+from weldhatch.coordination import compatibility
+from weldhatch.coordination.drain_reports import narrower
+from weldhatch.coordination.leader import Spans
+from weldhatch.coordination.messages import Ask, Learn
+from weldhatch.coordination.state_machine import Group
 
 
 class Footing(Enum):
@@ -33,7 +33,7 @@
 
     number: int
     prepared: int
-    narrow: table.Narrow
+    narrow: compatibility.Narrow
 
 
 class Holder:
@@ -125,7 +125,7 @@
             try:
                 new = self._read(group.prepared.tree)
                 if group.active is not None:
-                    table.changes(self._read(group.active.tree), new)
+                    compatibility.changes(self._read(group.active.tree), new)
                 fault = self._fits(new)
             except ValueError as unfit:  # ConfigError names its key, and so does Unfit
                 fault = str(unfit)
@@ -142,9 +142,9 @@
             return None
         try:
             now = self._read(group.active.tree)
-            narrow = table.Narrow(now)
+            narrow = compatibility.Narrow(now)
             if group.prepared is not None and not self._fault:
-                narrow = table.meet(now, self._read(group.prepared.tree))
+                narrow = compatibility.meet(now, self._read(group.prepared.tree))
         except ValueError as unfit:
             self._number, self._fault = group.active.number, str(unfit)
             return None
--- a/weldhatch/rules/words.py
+++ b/weldhatch/coordination/messages.py
@@ -23,7 +23,9 @@
     number: int = 0
     fault: str = ""
     leaves: bool = False
-    sight: str = ""  # JSON: what it sees of the zones (`zones.keeper`); '' where it has said it lately
+    sight: str = (
+        ""  # JSON: what it sees of the zones (`zones.failover_member`); '' where it has said it lately
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,7 +47,7 @@
     index: int
     digest: str
     voters: str = ""  # JSON of name to address
-    shares: str = ""  # JSON: starts on machines that return, for a span from `sent` on (`zones.shares`)
+    shares: str = ""  # JSON: starts on machines that return, for a span from `sent` on (`zones.start_quota`)
 
 
 @dataclass(slots=True, frozen=True)
--- a/weldhatch/rules/member.py
+++ b/weldhatch/coordination/node.py
@@ -14,13 +14,13 @@
 from weldhatch import interface as i
 from weldhatch.consensus import messages, raft
 from weldhatch.consensus.persistent_state import Saved
-from weldhatch.rules.coordinator import Coordinator, Spans
-from weldhatch.rules.effects import Came, Event, Hold, Out, Reach, Say, Shared, Write
-from weldhatch.rules.group import Group
-from weldhatch.rules.holder import Footing, Holder
-from weldhatch.rules.words import Ask, Learn, Result, Submit, Word
-from weldhatch.rules.zoning import Zoning
-from weldhatch.zones.marshal import Times
+from weldhatch.coordination.effects import Came, Event, Hold, Out, Reach, Say, Shared, Write
+from weldhatch.coordination.leader import Coordinator, Spans
+from weldhatch.coordination.lease_holder import Footing, Holder
+from weldhatch.coordination.messages import Ask, Learn, Result, Submit, Word
+from weldhatch.coordination.state_machine import Group
+from weldhatch.coordination.zone_leader import Zoning
+from weldhatch.zones.failover_leader import Times
 
 SNAPSHOT_EVERY = 400  # entries
 JOIN_AGAIN_S = 0.5
--- a/weldhatch/rules/group.py
+++ b/weldhatch/coordination/state_machine.py
@@ -11,7 +11,7 @@
 import json
 from dataclasses import asdict, dataclass, field
 
-from weldhatch.rules.lists import ORDER, Lists, narrower
+from weldhatch.coordination.drain_reports import ORDER, Lists, narrower
 from weldhatch.zones.state import Zones
 
 HISTORY_MOST = 100
--- a/weldhatch/rules/zoning.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -1,4 +1,4 @@
-"""The leading voter's part in zones: reports in, commands and shares out (`zones.marshal` decides). Pure."""
+"""The zone part of the leading voter: reports in, commands and quotas. `zones.failover_leader` decides."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 
 from weldhatch import interface as i
-from weldhatch.rules.coordinator import Coordinator
-from weldhatch.rules.group import Group
-from weldhatch.rules.words import Ask
-from weldhatch.zones.marshal import Marshal, Times
-from weldhatch.zones.shares import Share
+from weldhatch.coordination.leader import Coordinator
+from weldhatch.coordination.messages import Ask
+from weldhatch.coordination.state_machine import Group
+from weldhatch.zones.failover_leader import Marshal, Times
+from weldhatch.zones.start_quota import Share
 
 LOOK_S = 0.05  # witnesses are weighed as often
 PLACES_MOST = 100  # that one report may name
--- a/weldhatch/pullqueue/abroad.py
+++ b/weldhatch/pullqueue/abroad.py
@@ -23,12 +23,12 @@
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.pullqueue.machines import Passed
 from weldhatch.setups import Setup
-from weldhatch.sites.book import SitesBook
-from weldhatch.sites.crossing import Sites
-from weldhatch.sites.home import Front
+from weldhatch.sites.forwarding import Sites
 from weldhatch.sites.link import Door
+from weldhatch.sites.local_site import Front
+from weldhatch.sites.messages import Id, Work
 from weldhatch.sites.routing import Router
-from weldhatch.sites.words import Id, Work
+from weldhatch.sites.storage import SitesBook
 
 SETTLE_SPARE_S = 0.5
 SOCKETS_A_SITE = 4
--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -14,7 +14,7 @@
 from weldhatch.pullqueue.operators import WordError, read_word
 
 if TYPE_CHECKING:  # its libraries are imported only where there are sites
-    from weldhatch.sites.crossing import Sites
+    from weldhatch.sites.forwarding import Sites
 
 
 class Refused(HttpError):
--- a/weldhatch/serving.py
+++ b/weldhatch/serving.py
@@ -31,7 +31,7 @@
 from weldhatch.pullqueue.front import PullQueue
 
 if TYPE_CHECKING:
-    from weldhatch.alone import Alone
+    from weldhatch.standalone_zones import Alone
 
 LISTEN_ON_S = 0.7  # after SIGTERM requests keep coming for so long, and are served
 LAST_READ_S = 0.05  # what had been written to us when we ceased to listen is read and answered
@@ -190,11 +190,11 @@
         if "PROXY_CONFIG" in os.environ or pull is None or not pull.enabled:
             told, roll, alone = config.platform(os.environ), None, None
             if pull is not None and pull.agreement is not None:
-                from weldhatch.agreement.roll import Roll as OwnRoll
+                from weldhatch.cluster.endpoint_list import Roll as OwnRoll
 
                 roll = OwnRoll()
             elif pull is not None and pull.zones is not None:
-                from weldhatch.alone import Alone
+                from weldhatch.standalone_zones import Alone
 
                 roll = alone = Alone(pull.zones.times, log)
             self._gateway = Gateway(told, log, roll, alone)
@@ -209,7 +209,7 @@
                 self.fronts.append(control)
         self.governor = None
         if pull is not None and pull.agreement is not None:
-            from weldhatch.agreement.governor import Governor  # imported only where dispatchers agree
+            from weldhatch.cluster.front_controller import Governor  # imported only where dispatchers agree
 
             settings = (
                 config.json_file(os.environ["PROXY_CONFIG"])["settings"]
--- a/weldhatch/sim/bugs.py
+++ b/weldhatch/sim/bugs.py
@@ -15,14 +15,14 @@
 
 from weldhatch.consensus.raft import Raft
 from weldhatch.consensus.rejoin import Vouched
+from weldhatch.coordination.lease_holder import Footing, Holder
+from weldhatch.coordination.state_machine import Group
 from weldhatch.net.connection import Connection
 from weldhatch.pullqueue import front
 from weldhatch.pullqueue.durable import Durable
 from weldhatch.pullqueue.leases import Ledger
-from weldhatch.rules.group import Group
-from weldhatch.rules.holder import Footing, Holder
 from weldhatch.sim.play import SCENARIOS, play
-from weldhatch.zones.marshal import Marshal
+from weldhatch.zones.failover_leader import Marshal
 
 
 @dataclass(slots=True, frozen=True)
--- a/weldhatch/sim/halls.py
+++ b/weldhatch/sim/halls.py
@@ -13,8 +13,8 @@
 from types import SimpleNamespace
 
 from weldhatch import config
-from weldhatch.agreement.governor import Governor
-from weldhatch.agreement.roll import Roll
+from weldhatch.cluster.endpoint_list import Roll
+from weldhatch.cluster.front_controller import Governor
 from weldhatch.net.budget import Budget
 from weldhatch.net.connection import Connection, connect
 from weldhatch.net.listener import Listener
--- a/weldhatch/sim/play.py
+++ b/weldhatch/sim/play.py
@@ -12,11 +12,11 @@
 from random import Random
 
 from weldhatch import config
-from weldhatch.agreement.governor import Governor
-from weldhatch.agreement.node import clock as boot_clock
 from weldhatch.client.api import ApiError
 from weldhatch.client.machine import BuildMachine, Lease, Outcome
 from weldhatch.client.submitter import Submitter, Task
+from weldhatch.cluster.front_controller import Governor
+from weldhatch.cluster.node import clock as boot_clock
 from weldhatch.policy import Policy
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.sim import faults, halls, linear, promises
--- a/weldhatch/sim/world.py
+++ b/weldhatch/sim/world.py
@@ -16,9 +16,9 @@
 from random import Random
 from typing import Any
 
-import weldhatch.agreement.governor
-import weldhatch.agreement.node
-import weldhatch.agreement.zoner
+import weldhatch.cluster.front_controller
+import weldhatch.cluster.node
+import weldhatch.cluster.zone_agent
 import weldhatch.net.connection
 import weldhatch.net.listener
 import weldhatch.store.folded
@@ -78,12 +78,12 @@
         yield time, "time_ns", lambda: int(unix(loop) * 1e9)
         yield secrets, "token_hex", lambda count=32: f"{self.dice().getrandbits(8 * count):0{2 * count}x}"
         yield uuid, "uuid4", lambda: uuid.UUID(int=self.dice().getrandbits(128), version=4)
-        for module in (weldhatch.agreement.node, weldhatch.agreement.zoner):
+        for module in (weldhatch.cluster.node, weldhatch.cluster.zone_agent):
             yield module, "Random", lambda *seed: Random(*seed or (self.dice().getrandbits(64),))
         for module in (weldhatch.net.connection, weldhatch.net.listener):
             yield module, "socket", sockets
             yield module, "IOStream", sockets.stream
-        yield weldhatch.agreement.governor, "events", lambda stream=None: self._event
+        yield weldhatch.cluster.front_controller, "events", lambda stream=None: self._event
         yield weldhatch.store.folded, "Log", SimLog
         yield weldhatch.store.folded, "Lock", SimLock
 
--- a/weldhatch/sites/crossing.py
+++ b/weldhatch/sites/forwarding.py
@@ -18,17 +18,17 @@
 from weldhatch.core.driver import unix_us
 from weldhatch.core.life import Core, Life
 from weldhatch.core.mailbox import Mailbox
-from weldhatch.sites import book as records
-from weldhatch.sites import frames, lending, taking, words
-from weldhatch.sites.book import SitesBook
-from weldhatch.sites.home import AtHome, Front, HomeOver, HomeOwner
-from weldhatch.sites.lending import Busy, Lender
+from weldhatch.sites import frames, handoff_source, handoff_target, messages
+from weldhatch.sites import storage as records
+from weldhatch.sites.capacity import Room
+from weldhatch.sites.handoff_source import Busy, Lender
 from weldhatch.sites.link import Ears, Link
-from weldhatch.sites.room import Room
+from weldhatch.sites.local_site import AtHome, Front, HomeOver, HomeOwner
+from weldhatch.sites.messages import Id, Work
 from weldhatch.sites.routing import Router, Stays, Summary
 from weldhatch.sites.session import Faulty
 from weldhatch.sites.status import site_status
-from weldhatch.sites.words import Id, Work
+from weldhatch.sites.storage import SitesBook
 from weldhatch.store.log import LogError
 
 WORDS, SUMMARIES = 0, 1  # streams of a link
@@ -103,17 +103,17 @@
                 case AtHome("placed", description):
                     self._owner.placed(description)
                     return self._stand_at_home()
-                case lending.Answer(id, "placed", description):
+                case handoff_source.Answer(id, "placed", description):
                     self._owner.placed(description)
                     return self._stand_there(id)
-                case AtHome("refused", _, wait) | lending.TakeBack(_, wait):
+                case AtHome("refused", _, wait) | handoff_source.TakeBack(_, wait):
                     wait_us = max(wait_us, wait)
                     if isinstance(word, AtHome) and last:
                         break
-                case lending.Answer(_, "refused", _, wait):
+                case handoff_source.Answer(_, "refused", _, wait):
                     self._owner.refused(wait)
                     return None
-                case AtHome() | lending.Answer():
+                case AtHome() | handoff_source.Answer():
                     self._owner.failed()
                     return None
                 case Busy():
@@ -146,7 +146,7 @@
                     self._sites.settle(self._life, lambda: self._sites.lender.end(self.work))
                     return None
 
-    async def _lend(self, site: str) -> lending.Answer | lending.TakeBack | Busy | None:
+    async def _lend(self, site: str) -> handoff_source.Answer | handoff_source.TakeBack | Busy | None:
         """Hand the task to another site and wait for its word; None where the owner gave up."""
         try:
             id = await self._sites.lend(site, self.work, self._left_us() - SPARE_US, self)
@@ -156,7 +156,7 @@
         try:
             while True:
                 match await self._next():
-                    case lending.Answer() | lending.TakeBack() as word if word.id == id:
+                    case handoff_source.Answer() | handoff_source.TakeBack() as word if word.id == id:
                         return word
                     case ports.GivenUp():
                         self._sites.leave(id)
@@ -184,7 +184,7 @@
     async def _stand_there(self, id: Id) -> None:
         while True:
             match await self._next():
-                case lending.Over(which, cause, result) if which == id:
+                case handoff_source.Over(which, cause, result) if which == id:
                     if result:
                         self._sites.front.came_to(self.task, result)
                     self._owner.released(cause)
@@ -240,7 +240,7 @@
         self._sites.spawn(self._sites.after(self.life, 0.0, lambda: self._ended(cause)))
 
     @property
-    def _taker(self) -> taking.Taker:
+    def _taker(self) -> handoff_target.Taker:
         return self._sites.book.taker(self.site)
 
     def _ended(self, cause: int) -> None:
@@ -406,7 +406,7 @@
 
     def time_up(self, id: Id) -> None:
         one = self.lender.lent.get(id)
-        if one is not None and one.phase is lending.Lending.OUT:
+        if one is not None and one.phase is handoff_source.Lending.OUT:
             self.router.failed(time.monotonic(), one.site)
             self.carry(self.lender.time_up(id))
 
@@ -420,10 +420,10 @@
         if self._closed:
             return
         for n, effect in enumerate(effects):
-            if isinstance(effect, lending.Write | taking.Write):
+            if isinstance(effect, handoff_source.Write | handoff_target.Write):
                 record = (
                     records.lent(effect.record)
-                    if isinstance(effect, lending.Write)
+                    if isinstance(effect, handoff_source.Write)
                     else records.taken(site, effect.record)
                 )
                 self.book.must([record]).add_done_callback(
@@ -434,22 +434,22 @@
 
     def _carry(self, effect: object) -> None:
         match effect:
-            case lending.Say(site, word) | taking.Say(site, word):
+            case handoff_source.Say(site, word) | handoff_target.Say(site, word):
                 self.links[site].send(WORDS, frames.encode_word(word))
-            case lending.Answer(id) | lending.TakeBack(id):
+            case handoff_source.Answer(id) | handoff_source.TakeBack(id):
                 if waiting := self._waiting.get(id):
-                    if not (isinstance(effect, lending.Answer) and effect.answer == "placed"):
+                    if not (isinstance(effect, handoff_source.Answer) and effect.answer == "placed"):
                         del self._waiting[id]
                     waiting[0].tell(effect)
-            case lending.Over(id):
+            case handoff_source.Over(id):
                 if waiting := self._waiting.pop(id, None):
                     waiting[0].tell(effect)
-            case taking.Try(site, id, work, left_us):
+            case handoff_target.Try(site, id, work, left_us):
                 self._welcome(site, id, work, left_us)
-            case taking.GiveUp(site, id):
+            case handoff_target.GiveUp(site, id):
                 if guest := self.guests.get((site, id)):
                     guest.give_up()
-            case taking.Free(site, id, cause):
+            case handoff_target.Free(site, id, cause):
                 if guest := self.guests.get((site, id)):
                     guest.free(cause)
 
@@ -495,22 +495,22 @@
         if stream != WORDS:
             raise Faulty(f"stream {stream} is not spoken here")
         word = frames.decode_word(payload)
-        if isinstance(word, words.ToTaker):
-            if isinstance(word, words.Offered) and self.book.full:
+        if isinstance(word, messages.ToTaker):
+            if isinstance(word, messages.Offered) and self.book.full:
                 return  # it will be said again
             self.carry(self.book.taker(site).hear(word, self.draining), site)
             return
         one, now = self.lender.lent.get(word.id), time.monotonic()
         if one is not None and one.site == site:
-            if isinstance(word, words.Stood | words.Ended):
+            if isinstance(word, messages.Stood | messages.Ended):
                 self.front.ran(one.work)
             match word:
-                case words.Stood() if one.phase is lending.Lending.OUT:
+                case messages.Stood() if one.phase is handoff_source.Lending.OUT:
                     self.router.placed(now, site)
-                case words.Returned():
+                case messages.Returned():
                     self.router.returned(now, site, one.work)
                     self.router.over(site)
-                case words.Ended():
+                case messages.Ended():
                     self.router.over(site)
         self.carry(self.lender.hear(site, word))
 
--- a/weldhatch/sites/frames.py
+++ b/weldhatch/sites/frames.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from weldhatch.net.ring import Ring
-from weldhatch.sites import words
+from weldhatch.sites import messages
 from weldhatch.sites.routing import Summary
 from weldhatch.sites.session import Ack, Beat, Faulty, Frame, Hello, Message
 
@@ -21,15 +21,15 @@
 
 _KINDS: dict[int, type] = {1: Hello, 2: Message, 3: Ack, 4: Beat}
 _WORDS: dict[int, type] = {
-    1: words.Offered,
-    2: words.Withdrawn,
-    3: words.Freed,
-    4: words.Closed,
-    5: words.Floor,
-    6: words.Taken,
-    7: words.Stood,
-    8: words.Returned,
-    9: words.Ended,
+    1: messages.Offered,
+    2: messages.Withdrawn,
+    3: messages.Freed,
+    4: messages.Closed,
+    5: messages.Floor,
+    6: messages.Taken,
+    7: messages.Stood,
+    8: messages.Returned,
+    9: messages.Ended,
 }
 _KIND_OF = {kind: number for number, kind in _KINDS.items()}
 _WORD_OF = {kind: number for number, kind in _WORDS.items()}
@@ -72,11 +72,11 @@
     return decode(ring.take(_LENGTH.size + length)[_LENGTH.size :])
 
 
-def encode_word(word: words.ToTaker | words.ToLender) -> bytes:
+def encode_word(word: messages.ToTaker | messages.ToLender) -> bytes:
     return _pack((_WORD_OF[type(word)], word))
 
 
-def decode_word(payload: bytes) -> words.ToTaker | words.ToLender:
+def decode_word(payload: bytes) -> messages.ToTaker | messages.ToLender:
     """Raises Faulty."""
     return _made(_WORD_READERS, payload, "a word")
 
@@ -108,7 +108,7 @@
         if word == "epoch":
             return word, int(rest[0])
         id = msgspec.convert(rest[0], tuple[int, int])
-        rest = [msgspec.convert(one, words.Work) if isinstance(one, dict) else one for one in rest[1:]]
+        rest = [msgspec.convert(one, messages.Work) if isinstance(one, dict) else one for one in rest[1:]]
         return word, id, *rest
     except (msgspec.MsgspecError, IndexError, TypeError, ValueError) as fault:
         raise ValueError(f"a record that can't be read: {data[:80]!r}: {fault}") from None
--- a/weldhatch/sites/lending.py
+++ b/weldhatch/sites/handoff_source.py
@@ -18,8 +18,8 @@
 from enum import StrEnum
 
 from weldhatch.interface import Effect
-from weldhatch.sites import words
-from weldhatch.sites.words import Id, Work
+from weldhatch.sites import messages
+from weldhatch.sites.messages import Id, Work
 
 SPAN_MOST = 65_536  # ids from the oldest open transfer to the newest: what the taking side has to remember
 CALLED_OFF = 31  # the cause of a task that nobody waits for
@@ -57,7 +57,7 @@
 @dataclass(slots=True, frozen=True)
 class Say:
     site: str
-    word: words.ToTaker
+    word: messages.ToTaker
 
 
 @dataclass(slots=True, frozen=True)
@@ -143,7 +143,10 @@
         self.serial += 1
         one = Lent((self.epoch, self.serial), site, work)
         self._put(one)
-        return one.id, [Write(("lent", one.id, site, work)), Say(site, words.Offered(one.id, work, left_us))]
+        return one.id, [
+            Write(("lent", one.id, site, work)),
+            Say(site, messages.Offered(one.id, work, left_us)),
+        ]
 
     def never_left(self, id: Id) -> None:
         """The disk did not take the record of a transfer: it was not said, and its right is here still."""
@@ -177,35 +180,37 @@
         if one is None or one.phase is not Lending.STANDS:
             return []
         self._put(replace(one, phase=Lending.FREED, cause=cause))
-        return [Write(("freed", id, cause)), Say(one.site, words.Freed(id, cause))]
+        return [Write(("freed", id, cause)), Say(one.site, messages.Freed(id, cause))]
 
     def _call_back(self, one: Lent) -> list[LenderEffect]:
         self._put(replace(one, phase=Lending.CALLED_BACK))
-        return [Write(("called", one.id)), Say(one.site, words.Withdrawn(one.id))]
+        return [Write(("called", one.id)), Say(one.site, messages.Withdrawn(one.id))]
 
     # ---- what the other side says ----------------------------------------------------------------------
 
-    def hear(self, site: str, word: words.ToLender) -> list[LenderEffect]:
+    def hear(self, site: str, word: messages.ToLender) -> list[LenderEffect]:
         """One word of a site. Words on what is over, and of sites that it was not lent to, change nothing."""
         one = self.lent.get(word.id)
         if one is None:
             # Guards against a last word that is said for ever because `Closed` was lost.
-            over = isinstance(word, words.Returned | words.Ended)
-            return [Say(site, words.Closed(word.id))] if over and word.id <= (self.epoch, self.serial) else []
+            over = isinstance(word, messages.Returned | messages.Ended)
+            return (
+                [Say(site, messages.Closed(word.id))] if over and word.id <= (self.epoch, self.serial) else []
+            )
         if one.site != site:
             return []
         match word:
-            case words.Taken():
+            case messages.Taken():
                 self._put(replace(one, taken=True))
                 return []
-            case words.Stood(id, description):
+            case messages.Stood(id, description):
                 return self._stood(one, id, description)
-            case words.Returned(id, wait_us):
+            case messages.Returned(id, wait_us):
                 if one.phase in (Lending.STANDS, Lending.FREED):
                     return []  # it stood: a word that can't be true takes nothing away
                 effects = self._drop(one, "back")
                 return [*effects, TakeBack(id, wait_us)] if one.phase is Lending.OUT else effects
-            case words.Ended(id, cause, _, result):
+            case messages.Ended(id, cause, _, result):
                 effects = self._drop(one, "over")
                 if one.phase is Lending.OUT:  # the word that it stood was lost: it ran, that much is known
                     return [*effects, Answer(id, "failed")]
@@ -218,26 +223,26 @@
                 self._put(replace(one, phase=Lending.STANDS, taken=True))
                 return [Write(("stands", id)), Answer(id, "placed", description)]
             case Lending.CALLED_BACK:
-                return [Say(one.site, words.Withdrawn(id))]
+                return [Say(one.site, messages.Withdrawn(id))]
             case Lending.FREED:
-                return [Say(one.site, words.Freed(id, one.cause))]
+                return [Say(one.site, messages.Freed(id, one.cause))]
         return []
 
     # ---- repeats, restarts, operators ------------------------------------------------------------------
 
     def repeat(self, site: str, left_us: dict[Id, int]) -> Iterator[Say]:
         """What a site has not confirmed, to be said again; `left_us`: how long each owner still waits."""
-        yield Say(site, words.Floor(self.floor))
+        yield Say(site, messages.Floor(self.floor))
         for one in self.lent.values():
             if one.site != site:
                 continue
             match one.phase:
                 case Lending.OUT if not one.taken:
-                    yield Say(site, words.Offered(one.id, one.work, max(0, left_us.get(one.id, 0))))
+                    yield Say(site, messages.Offered(one.id, one.work, max(0, left_us.get(one.id, 0))))
                 case Lending.CALLED_BACK:
-                    yield Say(site, words.Withdrawn(one.id))
+                    yield Say(site, messages.Withdrawn(one.id))
                 case Lending.FREED:
-                    yield Say(site, words.Freed(one.id, one.cause))
+                    yield Say(site, messages.Freed(one.id, one.cause))
 
     def restarted(self) -> list[LenderEffect]:
         """After a start from the store: owners of what was out have lost their gateway; it is called back.
@@ -284,7 +289,7 @@
 
     def _drop(self, one: Lent, record: str) -> list[LenderEffect]:
         self._remove(one)
-        return [Write((record, one.id)), Say(one.site, words.Closed(one.id))]
+        return [Write((record, one.id)), Say(one.site, messages.Closed(one.id))]
 
     # ---- the fold of its records -----------------------------------------------------------------------
 
--- a/weldhatch/sites/taking.py
+++ b/weldhatch/sites/handoff_target.py
@@ -20,8 +20,8 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-from weldhatch.sites import words
-from weldhatch.sites.words import Id, Work
+from weldhatch.sites import messages
+from weldhatch.sites.messages import Id, Work
 
 HOPS_MOST = 2  # sites that a task crosses; then it is returned, not passed on
 LOST, CALLED_OFF = 41, 31  # causes: lost with its gateway, and called off
@@ -65,7 +65,7 @@
 @dataclass(slots=True, frozen=True)
 class Say:
     site: str
-    word: words.ToLender
+    word: messages.ToLender
 
 
 @dataclass(slots=True, frozen=True)
@@ -110,15 +110,15 @@
 
     # ---- what the other side says ----------------------------------------------------------------------
 
-    def hear(self, word: words.ToTaker, draining: bool = False) -> list[TakerEffect]:
+    def hear(self, word: messages.ToTaker, draining: bool = False) -> list[TakerEffect]:
         """One word of the lending site. `draining`: this site takes nothing new."""
-        if isinstance(word, words.Floor):
+        if isinstance(word, messages.Floor):
             return self._passed(word.id)
         if word.id > self.newest:
             self.newest = word.id
         one = self.taken.get(word.id)
         match word:
-            case words.Offered(id, work, left_us):
+            case messages.Offered(id, work, left_us):
                 if one is not None:
                     return self._last_word(one)
                 if id < self.floor or id in self.tombs:
@@ -128,17 +128,17 @@
                 self.taken[id] = Borrowed(id, work)
                 return [
                     Write(("taken", id, work)),
-                    Say(self.site, words.Taken(id)),
+                    Say(self.site, messages.Taken(id)),
                     Try(self.site, id, work, left_us),
                 ]
-            case words.Withdrawn(id):
+            case messages.Withdrawn(id):
                 return self._withdrawn(one, id)
-            case words.Freed(id, cause):
+            case messages.Freed(id, cause):
                 if one is not None and one.phase is Taking.STANDS:
                     self.taken[id] = replace(one, phase=Taking.ENDING)
                     return [Free(self.site, id, cause)]
                 return self._withdrawn(one, id)
-            case words.Closed(id):
+            case messages.Closed(id):
                 if one is None or one.phase in OPEN:
                     return []  # only what has had its last word can be closed
                 self._bury(id)
@@ -191,7 +191,7 @@
         return (
             [wrote, Free(self.site, id, CALLED_OFF)]
             if ending
-            else [wrote, Say(self.site, words.Stood(id, description))]
+            else [wrote, Say(self.site, messages.Stood(id, description))]
         )
 
     def given_back(self, id: Id, wait_us: int = 0) -> list[TakerEffect]:
@@ -203,7 +203,7 @@
 
     def _give_back(self, one: Borrowed, wait_us: int) -> list[TakerEffect]:
         self.taken[one.id] = replace(one, phase=Taking.RETURNED)
-        return [Write(("returned", one.id)), Say(self.site, words.Returned(one.id, wait_us))]
+        return [Write(("returned", one.id)), Say(self.site, messages.Returned(one.id, wait_us))]
 
     def ended(self, id: Id, cause: int, result: str = "") -> list[TakerEffect]:
         """It is over: after it stood, with what it has come to; or failed, where it may have run."""
@@ -225,12 +225,12 @@
         """Where it is now, said again."""
         match one.phase:
             case Taking.TRIED | Taking.CALLED_BACK:
-                return [Say(self.site, words.Taken(one.id))]
+                return [Say(self.site, messages.Taken(one.id))]
             case Taking.STANDS | Taking.ENDING:
-                return [Say(self.site, words.Stood(one.id, one.description))]
+                return [Say(self.site, messages.Stood(one.id, one.description))]
             case Taking.RETURNED:
-                return [Say(self.site, words.Returned(one.id))]
-        return [Say(self.site, words.Ended(one.id, one.cause, one.stood, one.result))]
+                return [Say(self.site, messages.Returned(one.id))]
+        return [Say(self.site, messages.Ended(one.id, one.cause, one.stood, one.result))]
 
     def restarted(self, ids: Iterable[Id] | None = None) -> list[TakerEffect]:
         """After a start from the store, once nothing that was started before it can run any more.
--- a/weldhatch/sites/home.py
+++ b/weldhatch/sites/local_site.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from weldhatch.core import ports
-from weldhatch.sites.words import Id, Work
+from weldhatch.sites.messages import Id, Work
 
 
 class Front(Protocol):
--- a/weldhatch/sites/routing.py
+++ b/weldhatch/sites/routing.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from weldhatch.sites.words import Work
+from weldhatch.sites.messages import Work
 
 DRAWN = 2  # sites drawn for a task, as machines are inside a site
 TOLD_MOST_S = 5.0  # an older summary says nothing of room
--- a/weldhatch/sites/status.py
+++ b/weldhatch/sites/status.py
@@ -4,11 +4,11 @@
 
 import time
 
-from weldhatch.sites import lending, taking
-from weldhatch.sites.book import SitesBook
-from weldhatch.sites.lending import Lender
+from weldhatch.sites import handoff_source, handoff_target
+from weldhatch.sites.handoff_source import Lender
 from weldhatch.sites.link import Link
 from weldhatch.sites.routing import Site
+from weldhatch.sites.storage import SitesBook
 
 DOUBTS_MOST = 100
 
@@ -25,8 +25,8 @@
         "breaks": link.breaks,
         "delay_ms": round(link.session.delay_s * 1000, 1),
         "epoch": book.known(site)[0],
-        "lent": {phase.value: phases.count(phase) for phase in lending.Lending if phase in phases},
-        "taken": sum(one.phase in taking.OPEN for one in book.taker(site).taken.values()),
+        "lent": {phase.value: phases.count(phase) for phase in handoff_source.Lending if phase in phases},
+        "taken": sum(one.phase in handoff_target.OPEN for one in book.taker(site).taken.values()),
         "left_out_s": round(max(0.0, known.left_out - now), 1),
         "told": None
         if known.told is None
@@ -46,6 +46,6 @@
                 "why": why,
             }
             for one in lent
-            if one.phase is lending.Lending.CALLED_BACK
+            if one.phase is handoff_source.Lending.CALLED_BACK
         ][:DOUBTS_MOST],
     }
--- a/weldhatch/sites/book.py
+++ b/weldhatch/sites/storage.py
@@ -16,8 +16,8 @@
 from weldhatch.config import ConfigError
 from weldhatch.sites.epochs import EpochBook
 from weldhatch.sites.frames import decode_record, encode_record
-from weldhatch.sites.lending import Lender
-from weldhatch.sites.taking import Taker
+from weldhatch.sites.handoff_source import Lender
+from weldhatch.sites.handoff_target import Taker
 from weldhatch.store.commit import PROBE
 from weldhatch.store.folded import FoldedStore
 
--- a/weldhatch/alone.py
+++ b/weldhatch/standalone_zones.py
@@ -1,4 +1,4 @@
-"""Zones where dispatchers share nothing: one front, its clock and its log round `zones.solitary`.
+"""Zones where dispatchers share nothing: one front, its clock and its log round `zones.standalone`.
 
 Imported only where `zones.alone` is set.
 """
@@ -13,9 +13,9 @@
 from weldhatch import interface as i
 from weldhatch.core.driver import Driver
 from weldhatch.core.ports import Task
-from weldhatch.zones.marshal import Times
-from weldhatch.zones.narrowed import Narrowed
-from weldhatch.zones.solitary import Solitary
+from weldhatch.zones.endpoint_overlay import Narrowed
+from weldhatch.zones.failover_leader import Times
+from weldhatch.zones.standalone import Solitary
 
 TICK_S = 0.1
 
--- a/weldhatch/standins/council.py
+++ b/weldhatch/standins/council.py
@@ -16,9 +16,9 @@
 from weldhatch import config
 from weldhatch import interface as i
 from weldhatch.consensus.persistent_state import Saved
-from weldhatch.rules import table
-from weldhatch.rules.coordinator import Spans
-from weldhatch.rules.member import Came, Hold, Member, Reach, Say, Write
+from weldhatch.coordination import compatibility
+from weldhatch.coordination.leader import Spans
+from weldhatch.coordination.node import Came, Hold, Member, Reach, Say, Write
 
 STEP_S = 0.02
 KINDS = ("crash", "stop", "cut", "deaf", "lose", "double", "older", "cut_pair", "slow_disk")
@@ -337,13 +337,15 @@
             for a, (cls, _, _) in by.items():
                 for b, (other, _, _) in by.items():
                     if a < b and cls != other:
-                        for change in table._items("classes", table.CLASSES, (cls,), (other,), True):
-                            if change.overlap is table.Overlap.SWITCHES:
+                        for change in compatibility._items(
+                            "classes", compatibility.CLASSES, (cls,), (other,), True
+                        ):
+                            if change.overlap is compatibility.Overlap.SWITCHES:
                                 raise Contradiction(
                                     f"step {self.steps}: {a} and {b} both start {cls.name}, "
                                     f"{change.key} {change.old!r} and {change.new!r}"
                                 )
-                            if change.overlap is not table.Overlap.FREE:
+                            if change.overlap is not compatibility.Overlap.FREE:
                                 contradicting.add((n, a, b, change.key))
         for key in contradicting:
             since = self._acts_since.setdefault(key, self.time)
--- a/weldhatch/standins/realm.py
+++ b/weldhatch/standins/realm.py
@@ -14,9 +14,9 @@
 from random import Random
 
 from weldhatch import interface as i
-from weldhatch.zones.keeper import Keeper
-from weldhatch.zones.marshal import Marshal, Times
-from weldhatch.zones.shares import Share
+from weldhatch.zones.failover_leader import Marshal, Times
+from weldhatch.zones.failover_member import Keeper
+from weldhatch.zones.start_quota import Share
 from weldhatch.zones.state import Phase, Zones
 
 STATED, DRIFT = 2.0, 0.02
--- a/weldhatch/standins/region.py
+++ b/weldhatch/standins/region.py
@@ -21,11 +21,11 @@
 from weldhatch.core.life import Core
 from weldhatch.net.budget import Budget, Share
 from weldhatch.policy import Policy
-from weldhatch.sites.book import SitesBook
-from weldhatch.sites.crossing import Sites
+from weldhatch.sites.forwarding import Sites
 from weldhatch.sites.link import Door
+from weldhatch.sites.messages import Id, Work
 from weldhatch.sites.routing import Router
-from weldhatch.sites.words import Id, Work
+from weldhatch.sites.storage import SitesBook
 from weldhatch.standins.hall import Hall, Tally
 from weldhatch.standins.wire import Wire
 
--- a/weldhatch/standins/sites.py
+++ b/weldhatch/standins/sites.py
@@ -13,10 +13,10 @@
 from copy import copy
 from dataclasses import dataclass, field
 
-from weldhatch.sites import lending, taking
-from weldhatch.sites.lending import Lender, Lending
-from weldhatch.sites.taking import Taker, Taking
-from weldhatch.sites.words import Id, Work
+from weldhatch.sites import handoff_source, handoff_target
+from weldhatch.sites.handoff_source import Lender, Lending
+from weldhatch.sites.handoff_target import Taker, Taking
+from weldhatch.sites.messages import Id, Work
 
 HOME, AWAY = "home", "away"
 
@@ -104,22 +104,22 @@
         """Carry effects out in order; `upto`: the process dies after so many."""
         for effect in effects[:upto]:
             match effect:
-                case lending.Write(record):
+                case handoff_source.Write(record):
                     self.lender_disk.take(record)
-                case taking.Write(record):
+                case handoff_target.Write(record):
                     self.taker_disk.take(record)
-                case lending.Say(_, word):
+                case handoff_source.Say(_, word):
                     self.there = (*self.there, word)
-                case taking.Say(_, word):
+                case handoff_target.Say(_, word):
                     self.here = (*self.here, word)
-                case lending.Answer(id, answer):
+                case handoff_source.Answer(id, answer):
                     self.answer(self.request(id), answer)
-                case lending.TakeBack(id):
+                case handoff_source.TakeBack(id):
                     if self.request(id) not in self.gone:
                         self.mine |= {self.request(id)}
-                case taking.Try(_, id):
+                case handoff_target.Try(_, id):
                     self.trying |= {id}
-                case taking.GiveUp() | taking.Free() | lending.Over():
+                case handoff_target.GiveUp() | handoff_target.Free() | handoff_source.Over():
                     pass  # what follows is an event of its own
         if upto is not None:
             return
@@ -177,7 +177,7 @@
         self.starts, self.answers = (*self.starts, 0), (*self.answers, ())
         try:
             id, effects = self.lender.lend(AWAY, work, 1_000_000)
-        except lending.Busy:
+        except handoff_source.Busy:
             self.answer(request, "refused")
             return []
         self.of = (*self.of, (id, request))
@@ -218,7 +218,7 @@
         self.mine -= {request}
         try:
             self.lender.begin(self.asks[request])
-        except lending.Busy:
+        except handoff_source.Busy:
             self.answer(request, "refused")
         else:
             self.start(HOME, request, request)
@@ -233,7 +233,13 @@
             after = self.copied(name)
             effects = do(after)
             for died in range(len(effects)) if effects else ():
-                home = isinstance(effects[0], lending.Write | lending.Say | lending.Answer | lending.TakeBack)
+                home = isinstance(
+                    effects[0],
+                    handoff_source.Write
+                    | handoff_source.Say
+                    | handoff_source.Answer
+                    | handoff_source.TakeBack,
+                )
                 if (self.faults.home_crashes if home else self.faults.away_crashes) and died:
                     cut = self.copied(f"{name}, and dies after {died} of {len(effects)} effects")
                     cut.carry(do(cut), died)
@@ -279,7 +285,7 @@
         self.lender.here = {
             work.key
             for site, what in self.running
-            if site == HOME and lending.guarded(work := self.asks[what]) is not None
+            if site == HOME and handoff_source.guarded(work := self.asks[what]) is not None
         }
         for one in (self.lender, self.lender_disk):
             one.take(("epoch", fresh.epoch + 1 if one is fresh else self.lender.epoch))
@@ -342,7 +348,7 @@
         after = self.settled()
         if after.lender.lent or after.lender.keys:
             after.broken(f"still lent after all has settled: {list(after.lender.lent.values())}")
-        if open := [one for one in after.taker.taken.values() if one.phase in taking.OPEN]:
+        if open := [one for one in after.taker.taken.values() if one.phase in handoff_target.OPEN]:
             after.broken(f"still taken after all has settled: {open}")
         for request, told in enumerate(after.answers):
             if len(told) != 1 and request not in after.gone:
--- a/weldhatch/zones/marshal.py
+++ b/weldhatch/zones/failover_leader.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 
 from weldhatch import interface as i
-from weldhatch.zones import fair, room
-from weldhatch.zones.shares import Ledger, Share
-from weldhatch.zones.sight import Cut, Look
+from weldhatch.zones import capacity, load_shedding
+from weldhatch.zones.observations import Cut, Look
+from weldhatch.zones.start_quota import Ledger, Share
 from weldhatch.zones.state import AWAY, OPERATOR, STEPS, Phase, Place, Zones
 
 TROUBLE, TROUBLE_LEAST = 0.2, 4  # the part of starts that go wrong, and how many, for a step back
@@ -70,7 +70,7 @@
         self.timeline: list[dict] = []
         self._began, self._members = now, 0
         self._watched: dict[str, Watched] = {}
-        self._carried = room.Carried()
+        self._carried = capacity.Carried()
         self._last_sample = float("-inf")
         self.refused_last: set[str] = set()  # places that all call down, and that are the last to serve
 
@@ -287,12 +287,12 @@
                 if "/" not in name and now - watched.shed >= times.calm:
                     watched.shed = now
                     free, size = self._free(now, name, zones, settings)
-                    fresh = room.shed_of(
-                        room.next_level(room.level_of(place.shed), free, size, len(settings.classes)),
+                    fresh = capacity.shed_of(
+                        capacity.next_level(capacity.level_of(place.shed), free, size, len(settings.classes)),
                         settings.classes,
                     )
                     tenants = self._by_tenant(now, fresh, settings)
-                    if fresh != place.shed or fair.moved(place.tenants, tenants):
+                    if fresh != place.shed or load_shedding.moved(place.tenants, tenants):
                         return {
                             "phase": "left",
                             "shed": fresh,
@@ -398,14 +398,14 @@
 
     # ---- room ------------------------------------------------------------------------------------------
 
-    def need(self, now: float, name: str, zones: Zones, settings: i.Settings) -> room.Need:
+    def need(self, now: float, name: str, zones: Zones, settings: i.Settings) -> capacity.Need:
         """What a zone carries beside what the zones that still serve have free."""
-        return room.Need(self._carried.most(now, name), self._free(now, name, zones, settings)[0])
+        return capacity.Need(self._carried.most(now, name), self._free(now, name, zones, settings)[0])
 
     def _free(self, now: float, name: str, zones: Zones, settings: i.Settings) -> tuple[float, float]:
         """Cores that are free in all zones that serve but this one, and how many they are in all."""
         rest = [zone for zone in settings.zones if zone != name and zones.at(zone).phase not in AWAY]
-        return room.free_in(
+        return capacity.free_in(
             [one.told for one in self._fresh(now) if one.told.get("cut") != Cut.SELF.value], rest
         )
 
@@ -414,12 +414,13 @@
         for one in self._fresh(now):
             for cls, rate in one.told.get("rates", {}).items():
                 rates[cls] = rates.get(cls, 0.0) + rate
-        return room.shed_of(
-            room.first_level(self.need(now, name, zones, settings), rates, settings.classes), settings.classes
+        return capacity.shed_of(
+            capacity.first_level(self.need(now, name, zones, settings), rates, settings.classes),
+            settings.classes,
         )
 
     def _by_tenant(self, now: float, shed: Mapping[str, float], settings: i.Settings) -> dict:
-        return fair.of_shed(shed, [one.told for one in self._fresh(now)], settings.tenants)
+        return load_shedding.of_shed(shed, [one.told for one in self._fresh(now)], settings.tenants)
 
     def operator(self, now: float, told: Mapping, zones: Zones, settings: i.Settings) -> dict:
         """An operator's word as a command, or {"error": ...}: leave, return, hold, release."""
@@ -444,7 +445,7 @@
                 if place.phase not in (Phase.SERVING, Phase.SUSPECTED, Phase.RETURNING):
                     return {"error": "order", "text": f"{name} is {place.phase.value} already"}
                 need = self.need(now, name, zones, settings)
-                if not told.get("despite") and "/" not in name and need.short > room.SHED_LEAST:
+                if not told.get("despite") and "/" not in name and need.short > capacity.SHED_LEAST:
                     return {
                         "error": "room",
                         "text": f"{name} carries {need.carried:.1f} cores and the rest "
--- a/weldhatch/zones/keeper.py
+++ b/weldhatch/zones/failover_member.py
@@ -10,13 +10,13 @@
 from random import Random
 
 from weldhatch import interface as i
-from weldhatch.zones import fair
-from weldhatch.zones.budgets import Attempts, Ramp, Rates
-from weldhatch.zones.hush import Hush
-from weldhatch.zones.shares import Purse, Share
-from weldhatch.zones.sight import Cut, Sight, Sign
+from weldhatch.zones import load_shedding
+from weldhatch.zones.load_accounting import Asked, Standing, Tally
+from weldhatch.zones.observations import Cut, Sight, Sign
+from weldhatch.zones.retry_budget import Attempts, Ramp, Rates
+from weldhatch.zones.silence_detector import Hush
+from weldhatch.zones.start_quota import Purse, Share
 from weldhatch.zones.state import AWAY, Phase, Zones
-from weldhatch.zones.tally import Asked, Standing, Tally
 
 PROBE_EVERY_S = 0.25  # a place that was left, or says nothing, is looked at by one probe so often
 HUSH_PROBES = 3  # and by so many where it has just gone silent: their time-outs are evidence
@@ -430,7 +430,7 @@
             "refused": self.refused,
         }
         if len(self._settings.tenants) > 1:
-            out["tenants"] = fair.rates_told(by_tenant)
+            out["tenants"] = load_shedding.rates_told(by_tenant)
         if starts := {
             name: [one.sent, one.ran, one.trouble]
             for name, one in self.tally.starts.items()
--- a/weldhatch/zones/solitary.py
+++ b/weldhatch/zones/standalone.py
@@ -10,8 +10,8 @@
 from random import Random
 
 from weldhatch import interface as i
-from weldhatch.zones.keeper import Keeper
-from weldhatch.zones.marshal import Marshal, Times
+from weldhatch.zones.failover_leader import Marshal, Times
+from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.state import Zones
 
 SPAN_S = 0.5
