--- a/tests/checker.py
+++ b/tests/checker.py
@@ -8,7 +8,7 @@
 
 import random
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 PROOFS = {i.Outcome.FULL, i.Outcome.CONNECT_FAILED, i.Outcome.NOT_SENT}
 
--- a/tests/test_abroad.py
+++ b/tests/test_abroad.py
@@ -20,10 +20,10 @@
 from weldhatch.config import ConfigError
 from weldhatch.keys.folder import Folder
 from weldhatch.net.budget import Budget, Share
-from weldhatch.policy import Policy
 from weldhatch.pullqueue import abroad
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
+from weldhatch.scheduling.policy import Policy
 from weldhatch.sites import frames
 from weldhatch.sites.handoff_source import Lending
 from weldhatch.sites.link import Link
--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -12,7 +12,6 @@
 from conftest import make_class, make_settings
 
 from weldhatch import config
-from weldhatch import interface as i
 from weldhatch.cli.main import main
 from weldhatch.cluster import codec, front_controller
 from weldhatch.cluster.control_api import Desk
@@ -24,6 +23,7 @@
 from weldhatch.coordination.messages import Ask, Learn
 from weldhatch.coordination.state_machine import Group
 from weldhatch.pullqueue.operators import STATES
+from weldhatch.scheduling import types as i
 from weldhatch.sites.session import Faulty
 from weldhatch.standins.rig import settings, until
 from weldhatch.store.log import LogError
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -14,7 +14,7 @@
 from scenario import LONG, SETTINGS, Owner, Scenario
 
 from weldhatch import config
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 from weldhatch.serving import Gateway
 from weldhatch.standalone_zones import Alone
 from weldhatch.standins.realm import settings as realm_settings
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -21,8 +21,8 @@
 from weldhatch.keys import tokens
 from weldhatch.keys.errors import KeysError
 from weldhatch.keys.folder import Folder
-from weldhatch.policy import Policy
 from weldhatch.pullqueue.front import PullQueue
+from weldhatch.scheduling.policy import Policy
 
 PROPERTIES = {"cores": "8", "memory": "64", "hall": "east", "rack": "r1"}
 WORKER = {"properties": [{"key": key, "value": value} for key, value in PROPERTIES.items()]}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,10 +4,10 @@
 import time
 import unittest
 
-from weldhatch import interface as i
 from weldhatch.core.driver import Driver, unix_us
 from weldhatch.core.life import Core
 from weldhatch.core.ports import Ended, LetGo, Task
+from weldhatch.scheduling import types as i
 
 
 class Offers:
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -20,9 +20,9 @@
 from scenario import SETTINGS, Scenario, Server, parts_of, tag
 
 from weldhatch import config
-from weldhatch import interface as i
 from weldhatch.net.connection import Connection
 from weldhatch.platform import binary, owners
+from weldhatch.scheduling import types as i
 
 ALLOWED_S = 0.1  # the term: what begins later after its client has gone is a break
 BUSY_S = 0.2  # how long the event loop is held up where a close has to be read late
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -10,11 +10,11 @@
 from test_pullqueue import PullScenario, bot, lease, task
 
 from weldhatch import config
-from weldhatch.interface import MachineState
-from weldhatch.policy import Policy
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.pullqueue.operators import Operators, Word, WordError, read_word
+from weldhatch.scheduling.policy import Policy
+from weldhatch.scheduling.types import MachineState
 
 
 def word(machine="b1", state="draining", fence=3):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,10 +7,10 @@
 from scenario import LONG, Scenario, tag
 
 from weldhatch.core import ports
-from weldhatch.interface import Outcome
 from weldhatch.platform import binary, health_check, servers
 from weldhatch.platform.fleet import number_of
 from weldhatch.platform.servers import Names
+from weldhatch.scheduling.types import Outcome
 
 SEND = "owner send START {0} class={1}\ns1 expect SET_UP {0}\n"
 GOOD = binary.encode(binary.ANSWER, tag("a1"), {binary.DESCRIPTION: b"v=0 s=9"})
--- a/tests/test_pullqueue.py
+++ b/tests/test_pullqueue.py
@@ -16,9 +16,9 @@
 
 from weldhatch import config
 from weldhatch.core import ports
-from weldhatch.policy import Policy
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.pullqueue.leases import Lease, Ledger, Refusal
+from weldhatch.scheduling.policy import Policy
 
 TIMING = {"lease": 30, "grace": 0.2, "session": 60, "pickup": 10, "poll": 10, "settle": 0}
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -14,13 +14,13 @@
 from scenario import LONG, SETTINGS, Bus, Owner, Scenario, Server, tag
 from test_clients import SET_UP, line
 
-from weldhatch import interface as i
 from weldhatch import serving
 from weldhatch.core import ports
 from weldhatch.net import connection
 from weldhatch.net.budget import Budget, Share
 from weldhatch.platform import owners
 from weldhatch.platform.server_link import EXCUSES_MOST, ServerLink
+from weldhatch.scheduling import types as i
 
 PLACE = """
     owner send START a1 class=keyed idem=5c | v=0
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,9 +17,9 @@
 
 from weldhatch import config
 from weldhatch.client import Api, ApiError, BuildMachine, Outcome, Submitter, Task
-from weldhatch.policy import Policy
 from weldhatch.pullqueue import durable
 from weldhatch.pullqueue.front import PullQueue
+from weldhatch.scheduling.policy import Policy
 from weldhatch.store import folded
 from weldhatch.store.log import Log, LogError
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 import pytest
 
 from weldhatch import benchlink, wire
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 SETTINGS = b"""classes.count=1
 classes.0.aimUs=600000
--- a/tests/test_zone_verdicts.py
+++ b/tests/test_zone_verdicts.py
@@ -5,11 +5,11 @@
 import unittest
 from dataclasses import replace
 
-from weldhatch import interface as i
 from weldhatch.coordination.leader import Coordinator, Spans
 from weldhatch.coordination.messages import Ask
 from weldhatch.coordination.state_machine import Group
 from weldhatch.coordination.zone_leader import Zoning
+from weldhatch.scheduling import types as i
 from weldhatch.standins.realm import settings as realm_settings
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.state import Phase, Zones
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from weldhatch import config
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 from weldhatch.standins.realm import settings as realm_settings
 from weldhatch.zones import capacity, load_shedding
 from weldhatch.zones.failover_member import Keeper
--- a/weldhatch/__init__.py
+++ b/weldhatch/__init__.py
@@ -1,7 +1,7 @@
 """weldhatch: decides where service instances run on shared machines."""
 
-from weldhatch import interface
-from weldhatch.interface import *  # noqa: F403
-from weldhatch.policy import Policy
+from weldhatch.scheduling import types
+from weldhatch.scheduling.policy import Policy
+from weldhatch.scheduling.types import *  # noqa: F403
 
-__all__ = ["Policy", *(name for name in vars(interface) if name[0].isupper())]
+__all__ = ["Policy", *(name for name in vars(types) if name[0].isupper())]
--- a/weldhatch/benchlink.py
+++ b/weldhatch/benchlink.py
@@ -10,7 +10,7 @@
 import traceback
 from typing import BinaryIO
 
-from weldhatch.policy import Policy
+from weldhatch.scheduling.policy import Policy
 from weldhatch.wire import BATCH_HEADER, Decoder, Retire, Spawn, WireError, encode_fault, encode_reply
 
 
--- a/weldhatch/cluster/admission.py
+++ b/weldhatch/cluster/admission.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from weldhatch import interface as i
 from weldhatch.coordination.lease_holder import Holder
 from weldhatch.core.ports import Task
+from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_member import Keeper
 
 WAIT_US = 1_000_000  # for an owner that is turned away; settings may bound it
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from weldhatch import interface as i
 from weldhatch.coordination.lease_holder import Holder
+from weldhatch.scheduling import types as i
 from weldhatch.zones.endpoint_overlay import Narrowed
 
 GONE_MOST = 5000  # machines that went, and that the group may not know of yet
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -14,7 +14,6 @@
 import structlog
 
 from weldhatch import config
-from weldhatch import interface as i
 from weldhatch.cluster.admission import Gate
 from weldhatch.cluster.control_api import Desk
 from weldhatch.cluster.endpoint_list import Roll
@@ -25,6 +24,7 @@
 from weldhatch.core.driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.abroad import link_contexts
+from weldhatch.scheduling import types as i
 from weldhatch.zones.endpoint_overlay import Narrowed
 
 
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable
 from random import Random
 
-from weldhatch import interface as i
 from weldhatch.cluster.peers import Peers
 from weldhatch.cluster.storage import AgreementBook
 from weldhatch.config import AgreementFile, ConfigError
@@ -16,6 +15,7 @@
 from weldhatch.coordination import node
 from weldhatch.coordination.leader import Spans
 from weldhatch.coordination.messages import Word
+from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_leader import Times
 
 TICK = 0.0375  # of the stated time: half of the beat of voters
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from random import Random
 
-from weldhatch import interface as i
 from weldhatch.cluster.node import Agreement, Unreached
 from weldhatch.core.driver import Driver
+from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.start_quota import Share
 from weldhatch.zones.state import Phase
--- a/weldhatch/config.py
+++ b/weldhatch/config.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 from weldhatch.settings import ConfigError, flat, settings_of_json, settings_of_text
 
 __all__ = ["ConfigError", "settings_of_json", "settings_of_text"]  # of `weldhatch.settings`, for all others
--- a/weldhatch/coordination/compatibility.py
+++ b/weldhatch/coordination/compatibility.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, fields, replace
 from enum import Enum
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 MANY = 8  # dispatchers from which on a service starts at its first home, as the module has it
 
--- a/weldhatch/coordination/leader.py
+++ b/weldhatch/coordination/leader.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from weldhatch import interface as i
 from weldhatch.coordination import compatibility
 from weldhatch.coordination.messages import Ask, Learn
 from weldhatch.coordination.state_machine import Group
+from weldhatch.scheduling import types as i
 
 COMMANDS_MOST = 200  # that are sent as a difference; more, and the whole state goes
 
--- a/weldhatch/coordination/lease_holder.py
+++ b/weldhatch/coordination/lease_holder.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from weldhatch import interface as i
 from weldhatch.coordination import compatibility
 from weldhatch.coordination.drain_reports import narrower
 from weldhatch.coordination.leader import Spans
 from weldhatch.coordination.messages import Ask, Learn
 from weldhatch.coordination.state_machine import Group
+from weldhatch.scheduling import types as i
 
 
 class Footing(Enum):
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -11,7 +11,6 @@
 from collections.abc import Callable
 from random import Random
 
-from weldhatch import interface as i
 from weldhatch.consensus import messages, raft
 from weldhatch.consensus.persistent_state import Saved
 from weldhatch.coordination.effects import Came, Event, Hold, Out, Reach, Say, Shared, Write
@@ -20,6 +19,7 @@
 from weldhatch.coordination.messages import Ask, Learn, Result, Submit, Word
 from weldhatch.coordination.state_machine import Group
 from weldhatch.coordination.zone_leader import Zoning
+from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_leader import Times
 
 SNAPSHOT_EVERY = 400  # entries
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -6,10 +6,10 @@
 import math
 from collections.abc import Callable
 
-from weldhatch import interface as i
 from weldhatch.coordination.leader import Coordinator
 from weldhatch.coordination.messages import Ask
 from weldhatch.coordination.state_machine import Group
+from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.start_quota import Share
 
--- a/weldhatch/core/driver.py
+++ b/weldhatch/core/driver.py
@@ -7,8 +7,8 @@
 import traceback
 from collections.abc import Callable
 
-from weldhatch import interface as i
 from weldhatch.core.ports import Decider, Directory, Site
+from weldhatch.scheduling import types as i
 
 
 def unix_us() -> int:
--- a/weldhatch/core/life.py
+++ b/weldhatch/core/life.py
@@ -6,7 +6,6 @@
 import traceback
 from collections.abc import Callable
 
-from weldhatch import interface as i
 from weldhatch.core.driver import Driver, unix_us
 from weldhatch.core.mailbox import Mailbox
 from weldhatch.core.ports import (
@@ -25,6 +24,7 @@
     Task,
     TimeUp,
 )
+from weldhatch.scheduling import types as i
 
 HEARD_OUT_TURNS = 4  # turns of the event loop in which what has come from an owner is read and told
 OVERDUE_US = 20_000  # the module answers before the deadline; so long after it, the core does
--- a/weldhatch/platform/fleet.py
+++ b/weldhatch/platform/fleet.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 _STATES = {"ready": i.MachineState.READY, "draining": i.MachineState.DRAINING, "gone": i.MachineState.GONE}
 
--- a/weldhatch/platform/owners.py
+++ b/weldhatch/platform/owners.py
@@ -9,7 +9,6 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch import interface as i
 from weldhatch.core import ports
 from weldhatch.core.driver import unix_us
 from weldhatch.core.life import Core, Life
@@ -19,6 +18,7 @@
 from weldhatch.platform import jsonl
 from weldhatch.platform.fleet import number_of
 from weldhatch.platform.servers import Names
+from weldhatch.scheduling import types as i
 from weldhatch.setups import FieldError, Form
 
 REFUSED, FAILED = 42, 47  # the causes of the two final answers that are not 'placed'
--- a/weldhatch/pullqueue/abroad.py
+++ b/weldhatch/pullqueue/abroad.py
@@ -12,7 +12,6 @@
 
 import msgspec
 
-from weldhatch import interface as i
 from weldhatch.config import ConfigError, PullQueueFile
 from weldhatch.core import ports
 from weldhatch.core.driver import Driver
@@ -22,6 +21,7 @@
 from weldhatch.pullqueue.book import Book, NoBook
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.pullqueue.machines import Passed
+from weldhatch.scheduling import types as i
 from weldhatch.setups import Setup
 from weldhatch.sites.forwarding import Sites
 from weldhatch.sites.link import Door
--- a/weldhatch/pullqueue/bots.py
+++ b/weldhatch/pullqueue/bots.py
@@ -10,7 +10,6 @@
 import time
 from collections.abc import Callable, Iterable
 
-from weldhatch import interface as i
 from weldhatch.config import Timing
 from weldhatch.core import ports
 from weldhatch.core.ports import LetGo
@@ -25,6 +24,7 @@
 from weldhatch.pullqueue.outgoing import Outgoing, rfc3339, shown
 from weldhatch.pullqueue.reports import Listed, masked, read_listed, read_status
 from weldhatch.pullqueue.workers import Worker, read_worker
+from weldhatch.scheduling import types as i
 
 SWEEP_S = 0.05
 # What a puller that declines a lease before it runs says of it, by google.rpc.Code: proof that nothing ran.
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -9,7 +9,6 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch import interface as i
 from weldhatch.config import ConfigError, PullQueueFile
 from weldhatch.core.driver import Driver
 from weldhatch.core.life import Core
@@ -28,6 +27,7 @@
 from weldhatch.pullqueue.quotas import Quotas
 from weldhatch.pullqueue.security import Security
 from weldhatch.pullqueue.tasks import Tasks
+from weldhatch.scheduling import types as i
 from weldhatch.store.log import Log
 
 PREFIX = "/v1test2/"
--- a/weldhatch/pullqueue/leases.py
+++ b/weldhatch/pullqueue/leases.py
@@ -10,7 +10,7 @@
 
 from weldhatch.config import ConfigError
 from weldhatch.core import ports
-from weldhatch.interface import Effect, RequestClass
+from weldhatch.scheduling.types import Effect, RequestClass
 
 
 class Phase(Enum):
--- a/weldhatch/pullqueue/machines.py
+++ b/weldhatch/pullqueue/machines.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from weldhatch import interface as i
 from weldhatch.pullqueue.leases import Lease, Phase
 from weldhatch.pullqueue.workers import NOTHING, Worker
+from weldhatch.scheduling import types as i
 from weldhatch.setups import Setup
 
 
--- a/weldhatch/pullqueue/operators.py
+++ b/weldhatch/pullqueue/operators.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from weldhatch.interface import MachineState
+from weldhatch.scheduling.types import MachineState
 
 STATES = {"ready": MachineState.READY, "draining": MachineState.DRAINING, "off": MachineState.GONE}
 WORDS_MOST = 20_000  # machines that words are kept of
--- a/weldhatch/pullqueue/outgoing.py
+++ b/weldhatch/pullqueue/outgoing.py
@@ -6,7 +6,6 @@
 from collections.abc import Callable, Container
 from datetime import UTC, datetime
 
-from weldhatch import interface as i
 from weldhatch.core import ports
 from weldhatch.pullqueue import durable
 from weldhatch.pullqueue.book import Book, NoBook
@@ -15,6 +14,7 @@
 from weldhatch.pullqueue.http import Request
 from weldhatch.pullqueue.leases import Lease, Ledger, Phase
 from weldhatch.pullqueue.machines import Bot, Passed
+from weldhatch.scheduling import types as i
 from weldhatch.store.log import LogError
 
 REPLY_MOST = 48 * 1024  # what one answer hands out at the most; the rest waits for the next
--- a/weldhatch/pullqueue/reports.py
+++ b/weldhatch/pullqueue/reports.py
@@ -5,8 +5,8 @@
 import json
 from dataclasses import dataclass
 
-from weldhatch import interface as i
 from weldhatch.pullqueue.faults import HttpError
+from weldhatch.scheduling import types as i
 
 LEASES_MOST = 1000  # listed in one update
 RESULT_MOST = 8 * 1024  # of what a machine says its task has come to
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -15,7 +15,6 @@
 from collections.abc import AsyncIterator, Callable
 from random import Random
 
-from weldhatch import interface as i
 from weldhatch.core import ports
 from weldhatch.core.driver import unix_us
 from weldhatch.core.life import Core
@@ -30,6 +29,7 @@
 from weldhatch.pullqueue.shares import Gate, Ticket, Verdict
 from weldhatch.pullqueue.submitted import Nobody, Submitted
 from weldhatch.pullqueue.workers import NOTHING, Matching, Worker, read_worker
+from weldhatch.scheduling import types as i
 from weldhatch.setups import FieldError, Form, Setup
 from weldhatch.store.log import LogError
 
--- a/weldhatch/state.py
+++ b/weldhatch/scheduling/cluster_state.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 from random import Random
 
-from weldhatch.interface import Machine, RequestArrived, Settings, TaskAdopted
+from weldhatch.scheduling.types import Machine, RequestArrived, Settings, TaskAdopted
 
 NEVER = -(1 << 62)
 
--- a/weldhatch/policy.py
+++ b/weldhatch/scheduling/policy.py
@@ -1,4 +1,4 @@
-"""The decisions of weldhatch. Types: `weldhatch/interface.py`; records: `weldhatch/state.py`.
+"""The decisions of weldhatch. Types: `scheduling/types.py`; records: `scheduling/cluster_state.py`.
 
 Every request takes one path (Xie, Dong, Lu, Srikant, SIGMETRICS 2015): filter the eligible machines, draw a
 few uniformly, probe each, bind to the one with the most free memory, ties split at random. The exceptions
@@ -12,7 +12,8 @@
 from dataclasses import replace
 from itertools import islice
 
-from weldhatch.interface import (
+from weldhatch.scheduling.cluster_state import Holdings, Node, Request, shuffled
+from weldhatch.scheduling.types import (
     Action,
     AttemptEnded,
     Cancel,
@@ -42,7 +43,6 @@
     TimerFired,
     Topic,
 )
-from weldhatch.state import Holdings, Node, Request, shuffled
 
 DRAWN = 2  # machines drawn for a request: the paper's d
 PATIENCE = 0.1  # the part of the aim that probes are waited for; then the ledger decides
@@ -94,9 +94,15 @@
         self._last_timer = self._listed = 0  # the list's version here
         self._use = {topic: [USE, 1.0] for topic in (Topic.CORES_USED, Topic.MEMORY_USED)}  # used and asked
         self._on = {
-            MachinesChanged: self._machines_changed, RequestArrived: self._arrived, Note: self._note,
-            TaskAdopted: self._adopted, Placed: self._was_placed, AttemptEnded: self._ended,
-            RequestGone: self._gone, ProbeAnswered: self._probed, TimerFired: self._timer_fired,
+            MachinesChanged: self._machines_changed,
+            RequestArrived: self._arrived,
+            Note: self._note,
+            TaskAdopted: self._adopted,
+            Placed: self._was_placed,
+            AttemptEnded: self._ended,
+            RequestGone: self._gone,
+            ProbeAnswered: self._probed,
+            TimerFired: self._timer_fired,
         }
         self.settle(settings)
 
@@ -169,14 +175,17 @@
 
     def _holds(self, r: Request, n: Node, cores: float, memory: float) -> bool:
         part = 1 - RESERVE if r.cls.worth == self._cheapest else 1.0
-        return (cores + (part * self._s.cores_booking - 1) * n.cores >= r.cores
-                and memory + (part * self._s.memory_booking - 1) * n.memory >= r.memory)
+        return (
+            cores + (part * self._s.cores_booking - 1) * n.cores >= r.cores
+            and memory + (part * self._s.memory_booking - 1) * n.memory >= r.memory
+        )
 
     def _heard(self, r: Request, n: Node) -> bool:
         """Whether the machine told lately what a probe would: one that told no room is asked sooner."""
         age = self._now - self._room(n).heard
-        return age <= STALE_US or (self._many and age <= HEARD_US
-                                   and self._holds(r, n, *self._room(n).left(n, 1.0, 1.0)))
+        return age <= STALE_US or (
+            self._many and age <= HEARD_US and self._holds(r, n, *self._room(n).left(n, 1.0, 1.0))
+        )
 
     def _crowded(self, r: Request, n: Node) -> bool:
         """Whether the class would be served less than in full there, its own cores counted in."""
@@ -209,9 +218,13 @@
         absent = n not in self._held.at(r.service)
         suspect = any(self._now < n.suspects.get(kind, (0, 0))[0] for kind in (ANY, r.kind))
         first = self._many and r.homes[:1] == [n]  # else a service starts cold at each home
-        return (64 * (n in r.errors) + 32 * suspect + self._crowd * self._crowded(r, n)
-                + (0 if not absent else FIRST if first else HOME if roomy or n in r.homes else ABSENT)
-                + (self._s.prices.cross_zone > 0 and n.entry.zone != self._s.zone))
+        return (
+            64 * (n in r.errors)
+            + 32 * suspect
+            + self._crowd * self._crowded(r, n)
+            + (0 if not absent else FIRST if first else HOME if roomy or n in r.homes else ABSENT)
+            + (self._s.prices.cross_zone > 0 and n.entry.zone != self._s.zone)
+        )
 
     # ---- the ordinary path ------------------------------------------------------------------------------
 
@@ -224,17 +237,24 @@
     def _legal(self, r: Request, n: Node) -> bool:
         """The five rules, for one more attempt of this request on this machine now."""
         s, cls, entry, now = self._s, r.cls, n.entry, self._now
-        if (r.answered or r.open is not None or len(r.sent) >= s.max_attempts
-                or now >= r.deadline - self._early
-                or entry.state != MachineState.READY or (cls.kind >= 0 and entry.kind != cls.kind)
-                or (r.only is not None and entry.id not in r.only)
-                or (r.maybe is not None and not self._may_repeat(r, entry))):
+        if (
+            r.answered
+            or r.open is not None
+            or len(r.sent) >= s.max_attempts
+            or now >= r.deadline - self._early
+            or entry.state != MachineState.READY
+            or (cls.kind >= 0 and entry.kind != cls.kind)
+            or (r.only is not None and entry.id not in r.only)
+            or (r.maybe is not None and not self._may_repeat(r, entry))
+        ):
             return False
         if entry.born_us and now < entry.born_us + s.cold_us and not self._cold_turn(n):
             return False
         return cls.spread_over is Scope.NONE or cls.spread_most > sum(
-            count for o, count in self._held.at(r.service).items()
-            if _together(cls.spread_over, o.entry, entry))
+            count
+            for o, count in self._held.at(r.service).items()
+            if _together(cls.spread_over, o.entry, entry)
+        )
 
     def _cold_turn(self, n: Node) -> bool:
         """Whether a machine that started lately may have one more offer of ours.
@@ -245,23 +265,36 @@
         turn = (self._now - n.entry.born_us) // self._span + n.entry.id
         spent = len(n.sends) == n.sends.maxlen and self._now - n.sends[0] <= self._span
         former = n.entry.born_us < self._began and self._now - self._began <= self._span  # that life sent
-        return (not spent and not former and self._cold_share > 0 and len(n.offers) < COLD_OPEN
-                and turn % self._turns == self._s.me % self._turns)
+        return (
+            not spent
+            and not former
+            and self._cold_share > 0
+            and len(n.offers) < COLD_OPEN
+            and turn % self._turns == self._s.me % self._turns
+        )
 
     def _may_repeat(self, r: Request, entry: Machine) -> bool:
         """A request that may have run goes out again only as far as its class allows."""
         first, since = r.maybe
         return r.cls.effect is Effect.SAFE or (
-            r.cls.effect is Effect.KEYED and self._now < since + r.cls.window_us - self._early
-            and _together(r.cls.group, first, entry))
+            r.cls.effect is Effect.KEYED
+            and self._now < since + r.cls.window_us - self._early
+            and _together(r.cls.group, first, entry)
+        )
 
     def _eligible(self, r: Request, n: Node, probed: bool) -> bool:
-        return ((not n.silent or (self._now >= n.recheck and not probed)) and self._now >= n.leaving
-                and self._legal(r, n) and self._fits(r, n))
+        return (
+            (not n.silent or (self._now >= n.recheck and not probed))
+            and self._now >= n.leaving
+            and self._legal(r, n)
+            and self._fits(r, n)
+        )
 
     def _blind(self) -> bool:  # where all machines are silent or leave, none is left out for that
-        return all(n.silent or self._now < n.leaving or n.entry.state == MachineState.GONE
-                   for n in self._nodes.values())
+        return all(
+            n.silent or self._now < n.leaving or n.entry.state == MachineState.GONE
+            for n in self._nodes.values()
+        )
 
     def _draw(self, r: Request, turn: int) -> None:
         """Draw from the lowest tier, looking at no more of the fleet, in random order, than that takes."""
@@ -305,6 +338,7 @@
         Guards the cost per request: only the first RANKED by rank are worked out once a list version, and
         the whole fleet is sorted only where too few of those are eligible.
         """
+
         def eligible(ranked: list[Node]) -> list[Node]:
             return list(islice((n for n in ranked if self._eligible(r, n, False)), HOMES))
 
@@ -324,11 +358,17 @@
             return
         r.turn += 1
         nodes = [self._nodes[machine] for machine in r.drawn if machine in self._nodes]
-        ready = [n for n in nodes if self._eligible(r, n, self._s.may_probe)
-                 or (self._blind() and self._legal(r, n))]
+        ready = [
+            n
+            for n in nodes
+            if self._eligible(r, n, self._s.may_probe) or (self._blind() and self._legal(r, n))
+        ]
         self._random.shuffle(ready)
-        best = min(ready, default=None, key=lambda n: (self._tier(r, n), n.entry.id in r.waiting,
-                                                       -self._free_memory(n)))
+        best = min(
+            ready,
+            default=None,
+            key=lambda n: (self._tier(r, n), n.entry.id in r.waiting, -self._free_memory(n)),
+        )
         if best is not None and not r.redrawn and self._tier(r, best) > max(r.hoped, HOME):
             r.redrawn = True  # probes told worse than the draw knew: it stopped looking too soon
             self._draw(r, r.turn)
@@ -359,8 +399,11 @@
 
     def _blocked(self, r: Request) -> None:
         """No fitting candidate, or a refusal: wait here with jitter and draw again, while that can help."""
-        if self._now >= r.deadline - self._early or len(r.sent) >= self._s.max_attempts or (
-                r.maybe is not None and not any(self._may_repeat(r, n.entry) for n in self._nodes.values())):
+        if (
+            self._now >= r.deadline - self._early
+            or len(r.sent) >= self._s.max_attempts
+            or (r.maybe is not None and not any(self._may_repeat(r, n.entry) for n in self._nodes.values()))
+        ):
             self._answer(r)
             return
         r.turn += 1
@@ -373,8 +416,11 @@
     def _answer(self, r: Request) -> None:
         """The one gate of final answers: once each, a refusal only where trying again is harmless."""
         if not r.answered and r.open is None:
-            harmless = r.maybe is None or r.cls.effect is Effect.SAFE or (
-                r.cls.effect is Effect.KEYED and r.cls.group is Scope.ALL)
+            harmless = (
+                r.maybe is None
+                or r.cls.effect is Effect.SAFE
+                or (r.cls.effect is Effect.KEYED and r.cls.group is Scope.ALL)
+            )
             wait = min(REFUSED_US, self._s.max_retry_after_us) if self._s.retry_after else 0
             self._out.append(Refuse(r.id, wait) if harmless else Fail(r.id))
             self._forget(r)
@@ -463,8 +509,9 @@
         untold = e.outcome is Outcome.FULL and e.reason == Reason.NOT_TOLD
         # Guards against requests that no machine can use, and answers spoilt on their way: one tells of
         # itself, not of the machine.
-        fault = (e.outcome in (Outcome.ERROR, Outcome.RESET) and not r.errors
-                 and self._now - n.fault_at > FAULT_US)
+        fault = (
+            e.outcome in (Outcome.ERROR, Outcome.RESET) and not r.errors and self._now - n.fault_at > FAULT_US
+        )
         if fault:
             n.faults, n.fault_at = n.faults + 1, self._now
         if untold or (fault and n.faults >= FAULTS):
@@ -477,8 +524,11 @@
             n.refused = (self._now + HOLD_MOST_US, 0.0, 0.0)
         elif e.outcome is Outcome.FULL and not untold:
             r.refused += 1
-            n.refused = (self._now + REFUSED_US, r.cores if e.reason == Reason.NO_CORES else 0.0,
-                         r.memory if e.reason == Reason.NO_MEMORY else 0.0)
+            n.refused = (
+                self._now + REFUSED_US,
+                r.cores if e.reason == Reason.NO_CORES else 0.0,
+                r.memory if e.reason == Reason.NO_MEMORY else 0.0,
+            )
 
     def _suspect(self, n: Node, kind: int) -> None:
         until, wait = n.suspects.get(kind, (0, 0))
@@ -494,8 +544,12 @@
             self._out.append(Log(f"machine {n.entry.id} is silent"))
         for request, attempt in n.offers.items() if again and self._s.may_cancel else ():
             r = self._requests[request]
-            if (r.cls.effect is not Effect.UNSAFE and not r.answered and attempt + 1 < self._s.max_attempts
-                    and self._now - r.sent[attempt][1] >= RECHECK_US):
+            if (
+                r.cls.effect is not Effect.UNSAFE
+                and not r.answered
+                and attempt + 1 < self._s.max_attempts
+                and self._now - r.sent[attempt][1] >= RECHECK_US
+            ):
                 self._out.append(Cancel(request, attempt))
 
     def _overdue(self, n: Node, request: int, attempt: int) -> None:
@@ -542,8 +596,9 @@
     def _machines_changed(self, e: MachinesChanged) -> None:
         if e.form is ListForm.FAILED:
             if self._s.subscribe:
-                self._after(self._jitter(RECHECK_US << min(self._failures, 4)),
-                            lambda: self._out.append(Subscribe()))
+                self._after(
+                    self._jitter(RECHECK_US << min(self._failures, 4)), lambda: self._out.append(Subscribe())
+                )
                 self._failures += 1
             return
         if e.form is ListForm.CACHED and self._s.subscribe:
@@ -566,8 +621,13 @@
             late = self._s.reports_asked and self._now - n.asked.heard <= STALE_US  # a report tells better
             if entry.free_cores is not None and not late:
                 n.asked.hear(self._now, LIST_LAG_US, entry.free_cores, entry.free_memory, n)
-        for n in [n for n in self._nodes.values() if not n.held and n.entry.state == MachineState.GONE
-                  and self._now >= n.entry.born_us + self._s.cold_us]:  # a cold one may be listed again
+        for n in [
+            n
+            for n in self._nodes.values()
+            if not n.held
+            and n.entry.state == MachineState.GONE
+            and self._now >= n.entry.born_us + self._s.cold_us
+        ]:  # a cold one may be listed again
             self._held.forget(n)
             del self._nodes[n.entry.id]
             self._listed += 1
@@ -586,5 +646,9 @@
 
 def _together(scope: Scope, a: Machine, b: Machine) -> bool:
     """Whether two machines are in one such place; an unlisted one (-1) counts in every place."""
-    return (scope is Scope.ALL or a.id == b.id or (scope is Scope.ZONE and (a.zone == b.zone or a.zone < 0))
-            or (scope is Scope.CELL and (a.cell == b.cell or a.cell < 0)))
+    return (
+        scope is Scope.ALL
+        or a.id == b.id
+        or (scope is Scope.ZONE and (a.zone == b.zone or a.zone < 0))
+        or (scope is Scope.CELL and (a.cell == b.cell or a.cell < 0))
+    )
--- a/weldhatch/serving.py
+++ b/weldhatch/serving.py
@@ -16,7 +16,6 @@
 from typing import TYPE_CHECKING, Protocol
 
 from weldhatch import config
-from weldhatch import interface as i
 from weldhatch.core.driver import Driver
 from weldhatch.core.life import Core
 from weldhatch.core.ports import Rules
@@ -26,9 +25,10 @@
 from weldhatch.platform.fleet import Fleet
 from weldhatch.platform.owners import Owners
 from weldhatch.platform.servers import Servers
-from weldhatch.policy import Policy
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
+from weldhatch.scheduling import types as i
+from weldhatch.scheduling.policy import Policy
 
 if TYPE_CHECKING:
     from weldhatch.standalone_zones import Alone
--- a/weldhatch/settings.py
+++ b/weldhatch/settings.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator, Mapping
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 _EFFECTS = {"read_like": i.Effect.SAFE, "idempotency_key": i.Effect.KEYED, "non_idempotent": i.Effect.UNSAFE}
 _SCOPES = {
--- a/weldhatch/setups.py
+++ b/weldhatch/setups.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 LEFT_MOST = 10  # an owner that waits for more than so many times its class's limit is not believed
 _HEX = re.compile(r"[0-9a-fA-F]{1,32}")
--- a/weldhatch/sim/play.py
+++ b/weldhatch/sim/play.py
@@ -17,8 +17,8 @@
 from weldhatch.client.submitter import Submitter, Task
 from weldhatch.cluster.front_controller import Governor
 from weldhatch.cluster.node import clock as boot_clock
-from weldhatch.policy import Policy
 from weldhatch.pullqueue.front import PullQueue
+from weldhatch.scheduling.policy import Policy
 from weldhatch.sim import faults, halls, linear, promises
 from weldhatch.sim.api import SimApi
 from weldhatch.sim.faults import DRIFT, LEAP_S, Fault
--- a/weldhatch/sites/capacity.py
+++ b/weldhatch/sites/capacity.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 from weldhatch.sites.routing import Summary
 
 HEARD_S = 10.0  # an older report of a machine counts as the average of the others
--- a/weldhatch/sites/handoff_source.py
+++ b/weldhatch/sites/handoff_source.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-from weldhatch.interface import Effect
+from weldhatch.scheduling.types import Effect
 from weldhatch.sites import messages
 from weldhatch.sites.messages import Id, Work
 
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from random import Random
 
-from weldhatch import interface as i
 from weldhatch.core.driver import Driver
 from weldhatch.core.ports import Task
+from weldhatch.scheduling import types as i
 from weldhatch.zones.endpoint_overlay import Narrowed
 from weldhatch.zones.failover_leader import Times
 from weldhatch.zones.standalone import Solitary
--- a/weldhatch/standins/council.py
+++ b/weldhatch/standins/council.py
@@ -14,11 +14,11 @@
 from random import Random
 
 from weldhatch import config
-from weldhatch import interface as i
 from weldhatch.consensus.persistent_state import Saved
 from weldhatch.coordination import compatibility
 from weldhatch.coordination.leader import Spans
 from weldhatch.coordination.node import Came, Hold, Member, Reach, Say, Write
+from weldhatch.scheduling import types as i
 
 STEP_S = 0.02
 KINDS = ("crash", "stop", "cut", "deaf", "lose", "double", "older", "cut_pair", "slow_disk")
--- a/weldhatch/standins/hall.py
+++ b/weldhatch/standins/hall.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from weldhatch import interface as i
 from weldhatch.core import ports
 from weldhatch.core.ports import LetGo
+from weldhatch.scheduling import types as i
 
 
 @dataclass(slots=True)
--- a/weldhatch/standins/realm.py
+++ b/weldhatch/standins/realm.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.start_quota import Share
--- a/weldhatch/standins/region.py
+++ b/weldhatch/standins/region.py
@@ -15,12 +15,12 @@
 from pathlib import Path
 from random import Random
 
-from weldhatch import interface as i
 from weldhatch.core import ports
 from weldhatch.core.driver import Driver, unix_us
 from weldhatch.core.life import Core
 from weldhatch.net.budget import Budget, Share
-from weldhatch.policy import Policy
+from weldhatch.scheduling import types as i
+from weldhatch.scheduling.policy import Policy
 from weldhatch.sites.forwarding import Sites
 from weldhatch.sites.link import Door
 from weldhatch.sites.messages import Id, Work
--- a/weldhatch/wire.py
+++ b/weldhatch/wire.py
@@ -1,6 +1,6 @@
 """The binary codec of the bench's wire. No decisions.
 
-The wire's own names stay in this file; the rest of the library speaks the terms of `interface.py`.
+The wire's own names stay in this file; the rest of the library speaks the terms of `scheduling/types.py`.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from weldhatch import interface as i
 from weldhatch.config import settings_of_text as parse_settings
+from weldhatch.scheduling import types as i
 
 BATCH_HEADER = struct.Struct(">QII")
 REPLY_HEADER = struct.Struct(">II")
--- a/weldhatch/zones/capacity.py
+++ b/weldhatch/zones/capacity.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from statistics import median
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 SPARE = 0.1  # the part of the free room that is not counted on: it is told late, and from a few machines
 SHED_LEAST = 0.02  # less is not worth turning anybody away for
--- a/weldhatch/zones/endpoint_overlay.py
+++ b/weldhatch/zones/endpoint_overlay.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 
 class Narrowed:
--- a/weldhatch/zones/failover_leader.py
+++ b/weldhatch/zones/failover_leader.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 from weldhatch.zones import capacity, load_shedding
 from weldhatch.zones.observations import Cut, Look
 from weldhatch.zones.start_quota import Ledger, Share
--- a/weldhatch/zones/failover_member.py
+++ b/weldhatch/zones/failover_member.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 from weldhatch.zones import load_shedding
 from weldhatch.zones.load_accounting import Asked, Standing, Tally
 from weldhatch.zones.observations import Cut, Sight, Sign
--- a/weldhatch/zones/load_accounting.py
+++ b/weldhatch/zones/load_accounting.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 RATE_S = 4.0  # new work is counted over so long
 ARRIVED_MOST = 20_000  # requests remembered until they are placed; the oldest go first
--- a/weldhatch/zones/load_shedding.py
+++ b/weldhatch/zones/load_shedding.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 
 TOLD_MOST = 8  # pairs of class and tenant that one report names: it stays under 1 KB
 MOVED = 0.1  # a tenant's part that has moved by less is not worth a change of the agreed state
--- a/weldhatch/zones/standalone.py
+++ b/weldhatch/zones/standalone.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from random import Random
 
-from weldhatch import interface as i
+from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.state import Zones
