--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,9 +4,9 @@
 import time
 import unittest
 
-from weldhatch.core.driver import Driver, unix_us
-from weldhatch.core.life import Core
+from weldhatch.core.policy_driver import Driver, unix_us
 from weldhatch.core.ports import Ended, LetGo, Task
+from weldhatch.core.request_lifecycle import Core
 from weldhatch.scheduling import types as i
 
 
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -21,7 +21,7 @@
 from weldhatch.cluster.zone_agent import Zoner
 from weldhatch.coordination import compatibility
 from weldhatch.coordination.lease_holder import Footing
-from weldhatch.core.driver import Driver
+from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.abroad import link_contexts
 from weldhatch.scheduling import types as i
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from weldhatch.cluster.node import Agreement, Unreached
-from weldhatch.core.driver import Driver
+from weldhatch.core.policy_driver import Driver
 from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.start_quota import Share
--- a/weldhatch/core/life.py
+++ b/weldhatch/core/request_lifecycle.py
@@ -6,8 +6,8 @@
 import traceback
 from collections.abc import Callable
 
-from weldhatch.core.driver import Driver, unix_us
 from weldhatch.core.mailbox import Mailbox
+from weldhatch.core.policy_driver import Driver, unix_us
 from weldhatch.core.ports import (
     CALLED_OFF,
     GIVEN_UP,
--- a/weldhatch/platform/owners.py
+++ b/weldhatch/platform/owners.py
@@ -10,8 +10,8 @@
 from tornado.iostream import IOStream
 
 from weldhatch.core import ports
-from weldhatch.core.driver import unix_us
-from weldhatch.core.life import Core, Life
+from weldhatch.core.policy_driver import unix_us
+from weldhatch.core.request_lifecycle import Core, Life
 from weldhatch.net.budget import Share
 from weldhatch.net.connection import Connection, Malformed
 from weldhatch.net.sparing import Sparing
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from weldhatch.core import ports
-from weldhatch.core.driver import unix_us
-from weldhatch.core.life import HEARD_OUT_TURNS
+from weldhatch.core.policy_driver import unix_us
+from weldhatch.core.request_lifecycle import HEARD_OUT_TURNS
 from weldhatch.net.budget import NoDescriptor
 from weldhatch.net.connection import Connection, Malformed
 from weldhatch.platform import binary
--- a/weldhatch/pullqueue/abroad.py
+++ b/weldhatch/pullqueue/abroad.py
@@ -14,8 +14,8 @@
 
 from weldhatch.config import ConfigError, PullQueueFile
 from weldhatch.core import ports
-from weldhatch.core.driver import Driver
-from weldhatch.core.life import Core
+from weldhatch.core.policy_driver import Driver
+from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.budget import Budget, Share
 from weldhatch.pullqueue import durable
 from weldhatch.pullqueue.book import Book, NoBook
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -10,9 +10,9 @@
 from tornado.iostream import IOStream
 
 from weldhatch.config import ConfigError, PullQueueFile
-from weldhatch.core.driver import Driver
-from weldhatch.core.life import Core
+from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Decider, Rules
+from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.budget import Budget, Share
 from weldhatch.net.connection import Connection
 from weldhatch.net.listener import Listener
--- a/weldhatch/pullqueue/submitted.py
+++ b/weldhatch/pullqueue/submitted.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from weldhatch.core import ports
-from weldhatch.core.life import Life
+from weldhatch.core.request_lifecycle import Life
 from weldhatch.pullqueue import durable
 from weldhatch.pullqueue.shares import Ticket
 
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -16,8 +16,8 @@
 from random import Random
 
 from weldhatch.core import ports
-from weldhatch.core.driver import unix_us
-from weldhatch.core.life import Core
+from weldhatch.core.policy_driver import unix_us
+from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.turns import Turns
 from weldhatch.pullqueue import durable
 from weldhatch.pullqueue.book import Book, NoBook
--- a/weldhatch/serving.py
+++ b/weldhatch/serving.py
@@ -16,9 +16,9 @@
 from typing import TYPE_CHECKING, Protocol
 
 from weldhatch import config
-from weldhatch.core.driver import Driver
-from weldhatch.core.life import Core
+from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
+from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.budget import RESERVED, Budget, Share
 from weldhatch.net.listener import Listener
 from weldhatch.platform.bus import Bus
--- /dev/null
+++ b/weldhatch/simulator_link/__main__.py
@@ -0,0 +1,5 @@
+"""Start the adapter: `python -m weldhatch.simulator_link`."""
+
+from weldhatch.simulator_link.adapter import main
+
+main()
--- a/weldhatch/sites/forwarding.py
+++ b/weldhatch/sites/forwarding.py
@@ -14,9 +14,9 @@
 from dataclasses import replace
 
 from weldhatch.core import ports
-from weldhatch.core.driver import unix_us
-from weldhatch.core.life import Core, Life
 from weldhatch.core.mailbox import Mailbox
+from weldhatch.core.policy_driver import unix_us
+from weldhatch.core.request_lifecycle import Core, Life
 from weldhatch.scheduling import types as i
 from weldhatch.sites import frames, handoff_source, handoff_target, messages
 from weldhatch.sites import storage as records
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from random import Random
 
-from weldhatch.core.driver import Driver
+from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Task
 from weldhatch.scheduling import types as i
 from weldhatch.zones.endpoint_overlay import Narrowed
--- a/weldhatch/standins/region.py
+++ b/weldhatch/standins/region.py
@@ -16,8 +16,8 @@
 from random import Random
 
 from weldhatch.core import ports
-from weldhatch.core.driver import Driver, unix_us
-from weldhatch.core.life import Core
+from weldhatch.core.policy_driver import Driver, unix_us
+from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.budget import Budget, Share
 from weldhatch.scheduling import types as i
 from weldhatch.scheduling.policy import Policy
