--- a/tests/test_abroad.py
+++ b/tests/test_abroad.py
@@ -19,7 +19,7 @@
 from weldhatch.cli.sites import sites
 from weldhatch.config import ConfigError
 from weldhatch.keys.folder import Folder
-from weldhatch.net.budget import Budget, Share
+from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.pullqueue import abroad
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -6,7 +6,7 @@
 
 from scenario import Owner, Scenario, tag
 
-from weldhatch.net import sparing
+from weldhatch.net import rate_limited_log
 from weldhatch.platform import owners
 
 SET_UP = {"class": "safe", "left": "1500", "key": "7", "extras": "cores:1;memory:2;service:9"}
@@ -62,7 +62,7 @@
         ]
         with (
             unittest.mock.patch.object(owners, "AWAY_S", 0.01),
-            unittest.mock.patch.object(sparing, "LINES_S", 1000),
+            unittest.mock.patch.object(rate_limited_log, "LINES_S", 1000),
         ):
             for n, fields in enumerate(bad):
                 await self.closed(f"b{n}", line(**fields))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.net.budget import Budget, Share
 from weldhatch.net.connection import Connection, Malformed, connect
-from weldhatch.net.ring import SMALL, Ring
-from weldhatch.net.sparing import LINES_S, Sparing
+from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.rate_limited_log import LINES_S, Sparing
+from weldhatch.net.ring_buffer import SMALL, Ring
 from weldhatch.platform import binary, bus, jsonl
 from weldhatch.pullqueue import http
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -17,7 +17,7 @@
 from weldhatch import serving
 from weldhatch.core import ports
 from weldhatch.net import connection
-from weldhatch.net.budget import Budget, Share
+from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.platform import owners
 from weldhatch.platform.server_link import EXCUSES_MOST, ServerLink
 from weldhatch.scheduling import types as i
--- a/tests/test_sites_wire.py
+++ b/tests/test_sites_wire.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.net.ring import Ring
+from weldhatch.net.ring_buffer import Ring
 from weldhatch.sites import frames, messages, session
 from weldhatch.sites.session import Ack, Beat, Faulty, Full, Hello, Message, Session, stale
 
--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -13,7 +13,7 @@
 from weldhatch.config import AgreementFile
 from weldhatch.consensus.messages import Message
 from weldhatch.coordination.messages import Word
-from weldhatch.net.budget import Budget, Share
+from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.sites.link import Door, Ears, Link
 
 LOOK_S = 0.5  # a link looks as often for silence, and acknowledges: a group has many links
--- a/weldhatch/net/connection.py
+++ b/weldhatch/net/connection.py
@@ -14,7 +14,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from weldhatch.net.ring import Ring
+from weldhatch.net.ring_buffer import Ring
 
 if TYPE_CHECKING:
     import ssl
--- a/weldhatch/net/listener.py
+++ b/weldhatch/net/listener.py
@@ -8,7 +8,7 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch.net.budget import Share
+from weldhatch.net.descriptor_budget import Share
 
 BACKLOG = 512
 AGAIN_S = 0.2  # a listener that still waits for a slot asks for one again after this long
--- a/weldhatch/platform/binary.py
+++ b/weldhatch/platform/binary.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from weldhatch.net.connection import MESSAGE_MOST, Malformed
-from weldhatch.net.ring import Ring
+from weldhatch.net.ring_buffer import Ring
 
 SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, NOTE, MOVE, TEST, TESTED = 1, 6, 9, 12, 16, 44, 51, 52, 53
 CLASS, LEFT, NAME, TOPIC, REPORT, FIGURE, KEY, CAUSE, DESCRIPTION = 64, 65, 68, 71, 73, 76, 77, 78, 79
--- a/weldhatch/platform/bus.py
+++ b/weldhatch/platform/bus.py
@@ -7,9 +7,9 @@
 import time
 from collections.abc import Callable
 
-from weldhatch.net.budget import Share
 from weldhatch.net.connection import Connection, Malformed, connect
-from weldhatch.net.ring import Ring
+from weldhatch.net.descriptor_budget import Share
+from weldhatch.net.ring_buffer import Ring
 
 QUIET_S = 1.7  # a comment comes each second: no byte for so long means a broken connection
 AGAIN_S, AGAIN_MOST_S = 0.05, 0.4  # waits between connects; what broke off counts as told after 2 s
--- a/weldhatch/platform/jsonl.py
+++ b/weldhatch/platform/jsonl.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from weldhatch.net.connection import Malformed
-from weldhatch.net.ring import Ring
+from weldhatch.net.ring_buffer import Ring
 
 OPENS = (b"{", b" ", b"\t", b"\r", b"\n")
 _ESCAPED = json.JSONEncoder(separators=(",", ":"), ensure_ascii=False).encode
--- a/weldhatch/platform/owners.py
+++ b/weldhatch/platform/owners.py
@@ -12,9 +12,9 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core, Life
-from weldhatch.net.budget import Share
 from weldhatch.net.connection import Connection, Malformed
-from weldhatch.net.sparing import Sparing
+from weldhatch.net.descriptor_budget import Share
+from weldhatch.net.rate_limited_log import Sparing
 from weldhatch.platform import jsonl
 from weldhatch.platform.fleet import number_of
 from weldhatch.platform.servers import Names
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -11,8 +11,8 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import HEARD_OUT_TURNS
-from weldhatch.net.budget import NoDescriptor
 from weldhatch.net.connection import Connection, Malformed
+from weldhatch.net.descriptor_budget import NoDescriptor
 from weldhatch.platform import binary
 from weldhatch.platform.fleet import Server
 from weldhatch.platform.health_check import SUSPECT_QUIET_S
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 from weldhatch.core import ports
-from weldhatch.net.budget import NoDescriptor, Share
 from weldhatch.net.connection import Connection, connect
+from weldhatch.net.descriptor_budget import NoDescriptor, Share
 from weldhatch.platform import binary
 from weldhatch.platform.fleet import Server
 from weldhatch.platform.health_check import HealthCheckSchedule
--- a/weldhatch/pullqueue/abroad.py
+++ b/weldhatch/pullqueue/abroad.py
@@ -16,7 +16,7 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.budget import Budget, Share
+from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.pullqueue import durable
 from weldhatch.pullqueue.book import Book, NoBook
 from weldhatch.pullqueue.leases import Ledger
--- a/weldhatch/pullqueue/counter.py
+++ b/weldhatch/pullqueue/counter.py
@@ -7,8 +7,8 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch.net.budget import Budget, Share
 from weldhatch.net.connection import Connection
+from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.net.listener import Listener
 from weldhatch.pullqueue.http import HttpLink, Request
 
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -13,8 +13,8 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Decider, Rules
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.budget import Budget, Share
 from weldhatch.net.connection import Connection
+from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.net.listener import Listener
 from weldhatch.pullqueue.book import Book, NoBook
 from weldhatch.pullqueue.bots import Bots
--- a/weldhatch/pullqueue/http.py
+++ b/weldhatch/pullqueue/http.py
@@ -12,7 +12,7 @@
 from urllib.parse import parse_qsl, unquote
 
 from weldhatch.net.connection import Connection, Malformed
-from weldhatch.net.ring import Ring
+from weldhatch.net.ring_buffer import Ring
 from weldhatch.pullqueue.faults import REASONS, HttpError
 
 HEAD_MOST = 8 * 1024
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -18,7 +18,7 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.turns import Turns
+from weldhatch.net.loop_lag import Turns
 from weldhatch.pullqueue import durable
 from weldhatch.pullqueue.book import Book, NoBook
 from weldhatch.pullqueue.bots import Bots
--- a/weldhatch/serving.py
+++ b/weldhatch/serving.py
@@ -19,7 +19,7 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.budget import RESERVED, Budget, Share
+from weldhatch.net.descriptor_budget import RESERVED, Budget, Share
 from weldhatch.net.listener import Listener
 from weldhatch.platform.bus import Bus
 from weldhatch.platform.fleet import Fleet
--- a/weldhatch/sim/halls.py
+++ b/weldhatch/sim/halls.py
@@ -15,10 +15,10 @@
 from weldhatch import config
 from weldhatch.cluster.endpoint_list import Roll
 from weldhatch.cluster.front_controller import Governor
-from weldhatch.net.budget import Budget
 from weldhatch.net.connection import Connection, connect
+from weldhatch.net.descriptor_budget import Budget
 from weldhatch.net.listener import Listener
-from weldhatch.net.ring import Ring
+from weldhatch.net.ring_buffer import Ring
 from weldhatch.platform import binary, jsonl
 from weldhatch.serving import Gateway
 from weldhatch.sim.api import Nobody
--- a/weldhatch/sites/frames.py
+++ b/weldhatch/sites/frames.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from weldhatch.net.ring import Ring
+from weldhatch.net.ring_buffer import Ring
 from weldhatch.sites import messages
 from weldhatch.sites.routing import Summary
 from weldhatch.sites.session import Ack, Beat, Faulty, Frame, Hello, Message
--- a/weldhatch/sites/link.py
+++ b/weldhatch/sites/link.py
@@ -16,11 +16,11 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch.net.budget import Share
 from weldhatch.net.connection import Connection, Malformed, connect
+from weldhatch.net.descriptor_budget import Share
 from weldhatch.net.listener import Listener
-from weldhatch.net.ring import Ring
-from weldhatch.net.sparing import Sparing
+from weldhatch.net.rate_limited_log import Sparing
+from weldhatch.net.ring_buffer import Ring
 from weldhatch.net.tls import shake_hands
 from weldhatch.sites import frames
 from weldhatch.sites.session import Faulty, Frame, Full, Hello, Session, stale
--- a/weldhatch/standins/region.py
+++ b/weldhatch/standins/region.py
@@ -18,7 +18,7 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import Driver, unix_us
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.budget import Budget, Share
+from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.scheduling import types as i
 from weldhatch.scheduling.policy import Policy
 from weldhatch.sites.forwarding import Sites
--- a/weldhatch/standins/servers.py
+++ b/weldhatch/standins/servers.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from weldhatch.net.connection import MESSAGE_MOST, Malformed
-from weldhatch.net.ring import Ring
+from weldhatch.net.ring_buffer import Ring
 from weldhatch.platform import binary as b
 
 HOST = "127.0.0.1"
