--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -6,7 +6,7 @@
 import asyncio
 import sys
 
-from weldhatch.platform import binary
+from weldhatch.platform import server_codec
 
 RUNS_S = 2.0
 
@@ -16,7 +16,7 @@
 
     def run_out(tag):
         print(f"server: task {tag.hex()} is done", flush=True)
-        writer.write(binary.encode(binary.RELEASE, tag, {binary.CAUSE: b"\x10"}))
+        writer.write(server_codec.encode(server_codec.RELEASE, tag, {server_codec.CAUSE: b"\x10"}))
 
     while True:
         try:
@@ -25,14 +25,18 @@
         except (OSError, asyncio.IncompleteReadError):
             return
         kind, tag = data[0], data[1:9]
-        if kind == binary.TEST:
+        if kind == server_codec.TEST:
             writer.write(
-                binary.encode(binary.TESTED, tag, {binary.CAUSE: b"\x01", binary.REPORT: b"x0:40;x1:90"})
+                server_codec.encode(
+                    server_codec.TESTED,
+                    tag,
+                    {server_codec.CAUSE: b"\x01", server_codec.REPORT: b"x0:40;x1:90"},
+                )
             )
-        elif kind == binary.SET_UP:
+        elif kind == server_codec.SET_UP:
             print(f"server: task {tag.hex()} is accepted", flush=True)
-            words = {binary.DESCRIPTION: b"hello from the toy server"}
-            writer.write(binary.encode(binary.ANSWER, tag, words))
+            words = {server_codec.DESCRIPTION: b"hello from the toy server"}
+            writer.write(server_codec.encode(server_codec.ANSWER, tag, words))
             asyncio.get_running_loop().call_later(RUNS_S, run_out, tag)
 
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -21,12 +21,12 @@
 import unittest
 
 from weldhatch import config
-from weldhatch.platform import binary
+from weldhatch.platform import server_codec
 from weldhatch.serving import Gateway
 
 LONG = 40.0  # seconds until a state that is waited for counts as never
 TYPES = {
-    name: getattr(binary, name)
+    name: getattr(server_codec, name)
     for name in ("SET_UP", "PROGRESS", "ANSWER", "RELEASE", "RELEASE_HEARD", "NOTE", "MOVE", "TEST", "TESTED")
 }
 NAMES = {number: name for name, number in TYPES.items()}
@@ -135,8 +135,10 @@
                 continue
             self.used = True
             kind, name, parameters = parts_of(data)
-            if kind == binary.TEST:
-                writer.write(binary.encode(binary.TESTED, name, {78: b"\1", 73: self.report.encode()}))
+            if kind == server_codec.TEST:
+                writer.write(
+                    server_codec.encode(server_codec.TESTED, name, {78: b"\1", 73: self.report.encode()})
+                )
             else:
                 fields = {
                     word: parameters[code].decode()
@@ -154,7 +156,7 @@
         }
         if kind == "ANSWER":
             parameters[79] = description.encode()
-        self.writers[-1].write(binary.encode(TYPES[kind], tag(name), parameters))
+        self.writers[-1].write(server_codec.encode(TYPES[kind], tag(name), parameters))
 
 
 class Owner(Party):
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -21,7 +21,7 @@
 from scenario import SETTINGS, Bus, parts_of, tag
 
 from weldhatch import config
-from weldhatch.platform import binary
+from weldhatch.platform import server_codec
 from weldhatch.serving import Gateway
 
 FALL_S, COLD_S = 1.0, 2.5
@@ -91,19 +91,23 @@
                 return
             kind, name, parameters = parts_of(self._data[2 : 2 + length])
             self._data = self._data[2 + length :]
-            if kind == binary.TEST:
-                self._say(binary.TESTED, name, {binary.CAUSE: b"\1", binary.REPORT: b"x0:4000;x1:4000"})
-            elif kind == binary.SET_UP:
-                self._machine.arrived.append((time.time(), int(parameters[binary.NAME][:2], 16)))
+            if kind == server_codec.TEST:
+                self._say(
+                    server_codec.TESTED,
+                    name,
+                    {server_codec.CAUSE: b"\1", server_codec.REPORT: b"x0:4000;x1:4000"},
+                )
+            elif kind == server_codec.SET_UP:
+                self._machine.arrived.append((time.time(), int(parameters[server_codec.NAME][:2], 16)))
                 if self._machine.refuses:
-                    self._say(binary.RELEASE, name, {binary.CAUSE: bytes((FULL,))})
+                    self._say(server_codec.RELEASE, name, {server_codec.CAUSE: bytes((FULL,))})
                 else:
-                    self._say(binary.ANSWER, name, {binary.DESCRIPTION: b""})
-                    self._say(binary.RELEASE, name, {binary.CAUSE: bytes((ENDED,))})
+                    self._say(server_codec.ANSWER, name, {server_codec.DESCRIPTION: b""})
+                    self._say(server_codec.RELEASE, name, {server_codec.CAUSE: bytes((ENDED,))})
 
     def _say(self, *message):
         if not self._transport.is_closing():
-            self._transport.write(binary.encode(*message))
+            self._transport.write(server_codec.encode(*message))
 
 
 class Dispatcher:
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -21,7 +21,7 @@
 
 from weldhatch import config
 from weldhatch.net.connection import Connection
-from weldhatch.platform import binary, owners
+from weldhatch.platform import client_front, server_codec
 from weldhatch.scheduling import types as i
 
 ALLOWED_S = 0.1  # the term: what begins later after its client has gone is a break
@@ -42,22 +42,22 @@
         while True:
             (length,) = struct.unpack(">H", await reader.readexactly(2))
             kind, name, parameters = parts_of(await reader.readexactly(length))
-            if kind == binary.TEST:
-                answer = binary.encode(binary.TESTED, name, {78: b"\1", 73: self.report.encode()})
+            if kind == server_codec.TEST:
+                answer = server_codec.encode(server_codec.TESTED, name, {78: b"\1", 73: self.report.encode()})
                 if self.kept is None:
                     writer.write(answer)
                 else:
                     self.kept.append(lambda answer=answer: writer.write(answer))
                 self.tested.set()
                 continue
-            if kind == binary.SET_UP:
+            if kind == server_codec.SET_UP:
                 self.arrivals.append((time.monotonic(), name))
                 if name.startswith(b"z"):  # the judge's: it stands, and is over
-                    writer.write(binary.encode(binary.ANSWER, name, {79: b""}))
-                    writer.write(binary.encode(binary.RELEASE, name, {78: bytes((16,))}))
+                    writer.write(server_codec.encode(server_codec.ANSWER, name, {79: b""}))
+                    writer.write(server_codec.encode(server_codec.RELEASE, name, {78: bytes((16,))}))
                     continue
             cause = {"cause": str(parameters[78][0])} if 78 in parameters else {}
-            kinds = {binary.SET_UP: "SET_UP", binary.RELEASE: "RELEASE"}
+            kinds = {server_codec.SET_UP: "SET_UP", server_codec.RELEASE: "RELEASE"}
             self.heard.put_nowait((kinds.get(kind, str(kind)), name, cause, ""))
 
     def answer_tests(self) -> None:
@@ -273,7 +273,7 @@
 
     async def test_a_client_that_is_turned_away_has_nothing_sent_for_it_from_then_on(self) -> None:
         """It isn't read any more until it is closed, and it leaves meanwhile."""
-        with unittest.mock.patch.object(owners, "AWAY_S", 1000.0):
+        with unittest.mock.patch.object(client_front, "AWAY_S", 1000.0):
             client = self.client()
             client.ask("a1")
             await self.play("s1 expect SET_UP a1")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 
 from scenario import SETTINGS, Scenario, Server, parts_of, tag
 
-from weldhatch.platform import binary, owners
+from weldhatch.platform import client_front, server_codec
 
 TOLD_S = 4.0  # what the bus would have told counts as told so long after it broke off
 DEADLINE_MS = 3000  # how long the new client's owner waits for its answer
@@ -33,13 +33,15 @@
         while True:
             (length,) = struct.unpack(">H", await reader.readexactly(2))
             kind, name, parameters = parts_of(await reader.readexactly(length))
-            if kind == binary.TEST:
-                writer.write(binary.encode(binary.TESTED, name, {78: b"\1", 73: self.report.encode()}))
-            elif kind == binary.SET_UP:
+            if kind == server_codec.TEST:
+                writer.write(
+                    server_codec.encode(server_codec.TESTED, name, {78: b"\1", 73: self.report.encode()})
+                )
+            elif kind == server_codec.SET_UP:
                 self.used = True
-                writer.write(binary.encode(binary.ANSWER, name, {79: parameters[79]}))
+                writer.write(server_codec.encode(server_codec.ANSWER, name, {79: parameters[79]}))
                 if not self.stand:
-                    writer.write(binary.encode(binary.RELEASE, name, {78: bytes((16,))}))
+                    writer.write(server_codec.encode(server_codec.RELEASE, name, {78: bytes((16,))}))
 
 
 def line(name: str, verb: str, **fields: str) -> bytes:
@@ -153,8 +155,8 @@
                 await self.discovery(False)
                 await self.answered(60)
                 with (
-                    unittest.mock.patch.object(owners, "WHOLE_S", 1000.0),
-                    unittest.mock.patch.object(owners, "IDLE_S", 1000.0),
+                    unittest.mock.patch.object(client_front, "WHOLE_S", 1000.0),
+                    unittest.mock.patch.object(client_front, "IDLE_S", 1000.0),
                 ):
                     await self.fill(says)
                     await self.comes_back()
@@ -175,7 +177,7 @@
             pass
         with (
             unittest.mock.patch.object(self.gateway.owners, "make_room"),
-            unittest.mock.patch.object(owners, "IDLE_S", 1000.0),
+            unittest.mock.patch.object(client_front, "IDLE_S", 1000.0),
         ):
             await self.play("late send ECHO t0 cause=0\nlate expect ECHOED t0")
 
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -12,7 +12,7 @@
 import pytest
 from scenario import SETTINGS, Bus, Owner, Party, parts_of
 
-from weldhatch.platform import binary
+from weldhatch.platform import server_codec
 from weldhatch.standins.rig import Rig, settings, until
 
 pytestmark = pytest.mark.fleet
@@ -32,12 +32,12 @@
         while True:
             (length,) = struct.unpack(">H", await reader.readexactly(2))
             kind, name, parameters = parts_of(await reader.readexactly(length))
-            if kind == binary.TEST:
-                writer.write(binary.encode(binary.TESTED, name, {78: b"\1", 73: b"x0:40;x1:90"}))
-            elif kind == binary.SET_UP:
+            if kind == server_codec.TEST:
+                writer.write(server_codec.encode(server_codec.TESTED, name, {78: b"\1", 73: b"x0:40;x1:90"}))
+            elif kind == server_codec.SET_UP:
                 self.starts.append((time.monotonic(), f"g{parameters[68].decode()[0]}"))
-                writer.write(binary.encode(binary.ANSWER, name, {79: parameters[79]}))
-                writer.write(binary.encode(binary.RELEASE, name, {78: b"\x10"}))
+                writer.write(server_codec.encode(server_codec.ANSWER, name, {79: parameters[79]}))
+                writer.write(server_codec.encode(server_codec.RELEASE, name, {78: b"\x10"}))
 
     def since(self, at, dispatcher=""):
         return [start for start in self.starts if start[0] >= at and dispatcher in ("", start[1])]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.net.rate_limited_log import LINES_S, Sparing
 from weldhatch.net.ring_buffer import SMALL, Ring
-from weldhatch.platform import binary, bus, jsonl
+from weldhatch.platform import client_codec, event_bus, server_codec
 from weldhatch.pullqueue import http
 
 STEPS = st.lists(st.one_of(st.binary(max_size=12), st.integers(0, 12)), max_size=60)
@@ -60,14 +60,14 @@
 
 @pytest.mark.parametrize("size", [1, 2, 7, 4000])
 def test_messages_are_read_whole_however_they_come(size):
-    parameters = {binary.CLASS: b"safe", binary.DESCRIPTION: b"v=0\r\n" * 9}
-    one = binary.encode(binary.SET_UP, b"12345678", parameters)
-    two = binary.encode(binary.TEST, b"abcdefgh", {binary.CAUSE: b"\1"})
-    first, second = in_pieces(binary.parse, one + two, size)
-    assert (first.type, first.tag, first.text(binary.DESCRIPTION)) == (1, b"12345678", "v=0\r\n" * 9)
+    parameters = {server_codec.CLASS: b"safe", server_codec.DESCRIPTION: b"v=0\r\n" * 9}
+    one = server_codec.encode(server_codec.SET_UP, b"12345678", parameters)
+    two = server_codec.encode(server_codec.TEST, b"abcdefgh", {server_codec.CAUSE: b"\1"})
+    first, second = in_pieces(server_codec.parse, one + two, size)
+    assert (first.type, first.tag, first.text(server_codec.DESCRIPTION)) == (1, b"12345678", "v=0\r\n" * 9)
     assert second.cause == 1
-    line = jsonl.encode("START", "9b1f03aa5c7e2d41", {"left": "5"}, None, "a\r\nb\u00e9")
-    [read] = in_pieces(jsonl.parse, line, size)
+    line = client_codec.encode("START", "9b1f03aa5c7e2d41", {"left": "5"}, None, "a\r\nb\u00e9")
+    [read] = in_pieces(client_codec.parse, line, size)
     assert (read.verb, read.fields, read.description) == ("START", {"left": "5"}, "a\r\nb\u00e9")
     asked = b"POST /v1test2/tasks?x=1 HTTP/1.1\r\nContent-Length: 2\r\nX-A:  b \r\n\r\n{}"
     [request, _] = in_pieces(http.Reader().parse, asked * 2, size)
@@ -87,22 +87,22 @@
         parts = [body[:5], body[5:]]
         body = b"".join(f"{len(part):x}\r\n".encode() + part + b"\r\n" for part in parts)
     head = b"HTTP/1.1 200 OK\r\n" + b"Transfer-Encoding: chunked\r\n" * chunked + b"\r\n"
-    lines = [line for some in in_pieces(bus.Stream().lines, head + body, size) for line in some]
+    lines = [line for some in in_pieces(event_bus.Stream().lines, head + body, size) for line in some]
     assert lines == [": hello", "", "id: 2", "data: {}", ""]
 
 
 @pytest.mark.parametrize(
     "parse, data",
     [
-        (binary.parse, b"\0\5\1123"),
-        (binary.parse, b"\0\x0b\1" + b"12345678" + b"\x40\0"),
-        (binary.parse, b"\0\x0c\1" + b"12345678" + b"\x40\0\1"),
-        (jsonl.parse, b"null\n"),
-        (jsonl.parse, b"{}\n"),
-        (jsonl.parse, b'{"verb":"START","tag":"9b1f03aa5c7e2d41","blob":"\\ud800"}\n'),
-        (jsonl.parse, b'{"verb":1,"tag":"9b1f03aa5c7e2d41"}\n'),
-        (jsonl.parse, b'{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","rc":"x"}\n'),
-        (bus.Stream().lines, b"HTTP/1.1 503 No\r\n\r\n"),
+        (server_codec.parse, b"\0\5\1123"),
+        (server_codec.parse, b"\0\x0b\1" + b"12345678" + b"\x40\0"),
+        (server_codec.parse, b"\0\x0c\1" + b"12345678" + b"\x40\0\1"),
+        (client_codec.parse, b"null\n"),
+        (client_codec.parse, b"{}\n"),
+        (client_codec.parse, b'{"verb":"START","tag":"9b1f03aa5c7e2d41","blob":"\\ud800"}\n'),
+        (client_codec.parse, b'{"verb":1,"tag":"9b1f03aa5c7e2d41"}\n'),
+        (client_codec.parse, b'{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","rc":"x"}\n'),
+        (event_bus.Stream().lines, b"HTTP/1.1 503 No\r\n\r\n"),
     ],
 )
 def test_what_cannot_be_read_is_malformed(parse, data):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,13 +7,13 @@
 from scenario import LONG, Scenario, tag
 
 from weldhatch.core import ports
-from weldhatch.platform import binary, health_check, servers
-from weldhatch.platform.fleet import number_of
+from weldhatch.platform import health_check, server_codec, servers
+from weldhatch.platform.endpoint_list import number_of
 from weldhatch.platform.servers import Names
 from weldhatch.scheduling.types import Outcome
 
 SEND = "owner send START {0} class={1}\ns1 expect SET_UP {0}\n"
-GOOD = binary.encode(binary.ANSWER, tag("a1"), {binary.DESCRIPTION: b"v=0 s=9"})
+GOOD = server_codec.encode(server_codec.ANSWER, tag("a1"), {server_codec.DESCRIPTION: b"v=0 s=9"})
 
 
 class BadPeers(Scenario):
@@ -22,20 +22,26 @@
 
     async def test_a_spoilt_answer_is_no_answer_and_ends_all_that_was_open_on_its_connection(self):
         """Guards against a set-up that is taken from its link by what can not be read."""
-        cut = GOOD[:-4] + binary.encode(binary.TEST, tag("t1"), {binary.CAUSE: b"\0"})
+        cut = GOOD[:-4] + server_codec.encode(server_codec.TEST, tag("t1"), {server_codec.CAUSE: b"\0"})
         spoilt = [
             b"\xff\xf3" + GOOD[2:],
             b"\0\4" + GOOD[2:],
             GOOD[:2] + b"\x7b" + GOOD[3:],
             cut,
-            binary.encode(binary.ANSWER, tag("a1"), {}),
-            binary.encode(binary.SET_UP, tag("a1"), {}),
-            binary.encode(binary.ANSWER, tag("a1"), {binary.DESCRIPTION: b"\xb3\xfc"}),
-            binary.encode(binary.ANSWER, tag("a1"), {binary.DESCRIPTION: b"v=0\0"}),
-            binary.encode(binary.ANSWER, tag("a1"), {3: b"", binary.DESCRIPTION: b"v=0"}),
-            binary.encode(binary.RELEASE, tag("a1"), {}),
-            binary.encode(binary.RELEASE, tag("a1"), {binary.CAUSE: b"\x22", binary.REPORT: b"x0:nan;x1:1"}),
-            binary.encode(binary.NOTE, tag("a1"), {binary.TOPIC: b"cores", binary.FIGURE: b"nan"}),
+            server_codec.encode(server_codec.ANSWER, tag("a1"), {}),
+            server_codec.encode(server_codec.SET_UP, tag("a1"), {}),
+            server_codec.encode(server_codec.ANSWER, tag("a1"), {server_codec.DESCRIPTION: b"\xb3\xfc"}),
+            server_codec.encode(server_codec.ANSWER, tag("a1"), {server_codec.DESCRIPTION: b"v=0\0"}),
+            server_codec.encode(server_codec.ANSWER, tag("a1"), {3: b"", server_codec.DESCRIPTION: b"v=0"}),
+            server_codec.encode(server_codec.RELEASE, tag("a1"), {}),
+            server_codec.encode(
+                server_codec.RELEASE,
+                tag("a1"),
+                {server_codec.CAUSE: b"\x22", server_codec.REPORT: b"x0:nan;x1:1"},
+            ),
+            server_codec.encode(
+                server_codec.NOTE, tag("a1"), {server_codec.TOPIC: b"cores", server_codec.FIGURE: b"nan"}
+            ),
         ]
         for data in spoilt:
             self.logged.clear()
@@ -59,8 +65,8 @@
 
     async def test_second_copies_and_answers_under_unknown_ids_are_ignored(self):
         await self.play(SEND.format("a1", "unsafe"))
-        other = binary.encode(binary.ANSWER, tag("zz"), {binary.DESCRIPTION: b"v=0"})
-        release = binary.encode(binary.RELEASE, tag("a1"), {binary.CAUSE: b"\x10"})
+        other = server_codec.encode(server_codec.ANSWER, tag("zz"), {server_codec.DESCRIPTION: b"v=0"})
+        release = server_codec.encode(server_codec.RELEASE, tag("a1"), {server_codec.CAUSE: b"\x10"})
         self.write(other + GOOD + GOOD)
         await self.play("owner expect STARTED a1 | v=0 s=9")
         self.write(release + GOOD + release)
@@ -71,7 +77,7 @@
     async def test_a_release_that_nobody_claims_is_kept_for_a_while_only(self):
         await self.play(SEND.format("a1", "unsafe"))
         with unittest.mock.patch.object(servers, "UNCLAIMED_S", 0.2):
-            self.write(binary.encode(binary.RELEASE, tag("zz"), {binary.CAUSE: b"\x10"}))
+            self.write(server_codec.encode(server_codec.RELEASE, tag("zz"), {server_codec.CAUSE: b"\x10"}))
             await self.until(lambda: self.gateway.servers._unclaimed, "the release was kept")
             await self.until(lambda: not self.gateway.servers._unclaimed, "it was dropped")
 
@@ -84,7 +90,7 @@
         await self.play("s1 hang")
         await asyncio.wait_for(server.connected.wait(), LONG)
         [second] = [writer for writer in server.writers if writer is not old]
-        second.write(binary.encode(binary.RELEASE, tag("a1"), {binary.CAUSE: b"\x10"}))
+        second.write(server_codec.encode(server_codec.RELEASE, tag("a1"), {server_codec.CAUSE: b"\x10"}))
         await self.play("owner expect FINISH a1 cause=16")
         self.assertFalse(any("lost" in text for text in self.logged), self.logged)
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -18,7 +18,7 @@
 from weldhatch.core import ports
 from weldhatch.net import connection
 from weldhatch.net.descriptor_budget import Budget, Share
-from weldhatch.platform import owners
+from weldhatch.platform import client_front
 from weldhatch.platform.server_link import EXCUSES_MOST, ServerLink
 from weldhatch.scheduling import types as i
 
@@ -467,13 +467,13 @@
 
     async def test_a_request_that_is_coming_in_pieces_is_not_taken_for_silence(self):
         owner, link, rest = await self.half()
-        link.used -= owners.WHOLE_S + 0.1  # as if it had connected that long ago
+        link.used -= client_front.WHOLE_S + 0.1  # as if it had connected that long ago
         self.gateway.owners.sweep(time.monotonic())
         await self.goes_on(owner, link, rest)
 
     async def test_a_request_that_is_coming_in_pieces_is_not_closed_to_make_room(self):
         owner, link, rest = await self.half()
-        link.used -= 2 * owners.SWEEP_S
+        link.used -= 2 * client_front.SWEEP_S
         self.gateway.owners.make_room()
         await self.goes_on(owner, link, rest)
 
@@ -498,8 +498,10 @@
 class TakenBack(Races):
     async def test_set_ups_taken_back_now_and_then_do_not_end_their_connection(self):
         """Only many at a time do: a connection that lives for long takes some back in its whole life."""
-        with unittest.mock.patch.object(owners, "TAKEN_BACK_SPAN_S", 0.0):  # each is long after the last
-            for n in range(2 * owners.BACK_MOST):
+        with unittest.mock.patch.object(
+            client_front, "TAKEN_BACK_SPAN_S", 0.0
+        ):  # each is long after the last
+            for n in range(2 * client_front.BACK_MOST):
                 await self.play(f"owner send START b{n}\nowner send FINISH b{n} cause=16")
             await self.play("owner send START a1\nowner send ECHO t0\nowner expect ECHOED t0")
             self.assertFalse([text for text in self.logged if "takes back" in text], self.logged)
--- a/weldhatch/platform/owners.py
+++ b/weldhatch/platform/client_front.py
@@ -15,8 +15,8 @@
 from weldhatch.net.connection import Connection, Malformed
 from weldhatch.net.descriptor_budget import Share
 from weldhatch.net.rate_limited_log import Sparing
-from weldhatch.platform import jsonl
-from weldhatch.platform.fleet import number_of
+from weldhatch.platform import client_codec
+from weldhatch.platform.endpoint_list import number_of
 from weldhatch.platform.servers import Names
 from weldhatch.scheduling import types as i
 from weldhatch.setups import FieldError, Form
@@ -51,7 +51,7 @@
 
     async def run(self) -> None:
         try:
-            await self.connection.pump(jsonl.parse, self._handle, self._turn_away)
+            await self.connection.pump(client_codec.parse, self._handle, self._turn_away)
         finally:
             self._give_up()
             self.front.links.discard(self)
@@ -115,7 +115,7 @@
             return (4, self.used) if idle > STANDING_IDLE_S else None
         return (3 if self.asked else 2), self.used
 
-    def _handle(self, line: jsonl.Line) -> None:
+    def _handle(self, line: client_codec.Line) -> None:
         self.used, self.spoke = time.monotonic(), True
         match line.verb:
             case "START":
@@ -123,7 +123,7 @@
             case "FINISH":
                 self.front.finish(self, line)
             case "ECHO":
-                self.connection.send(jsonl.encode("ECHOED", line.tag, {}, 1))
+                self.connection.send(client_codec.encode("ECHOED", line.tag, {}, 1))
                 self.front.flush(self)
             case "FINISHED" | "ECHOED" | "NOTICE" | "PENDING":
                 pass
@@ -160,7 +160,7 @@
             return
         self._link.open.pop(self._tag, None)
         self.stand()
-        self._link.say(jsonl.encode("STARTED", self._tag, {}, None, description))
+        self._link.say(client_codec.encode("STARTED", self._tag, {}, None, description))
 
     def refused(self, wait_us: int) -> None:
         self._answered(REFUSED, {"wait": str(math.ceil(wait_us / 1000))} if wait_us > 0 else {})
@@ -173,17 +173,17 @@
             return
         self._link.open.pop(self._tag, None)
         self._front.forget(self._tag)
-        self._link.say(jsonl.encode("FINISH", self._tag, fields, cause))
+        self._link.say(client_codec.encode("FINISH", self._tag, fields, cause))
 
     def released(self, cause: int) -> None:
         if self.gone:
             return
         self._front.forget(self._tag)
-        self._front.relay(self._link, jsonl.encode("FINISH", self._tag, {}, cause))
+        self._front.relay(self._link, client_codec.encode("FINISH", self._tag, {}, cause))
 
     def moved(self) -> None:
         self._front.forget(self._tag)
-        self._front.relay(self._link, jsonl.encode("MOVE", self._tag, {}))
+        self._front.relay(self._link, client_codec.encode("MOVE", self._tag, {}))
 
 
 class Owners:
@@ -213,7 +213,7 @@
         if self._unsent and host in self._owner_hosts:
             self.flush(link)
 
-    def start(self, link: OwnerLink, line: jsonl.Line) -> None:
+    def start(self, link: OwnerLink, line: client_codec.Line) -> None:
         task, at = self._task(line)
         known = self._asked.get(line.tag)
         if known is not None:
@@ -234,7 +234,7 @@
             link.open[line.tag] = asked
             asked.life = self._core.arrive(task, asked, link.behind)
 
-    def finish(self, link: OwnerLink, line: jsonl.Line) -> None:
+    def finish(self, link: OwnerLink, line: client_codec.Line) -> None:
         asked = self._asked.get(line.tag)
         if asked is None:
             return
@@ -312,7 +312,7 @@
     async def finish_all(self, within: float) -> None:
         await asyncio.gather(*(link.connection.finish(within) for link in list(self.links)))
 
-    def _task(self, line: jsonl.Line) -> tuple[ports.Task, str]:
+    def _task(self, line: client_codec.Line) -> tuple[ports.Task, str]:
         """What a set-up asks, and the machine that holds the task already, or ''."""
         try:
             setup = self._form.read(line.fields)
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -13,8 +13,8 @@
 from weldhatch.core.request_lifecycle import HEARD_OUT_TURNS
 from weldhatch.net.connection import Connection, Malformed
 from weldhatch.net.descriptor_budget import NoDescriptor
-from weldhatch.platform import binary
-from weldhatch.platform.fleet import Server
+from weldhatch.platform import server_codec
+from weldhatch.platform.endpoint_list import Server
 from weldhatch.platform.health_check import SUSPECT_QUIET_S
 from weldhatch.scheduling import types
 
@@ -75,7 +75,7 @@
 
     def unclaimed(self, tag: bytes, ended: ports.Ended) -> None: ...
 
-    def report(self, message: binary.Message) -> tuple[float, ...]: ...
+    def report(self, message: server_codec.Message) -> tuple[float, ...]: ...
 
 
 class ServerLink:
@@ -117,7 +117,10 @@
             del self._given_up[next(iter(self._given_up))]
         self._given_up.pop(tag, None)
         self._given_up[tag] = (now, teller)
-        self.send((tag, "up"), binary.encode(binary.RELEASE, tag, {binary.CAUSE: bytes((ports.GIVEN_UP,))}))
+        self.send(
+            (tag, "up"),
+            server_codec.encode(server_codec.RELEASE, tag, {server_codec.CAUSE: bytes((ports.GIVEN_UP,))}),
+        )
 
     def may_answer_late(self, tag: bytes, teller: ports.Teller) -> bool:
         """Whether an earlier attempt of that request here was given up, and has not been heard of since."""
@@ -187,7 +190,7 @@
                     failing_since, pause = 0.0, RECONNECT_S
                     self._send_what_waited(self._up)
                     try:
-                        await self._up.pump(binary.parse, self._handle)
+                        await self._up.pump(server_codec.parse, self._handle)
                     finally:
                         self._broken()
                 if not (self.standing or self._pending):
@@ -346,7 +349,7 @@
                     if self._spare is None or self._spare.closed:
                         self._spare = await self._dial()
                         self._reading = asyncio.get_running_loop().create_task(
-                            self._spare.pump(binary.parse, self._handle)
+                            self._spare.pump(server_codec.parse, self._handle)
                         )
                     else:  # a machine that has vanished leaves this open too: it must say something
                         heard = self._spare.heard
@@ -390,9 +393,9 @@
 
     # ---- what a server says --------------------------------------------------------------------------------
 
-    def _handle(self, message: binary.Message) -> None:
+    def _handle(self, message: server_codec.Message) -> None:
         match message.type:
-            case binary.ANSWER:
+            case server_codec.ANSWER:
                 # All of a message is read before anything is taken from it: what can't be read ends the
                 # connection, and then each set-up open on it must still be there to get its end.
                 description = message.description
@@ -401,16 +404,18 @@
                     self.standing[message.tag] = held
                     held.since = time.time()
                     held.teller.tell(ports.Answered(held.attempt, description))
-            case binary.RELEASE:
+            case server_codec.RELEASE:
                 self._release(message)
-            case binary.NOTE:
+            case server_codec.NOTE:
                 held = self.standing.get(message.tag) or self.out.get(message.tag)
-                topic = TOPICS.get(message.text(binary.TOPIC))
+                topic = TOPICS.get(message.text(server_codec.TOPIC))
                 if held is not None and topic is not None:
                     held.teller.tell(
-                        ports.Noted(held.attempt, topic, binary.number(message.text(binary.FIGURE)))
+                        ports.Noted(
+                            held.attempt, topic, server_codec.number(message.text(server_codec.FIGURE))
+                        )
                     )
-            case binary.TESTED:
+            case server_codec.TESTED:
                 report, passed = self._servers.report(message), message.cause == 1
                 if probe := self.probes.pop(message.tag, None):
                     done, timer = probe
@@ -418,15 +423,18 @@
                     done(types.Outcome.OK if passed else types.Outcome.FULL, report)
                 elif passed and report:
                     self._servers.reported(self.server.machine, report)
-            case binary.TEST:
-                self.send(message.tag, binary.encode(binary.TESTED, message.tag, {binary.CAUSE: b"\1"}))
-            case binary.PROGRESS | binary.RELEASE_HEARD:
+            case server_codec.TEST:
+                self.send(
+                    message.tag,
+                    server_codec.encode(server_codec.TESTED, message.tag, {server_codec.CAUSE: b"\1"}),
+                )
+            case server_codec.PROGRESS | server_codec.RELEASE_HEARD:
                 pass
             case _:
                 raise Malformed(f"a message of type {message.type}, which no server sends")
 
-    def _release(self, message: binary.Message) -> None:
-        cause, reason = message.cause, REASONS.get(message.text(binary.TOPIC), 0)
+    def _release(self, message: server_codec.Message) -> None:
+        cause, reason = message.cause, REASONS.get(message.text(server_codec.TOPIC), 0)
         report = self._servers.report(message)
         self._given_up.pop(message.tag, None)
         if held := self.out.pop(message.tag, None):
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -11,8 +11,8 @@
 from weldhatch.core import ports
 from weldhatch.net.connection import Connection, connect
 from weldhatch.net.descriptor_budget import NoDescriptor, Share
-from weldhatch.platform import binary
-from weldhatch.platform.fleet import Server
+from weldhatch.platform import server_codec
+from weldhatch.platform.endpoint_list import Server
 from weldhatch.platform.health_check import HealthCheckSchedule
 from weldhatch.platform.server_link import Held, ServerLink
 from weldhatch.scheduling import types
@@ -166,14 +166,14 @@
             return
         link.out[names.tag] = Held(attempt, teller, 0.0, start_by_us)
         parameters = {
-            binary.CLASS: names.class_name.encode(),
-            binary.LEFT: str(max(1, wait_us // 1000)).encode(),
-            binary.NAME: names.name.encode(),
+            server_codec.CLASS: names.class_name.encode(),
+            server_codec.LEFT: str(max(1, wait_us // 1000)).encode(),
+            server_codec.NAME: names.name.encode(),
         }
         if names.idem:
-            parameters[binary.KEY] = names.idem.encode()
-        parameters[binary.DESCRIPTION] = names.description.encode()
-        link.send(names.tag, binary.encode(binary.SET_UP, names.tag, parameters))
+            parameters[server_codec.KEY] = names.idem.encode()
+        parameters[server_codec.DESCRIPTION] = names.description.encode()
+        link.send(names.tag, server_codec.encode(server_codec.SET_UP, names.tag, parameters))
 
     def adopt(self, machine: int, task: ports.Task, teller: ports.Teller) -> None:
         """Its end comes on any open connection, or on the next one: one is kept open for it."""
@@ -204,11 +204,13 @@
         self._end(
             machine,
             task,
-            binary.encode(binary.RELEASE, task.passed_on.tag, {binary.CAUSE: bytes((cause & 255,))}),
+            server_codec.encode(
+                server_codec.RELEASE, task.passed_on.tag, {server_codec.CAUSE: bytes((cause & 255,))}
+            ),
         )
 
     def move(self, machine: int, task: ports.Task) -> None:
-        self._end(machine, task, binary.encode(binary.MOVE, task.passed_on.tag))
+        self._end(machine, task, server_codec.encode(server_codec.MOVE, task.passed_on.tag))
 
     def _end(self, machine: int, task: ports.Task, last_word: bytes) -> None:
         """How a task that stands is to end; where its machine holds it no more, its end is under way.
@@ -231,7 +233,7 @@
         tag = self._test_tag()
         timer = asyncio.get_running_loop().call_later(self._probe_s, self._probe_late, link, tag)
         link.probes[tag] = (done, timer)
-        link.send(tag, binary.encode(binary.TEST, tag, {binary.CAUSE: b"\1"}))
+        link.send(tag, server_codec.encode(server_codec.TEST, tag, {server_codec.CAUSE: b"\1"}))
 
     def _probe_late(self, link: ServerLink, tag: bytes) -> None:
         done, _ = link.probes.pop(tag)
@@ -254,7 +256,9 @@
         link.send(message, message)
 
     def test_message(self) -> bytes:
-        return binary.encode(binary.TEST, self._test_tag(), {binary.CAUSE: bytes((self._asks,))})
+        return server_codec.encode(
+            server_codec.TEST, self._test_tag(), {server_codec.CAUSE: bytes((self._asks,))}
+        )
 
     def _test_tag(self) -> bytes:
         self._tests += 1
@@ -277,11 +281,11 @@
         if len(self._unclaimed) > UNCLAIMED_MOST:
             del self._unclaimed[next(iter(self._unclaimed))]
 
-    def report(self, message: binary.Message) -> tuple[float, ...]:
-        text = message.text(binary.REPORT)
+    def report(self, message: server_codec.Message) -> tuple[float, ...]:
+        text = message.text(server_codec.REPORT)
         if not text:
             return ()
         values = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
         if not all(name in values for name in self._fields):
             return ()
-        return tuple(binary.number(values[name]) for name in self._fields)
+        return tuple(server_codec.number(values[name]) for name in self._fields)
--- a/weldhatch/serving.py
+++ b/weldhatch/serving.py
@@ -21,9 +21,9 @@
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.descriptor_budget import RESERVED, Budget, Share
 from weldhatch.net.listener import Listener
-from weldhatch.platform.bus import Bus
-from weldhatch.platform.fleet import Fleet
-from weldhatch.platform.owners import Owners
+from weldhatch.platform.client_front import Owners
+from weldhatch.platform.endpoint_list import Fleet
+from weldhatch.platform.event_bus import Bus
 from weldhatch.platform.servers import Servers
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
--- a/weldhatch/sim/halls.py
+++ b/weldhatch/sim/halls.py
@@ -19,7 +19,7 @@
 from weldhatch.net.descriptor_budget import Budget
 from weldhatch.net.listener import Listener
 from weldhatch.net.ring_buffer import Ring
-from weldhatch.platform import binary, jsonl
+from weldhatch.platform import client_codec, server_codec
 from weldhatch.serving import Gateway
 from weldhatch.sim.api import Nobody
 from weldhatch.sim.faults import Fault
@@ -71,8 +71,10 @@
         self.port.conns.add(self)
         try:
             for tag, cause in self.server.unheard.get("", ()):
-                self.say(binary.encode(binary.RELEASE, tag, {binary.CAUSE: bytes((cause,))}))
-            await self.connection.pump(binary.parse, lambda message: self.server.hear(self, message))
+                self.say(
+                    server_codec.encode(server_codec.RELEASE, tag, {server_codec.CAUSE: bytes((cause,))})
+                )
+            await self.connection.pump(server_codec.parse, lambda message: self.server.hear(self, message))
         finally:
             self.port.conns.discard(self)
 
@@ -253,9 +255,9 @@
         return link
 
     async def _read(self, gateway: str, link: Connection) -> None:
-        def hear(line: jsonl.Line) -> None:
+        def hear(line: client_codec.Line) -> None:
             if line.verb == "ECHO":
-                link.send(jsonl.encode("ECHOED", line.tag, {}, 1))
+                link.send(client_codec.encode("ECHOED", line.tag, {}, 1))
             one, done = self._waiting.get(line.tag, (None, None))
             if one is None or done.done() or line.verb not in ("STARTED", "FINISH"):
                 return
@@ -265,7 +267,7 @@
             done.set_result(float(line.fields.get("wait", 0)) / 1000)
 
         try:
-            await link.pump(jsonl.parse, hear)
+            await link.pump(client_codec.parse, hear)
         finally:
             for one, done in list(self._waiting.values()):
                 if one.gateway == gateway and not done.done():
@@ -289,7 +291,7 @@
             "key": one.key,
             "extras": f"cores:1;memory:1;service:{service:016x}",
         }
-        link.send(jsonl.encode("START", tag, opts, None, "v=0"))
+        link.send(client_codec.encode("START", tag, opts, None, "v=0"))
         try:
             return await asyncio.wait_for(done, 3.0)
         except TimeoutError:
--- a/weldhatch/standins/servers.py
+++ b/weldhatch/standins/servers.py
@@ -15,7 +15,7 @@
 
 from weldhatch.net.connection import MESSAGE_MOST, Malformed
 from weldhatch.net.ring_buffer import Ring
-from weldhatch.platform import binary as b
+from weldhatch.platform import server_codec as b
 
 HOST = "127.0.0.1"
 
