--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -22,7 +22,7 @@
 
 from weldhatch import config
 from weldhatch.platform import server_codec
-from weldhatch.serving import Gateway
+from weldhatch.server import Gateway
 
 LONG = 40.0  # seconds until a state that is waited for counts as never
 TYPES = {
--- a/tests/test_abroad.py
+++ b/tests/test_abroad.py
@@ -20,7 +20,7 @@
 from weldhatch.config import ConfigError
 from weldhatch.keys.folder import Folder
 from weldhatch.net.descriptor_budget import Budget, Share
-from weldhatch.pullqueue import abroad
+from weldhatch.pullqueue import remote_sites
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.scheduling.policy import Policy
@@ -233,7 +233,7 @@
         }
     )
     with pytest.raises(ConfigError, match=r"sites.keys: .*server.pem"):
-        abroad.link_contexts(told.sites.keys, told.sites.name, "sites.keys")
+        remote_sites.link_contexts(told.sites.keys, told.sites.name, "sites.keys")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -22,7 +22,7 @@
 from weldhatch.coordination.compatibility import Overlap, Unfit
 from weldhatch.coordination.messages import Ask, Learn
 from weldhatch.coordination.state_machine import Group
-from weldhatch.pullqueue.operators import STATES
+from weldhatch.pullqueue.operator_states import STATES
 from weldhatch.scheduling import types as i
 from weldhatch.sites.session import Faulty
 from weldhatch.standins.rig import settings, until
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -15,7 +15,7 @@
 
 from weldhatch import config
 from weldhatch.scheduling import types as i
-from weldhatch.serving import Gateway
+from weldhatch.server import Gateway
 from weldhatch.standalone_zones import Alone
 from weldhatch.standins.realm import settings as realm_settings
 from weldhatch.standins.rig import until
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -16,7 +16,7 @@
 from weldhatch.client import Api, ApiError
 from weldhatch.conform.runner import report, run
 from weldhatch.conform.suite import CHECKS, Target
-from weldhatch.pullqueue import bots as bots_module
+from weldhatch.pullqueue import bot_sessions as bots_module
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.scheduling.policy import Policy
 
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from weldhatch import plans
+from weldhatch.pullqueue import reconfiguration
 from weldhatch.standins import judge
 from weldhatch.standins.rig import Rig, settings, until
 
@@ -149,18 +149,18 @@
 
     async def test_a_plan_applied_at_one_gateway_becomes_a_version_of_all(self):
         rig = await self.rig(3)
-        gateway = plans.Gateway(("127.0.0.1", rig.nodes["g1"].control))
+        gateway = reconfiguration.Gateway(("127.0.0.1", rig.nodes["g1"].control))
         now = await asyncio.to_thread(gateway.applied)
-        plan = plans.make(now, {**now, "settings": settings(limits__mostTries=2)})
+        plan = reconfiguration.make(now, {**now, "settings": settings(limits__mostTries=2)})
         told = await asyncio.to_thread(gateway.apply, plan)
         self.assertEqual((told["applied"], told["version"], told["restarting"]), (1, 2, False))
         await asyncio.gather(*(rig.active(name, 2) for name in rig.nodes))
-        other = plans.Gateway(("127.0.0.1", rig.nodes["g2"].control))
+        other = reconfiguration.Gateway(("127.0.0.1", rig.nodes["g2"].control))
         then = await asyncio.to_thread(other.applied)
         self.assertEqual(then["settings"]["limits"]["mostTries"], 2)
         both = {**then, "queue": 100, "settings": settings(limits__mostTries=3)}
-        with self.assertRaisesRegex(plans.Refused, "plan them apart"):
-            await asyncio.to_thread(other.apply, plans.make(then, both))
+        with self.assertRaisesRegex(reconfiguration.Refused, "plan them apart"):
+            await asyncio.to_thread(other.apply, reconfiguration.make(then, both))
 
 
 class Voters(Fleet):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -9,7 +9,7 @@
 from test_pullqueue import PullScenario, bot, task
 
 from weldhatch.net.ring_buffer import Ring
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import BODY_MOST, HEAD_MOST, Reader
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -85,7 +85,15 @@
     ),
     *(
         f"weldhatch.pullqueue.{name}"
-        for name in ("deadlines", "durable", "operators", "quotas", "reports", "shares", "workers")
+        for name in (
+            "admission",
+            "deadlines",
+            "durable_state",
+            "operator_states",
+            "quotas",
+            "reports",
+            "workers",
+        )
     ),
 )
 IMPURE = {"time", "random", "socket", "asyncio", "os", "pathlib", "subprocess", "tempfile", "tornado", "http"}
@@ -148,7 +156,7 @@
     """Only what puts a whole program together may import more of `scheduling` than its types."""
     assemblers = (
         "weldhatch",
-        "weldhatch.serving",
+        "weldhatch.server",
         "weldhatch.simulator_link.adapter",
         "weldhatch.sim.play",
         "weldhatch.standins.region",
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,7 +12,7 @@
 from weldhatch import config
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
-from weldhatch.pullqueue.operators import Operators, Word, WordError, read_word
+from weldhatch.pullqueue.operator_states import Operators, Word, WordError, read_word
 from weldhatch.scheduling.policy import Policy
 from weldhatch.scheduling.types import MachineState
 
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -12,7 +12,8 @@
 
 from scenario import LONG, SETTINGS
 
-from weldhatch import config, plans
+from weldhatch import config
+from weldhatch.pullqueue import reconfiguration
 
 ROOT = Path(__file__).parent.parent
 
@@ -142,7 +143,9 @@
 
     def test_defaults_written_out_are_no_change(self):
         base = {"settings": SETTINGS}
-        self.assertEqual([], plans.changes(base, {**base, "connections": 256, "timing": {"lease": 3.0}}))
+        self.assertEqual(
+            [], reconfiguration.changes(base, {**base, "connections": 256, "timing": {"lease": 3.0}})
+        )
 
     def test_the_platform_file_names_its_faulty_key(self):
         good = {
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -14,7 +14,7 @@
 from scenario import LONG, SETTINGS, Bus, Owner, Scenario, Server, tag
 from test_clients import SET_UP, line
 
-from weldhatch import serving
+from weldhatch import server as dispatcher
 from weldhatch.core import ports
 from weldhatch.net import connection
 from weldhatch.net.descriptor_budget import Budget, Share
@@ -519,7 +519,7 @@
         """More than the listener accepts in one turn, each with a request written before listening ends."""
         loop, sockets = asyncio.get_running_loop(), []
         fields = {**SET_UP, "left": "300"}
-        with unittest.mock.patch.object(serving, "LISTEN_ON_S", 0):
+        with unittest.mock.patch.object(dispatcher, "LISTEN_ON_S", 0):
             ending = asyncio.create_task(self.gateway.end())
             for n in range(40):
                 client = socket.create_connection(self.gateway.listener.address)
@@ -545,7 +545,7 @@
             await finish_all(within)
 
         self.gateway.owners.finish_all = asked_before
-        with unittest.mock.patch.object(serving, "LISTEN_ON_S", 0):
+        with unittest.mock.patch.object(dispatcher, "LISTEN_ON_S", 0):
             await asyncio.wait_for(self.gateway.end(), LONG)
         await asyncio.wait_for(owner.closed.wait(), LONG)
         self.assertFalse(owner.heard.empty(), "closed without an answer")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,7 +17,7 @@
 
 from weldhatch import config
 from weldhatch.client import Api, ApiError, BuildMachine, Outcome, Submitter, Task
-from weldhatch.pullqueue import durable
+from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.scheduling.policy import Policy
 from weldhatch.store import folded
@@ -366,7 +366,7 @@
         pass
 
     async def test_a_snapshot_folds_to_the_same(self):
-        state = durable.Durable()
+        state = durable_state.Durable()
         for record in (
             ("epoch", 3, "ab", 0),
             ("asked", "tasks/1", {"class": "safe"}, "b", {"at": 1}),
@@ -381,8 +381,8 @@
             ("probe",),
             ("end", "tasks/1", "DONE", 16, {"x": 1}),
         ):
-            state.take(durable.encode(*record))
-        again = durable.fold(state.records())
+            state.take(durable_state.encode(*record))
+        again = durable_state.fold(state.records())
         self.assertEqual(
             (state.operations.keys(), state.leases.keys(), state.spent),
             (again.operations.keys(), again.leases.keys(), again.spent),
@@ -403,11 +403,11 @@
                 state.take(bad)
 
     async def test_epochs_are_told_from_names(self):
-        self.assertEqual((7, "3fa0"), durable.epoch_of("leases/7.3fa0-12"))
-        self.assertIsNone(durable.epoch_of("leases/18c2-12"))
-        self.assertEqual("", durable.from_later(["leases/7.aa-1", "x", "leases/8.bb-1"], 8, "bb"))
-        self.assertEqual("leases/8.cc-1", durable.from_later(["leases/8.cc-1"], 8, "bb"))
-        self.assertEqual("leases/9.bb-1", durable.from_later(["leases/9.bb-1"], 8, "bb"))
+        self.assertEqual((7, "3fa0"), durable_state.epoch_of("leases/7.3fa0-12"))
+        self.assertIsNone(durable_state.epoch_of("leases/18c2-12"))
+        self.assertEqual("", durable_state.from_later(["leases/7.aa-1", "x", "leases/8.bb-1"], 8, "bb"))
+        self.assertEqual("leases/8.cc-1", durable_state.from_later(["leases/8.cc-1"], 8, "bb"))
+        self.assertEqual("leases/9.bb-1", durable_state.from_later(["leases/9.bb-1"], 8, "bb"))
 
 
 class Storm(Kept):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from weldhatch.pullqueue.admission import INSIDE_LEAST, Gate, Ticket, Verdict
 from weldhatch.pullqueue.deadlines import Deadlines
-from weldhatch.pullqueue.shares import INSIDE_LEAST, Gate, Ticket, Verdict
 from weldhatch.pullqueue.workers import Matching, Worker, matches, read_worker
 
 SECOND = 1_000_000
--- a/weldhatch/__main__.py
+++ b/weldhatch/__main__.py
@@ -27,10 +27,10 @@
 
 def serve(pull_file: str) -> int:
     """Serve until told to end; a configuration that can't be used ends it with one line and 2."""
-    from weldhatch import config, serving
+    from weldhatch import config, server
 
     try:
-        serving.run(pull_file)
+        server.run(pull_file)
     except (config.ConfigError, OSError) as fault:
         print(f"weldhatch: {fault}", file=sys.stderr)
         return 2
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -19,7 +19,7 @@
 from rich.progress import BarColumn, TextColumn, TimeElapsedColumn
 from rich.progress import Progress as Bar
 
-from weldhatch import config, plans
+from weldhatch import config
 from weldhatch.applying.journal import Journal, held_by, story
 from weldhatch.applying.runner import Exit, Result, Runner, observe
 from weldhatch.cli import logs, output, render, settings
@@ -32,6 +32,7 @@
 from weldhatch.planning.search import search
 from weldhatch.planning.undo import drift as drifted
 from weldhatch.planning.undo import undo_change
+from weldhatch.pullqueue import reconfiguration
 
 FLEET = "deploy/fleet.toml"
 WIDTH = 140  # where the output is no terminal
@@ -158,7 +159,7 @@
         say(
             output.SettingsShown(file=out, changes=changes, exit=Exit.PENDING if changes else Exit.DONE),
             as_json,
-            lambda *_: click.echo(f"{plans.render(made)}\nThe plan is in {out}."),
+            lambda *_: click.echo(f"{reconfiguration.render(made)}\nThe plan is in {out}."),
         )
         return
     told = config.fleet_file(fleet_path)
--- a/weldhatch/cli/main.py
+++ b/weldhatch/cli/main.py
@@ -7,7 +7,7 @@
 
 import click
 
-from weldhatch import config, plans
+from weldhatch import config
 from weldhatch.applying.runner import Exit
 from weldhatch.cli import output, settings
 from weldhatch.cli.fleet import fleet
@@ -15,6 +15,7 @@
 from weldhatch.keys.errors import KeysError
 from weldhatch.planning.actions import Unplannable
 from weldhatch.planning.plan import PlanError
+from weldhatch.pullqueue import reconfiguration
 
 OLD_FAULT = 2  # what the calls from before `fleet` end with, as they always did
 
@@ -31,9 +32,9 @@
 def root(context: click.Context, pullqueue: str) -> None:
     """A dispatcher for long-lived tasks. Without a command, it serves."""
     if context.invoked_subcommand is None:
-        from weldhatch import serving
+        from weldhatch import server
 
-        serving.run(pullqueue)
+        server.run(pullqueue)
 
 
 root.add_command(fleet)
@@ -81,7 +82,7 @@
     """Show and write what a pull queue's FILE would change in the running gateway."""
     out = out or f"{file}.plan"
     made = settings.plan_file(file, out, control)
-    click.echo(f"{plans.render(made)}\nThe plan is in {out}.")
+    click.echo(f"{reconfiguration.render(made)}\nThe plan is in {out}.")
 
 
 @root.command()
--- a/weldhatch/cli/rules.py
+++ b/weldhatch/cli/rules.py
@@ -13,8 +13,9 @@
 from rich.markup import escape
 from rich.table import Table
 
-from weldhatch import config, plans
+from weldhatch import config
 from weldhatch.applying.runner import Exit
+from weldhatch.pullqueue import reconfiguration
 
 WAIT_S, LOOK_S = 20.0, 0.05
 _STYLES = {"free": "dim", "tightens": "green", "widens": "yellow", "switches": "red"}
@@ -46,14 +47,14 @@
     """Who votes, and who takes part."""
 
 
-def desk(pull_file: str, control: str | None) -> plans.Gateway:
+def desk(pull_file: str, control: str | None) -> reconfiguration.Gateway:
     """Where the group is asked. Raises ConfigError naming the key that is missing."""
     if control:
-        return plans.Gateway(config.endpoint("--control", control))
+        return reconfiguration.Gateway(config.endpoint("--control", control))
     told = config.agreement(config.pull_queue_tree(pull_file))
     if told is None or told.control is None:
         raise config.ConfigError(f"{pull_file}: agreement.control is missing: where the group is asked")
-    return plans.Gateway(told.control)
+    return reconfiguration.Gateway(told.control)
 
 
 def show(told: Mapping, as_json: bool, text: Callable[[Console], None]) -> None:
@@ -114,7 +115,7 @@
 
 
 def _propose(
-    at: plans.Gateway,
+    at: reconfiguration.Gateway,
     settings: dict,
     why: str,
     base: int | None,
@@ -130,7 +131,7 @@
             "rules/propose",
             {"tree": settings, "base": base, "why": why, "by": getpass.getuser(), "despite": despite},
         )
-    except plans.Refused as fault:
+    except reconfiguration.Refused as fault:
         if fault.field not in ("moved", "busy"):
             raise
         click.echo(f"weldhatch: {fault}", err=True)
@@ -150,7 +151,7 @@
     return {"active": Exit.DONE, "prepared": Exit.DONE if no_wait else 5, "dropped": 4}[state]
 
 
-def wait_for(at: plans.Gateway, number: int) -> tuple[str, str]:
+def wait_for(at: reconfiguration.Gateway, number: int) -> tuple[str, str]:
     """Until a version is active or dropped, or the time is up: its state, and what it came to."""
     end = time.monotonic() + WAIT_S
     while True:
--- a/weldhatch/cli/settings.py
+++ b/weldhatch/cli/settings.py
@@ -6,10 +6,11 @@
 import json
 from pathlib import Path
 
-from weldhatch import config, plans
+from weldhatch import config
 from weldhatch.applying.journal import stamp
 from weldhatch.applying.runner import Exit, Result
 from weldhatch.planning.moved import Moved
+from weldhatch.pullqueue import reconfiguration
 from weldhatch.store.lock import Lock
 from weldhatch.store.log import Log
 
@@ -27,7 +28,9 @@
     """Make the plan that turns the running gateway into what a file says, and write it to `out`."""
     target = config.pull_queue_tree(path)
     config.pull_queue(target)
-    made = plans.make(plans.Gateway(plans.address(target, control)).applied(), target)
+    made = reconfiguration.make(
+        reconfiguration.Gateway(reconfiguration.address(target, control)).applied(), target
+    )
     with open(out, "w", encoding="utf-8") as file:
         json.dump(made, file, indent=1)
     return made
@@ -40,12 +43,12 @@
     that
     is done first, and a plan that is in force already is not sent again.
     """
-    made = plans.read(path)
-    gateway = plans.Gateway(plans.address(made["target"], control))
+    made = reconfiguration.read(path)
+    gateway = reconfiguration.Gateway(reconfiguration.address(made["target"], control))
     return _apply(path, made, gateway)
 
 
-def _apply(path: str, made: dict, gateway: plans.Gateway) -> Result:
+def _apply(path: str, made: dict, gateway: reconfiguration.Gateway) -> Result:
     import time
 
     lock = Lock(f"{path}.lock", f"an apply of {path}", stamp(time.time()))
@@ -58,11 +61,11 @@
                 journal.append([json.dumps({"record": record, "at": time.time(), **figures}).encode()])
 
             now = gateway.applied()
-            if plans.fingerprint(now) == plans.fingerprint(made["target"]):
+            if reconfiguration.fingerprint(now) == reconfiguration.fingerprint(made["target"]):
                 if cut_off:
                     note("done", applied=len(made["changes"]))
                 return Result(Exit.DONE, "the gateway runs what the plan says already: nothing was done")
-            if moved := plans.moved(made, now):
+            if moved := reconfiguration.moved(made, now):
                 return Result(
                     Exit.MOVED,
                     "the applied configuration has moved on; make a new plan",
--- a/weldhatch/cli/sites.py
+++ b/weldhatch/cli/sites.py
@@ -9,7 +9,8 @@
 from rich.markup import escape
 from rich.table import Table
 
-from weldhatch import config, plans
+from weldhatch import config
+from weldhatch.pullqueue import reconfiguration
 
 control = click.option(
     "--control",
@@ -32,8 +33,10 @@
     """Other sites: what is lent and taken, what is in doubt, and draining."""
 
 
-def gateway(file: str, address: str | None) -> plans.Gateway:
-    return plans.Gateway(plans.address({} if address else config.pull_queue_tree(file), address))
+def gateway(file: str, address: str | None) -> reconfiguration.Gateway:
+    return reconfiguration.Gateway(
+        reconfiguration.address({} if address else config.pull_queue_tree(file), address)
+    )
 
 
 @sites.command()
--- a/weldhatch/cli/zones.py
+++ b/weldhatch/cli/zones.py
@@ -12,9 +12,9 @@
 from rich.markup import escape
 from rich.table import Table
 
-from weldhatch import plans
 from weldhatch.applying.runner import Exit
 from weldhatch.cli.rules import desk, reach, show
+from weldhatch.pullqueue import reconfiguration
 
 _STYLES = {"serving": "green", "suspected": "yellow", "leaving": "red", "left": "red", "returning": "cyan"}
 _EXITS = {"moved": Exit.MOVED, "order": 4, "last": 4, "room": 4}
@@ -118,7 +118,7 @@
             "zones",
             {"word": word, "place": place, "why": why, "by": getpass.getuser(), "despite": despite},
         )
-    except plans.Refused as fault:
+    except reconfiguration.Refused as fault:
         if fault.field not in _EXITS:
             raise
         if as_json:
--- a/weldhatch/cluster/control_api.py
+++ b/weldhatch/cluster/control_api.py
@@ -8,10 +8,10 @@
 from weldhatch import config
 from weldhatch.cluster.node import Agreement, Unreached, clock
 from weldhatch.coordination import compatibility
-from weldhatch.pullqueue.counter import Counter
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.control_listener import Counter
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
-from weldhatch.pullqueue.operators import WordError, read_word
+from weldhatch.pullqueue.operator_states import WordError, read_word
 
 WHY_MOST = 500
 ACTIVE_S = 20.0  # a plan that has become a proposal is waited for so long
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -23,7 +23,7 @@
 from weldhatch.coordination.lease_holder import Footing
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
-from weldhatch.pullqueue.abroad import link_contexts
+from weldhatch.pullqueue.remote_sites import link_contexts
 from weldhatch.scheduling import types as i
 from weldhatch.zones.endpoint_overlay import Narrowed
 
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -15,11 +15,11 @@
 from weldhatch.net.connection import Connection, Malformed
 from weldhatch.net.descriptor_budget import Share
 from weldhatch.net.rate_limited_log import Sparing
+from weldhatch.placement_request import FieldError, Form
 from weldhatch.platform import client_codec
 from weldhatch.platform.endpoint_list import number_of
 from weldhatch.platform.servers import Names
 from weldhatch.scheduling import types as i
-from weldhatch.setups import FieldError, Form
 
 REFUSED, FAILED = 42, 47  # the causes of the two final answers that are not 'placed'
 ENDING_WAIT_US = 1_000_000  # when to come back, for what reaches a dispatcher that ends
--- a/weldhatch/pullqueue/bots.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -13,16 +13,16 @@
 from weldhatch.config import Timing
 from weldhatch.core import ports
 from weldhatch.core.ports import LetGo
-from weldhatch.pullqueue import durable
-from weldhatch.pullqueue.book import Book, NoBook
+from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.deadlines import Deadlines
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
+from weldhatch.pullqueue.lease_dispatch import Outgoing, rfc3339, shown
 from weldhatch.pullqueue.leases import Lease, Ledger, Phase
 from weldhatch.pullqueue.machines import Bot, Deaf, machine_of
-from weldhatch.pullqueue.operators import Operators
-from weldhatch.pullqueue.outgoing import Outgoing, rfc3339, shown
+from weldhatch.pullqueue.operator_states import Operators
 from weldhatch.pullqueue.reports import Listed, masked, read_listed, read_status
+from weldhatch.pullqueue.storage import Book, NoBook
 from weldhatch.pullqueue.workers import Worker, read_worker
 from weldhatch.scheduling import types as i
 
@@ -140,7 +140,7 @@
         if (
             self._book.state.epoch
             and not self.stale
-            and (name := durable.from_later(names, self._book.state.epoch, self._book.state.token))
+            and (name := durable_state.from_later(names, self._book.state.epoch, self._book.state.token))
         ):
             self.stale = (
                 f"{name} is of a later gateway than this store knows of: it is an older copy, and "
@@ -236,10 +236,10 @@
                 self._extend(lease)
                 if lease.id in self._unseen:
                     self._unseen.discard(lease.id)
-                    self._book.must(durable.encode("seen", lease.id))
+                    self._book.must(durable_state.encode("seen", lease.id))
                 if lease.phase is Phase.PENDING:
                     lease.phase = Phase.ACTIVE
-                    self._book.must(durable.encode("running", lease.id))
+                    self._book.must(durable_state.encode("running", lease.id))
                     lease.teller.tell(ports.Answered(lease.attempt, bot.id))
         return to_end
 
@@ -268,7 +268,7 @@
         self._leases.pop(lease.id, None)
         self._due.drop(("lease", lease.id))
         self._ledger.over(lease)
-        self._book.must(durable.encode("over", lease.id))
+        self._book.must(durable_state.encode("over", lease.id))
         lease.teller.tell(ports.Ended(lease.attempt, outcome, reason, (), cause))
 
     async def _sweep(self) -> None:
@@ -387,7 +387,7 @@
         else:
             lease.teller = teller
 
-    def restore(self, record: durable.LeaseRecord, task: ports.Task) -> int:
+    def restore(self, record: durable_state.LeaseRecord, task: ports.Task) -> int:
         """A lease that was out when the gateway ended counts as out anew; the machine that it is out at."""
         bot = self._bots.get(record.bot)
         if bot is None:
@@ -410,7 +410,7 @@
         if not record.seen and record.until:
             lease.expires = min(lease.expires, record.until)
             self._due.set(("lease", lease.id), lease.expires + self.timing.grace)
-        self._book.must(durable.encode("until", lease.id, lease.expires))
+        self._book.must(durable_state.encode("until", lease.id, lease.expires))
         self._unseen.add(lease.id)
         return bot.machine
 
--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -6,12 +6,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from weldhatch import config, plans
-from weldhatch.pullqueue.counter import Counter
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch import config
+from weldhatch.pullqueue import reconfiguration
+from weldhatch.pullqueue.control_listener import Counter
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.pullqueue.http import Request
-from weldhatch.pullqueue.operators import WordError, read_word
+from weldhatch.pullqueue.operator_states import WordError, read_word
 
 if TYPE_CHECKING:  # its libraries are imported only where there are sites
     from weldhatch.sites.forwarding import Sites
@@ -67,7 +68,7 @@
         match request.method, request.path:
             case "GET", "/v1/applied":
                 self._agreed()
-                return {"tree": self._tree, "fingerprint": plans.fingerprint(self._tree)}, {}
+                return {"tree": self._tree, "fingerprint": reconfiguration.fingerprint(self._tree)}, {}
             case "POST", "/v1/apply":
                 return await self._apply_in_group(request.json()), {}
             case "GET", "/v1/machines":
@@ -95,10 +96,10 @@
         if (
             self.governor is None
             or not isinstance(target, dict)
-            or plan.get("base") != plans.fingerprint(self._tree)
+            or plan.get("base") != reconfiguration.fingerprint(self._tree)
         ):
             return self._apply(plan)
-        todo = plans.changes(self._tree, target)
+        todo = reconfiguration.changes(self._tree, target)
         agreed = [change for change in todo if change["key"].startswith("settings.")]
         if not agreed:
             return self._apply(plan)
@@ -119,7 +120,7 @@
         target = plan.get("target")
         if not isinstance(target, dict):
             raise HttpError(400, "target: a configuration is needed", "target")
-        if plan.get("base") != plans.fingerprint(self._tree):
+        if plan.get("base") != reconfiguration.fingerprint(self._tree):
             raise HttpError(409, "base: the applied configuration has moved on; make a new plan", "base")
         try:
             told = config.pull_queue(target)
@@ -127,7 +128,7 @@
             raise HttpError(400, str(fault), str(fault).split(" ")[0]) from None
         if not told.enabled:
             raise HttpError(400, "enabled: a gateway is ended by SIGTERM, not by a plan", "enabled")
-        todo = plans.changes(self._tree, target)
+        todo = reconfiguration.changes(self._tree, target)
         try:
             if any(change["restart"] for change in todo):
                 self._try_addresses(told)
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -16,16 +16,16 @@
 from weldhatch.net.connection import Connection
 from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.net.listener import Listener
-from weldhatch.pullqueue.book import Book, NoBook
-from weldhatch.pullqueue.bots import Bots
-from weldhatch.pullqueue.clock import steady
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.bot_sessions import Bots
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Events, HttpLink, Request, encode_error
 from weldhatch.pullqueue.leases import Ledger
+from weldhatch.pullqueue.monotonic_unix_time import steady
 from weldhatch.pullqueue.operations import Operations
-from weldhatch.pullqueue.operators import Operators, Word
+from weldhatch.pullqueue.operator_states import Operators, Word
 from weldhatch.pullqueue.quotas import Quotas
 from weldhatch.pullqueue.security import Security
+from weldhatch.pullqueue.storage import Book, NoBook
 from weldhatch.pullqueue.tasks import Tasks
 from weldhatch.scheduling import types as i
 from weldhatch.store.log import Log
@@ -63,9 +63,9 @@
         self.core = Core(self.driver, self.bots, log)
         self.sites = self._sites_book = self._door = None
         if told.sites is not None:
-            from weldhatch.pullqueue import abroad  # its codec is imported only where there are sites
+            from weldhatch.pullqueue import remote_sites  # its codec is imported only where there are sites
 
-            self.sites, self._sites_book, self._door = abroad.build(
+            self.sites, self._sites_book, self._door = remote_sites.build(
                 told, settings, self.driver, self.core, ledger, self.book, Random(told.listen[1]), log
             )
         self.tasks = Tasks(
--- a/weldhatch/pullqueue/http.py
+++ b/weldhatch/pullqueue/http.py
@@ -13,7 +13,7 @@
 
 from weldhatch.net.connection import Connection, Malformed
 from weldhatch.net.ring_buffer import Ring
-from weldhatch.pullqueue.faults import REASONS, HttpError
+from weldhatch.pullqueue.errors import REASONS, HttpError
 
 HEAD_MOST = 8 * 1024
 HEADERS_MOST = 64
--- a/weldhatch/pullqueue/outgoing.py
+++ b/weldhatch/pullqueue/lease_dispatch.py
@@ -7,13 +7,13 @@
 from datetime import UTC, datetime
 
 from weldhatch.core import ports
-from weldhatch.pullqueue import durable
-from weldhatch.pullqueue.book import Book, NoBook
+from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.deadlines import Deadlines
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 from weldhatch.pullqueue.leases import Lease, Ledger, Phase
 from weldhatch.pullqueue.machines import Bot, Passed
+from weldhatch.pullqueue.storage import Book, NoBook
 from weldhatch.scheduling import types as i
 from weldhatch.store.log import LogError
 
@@ -60,10 +60,10 @@
             self._extend(lease)
             if self._ledger.handed(lease, self.settings.classes[lease.task.class_index]):
                 spent.add(lease.id)
-                records.append(durable.encode("spent", [lease.task.key]))
+                records.append(durable_state.encode("spent", [lease.task.key]))
             records += passed.records()
             records.append(
-                durable.encode(
+                durable_state.encode(
                     "handed",
                     lease.id,
                     lease.task.label,
@@ -121,7 +121,7 @@
         for lease in leases:
             if lease.phase in (Phase.PENDING, Phase.CANCELLED):
                 self._ledger.taken_back(lease, lease.id in spent)
-                self._book.must(durable.encode("back", lease.id))
+                self._book.must(durable_state.encode("back", lease.id))
                 if lease.phase is Phase.CANCELLED:
                     self._end(lease, i.Outcome.NOT_SENT, cause=ports.CALLED_OFF)
                     continue
--- a/weldhatch/pullqueue/machines.py
+++ b/weldhatch/pullqueue/machines.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from weldhatch.placement_request import Setup
 from weldhatch.pullqueue.leases import Lease, Phase
 from weldhatch.pullqueue.workers import NOTHING, Worker
 from weldhatch.scheduling import types as i
-from weldhatch.setups import Setup
 
 
 @dataclass(slots=True)
--- a/weldhatch/pullqueue/operations.py
+++ b/weldhatch/pullqueue/operations.py
@@ -10,9 +10,9 @@
 import re
 from collections.abc import AsyncIterator
 
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Events, Request
-from weldhatch.pullqueue.submitted import Submitted
+from weldhatch.pullqueue.submission import Submitted
 from weldhatch.pullqueue.tasks import Tasks
 
 PAGE_USUAL, PAGE_MOST = 100, 1000
--- a/weldhatch/pullqueue/abroad.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -17,12 +17,12 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.descriptor_budget import Budget, Share
-from weldhatch.pullqueue import durable
-from weldhatch.pullqueue.book import Book, NoBook
+from weldhatch.placement_request import Setup
+from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.pullqueue.machines import Passed
+from weldhatch.pullqueue.storage import Book, NoBook
 from weldhatch.scheduling import types as i
-from weldhatch.setups import Setup
 from weldhatch.sites.forwarding import Sites
 from weldhatch.sites.link import Door
 from weldhatch.sites.local_site import Front
@@ -75,7 +75,7 @@
             and self._names[work.class_name].effect is i.Effect.UNSAFE
             and self._ledger.spend(work.key)
         ):
-            self._book.must(durable.encode("spent", [work.key]))
+            self._book.must(durable_state.encode("spent", [work.key]))
 
 
 def link_contexts(keys: str, name: str, key: str) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
--- a/weldhatch/pullqueue/reports.py
+++ b/weldhatch/pullqueue/reports.py
@@ -5,7 +5,7 @@
 import json
 from dataclasses import dataclass
 
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.scheduling import types as i
 
 LEASES_MOST = 1000  # listed in one update
--- a/weldhatch/pullqueue/security.py
+++ b/weldhatch/pullqueue/security.py
@@ -13,7 +13,7 @@
 
 from weldhatch.config import ConfigError, SecurityFile
 from weldhatch.net.tls import shake_hands
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 
 if TYPE_CHECKING:
--- a/weldhatch/pullqueue/book.py
+++ b/weldhatch/pullqueue/storage.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from weldhatch.config import ConfigError
-from weldhatch.pullqueue.durable import Durable, encode
+from weldhatch.pullqueue.durable_state import Durable, encode
 from weldhatch.store.folded import FoldedStore
 
 
--- a/weldhatch/pullqueue/submitted.py
+++ b/weldhatch/pullqueue/submission.py
@@ -8,8 +8,8 @@
 
 from weldhatch.core import ports
 from weldhatch.core.request_lifecycle import Life
-from weldhatch.pullqueue import durable
-from weldhatch.pullqueue.shares import Ticket
+from weldhatch.pullqueue import durable_state
+from weldhatch.pullqueue.admission import Ticket
 
 
 class Keeper(Protocol):
@@ -73,7 +73,7 @@
 
     def _say(self, answer: dict) -> None:
         self.told = answer
-        written = self._tasks.record(self, durable.encode("answer", self.name, answer))
+        written = self._tasks.record(self, durable_state.encode("answer", self.name, answer))
         if written is None or written.done():
             self._give(answer)
         else:
@@ -94,11 +94,11 @@
         self.state = state or self.state
         self.over.set()
         if state:
-            self._tasks.record(self, durable.encode("end", self.name, state, self.cause, self.result))
+            self._tasks.record(self, durable_state.encode("end", self.name, state, self.cause, self.result))
         self._news()
         self._tasks.ended(self)
 
-    def restored(self, one: durable.OperationRecord) -> None:
+    def restored(self, one: durable_state.OperationRecord) -> None:
         """What a former gateway told of it."""
         self.state, self.cause, self.result, self.recorded = one.state, one.cause, one.result, True
         if one.answer is not None:
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -19,18 +19,18 @@
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.loop_lag import Turns
-from weldhatch.pullqueue import durable
-from weldhatch.pullqueue.book import Book, NoBook
-from weldhatch.pullqueue.bots import Bots
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.placement_request import FieldError, Form, Setup
+from weldhatch.pullqueue import durable_state
+from weldhatch.pullqueue.admission import Gate, Ticket, Verdict
+from weldhatch.pullqueue.bot_sessions import Bots
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 from weldhatch.pullqueue.leases import Ledger, Refusal
 from weldhatch.pullqueue.machines import Passed
-from weldhatch.pullqueue.shares import Gate, Ticket, Verdict
-from weldhatch.pullqueue.submitted import Nobody, Submitted
+from weldhatch.pullqueue.storage import Book, NoBook
+from weldhatch.pullqueue.submission import Nobody, Submitted
 from weldhatch.pullqueue.workers import NOTHING, Matching, Worker, read_worker
 from weldhatch.scheduling import types as i
-from weldhatch.setups import FieldError, Form, Setup
 from weldhatch.store.log import LogError
 
 BLOB_MOST = 8 * 1024
@@ -227,7 +227,7 @@
         if asked.recorded:
             return ()
         asked.recorded = True
-        return (durable.encode("asked", asked.name, asked.fields, blob, asked.meta),)
+        return (durable_state.encode("asked", asked.name, asked.fields, blob, asked.meta),)
 
     # ---- the gate ------------------------------------------------------------------------------------------
 
@@ -360,7 +360,7 @@
         if asked is not None:
             self._by_request.pop((asked.tenant, asked.meta.get("request", "")), None)
             if asked.recorded:
-                self._book.must(durable.encode("drop", name))
+                self._book.must(durable_state.encode("drop", name))
 
     def record(self, asked: Submitted, payload: bytes) -> asyncio.Future | None:
         """What has happened to a submission; only for those that are in the book at all."""
--- a/weldhatch/pullqueue/workers.py
+++ b/weldhatch/pullqueue/workers.py
@@ -9,7 +9,7 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.pullqueue.errors import HttpError
 
 PAIRS_MOST, DEVICES_MOST, TEXT_MOST = 64, 32, 200
 Pairs = frozenset[tuple[str, str]]
--- a/weldhatch/sim/bugs.py
+++ b/weldhatch/sim/bugs.py
@@ -19,7 +19,7 @@
 from weldhatch.coordination.state_machine import Group
 from weldhatch.net.connection import Connection
 from weldhatch.pullqueue import front
-from weldhatch.pullqueue.durable import Durable
+from weldhatch.pullqueue.durable_state import Durable
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.sim.play import SCENARIOS, play
 from weldhatch.zones.failover_leader import Marshal
--- a/weldhatch/sim/halls.py
+++ b/weldhatch/sim/halls.py
@@ -20,7 +20,7 @@
 from weldhatch.net.listener import Listener
 from weldhatch.net.ring_buffer import Ring
 from weldhatch.platform import client_codec, server_codec
-from weldhatch.serving import Gateway
+from weldhatch.server import Gateway
 from weldhatch.sim.api import Nobody
 from weldhatch.sim.faults import Fault
 from weldhatch.sim.world import World
