--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,7 +20,6 @@
 
 from weldhatch.applying.journal import Journal, story
 from weldhatch.applying.runner import Exit
-from weldhatch.forms import reader
 from weldhatch.planning.actions import Unplannable, actions
 from weldhatch.planning.change import Change, read_change
 from weldhatch.planning.check import breaks
@@ -28,6 +27,7 @@
 from weldhatch.planning.greedy import greedy
 from weldhatch.planning.records import Begin, Done, Heard, Intent, encode
 from weldhatch.planning.search import search
+from weldhatch.sexpr import reader
 from weldhatch.standins.trial import large_fleet, make_plan, trial
 from weldhatch.standins.world import Faults
 from weldhatch.store.log import Log
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.forms import printer, reader
+from weldhatch.sexpr import printer, reader
 
 
 def faults(text):
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -7,7 +7,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.forms import reader
 from weldhatch.planning import plan as plans
 from weldhatch.planning.actions import Deed, Unplannable, actions
 from weldhatch.planning.change import read_change
@@ -16,6 +15,7 @@
 from weldhatch.planning.greedy import greedy
 from weldhatch.planning.moved import floors_moved, nodes_moved
 from weldhatch.planning.search import search, smallest_conflict
+from weldhatch.sexpr import reader
 from weldhatch.standins.world import small_fleet
 
 WAYS = ("cp-sat", "highs")
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -23,7 +23,6 @@
 from weldhatch.applying.journal import Journal, held_by, story
 from weldhatch.applying.runner import Exit, Result, Runner, observe
 from weldhatch.cli import logs, output, render, settings
-from weldhatch.forms import printer, reader
 from weldhatch.nodes.client import Wire
 from weldhatch.planning import plan as planning
 from weldhatch.planning.change import Change, read_change
@@ -33,6 +32,7 @@
 from weldhatch.planning.undo import drift as drifted
 from weldhatch.planning.undo import undo_change
 from weldhatch.pullqueue import reconfiguration
+from weldhatch.sexpr import printer, reader
 
 FLEET = "deploy/fleet.toml"
 WIDTH = 140  # where the output is no terminal
--- a/weldhatch/cli/main.py
+++ b/weldhatch/cli/main.py
@@ -11,11 +11,11 @@
 from weldhatch.applying.runner import Exit
 from weldhatch.cli import output, settings
 from weldhatch.cli.fleet import fleet
-from weldhatch.forms.reader import FormError
 from weldhatch.keys.errors import KeysError
 from weldhatch.planning.actions import Unplannable
 from weldhatch.planning.plan import PlanError
 from weldhatch.pullqueue import reconfiguration
+from weldhatch.sexpr.reader import FormError
 
 OLD_FAULT = 2  # what the calls from before `fleet` end with, as they always did
 
--- a/weldhatch/planning/change.py
+++ b/weldhatch/planning/change.py
@@ -1,6 +1,6 @@
 """What a change file asks for: goals for nodes, and what has to hold on the way.
 
-Read from the forms of `weldhatch.forms` against a fleet; a node, rack, hall or class that the fleet does not
+Read from the forms of `weldhatch.sexpr` against a fleet; a node, rack, hall or class that the fleet does not
 know is a fault of the file, with its place. All faults are told at once.
 """
 
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from weldhatch.forms.reader import Atom, Fault, Form, FormError, Place, describe
 from weldhatch.planning.fleet import Fleet
+from weldhatch.sexpr.reader import Atom, Fault, Form, FormError, Place, describe
 
 
 class Line(msgspec.Struct, frozen=True):
@@ -111,7 +111,7 @@
 
 
 def read_change(items: list[Form | Atom], fleet: Fleet) -> Change:
-    """The change of a file's items (`forms.reader.read_whole`). Raises FormError with all its faults."""
+    """The change of a file's items (`sexpr.reader.read_whole`). Raises FormError with all its faults."""
     return _Reader(items, fleet).change
 
 
--- a/weldhatch/forms/printer.py
+++ b/weldhatch/sexpr/printer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from weldhatch.forms.reader import Atom, Comment, Form
+from weldhatch.sexpr.reader import Atom, Comment, Form
 
 WIDTH = 100
 INDENT = "  "
--- a/weldhatch/standins/trial.py
+++ b/weldhatch/standins/trial.py
@@ -14,7 +14,6 @@
 
 from weldhatch.applying.journal import Journal, story
 from weldhatch.applying.runner import Exit, Result, Runner, observe
-from weldhatch.forms import reader
 from weldhatch.nodes.protocol import Answer
 from weldhatch.planning import plan as plans
 from weldhatch.planning.actions import Unplannable
@@ -24,6 +23,7 @@
 from weldhatch.planning.plan import Plan
 from weldhatch.planning.search import search
 from weldhatch.planning.undo import undo_change
+from weldhatch.sexpr import reader
 from weldhatch.standins.virtual import VirtualLoop, run
 from weldhatch.standins.world import Faults, StandInWorld, small_fleet
 from weldhatch.store.log import RealDisk
