--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.agreement [--quick]
 
-Real processes of the program on loopback with a relay on every link (`standins/rig.py`); what they did is
-told from what stand-in machines were handed. Ratios hold, times are of this machine. The last line is one
-JSON object:
+Real processes of the program on loopback with a relay on every link (`testbed/process_cluster.py`); what they
+did is told from what stand-in machines were handed. Ratios hold, times are of this machine. The last line is
+one JSON object:
 
     processes, faults                      of the storm
     contradiction_most_ms, _stated_ms      the longest that one acted on rules that had been replaced
@@ -33,9 +33,9 @@
 
 import numpy as np
 
-from weldhatch.standins import judge
-from weldhatch.standins.council import KINDS, Contradiction, scenario
-from weldhatch.standins.rig import Rig, settings, until
+from weldhatch.testbed import rule_conflict_checker
+from weldhatch.testbed.process_cluster import Rig, settings, until
+from weldhatch.testbed.simulated_cluster import KINDS, Contradiction, scenario
 
 STATED = 2.0
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -89,7 +89,7 @@
             healthy = [name for name in one.voters if name not in hit] or [rnd.choice(one.voters)]
             await asyncio.sleep(rnd.random() * 0.3)
             machine = one.busiest(time.monotonic() - 3.0)
-            limit = judge.Limit("machine", 1)
+            limit = rule_conflict_checker.Limit("machine", 1)
             try:
                 if n % 3:
                     await one.word(rnd.choice(healthy), machine, "draining", 2 * n + 1)
@@ -102,8 +102,12 @@
             await asyncio.sleep(0.5 + 2.0 * rnd.random())
             await asyncio.gather(*(mend(one, kind, name) for kind, name in zip(kinds, hit, strict=True)))
             await asyncio.gather(*(one.footing(name, "lease") for name in one.nodes))
-            spans = judge.drained(one.starts, machine, at) if n % 3 else judge.beyond(one.starts, limit, at)
-            most = max(most, judge.last(spans))
+            spans = (
+                rule_conflict_checker.drained(one.starts, machine, at)
+                if n % 3
+                else rule_conflict_checker.beyond(one.starts, limit, at)
+            )
+            most = max(most, rule_conflict_checker.last(spans))
             leader = await one.leader()
             if n % 3:
                 await one.word(leader, machine, "ready", 2 * n + 2)
@@ -111,7 +115,7 @@
                 await one.active(leader, await one.propose(leader, settings()))
             print(
                 f"round {n}: {', '.join(f'{k} {name}' for k, name in zip(kinds, hit, strict=True))}; "
-                f"last start against it after {1000 * judge.last(spans):.0f} ms",
+                f"last start against it after {1000 * rule_conflict_checker.last(spans):.0f} ms",
                 flush=True,
             )
 
@@ -159,7 +163,9 @@
         await asyncio.sleep(0.3)  # until the operator sees that it is back
         await one.word("g4", machine, "draining", 1)
         await asyncio.sleep(0.5)
-        return round(1000 * judge.last(judge.drained(one.starts, machine, at)))
+        return round(
+            1000 * rule_conflict_checker.last(rule_conflict_checker.drained(one.starts, machine, at))
+        )
 
 
 async def activation(processes: int, rounds: int) -> tuple[dict, float]:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -28,9 +28,9 @@
 from weldhatch.planning.records import Begin, Done, Heard, Intent, encode
 from weldhatch.planning.search import search
 from weldhatch.sexpr import reader
-from weldhatch.standins.trial import large_fleet, make_plan, trial
-from weldhatch.standins.world import Faults
 from weldhatch.store.log import Log
+from weldhatch.testbed.crash_points import large_fleet, make_plan, trial
+from weldhatch.testbed.fleet import Faults
 
 
 def release(fleet: Fleet, seed: int, tight: float) -> str:
@@ -178,8 +178,8 @@
     with tempfile.TemporaryDirectory() as folder:
         from weldhatch.applying.runner import Runner
         from weldhatch.planning.engine import Patience
-        from weldhatch.standins.virtual import VirtualLoop, run
-        from weldhatch.standins.world import StandInWorld
+        from weldhatch.testbed.fleet import StandInWorld
+        from weldhatch.testbed.virtual import VirtualLoop, run
 
         loop = VirtualLoop()
         world = StandInWorld(fleet, loop, drain_s=0.5)
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -25,8 +25,8 @@
 import time
 
 from weldhatch.cli.sim import play_all, points_of
-from weldhatch.sim import bugs
-from weldhatch.sim.play import CALM_S, SCENARIOS, play
+from weldhatch.simulation import seeded_defects
+from weldhatch.simulation.scenario_runner import CALM_S, SCENARIOS, play
 
 
 def many(name: str, seeds: int, workers: int) -> dict:
@@ -58,7 +58,7 @@
 def replayed(seeds: int) -> float:
     """Each seed twice in this process, and once in another."""
     code = (
-        "import sys; from weldhatch.sim.play import SCENARIOS, play\n"
+        "import sys; from weldhatch.simulation.scenario_runner import SCENARIOS, play\n"
         "for seed in range(int(sys.argv[1])): print(play(seed, SCENARIOS['mixed']).digest)"
     )
     other = subprocess.run(
@@ -101,7 +101,7 @@
     points = kills(25 if quick else 1, workers)
     print("kills:", points, flush=True)
     found = {}
-    for bug, seeds, text in bugs.all_caught():
+    for bug, seeds, text in seeded_defects.all_caught():
         found[bug.name] = seeds
         print("bug:", bug.name, f"({bug.subsystem}, {bug.scenario})", seeds, text[:100], flush=True)
     began = time.perf_counter()
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -30,8 +30,8 @@
 from weldhatch.sites import frames, messages
 from weldhatch.sites.messages import Work
 from weldhatch.sites.routing import Stays
-from weldhatch.standins.region import Region, settings
-from weldhatch.standins.sites import Faults, explore
+from weldhatch.testbed.handoff_model_checker import Faults, explore
+from weldhatch.testbed.multi_site import Region, settings
 
 KINDS = (0, 1, 2)
 
--- a/benchmarks/sites_processes.py
+++ b/benchmarks/sites_processes.py
@@ -26,7 +26,7 @@
 from random import Random
 
 from weldhatch.client import Api, ApiError, Submitter, Task
-from weldhatch.standins.rig import Rig, Start
+from weldhatch.testbed.process_cluster import Rig, Start
 
 CLASSES = ("lookup", "import", "writer")
 TRIES = 3
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -31,9 +31,9 @@
 
 import numpy as np
 
-from weldhatch.standins.halls import HALLS, HallsRig
-from weldhatch.standins.realm import Realm
-from weldhatch.standins.servers import Pace, doubled
+from weldhatch.testbed.servers import Pace, doubled
+from weldhatch.testbed.simulated_zones import Realm
+from weldhatch.testbed.zone_cluster import HALLS, HallsRig
 
 LOST = "south"
 ZONES: dict = {"quorum": 2}
--- a/examples/try_fleet.py
+++ b/examples/try_fleet.py
@@ -37,7 +37,7 @@
     try:
         for words in (
             ["weldhatch", "--pullqueue", str(queue)],
-            ["weldhatch.standins.server", str(fleet), "--ready"],
+            ["weldhatch.testbed.server", str(fleet), "--ready"],
         ):
             started.append(
                 subprocess.Popen(
--- a/examples/try_sites.py
+++ b/examples/try_sites.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, str(HERE.parent))
 
 from weldhatch.client import Api, BuildMachine, Outcome, Submitter, Task  # noqa: E402
-from weldhatch.standins.wire import Wire  # noqa: E402
+from weldhatch.testbed.fault_proxy import Wire  # noqa: E402
 
 PORTS = {"hall-a": 5290, "hall-b": 5390}  # the queue; its control address and its sites' are the next two
 MACHINE = {"cores": "16", "memory": "64", "hall": "hall-b", "rack": "r1"}
--- a/examples/try_zones.py
+++ b/examples/try_zones.py
@@ -14,8 +14,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from weldhatch.standins.halls import HallsRig
-from weldhatch.standins.servers import Pace
+from weldhatch.testbed.servers import Pace
+from weldhatch.testbed.zone_cluster import HallsRig
 
 
 def say(text):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -35,7 +35,7 @@
 if os.access("/dev/shm", os.W_OK):
     tempfile.tempdir = "/dev/shm"
 
-# Guards the verdict of plays (`weldhatch.sim`) against the order of sets of strings: workers inherit this.
+# Guards the verdict of simulations against the order of sets of strings: workers inherit this.
 os.environ["PYTHONHASHSEED"] = "0"
 
 SECOND = 1_000_000
--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -25,8 +25,8 @@
 from weldhatch.pullqueue.operator_states import STATES
 from weldhatch.scheduling import types as i
 from weldhatch.sites.session import Faulty
-from weldhatch.standins.rig import settings, until
 from weldhatch.store.log import LogError
+from weldhatch.testbed.process_cluster import settings, until
 
 BASE = make_settings(
     classes=(
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -17,8 +17,8 @@
 from weldhatch.scheduling import types as i
 from weldhatch.server import Gateway
 from weldhatch.standalone_zones import Alone
-from weldhatch.standins.realm import settings as realm_settings
-from weldhatch.standins.rig import until
+from weldhatch.testbed.process_cluster import until
+from weldhatch.testbed.simulated_zones import settings as realm_settings
 from weldhatch.zones.failover_leader import Times
 from weldhatch.zones.standalone import Solitary
 from weldhatch.zones.state import Phase
--- a/tests/test_applies.py
+++ b/tests/test_applies.py
@@ -14,10 +14,10 @@
 from weldhatch.planning.plan import Kind
 from weldhatch.planning.records import Begin, Stand
 from weldhatch.planning.undo import drift
-from weldhatch.standins.trial import Points, make_plan, trial
-from weldhatch.standins.virtual import VirtualLoop, run
-from weldhatch.standins.world import Faults, StandInWorld, small_fleet
 from weldhatch.store.lock import LockHeld
+from weldhatch.testbed.crash_points import Points, make_plan, trial
+from weldhatch.testbed.fleet import Faults, StandInWorld, small_fleet
+from weldhatch.testbed.virtual import VirtualLoop, run
 
 NONE = {"second_drains": 0, "unreported_half_done": 0, "floors_broken": 0, "late_starts": 0}
 
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -11,8 +11,8 @@
 from weldhatch.coordination.leader import Coordinator
 from weldhatch.coordination.lease_holder import Footing, Holder
 from weldhatch.coordination.state_machine import Word
-from weldhatch.standins import council
-from weldhatch.standins.council import KINDS, Contradiction, Council, scenario, settings, settled
+from weldhatch.testbed import simulated_cluster
+from weldhatch.testbed.simulated_cluster import KINDS, Contradiction, Council, scenario, settings, settled
 
 NAMES = ("n0", "n1", "n2")
 MOMENTS = range(70, 240, 17)  # round the two proposals, at steps 80 and 200
@@ -80,7 +80,7 @@
         done.step()
         waited += 1
         assert waited < 200
-    assert waited * council.STEP_S > done.spans.lease * 0.7  # it waited for the lease to run out
+    assert waited * simulated_cluster.STEP_S > done.spans.lease * 0.7  # it waited for the lease to run out
     holder = done.seats["n3"].member.holder
     assert holder.footing(done.seats["n3"].now(done.time)) is not Footing.LEASE
     done.run(100)
@@ -177,7 +177,7 @@
     done.faults[done.steps + 1] = [("cut", "n3")]
     done.run(2)
     done.give("n0", "w2", {"do": "word", "machine": "m1", "state": "ready", "fence": 2, "op": "x"})
-    done.run(int(done.spans.lease / council.STEP_S))
+    done.run(int(done.spans.lease / simulated_cluster.STEP_S))
     assert set(acts().values()) == {"draining"}  # n3 may not know it yet, and has not run out
     done.run(100)
     assert set(acts().values()) == {"ready"}
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -49,7 +49,7 @@
         )
         (folder / "queue.toml").write_text(queue.replace('states = ""', f'states = "{folder / "states"}"'))
         self.start("weldhatch", "--pullqueue", str(folder / "queue.toml"))
-        self.start("weldhatch.standins.server", str(self.fleet), "--ready", "--drain-s", "0.2")
+        self.start("weldhatch.testbed.server", str(self.fleet), "--ready", "--drain-s", "0.2")
 
     def start(self, *words):
         process = subprocess.Popen(
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -13,7 +13,7 @@
 from scenario import SETTINGS, Bus, Owner, Party, parts_of
 
 from weldhatch.platform import server_codec
-from weldhatch.standins.rig import Rig, settings, until
+from weldhatch.testbed.process_cluster import Rig, settings, until
 
 pytestmark = pytest.mark.fleet
 
--- a/tests/test_fleet_rules.py
+++ b/tests/test_fleet_rules.py
@@ -1,6 +1,6 @@
 """Several real processes agree on their rules while links are cut, processes stopped and stores lost.
 
-What they did is judged from what stand-in machines were handed, and when (`standins.judge`).
+What they did is judged from what stand-in machines were handed, and when (`testbed.rule_conflict_checker`).
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 import pytest
 
 from weldhatch.pullqueue import reconfiguration
-from weldhatch.standins import judge
-from weldhatch.standins.rig import Rig, settings, until
+from weldhatch.testbed import rule_conflict_checker
+from weldhatch.testbed.process_cluster import Rig, settings, until
 
 pytestmark = pytest.mark.fleet
 
@@ -62,8 +62,8 @@
         rig.wake("g4")
         woken = time.monotonic()
         await until(lambda: rig.since(woken + 0.2, gateway="g4"), 30, "g4 works again")
-        spans = judge.drained(rig.starts, machine, answered)
-        self.assertLess(judge.last(spans), STATED, spans)
+        spans = rule_conflict_checker.drained(rig.starts, machine, answered)
+        self.assertLess(rule_conflict_checker.last(spans), STATED, spans)
         self.assertFalse(rig.since(answered + STATED, gateway="g3"))
         rig.heal()
         healed = time.monotonic()
@@ -87,17 +87,21 @@
         number = await rig.propose("g0", settings(extra__spreadMost=[9, 0, 0]))
         await rig.active("g0", number)
         await until(lambda: len(rig.since(cut, gateway="g0")) >= 3, 30, "the wider one acts")
-        wider = judge.beyond(rig.starts, judge.Limit("machine", 6), cut)
+        wider = rule_conflict_checker.beyond(rig.starts, rule_conflict_checker.Limit("machine", 6), cut)
         self.assertGreater(min(wider), 0.6 * STATED, wider)  # not before g3's common ground had run out
-        self.assertEqual(judge.beyond(rig.starts, judge.Limit("machine", 9), cut), [])
+        self.assertEqual(
+            rule_conflict_checker.beyond(rig.starts, rule_conflict_checker.Limit("machine", 9), cut), []
+        )
         self.assertEqual(len(rig.since(0, gateway="g3")), 6)
         # Tightening: whoever hears of it acts on it at once; g3 comes back to the newest.
         rig.heal()
         at = time.monotonic()
         number = await rig.propose("g1", settings(extra__spreadMost=[7, 0, 0]))
         await asyncio.gather(*(rig.active(name, number) for name in rig.nodes))
-        late = judge.beyond(rig.starts, judge.Limit("machine", 7), at + SLIP_S)
-        self.assertLess(judge.last(late), STATED)
+        late = rule_conflict_checker.beyond(
+            rig.starts, rule_conflict_checker.Limit("machine", 7), at + SLIP_S
+        )
+        self.assertLess(rule_conflict_checker.last(late), STATED)
 
     async def test_a_switch_is_never_acted_on_both_ways(self):
         """From two a machine to two a rack: a stopped process wakes with offers that only the old rules
@@ -116,7 +120,9 @@
         active = time.monotonic()
         rig.wake("g3")
         await until(lambda: rig.since(active + 0.5, gateway="g3"), 30, "g3 works again")
-        old = judge.beyond(rig.since(active - 1.0), judge.Limit("cell", 2), active + SLIP_S)
+        old = rule_conflict_checker.beyond(
+            rig.since(active - 1.0), rule_conflict_checker.Limit("cell", 2), active + SLIP_S
+        )
         self.assertEqual(old, [])
         # And while it was prepared, nobody started anything of that class under either.
         told = [one for one in rig.since(active - 1.0) if one.at < active - SLIP_S]
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from weldhatch.standins.halls import HALLS, HallsRig
-from weldhatch.standins.rig import Rig, until
-from weldhatch.standins.servers import Pace, doubled
+from weldhatch.testbed.process_cluster import Rig, until
+from weldhatch.testbed.servers import Pace, doubled
+from weldhatch.testbed.zone_cluster import HALLS, HallsRig
 
 pytestmark = pytest.mark.fleet
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 from weldhatch.sites.handoff_source import Busy, Lender, Lending
 from weldhatch.sites.handoff_target import Taker, Taking
 from weldhatch.sites.messages import Work
-from weldhatch.standins.sites import Broken, Faults, explore
+from weldhatch.testbed.handoff_model_checker import Broken, Faults, explore
 
 
 def work(effect="UNSAFE", key=7, **changes):
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -30,10 +30,10 @@
     "pullqueue",
     "scheduling",
     "coordination",
-    "sim",
+    "simulation",
     "simulator_link",
     "sites",
-    "standins",
+    "testbed",
     "store",
     "zones",
 }
@@ -75,8 +75,8 @@
     "weldhatch.coordination.",
     "weldhatch.zones.",
     "weldhatch.scheduling.",
-    "weldhatch.sim.faults",
-    "weldhatch.sim.promises",
+    "weldhatch.simulation.faults",
+    "weldhatch.simulation.invariants",
     "weldhatch.keys.tokens",
     "weldhatch.platform.health_check",
     *(
@@ -148,8 +148,8 @@
     for name, above in ABOVE.items():
         assert found[name] <= above, name
     # But for `sim`, which plays gateways against them, and is imported by its command alone.
-    assert not any("standins" in needs for name, needs in found.items() if name != "sim")
-    assert not any("sim" in needs for name, needs in found.items() if name != "cli")
+    assert not any("testbed" in needs for name, needs in found.items() if name != "simulation")
+    assert not any("simulation" in needs for name, needs in found.items() if name != "cli")
 
 
 def test_the_packages_know_the_types_of_decisions_and_not_the_decisions():
@@ -158,8 +158,8 @@
         "weldhatch",
         "weldhatch.server",
         "weldhatch.simulator_link.adapter",
-        "weldhatch.sim.play",
-        "weldhatch.standins.region",
+        "weldhatch.simulation.scenario_runner",
+        "weldhatch.testbed.multi_site",
     )
     for name, needs in GRAPH.items():
         if not name.startswith("weldhatch.scheduling") and name not in assemblers:
@@ -193,7 +193,7 @@
         "weldhatch.coordination.node",
         "weldhatch.zones.failover_member",
         "weldhatch.zones.standalone",
-        "weldhatch.sim.faults",
+        "weldhatch.simulation.faults",
     )
     allowed = {"random"} if name in seeded else set()  # the type of what they are given
     assert not roots & (IMPURE - allowed)
@@ -214,5 +214,5 @@
     assert loaded - standard == {"tornado", "weldhatch"}
     assert not loaded & {"sqlite3", "unittest"}
     # What dispatchers that talk to each other need is of no use where they share nothing.
-    off = {"cluster", "standalone_zones", "consensus", "coordination", "sim", "sites", "zones"}
+    off = {"cluster", "standalone_zones", "consensus", "coordination", "simulation", "sites", "zones"}
     assert not {name.split(".")[1] for name in modules if name.startswith("weldhatch.")} & off
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -16,7 +16,7 @@
 from weldhatch.planning.moved import floors_moved, nodes_moved
 from weldhatch.planning.search import search, smallest_conflict
 from weldhatch.sexpr import reader
-from weldhatch.standins.world import small_fleet
+from weldhatch.testbed.fleet import small_fleet
 
 WAYS = ("cp-sat", "highs")
 
--- a/tests/test_realm.py
+++ b/tests/test_realm.py
@@ -4,7 +4,7 @@
 from itertools import pairwise
 from unittest import mock
 
-from weldhatch.standins.realm import Realm
+from weldhatch.testbed.simulated_zones import Realm
 from weldhatch.zones import start_quota
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.observations import Cut, Sight
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -18,13 +18,13 @@
 from weldhatch.coordination.lease_holder import Footing, Holder
 from weldhatch.net.connection import Connection
 from weldhatch.pullqueue import front
-from weldhatch.sim import bugs, faults, promises
-from weldhatch.sim.faults import Fault
-from weldhatch.sim.halls import HallPlay
-from weldhatch.sim.linear import Call, broken, linearisable, once, versions, words
-from weldhatch.sim.loop import LIFE, Life, VirtualLoop
-from weldhatch.sim.play import SCENARIOS, plan_of, play
-from weldhatch.sim.world import World
+from weldhatch.simulation import faults, invariants, seeded_defects
+from weldhatch.simulation.faults import Fault
+from weldhatch.simulation.linearizability import Call, broken, linearisable, once, versions, words
+from weldhatch.simulation.loop import LIFE, Life, VirtualLoop
+from weldhatch.simulation.scenario_runner import SCENARIOS, plan_of, play
+from weldhatch.simulation.world import World
+from weldhatch.simulation.zone_scenario import HallPlay
 
 ROOT = Path(__file__).parent.parent
 MIXED, QUEUE = SCENARIOS["mixed"], SCENARIOS["queue"]
@@ -36,7 +36,7 @@
         self.assertEqual((first.digest, first.lines), (again.digest, again.lines))
         self.assertNotEqual(first.digest, other.digest)
         code = (
-            "from weldhatch.sim.play import SCENARIOS, play\n"
+            "from weldhatch.simulation.scenario_runner import SCENARIOS, play\n"
             "print([play(seed, SCENARIOS['mixed']).digest for seed in (4, 7)],"  # 7: a full disk
             "      play(2, SCENARIOS['halls']).digest)"
         )
@@ -103,9 +103,9 @@
             self.assertGreater(told.answers["stands"], 25)
 
     def test_deliberate_faults_are_caught(self):
-        for bug in bugs.BUGS:
+        for bug in seeded_defects.BUGS:
             if bug.scenario not in ("mixed", "halls"):  # those take up to a minute
-                self.assertTrue(bugs.caught(bug, 60)[0], bug)
+                self.assertTrue(seeded_defects.caught(bug, 60)[0], bug)
 
     def test_halls_are_left_and_returned_to_and_no_writer_runs_twice(self):
         for seed in range(3):
@@ -178,35 +178,35 @@
 
     def test_each_complains(self):
         def start(at, key="a", machine="m0", until=9.0, class_name="writer", idem=""):
-            return promises.Start(at, "g0", machine, class_name, key, idem, until)
+            return invariants.Start(at, "g0", machine, class_name, key, idem, until)
 
         def asked(*answers, over=True, class_name="writer"):
-            return promises.Asked(1.0, "g0", class_name, "a", list(answers), over)
+            return invariants.Asked(1.0, "g0", class_name, "a", list(answers), over)
 
         entry = {"number": 2, "came": "active", "index": 7, "by": "x"}
         for told in (
-            promises.one_answer([asked()]),
-            promises.one_answer([asked("placed", "failed")]),
-            promises.one_answer([asked("placed", over=False)]),
-            promises.placed_runs([asked("placed")], []),
-            promises.refused_never_ran([asked("refused")], [start(1.0)]),
-            promises.writers_once([start(1.0), start(5.0, machine="m1")]),
-            promises.keyed_stand_once(
+            invariants.one_answer([asked()]),
+            invariants.one_answer([asked("placed", "failed")]),
+            invariants.one_answer([asked("placed", over=False)]),
+            invariants.placed_runs([asked("placed")], []),
+            invariants.refused_never_ran([asked("refused")], [start(1.0)]),
+            invariants.writers_once([start(1.0), start(5.0, machine="m1")]),
+            invariants.keyed_stand_once(
                 [
                     start(1.0, "a", idem="i", class_name="import"),
                     start(2.0, "b", "m1", idem="i", class_name="import"),
                 ]
             ),
-            promises.drains_kept([start(5.0)], [promises.Drain("m0", 2.0, 9.0)], 2.0),
-            promises.one_history({"g0": [entry], "g1": [{**entry, "index": 8}]}),
-            promises.kept_versions([3], {"g0": [entry]}),
-            promises.all_agree({"g0": (7, "d", "lease"), "g1": (7, "e", "lease")}),
-            promises.all_agree({"g0": (7, "d", "nothing new")}),
-            promises.nothing_stands([start(1.0, until=float("inf"))], 30.0),
+            invariants.drains_kept([start(5.0)], [invariants.Drain("m0", 2.0, 9.0)], 2.0),
+            invariants.one_history({"g0": [entry], "g1": [{**entry, "index": 8}]}),
+            invariants.kept_versions([3], {"g0": [entry]}),
+            invariants.all_agree({"g0": (7, "d", "lease"), "g1": (7, "e", "lease")}),
+            invariants.all_agree({"g0": (7, "d", "nothing new")}),
+            invariants.nothing_stands([start(1.0, until=float("inf"))], 30.0),
         ):
             self.assertEqual(len(told), 1, told)
-        self.assertEqual(promises.one_answer([asked("placed")]), [])
-        self.assertEqual(promises.drains_kept([start(4.1)], [promises.Drain("m0", 2.0, 9.0)], 2.0), [])
+        self.assertEqual(invariants.one_answer([asked("placed")]), [])
+        self.assertEqual(invariants.drains_kept([start(4.1)], [invariants.Drain("m0", 2.0, 9.0)], 2.0), [])
 
 
 class Histories(unittest.TestCase):
@@ -285,7 +285,7 @@
             self.assertAlmostEqual(world.inside(slow, time.monotonic) - begun[0], 5.0)
 
     def test_a_kill_leaves_any_part_of_an_append_and_no_half_of_a_rewrite(self):
-        from weldhatch.sim.disks import Disk, SimLog
+        from weldhatch.simulation.virtual_disk import Disk, SimLog
 
         seen = set()
         for seed in range(40):
@@ -311,7 +311,7 @@
         )
 
     def test_a_play_in_which_nothing_is_scheduled_any_more_says_so(self):
-        from weldhatch.sim.loop import Stalled
+        from weldhatch.simulation.loop import Stalled
 
         loop = VirtualLoop()
         with self.assertRaises(Stalled):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,7 +10,7 @@
 from weldhatch.sites import forwarding, session
 from weldhatch.sites.handoff_source import Lending
 from weldhatch.sites.handoff_target import Taking
-from weldhatch.standins.region import Region
+from weldhatch.testbed.multi_site import Region
 
 LOOKUP, IMPORT, WRITER = range(3)
 
--- a/tests/test_zone_verdicts.py
+++ b/tests/test_zone_verdicts.py
@@ -10,7 +10,7 @@
 from weldhatch.coordination.state_machine import Group
 from weldhatch.coordination.zone_leader import Zoning
 from weldhatch.scheduling import types as i
-from weldhatch.standins.realm import settings as realm_settings
+from weldhatch.testbed.simulated_zones import settings as realm_settings
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.state import Phase, Zones
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -11,7 +11,7 @@
 
 from weldhatch import config
 from weldhatch.scheduling import types as i
-from weldhatch.standins.realm import settings as realm_settings
+from weldhatch.testbed.simulated_zones import settings as realm_settings
 from weldhatch.zones import capacity, load_shedding
 from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.observations import Cut, Look, Sight, Sign
--- a/weldhatch/cli/sim.py
+++ b/weldhatch/cli/sim.py
@@ -18,9 +18,9 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
 from weldhatch import config
-from weldhatch.sim import faults
-from weldhatch.sim.faults import Fault
-from weldhatch.sim.play import SCENARIOS, Result, Scenario, plan_of, play, unfit
+from weldhatch.simulation import faults
+from weldhatch.simulation.faults import Fault
+from weldhatch.simulation.scenario_runner import SCENARIOS, Result, Scenario, plan_of, play, unfit
 
 SHOWN = 10  # broken seeds that are listed
 
--- a/weldhatch/sim/play.py
+++ b/weldhatch/simulation/scenario_runner.py
@@ -19,12 +19,12 @@
 from weldhatch.cluster.node import clock as boot_clock
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.scheduling.policy import Policy
-from weldhatch.sim import faults, halls, linear, promises
-from weldhatch.sim.api import SimApi
-from weldhatch.sim.faults import DRIFT, LEAP_S, Fault
-from weldhatch.sim.loop import Stalled
-from weldhatch.sim.world import World
-from weldhatch.standins.plain import PLAIN
+from weldhatch.simulation import faults, invariants, linearizability, zone_scenario
+from weldhatch.simulation.api import SimApi
+from weldhatch.simulation.faults import DRIFT, LEAP_S, Fault
+from weldhatch.simulation.loop import Stalled
+from weldhatch.simulation.world import World
+from weldhatch.testbed.sample_settings import PLAIN
 
 STATED = 2.0
 CALM_S = 1.5  # nothing breaks for so long at first
@@ -52,7 +52,7 @@
     hold_s: tuple[float, float] = HOLD_S
     kinds: tuple[str, ...] = tuple(faults.KINDS)  # of faults
     copies: bool = False  # a voter comes back with an older copy, and who could tell is not there
-    halls: bool = False  # the platform's front over three halls, one or two of which are struck (`sim.halls`)
+    halls: bool = False  # the platform's front over three zones (`simulation.zone_scenario`)
     morning: bool = False  # all are asked for at once, the gateway is killed, and all are asked for again
 
 
@@ -146,12 +146,12 @@
         self.names = [f"g{n}" for n in range(scenario.gateways)]
         self.voters = self.names[:3] if len(self.names) < 5 else self.names
         self.governors: dict[str, Governor] = {}
-        self.starts: list[promises.Start] = []
-        self.asked: list[promises.Asked] = []
-        self.drains: list[promises.Drain] = []
+        self.starts: list[invariants.Start] = []
+        self.asked: list[invariants.Asked] = []
+        self.drains: list[invariants.Drain] = []
         self.proposed: list[int] = []
         self.older: set[str] = set()  # whose store came back as an older copy: the others may refuse them
-        self.calls: list[tuple[str, str, linear.Call]] = []  # for `linear.broken`
+        self.calls: list[tuple[str, str, linearizability.Call]] = []  # for `linear.broken`
         self.revived = float("-inf")
 
     # ---- processes -------------------------------------------------------------------------------------
@@ -205,7 +205,7 @@
 
                 async def run(lease: Lease, gateway: str = gateway) -> Outcome:
                     told = lease.payload
-                    start = promises.Start(
+                    start = invariants.Start(
                         self.world.loop.now, gateway, name, told["class"], told["key"], told.get("idem") or ""
                     )
                     self.starts.append(start)
@@ -249,9 +249,9 @@
             left_s=2.0,
             idem=f"i{n}" if class_name == "import" else "",
         )
-        asked = promises.Asked(self.world.loop.now, gateway, class_name, key)
+        asked = invariants.Asked(self.world.loop.now, gateway, class_name, key)
         self.asked.append(asked)
-        call = linear.Call(("submit", key), self.world.loop.now)
+        call = linearizability.Call(("submit", key), self.world.loop.now)
         if class_name == "writer":
             self.calls.append(("once", key, call))
         try:
@@ -289,7 +289,7 @@
                 if await self._word(gateway, machine, "draining", 2 * fence) == ("ok",):
                     at = self.world.loop.now
                     await asyncio.sleep(self.random.uniform(0.5, 6.0))
-                    self.drains.append(promises.Drain(machine, at, self.world.loop.now))
+                    self.drains.append(invariants.Drain(machine, at, self.world.loop.now))
                     await self._word(gateway, machine, "ready", 2 * fence + 1)
             elif draw < 0.7:
                 await self._word(gateway, "nobody", "draining", self.random.randrange(1, 30))
@@ -307,7 +307,7 @@
         body: dict,
     ) -> tuple[tuple, dict]:
         """One call to a desk, for the history too; what it came to, and the answer."""
-        call, told = linear.Call(asked, self.world.loop.now), {}
+        call, told = linearizability.Call(asked, self.world.loop.now), {}
         self.calls.append((kind, on, call))
         try:
             told = await SimApi(self._endpoint(gateway, 2)).call(method, path, body, prefix="/v1/")
@@ -317,7 +317,7 @@
             if fault.code == 409:
                 last = fault.message.split()[0]
                 call.came = (fault.field, int(last)) if fault.field == "FENCE" else (fault.field,)
-        if call.came != linear.UNKNOWN:
+        if call.came != linearizability.UNKNOWN:
             call.until = self.world.loop.now
         return call.came, told
 
@@ -453,7 +453,7 @@
         while self.world.loop.now < end and (
             any(start.until == float("inf") for start in self.starts)
             or not all(asked.over for asked in self.asked)
-            or promises.all_agree(self._digests())
+            or invariants.all_agree(self._digests())
         ):
             await asyncio.sleep(0.25)
 
@@ -477,21 +477,21 @@
         digests = self._digests()
         held = {name: self.governors[name].agreement.holder for name in digests}
         looked = [
-            promises.one_answer(self.asked),
-            promises.placed_runs(self.asked, self.starts),
-            promises.refused_never_ran(self.asked, self.starts),
-            promises.writers_once(self.starts),
-            promises.keyed_stand_once(self.starts),
-            promises.drains_kept(self.starts, self.drains, STATED),
-            promises.one_history({name: one.group.history for name, one in held.items()}),
-            promises.kept_versions(self.proposed, {name: one.group.history for name, one in held.items()}),
-            promises.nothing_stands(self.starts, self.world.loop.now),
-            linear.broken(self.calls),
+            invariants.one_answer(self.asked),
+            invariants.placed_runs(self.asked, self.starts),
+            invariants.refused_never_ran(self.asked, self.starts),
+            invariants.writers_once(self.starts),
+            invariants.keyed_stand_once(self.starts),
+            invariants.drains_kept(self.starts, self.drains, STATED),
+            invariants.one_history({name: one.group.history for name, one in held.items()}),
+            invariants.kept_versions(self.proposed, {name: one.group.history for name, one in held.items()}),
+            invariants.nothing_stands(self.starts, self.world.loop.now),
+            linearizability.broken(self.calls),
             [f"nobody caught: {text}" for text in self.world.faults],
             [f"{name} says: {text}" for _, name, text in self.world.lines if "Traceback" in text],
         ]
         if digests:
-            looked.append(promises.all_agree(digests))
+            looked.append(invariants.all_agree(digests))
         return [text for texts in looked for text in texts], len(looked)
 
 
@@ -501,7 +501,7 @@
         return []
     names = [f"g{n}" for n in range(scenario.gateways)]
     if scenario.halls:
-        return halls.draw(seed, scenario.gateways, scenario.faults_most)
+        return zone_scenario.draw(seed, scenario.gateways, scenario.faults_most)
     random = Random(f"plan {seed}")
     if scenario.copies:
         away, older, leads = random.sample(names, 3)
@@ -524,7 +524,7 @@
     kinds = faults.HALL_KINDS if scenario.halls else tuple(faults.KINDS)
     gateways = [f"g{n}" for n in range(scenario.gateways)]
     for n, fault in enumerate(plan, 1):
-        names = halls.HALLS if fault.kind.startswith("hall") else gateways
+        names = zone_scenario.HALLS if fault.kind.startswith("hall") else gateways
         if fault.kind not in kinds:
             return f"fault {n}: {fault.kind!r} is not played in {scenario.name}, only {', '.join(kinds)}"
         if fault.who not in names or (fault.kind == "pair" and fault.other not in names):
@@ -533,9 +533,9 @@
     return ""
 
 
-def _play_of(world: World, scenario: Scenario, plan: list[Fault]) -> Play | halls.HallPlay:
+def _play_of(world: World, scenario: Scenario, plan: list[Fault]) -> Play | zone_scenario.HallPlay:
     if scenario.halls:
-        return halls.HallPlay(
+        return zone_scenario.HallPlay(
             world, scenario.gateways, scenario.tasks, plan, scenario.storm_s, scenario.heal_s
         )
     return Play(world, scenario, plan)
--- a/weldhatch/sim/bugs.py
+++ b/weldhatch/simulation/seeded_defects.py
@@ -21,7 +21,7 @@
 from weldhatch.pullqueue import front
 from weldhatch.pullqueue.durable_state import Durable
 from weldhatch.pullqueue.leases import Ledger
-from weldhatch.sim.play import SCENARIOS, play
+from weldhatch.simulation.scenario_runner import SCENARIOS, play
 from weldhatch.zones.failover_leader import Marshal
 
 
--- a/weldhatch/sim/disks.py
+++ b/weldhatch/simulation/virtual_disk.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from random import Random
 
-from weldhatch.sim.loop import LIFE
+from weldhatch.simulation.loop import LIFE
 from weldhatch.store import lock, log
 
 
--- a/weldhatch/sim/wires.py
+++ b/weldhatch/simulation/virtual_network.py
@@ -16,7 +16,7 @@
 from tornado.iostream import StreamClosedError
 
 from weldhatch.net.connection import NO_LINGER
-from weldhatch.sim.loop import LIFE, Life, VirtualLoop
+from weldhatch.simulation.loop import LIFE, Life, VirtualLoop
 
 Endpoint = tuple[str, int]
 
--- a/weldhatch/sim/world.py
+++ b/weldhatch/simulation/world.py
@@ -23,9 +23,9 @@
 import weldhatch.net.listener
 import weldhatch.store.folded
 import weldhatch.store.log
-from weldhatch.sim.disks import Disk, SimLock, SimLog
-from weldhatch.sim.loop import LIFE, Life, VirtualLoop, monotonic, unix
-from weldhatch.sim.wires import SocketModule, Wires
+from weldhatch.simulation.loop import LIFE, Life, VirtualLoop, monotonic, unix
+from weldhatch.simulation.virtual_disk import Disk, SimLock, SimLog
+from weldhatch.simulation.virtual_network import SocketModule, Wires
 
 LINES_MOST = 20_000  # that are kept of a play; the digest has all
 
--- a/weldhatch/sim/halls.py
+++ b/weldhatch/simulation/zone_scenario.py
@@ -1,7 +1,7 @@
 """A play of the platform's front: gateways in three halls, servers that fall when overrun, owners.
 
 Zones are left and returned to here by the program's own coroutines. The servers are those of
-`standins.servers`; one process holds a hall's, so that a hall can lose its power or be cut off.
+`testbed.servers`; one process holds a hall's, so that a hall can lose its power or be cut off.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from weldhatch.net.ring_buffer import Ring
 from weldhatch.platform import client_codec, server_codec
 from weldhatch.server import Gateway
-from weldhatch.sim.api import Nobody
-from weldhatch.sim.faults import Fault
-from weldhatch.sim.world import World
-from weldhatch.standins.halls import HALLS, SETTINGS
-from weldhatch.standins.servers import Halls, Pace, Server, doubled
+from weldhatch.simulation.api import Nobody
+from weldhatch.simulation.faults import Fault
+from weldhatch.simulation.world import World
+from weldhatch.testbed.servers import Halls, Pace, Server, doubled
+from weldhatch.testbed.zone_cluster import HALLS, SETTINGS
 from weldhatch.zones.state import AWAY, Phase
 
 HOST, BUS, SERVERS = "127.0.0.1", ("127.0.0.1", 9_000), 12_000
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Taken:
-    """One connection to a server, as `standins.servers.Conn` is one. `number`: sets have one order by it."""
+    """One connection to a server, as `testbed.servers.Conn` is one. `number`: sets have one order by it."""
 
     server: Server
     connection: Connection
--- a/weldhatch/standins/trial.py
+++ b/weldhatch/testbed/crash_points.py
@@ -24,9 +24,9 @@
 from weldhatch.planning.search import search
 from weldhatch.planning.undo import undo_change
 from weldhatch.sexpr import reader
-from weldhatch.standins.virtual import VirtualLoop, run
-from weldhatch.standins.world import Faults, StandInWorld, small_fleet
 from weldhatch.store.log import RealDisk
+from weldhatch.testbed.fleet import Faults, StandInWorld, small_fleet
+from weldhatch.testbed.virtual import VirtualLoop, run
 
 CHANGE = """
 (change "release"
--- a/weldhatch/standins/world.py
+++ b/weldhatch/testbed/fleet.py
@@ -18,8 +18,8 @@
 from weldhatch.planning.engine import Order
 from weldhatch.planning.fleet import Fleet, Node, Pace, ServiceClass, State
 from weldhatch.planning.plan import Kind
-from weldhatch.standins.nodes import StandInNode
-from weldhatch.standins.virtual import VirtualLoop
+from weldhatch.testbed.nodes import StandInNode
+from weldhatch.testbed.virtual import VirtualLoop
 
 DRAIN_GRACE_S = 2.0  # a gateway that was told of a drain gives nothing new from then on
 LOOK_AGE_S = 2.5  # an apply decides by what it saw at most so long ago
--- a/weldhatch/standins/region.py
+++ b/weldhatch/testbed/multi_site.py
@@ -26,8 +26,8 @@
 from weldhatch.sites.messages import Id, Work
 from weldhatch.sites.routing import Router
 from weldhatch.sites.storage import SitesBook
-from weldhatch.standins.hall import Hall, Tally
-from weldhatch.standins.wire import Wire
+from weldhatch.testbed.fault_proxy import Wire
+from weldhatch.testbed.in_memory_machines import Hall, Tally
 
 
 def settings(cores: float = 8.0, deadline_s: float = 3.0, owner_wait_s: float = 0.1) -> i.Settings:
--- a/weldhatch/standins/rig.py
+++ b/weldhatch/testbed/process_cluster.py
@@ -27,8 +27,8 @@
 
 from weldhatch.client import Api, ApiError, BuildMachine, Outcome, Submitter, Task
 from weldhatch.client.machine import Lease
-from weldhatch.standins.plain import PLAIN
-from weldhatch.standins.wire import Wire
+from weldhatch.testbed.fault_proxy import Wire
+from weldhatch.testbed.sample_settings import PLAIN
 
 FIRST_PORT, LAST_PORT = 21_000, 31_000  # below those that the system gives to those who connect
 READY_S = 40.0
--- a/weldhatch/standins/judge.py
+++ b/weldhatch/testbed/rule_conflict_checker.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from weldhatch.standins.rig import Start
+from weldhatch.testbed.process_cluster import Start
 
 
 @dataclass(slots=True, frozen=True)
--- a/weldhatch/standins/server.py
+++ b/weldhatch/testbed/server.py
@@ -1,6 +1,6 @@
 """Stand-in nodes on a loopback address: the node-control protocol over HTTP, one process for a whole fleet.
 
-    python -m weldhatch.standins.server FLEET_FILE [--drain-s SECONDS] [--ready]
+    python -m weldhatch.testbed.server FLEET_FILE [--drain-s SECONDS] [--ready]
 
 `--ready` prints a line once it listens. `POST /v1/nodes/ID/script` {"do": "fall" | "return" | "forget" |
 "refuse"} is what a test or an example does to a node; real nodes have no such call.
@@ -19,7 +19,7 @@
 from weldhatch import config
 from weldhatch.nodes.protocol import Answer, NodeOrder
 from weldhatch.planning.fleet import State
-from weldhatch.standins.nodes import StandInNode
+from weldhatch.testbed.nodes import StandInNode
 
 TASKS = 6  # of each node that is ready at the start
 
--- a/weldhatch/standins/realm.py
+++ b/weldhatch/testbed/simulated_zones.py
@@ -1,7 +1,7 @@
 """Many dispatchers and servers on a virtual clock: real keepers and marshal, with delays and losses by seed.
 
-For sizes that sockets don't reach. Agreement itself is taken as given here (`standins/council.py` tries it):
-a change that the leader makes is held by each dispatcher once a message of it has arrived.
+For sizes that sockets don't reach. Agreement itself is taken as given here (`testbed/simulated_cluster.py`
+tries it): a change that the leader makes is held by each dispatcher once a message of it has arrived.
 """
 
 from __future__ import annotations
--- a/weldhatch/standins/halls.py
+++ b/weldhatch/testbed/zone_cluster.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from random import Random
 
-from weldhatch.standins.rig import Process, Rig, free_ports, until
-from weldhatch.standins.servers import HOST, Halls, Pace, Server, Start
+from weldhatch.testbed.process_cluster import Process, Rig, free_ports, until
+from weldhatch.testbed.servers import HOST, Halls, Pace, Server, Start
 
 HALLS = ("north", "south", "west")
 CORES = 40
