--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -18,22 +18,22 @@
 import pytest
 
 from weldhatch import config
-from weldhatch.agreement.book import AgreementBook, Fold
-from weldhatch.agreement.codec import decode, encode
-from weldhatch.agreement.desk import Desk
-from weldhatch.agreement.node import Agreement
+from weldhatch.cluster.codec import decode, encode
+from weldhatch.cluster.control_api import Desk
+from weldhatch.cluster.node import Agreement
+from weldhatch.cluster.storage import AgreementBook, Fold
 from weldhatch.consensus.messages import Append, Appended, AskVote, Entry, Install, Seen, StandNow, Vote
+from weldhatch.consensus.persistent_state import Saved
 from weldhatch.consensus.raft import Busy, Commit, Load, Raft, Say, Stored, Times, Write
-from weldhatch.consensus.saved import Saved
-from weldhatch.pullqueue.faults import HttpError
+from weldhatch.coordination import effects
+from weldhatch.coordination.leader import Spans
+from weldhatch.coordination.messages import Ask, Learn, Result, Submit
+from weldhatch.coordination.node import Member
+from weldhatch.coordination.state_machine import Group
+from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
-from weldhatch.rules import effects
-from weldhatch.rules.coordinator import Spans
-from weldhatch.rules.group import Group
-from weldhatch.rules.member import Member
-from weldhatch.rules.words import Ask, Learn, Result, Submit
 from weldhatch.store.log import Log
-from weldhatch.zones.marshal import Times as ZoneTimes
+from weldhatch.zones.failover_leader import Times as ZoneTimes
 
 DATA = Path(__file__).parent / "data" / "coordination"
 STEP_S = 0.02
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -26,29 +26,29 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from weldhatch import interface as events
-from weldhatch.agreement import codec
 from weldhatch.cli import zones as cli_zones
 from weldhatch.cli.main import root
-from weldhatch.rules.coordinator import Coordinator, Spans
-from weldhatch.rules.group import Group
-from weldhatch.rules.words import Ask, Learn
-from weldhatch.rules.zoning import Zoning
-from weldhatch.sim.play import SCENARIOS, play
-from weldhatch.standins.realm import Realm
-from weldhatch.standins.realm import settings as realm_settings
-from weldhatch.zones import fair as load_shedding
-from weldhatch.zones import room as capacity
-from weldhatch.zones.budgets import Attempts, Ramp, Rates
-from weldhatch.zones.hush import Hush
-from weldhatch.zones.keeper import Keeper
-from weldhatch.zones.marshal import Marshal, Times
-from weldhatch.zones.narrowed import Narrowed
-from weldhatch.zones.shares import Ledger, Purse, Share, allowed, rank
-from weldhatch.zones.sight import Sight, Sign
-from weldhatch.zones.solitary import Solitary
+from weldhatch.cluster import codec
+from weldhatch.coordination.leader import Coordinator, Spans
+from weldhatch.coordination.messages import Ask, Learn
+from weldhatch.coordination.state_machine import Group
+from weldhatch.coordination.zone_leader import Zoning
+from weldhatch.scheduling import types as events
+from weldhatch.simulation.scenario_runner import SCENARIOS, play
+from weldhatch.testbed.simulated_zones import Realm
+from weldhatch.testbed.simulated_zones import settings as realm_settings
+from weldhatch.zones import capacity
+from weldhatch.zones import load_shedding
+from weldhatch.zones.endpoint_overlay import Narrowed
+from weldhatch.zones.failover_leader import Marshal, Times
+from weldhatch.zones.failover_member import Keeper
+from weldhatch.zones.load_accounting import Tally
+from weldhatch.zones.observations import Sight, Sign
+from weldhatch.zones.retry_budget import Attempts, Ramp, Rates
+from weldhatch.zones.silence_detector import Hush
+from weldhatch.zones.standalone import Solitary
+from weldhatch.zones.start_quota import Ledger, Purse, Share, allowed, rank
 from weldhatch.zones.state import Phase, Zones
-from weldhatch.zones.tally import Tally
 
 DATA = Path(__file__).parent / "data" / "pins_zones.json"
 ZONES = ("z0", "z1", "z2")
