--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -16,11 +16,11 @@
 from weldhatch import config
 from weldhatch.scheduling import types as i
 from weldhatch.server import Gateway
-from weldhatch.standalone_zones import Alone
+from weldhatch.standalone_zones import StandaloneZones
 from weldhatch.testbed.process_cluster import until
 from weldhatch.testbed.simulated_zones import settings as realm_settings
-from weldhatch.zones.failover_leader import Times
-from weldhatch.zones.standalone import Solitary
+from weldhatch.zones.failover_rules import FailoverTiming
+from weldhatch.zones.standalone import StandaloneFailover
 from weldhatch.zones.state import Phase
 
 
@@ -32,20 +32,22 @@
         while now < end:
             now, n = now + 0.02, n + 1
             machine = n % 30
-            if solitary.keeper.state(now, machine) == "ready" and not solitary.keeper.stops(now, machine, 0):
+            if solitary.member.effective_state(now, machine) == "ready" and not solitary.member.start_refusal(
+                now, machine, 0
+            ):
                 self.starts.append((now, machine))
                 outcome = i.Outcome.TIMEOUT if machine % 3 in down else i.Outcome.OK
-                solitary.keeper.heard(now, i.ProbeAnswered(machine, outcome))
+                solitary.member.handle_event(now, i.ProbeAnswered(machine, outcome))
             probes, _ = solitary.tick(now)
             for machine in probes:
                 outcome = i.Outcome.TIMEOUT if machine % 3 in down else i.Outcome.OK
-                solitary.keeper.heard(now, i.ProbeAnswered(machine, outcome))
+                solitary.member.handle_event(now, i.ProbeAnswered(machine, outcome))
         return now
 
     def test_it_leaves_by_its_own_word_and_takes_its_part_of_a_return(self):
         self.starts = []
-        solitary = Solitary(realm_settings(3, 6, 12.0), Times(), Random(1), 0.0)
-        solitary.keeper.heard(
+        solitary = StandaloneFailover(realm_settings(3, 6, 12.0), FailoverTiming(), Random(1), 0.0)
+        solitary.member.handle_event(
             0.0,
             i.MachinesChanged(
                 i.ListForm.FULL, tuple(i.Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))
@@ -53,23 +55,23 @@
         )
         now = self.play(solitary, 0.0, 3.0)
         now = self.play(solitary, now, 6.0, down=(1,))
-        self.assertIs(solitary.zones.at("z1").phase, Phase.LEFT)
+        self.assertIs(solitary.zones.place("z1").phase, Phase.LEFT)
         self.assertEqual([machine for at, machine in self.starts if at > 5.0 and machine % 3 == 1], [])
         back = now = self.play(solitary, now, 9.0)
-        self.assertIs(solitary.zones.at("z1").phase, Phase.RETURNING)
+        self.assertIs(solitary.zones.place("z1").phase, Phase.RETURNING)
         now = self.play(solitary, now, 11.0)
         mine = [machine for at, machine in self.starts if back < at and machine % 3 == 1]
         # Six of its kind and a quarter of 12 starts a machine: half a start each, for ten machines.
         self.assertTrue(0 < len(mine) <= 10, mine)
         self.play(solitary, now, 40.0)
-        self.assertIs(solitary.zones.at("z1").phase, Phase.SERVING)
+        self.assertIs(solitary.zones.place("z1").phase, Phase.SERVING)
 
 
 class Front(Scenario):
     servers = 6  # s1 to s3 in the east, s4 to s6 in the west
 
     async def start(self):
-        alone = Alone(Times(quorum=1), self.logged.append)
+        alone = StandaloneZones(FailoverTiming(quorum=1), self.logged.append)
         self.gateway = Gateway(
             config.Platform(
                 "n0",
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -37,18 +37,25 @@
 from weldhatch.simulation.scenario_runner import SCENARIOS, play
 from weldhatch.testbed.simulated_zones import Realm
 from weldhatch.testbed.simulated_zones import settings as realm_settings
-from weldhatch.zones import capacity
-from weldhatch.zones import load_shedding
-from weldhatch.zones.endpoint_overlay import Narrowed
-from weldhatch.zones.failover_leader import Marshal, Times
-from weldhatch.zones.failover_member import Keeper
-from weldhatch.zones.load_accounting import Tally
-from weldhatch.zones.observations import Sight, Sign
-from weldhatch.zones.retry_budget import Attempts, Ramp, Rates
-from weldhatch.zones.silence_detector import Hush
-from weldhatch.zones.standalone import Solitary
-from weldhatch.zones.start_quota import Ledger, Purse, Share, allowed, rank
-from weldhatch.zones.state import Phase, Zones
+from weldhatch.zones import capacity, load_shedding
+from weldhatch.zones.endpoint_overlay import EndpointOverlay
+from weldhatch.zones.failover_leader import FailoverLeader
+from weldhatch.zones.failover_member import FailoverMember
+from weldhatch.zones.failover_rules import FailoverTiming
+from weldhatch.zones.load_accounting import LoadAccounting
+from weldhatch.zones.observations import ExchangeResult, Observations
+from weldhatch.zones.reports import ZoneReport
+from weldhatch.zones.retry_budget import MigrationRamp, RetryBudget, StartRates
+from weldhatch.zones.silence_detector import SilenceDetector
+from weldhatch.zones.standalone import StandaloneFailover
+from weldhatch.zones.start_quota import (
+    QuotaLease,
+    QuotaLedger,
+    StartQuota,
+    starts_allowed,
+    token_offset,
+)
+from weldhatch.zones.state import Phase, ZoneStates
 
 DATA = Path(__file__).parent / "data" / "pins_zones.json"
 ZONES = ("z0", "z1", "z2")
@@ -61,16 +68,16 @@
 
 def report_text(member, now):
     """A member's report, as it is sent."""
-    return json.dumps(member.report(now), separators=(",", ":"))
+    return member.report(now).to_json()
 
 
 def receive(leader, now, name, incarnation, text):
-    leader.hear(now, name, incarnation, json.loads(text))
+    leader.receive_report(now, name, incarnation, ZoneReport.from_json(text))
 
 
 def changes(leader, now, zones, settings, held):
     """Commands that are due, as they are sent."""
-    return leader.todo(now, zones, settings, held)
+    return [one.to_tree() for one in leader.due_changes(now, zones, settings, held)]
 
 
 def quota_trees(quotas):
@@ -79,7 +86,7 @@
 
 
 def rejection(found):
-    return None if found is None else [found.wait_s, found.why]
+    return None if found is None else [found.retry_after_s, found.reason]
 
 
 def plain(value):
@@ -95,6 +102,13 @@
     return value
 
 
+def report_of_observations(observations, now, named):
+    """The part of a report that is observed, as it is sent."""
+    isolation, places = observations.isolation(now).value, observations.by_place(now, named)
+    tree = ZoneReport(observations.own, isolation, places).to_tree()
+    return json.dumps({key: tree[key] for key in ("zone", "cut", "looks")}, separators=(",", ":"))
+
+
 class Record:
     """All that a part came to, one line a step."""
 
@@ -139,87 +153,95 @@
 def observations(record):
     for seed in range(4):
         random, now = Random(seed), 0.0
-        sight = Sight(ZONES[: 2 + seed % 2], "z0")
+        sight = Observations(ZONES[: 2 + seed % 2], "z0")
         for _ in range(700):
             now += random.expovariate(12.0)
             n = random.randrange(36)
             draw = random.random()
             if draw < 0.12:
                 zone = random.choice(sight.zones)
-                sight.listed(n, zone, f"{zone}/{random.randrange(3)}")
+                sight.machine_listed(n, zone, f"{zone}/{random.randrange(3)}")
             elif draw < 0.15:
-                sight.gone(n)
+                sight.machine_removed(n)
             elif draw < 0.16:
-                sight.excuse(now - random.random())
+                sight.discard_failures(now - random.random())
             elif draw < 0.17:
-                sight.extend(ZONES)
+                sight.set_zones(ZONES)
             else:
                 bad = int(now / 4.0) % 3 == n % 3
-                sight.sign(now, n, random.choice(list(Sign)[1:]) if bad else Sign.ANSWER)
+                sight.add_result(
+                    now, n, random.choice(list(ExchangeResult)[1:]) if bad else ExchangeResult.ANSWER
+                )
             named = [f"z{random.randrange(4)}/{random.randrange(4)}", "z1"]
             record.add(
                 "counts",
                 {
-                    p: [c.listed, c.good, c.failing, c.heard, c.enough, c.fails, c.look()]
+                    p: [c.listed, c.answering, c.failing, c.known, c.is_enough, c.fails, c.health()]
                     for p, c in sight.counts(now).items()
                 },
             )
-            record.add("report", now, sight.cut(now), [sight.one_rack(zone) for zone in sight.zones])
-            record.add("sent", json.dumps(sight.report(now, named), separators=(",", ":")))
+            record.add(
+                "report", now, sight.isolation(now), [sight.has_single_rack(zone) for zone in sight.zones]
+            )
+            record.add("sent", report_of_observations(sight, now, named))
 
 
 def silence(record):
     for seed in range(4):
         random, now = Random(seed), 0.0
-        hush = Hush(lambda machine: str(machine // 3 % 2))
+        hush = SilenceDetector(lambda machine: str(machine // 3 % 2))
         late = 0.02 * 4**seed
         owed = []
         for _ in range(4000):
             now += random.expovariate(60.0)
             n = random.randrange(30)
             mute = int(now / 5.0) % 4 == n % 3
-            hush.sent(now, ZONES[n % 3], n)
+            hush.request_sent(now, ZONES[n % 3], n)
             if not mute:
                 owed.append((now + late * random.uniform(0.5, 1.5), n))
             elif random.random() < 0.05:
-                hush.ended(ZONES[n % 3], n)
+                hush.exchange_ended(ZONES[n % 3], n)
             for at, one in [one for one in owed if one[0] <= now]:
-                hush.heard(at, ZONES[one % 3], one)
+                hush.answer_received(at, ZONES[one % 3], one)
             owed = [one for one in owed if one[0] > now]
             if random.random() < 0.003:
-                hush.excuse(now)
-            record.add("silent", now, [hush.silent(now, zone, random.random() < 0.2) for zone in ZONES])
+                hush.restart_waits(now)
+            record.add("silent", now, [hush.is_silent(now, zone, random.random() < 0.2) for zone in ZONES])
 
 
 def quotas(record):
     for seed in range(6):
         random, now = Random(seed), 0.0
-        members = {n: Purse(0.02) for n in range(7)}
-        ledger = Ledger(0.0, "l0", 1.0, 0.5, 0.02)
+        members = {n: QuotaLease(0.02) for n in range(7)}
+        ledger = QuotaLedger(0.0, "l0", 1.0, 0.5, 0.02)
         pace = (0.5, 1.5, 4.0, 9.0, 30.0, 0.0)[seed]
         for step in range(2500):
             now += random.random() * 0.03
             if random.random() < 0.003:
-                ledger = Ledger(now, f"l{step}", 1.0, 0.5, 0.02)
+                ledger = QuotaLedger(now, f"l{step}", 1.0, 0.5, 0.02)
             if random.random() < 0.003:
-                ledger.bound(random.choice((0.5, 1.0, 2.0)))
+                ledger.set_window(random.choice((0.5, 1.0, 2.0)))
             n, place = random.randrange(7), random.choice(("z1", "z2/1"))
-            share = ledger.ask(now, place, f"d{n}", pace, [f"d{k}" for k in range(random.randrange(1, 8))])
+            share = ledger.allocate(
+                now, place, f"d{n}", pace, [f"d{k}" for k in range(random.randrange(1, 8))]
+            )
             if share is not None:
-                record.add("share", now, quota_trees([share]), [allowed(share, f"m{k}") for k in range(9)])
-                record.add("taken", members[n].take(share, now - random.random() * 0.1))
+                record.add(
+                    "share", now, quota_trees([share]), [starts_allowed(share, f"m{k}") for k in range(9)]
+                )
+                record.add("taken", members[n].accept(share, now - random.random() * 0.1))
             n, uid = random.randrange(7), f"m{random.randrange(9)}"
             record.add(
                 "spend",
-                members[n].left(now, place, uid),
+                members[n].remaining(now, place, uid),
                 members[n].spend(now, place, uid),
-                members[n].ends(now),
+                members[n].next_expiry(now),
             )
             if random.random() < 0.01:
-                members[n].drop(place)
+                members[n].revoke(place)
             if not step % 50:
-                record.add("out", ledger.out(now))
-    record.add("rank", [rank(f"m{n}") for n in range(20)])
+                record.add("out", ledger.status(now))
+    record.add("rank", [token_offset(f"m{n}") for n in range(20)])
 
 
 def load(record):
@@ -227,72 +249,74 @@
     for seed in range(150):
         random = Random(seed)
         rates = {name: random.uniform(0.0, 30.0) for name in (*TENANTS, "none") if random.random() < 0.8}
-        record.add("weights", load_shedding.weights(settings.tenants))
+        record.add("weights", load_shedding.tenant_weights(settings.tenants))
         record.add(
             "borne",
-            load_shedding.borne(rates, load_shedding.weights(settings.tenants), random.uniform(0, 60)),
+            load_shedding.max_min_fair(
+                rates, load_shedding.tenant_weights(settings.tenants), random.uniform(0, 60)
+            ),
         )
-        record.add("parts", load_shedding.parts(random.random(), rates, {"acme": 2.0}))
-        need = capacity.Need(random.uniform(0, 80), random.uniform(0, 80))
+        record.add("parts", load_shedding.shed_by_tenant(random.random(), rates, {"acme": 2.0}))
+        need = capacity.CapacityNeed(random.uniform(0, 80), random.uniform(0, 80))
         by_class = {one.name: random.uniform(0, 30) for one in settings.classes if random.random() < 0.8}
-        level = capacity.first_level(need, by_class, settings.classes)
-        shed = capacity.shed_of(level, settings.classes)
+        level = capacity.initial_shed_level(need, by_class, settings.classes)
+        shed = capacity.shed_by_class(level, settings.classes)
         size = random.uniform(0, 90)
         record.add(
             "level",
-            need.short,
+            need.shortfall,
             level,
             shed,
-            capacity.level_of(shed),
-            capacity.next_level(level, random.uniform(0, size), size, 3),
+            capacity.shed_level(shed),
+            capacity.next_shed_level(level, random.uniform(0, size), size, 3),
         )
     for seed in range(4):
         random, now = Random(seed), 0.0
-        attempts, ramp, rates = Attempts(), Ramp(), Rates()
-        tally, carried = Tally(), capacity.Carried()
+        attempts, ramp, rates = RetryBudget(), MigrationRamp(), StartRates()
+        tally, carried = LoadAccounting(), capacity.PeakLoad()
         for step in range(900):
             now += random.expovariate(20.0)
             place = random.choice(ZONES)
             rates.add(now, place)
             if random.random() < 0.01:
-                ramp.begin(now, rates.of(now, "z0"), rates.of(now, "z1"))
-            attempts.first()
+                ramp.begin(now, rates.rate(now, "z0"), rates.rate(now, "z1"))
+            attempts.add_first_attempt()
             record.add(
                 "budget",
                 now,
-                attempts.again(random.random() < 0.7),
-                ramp.wait(now, random.random()),
-                ramp.pace(now),
-                rates.of(now, place),
+                attempts.try_retry(random.random() < 0.7),
+                ramp.retry_after_s(now, random.random()),
+                ramp.rate(now),
+                rates.rate(now, place),
             )
-            tally.arrived(
+            tally.request_arrived(
                 now, events.RequestArrived(step, step % 3, 0, 1, random.random() * 3, 1.0, step + 7, step % 2)
             )
             if random.random() < 0.7:
-                tally.placed(step - random.randrange(9), random.randrange(12))
+                tally.task_placed(step - random.randrange(9), random.randrange(12))
             if random.random() < 0.6:
-                one = tally.ended(step - random.randrange(30))
+                one = tally.task_ended(step - random.randrange(30))
                 record.add("ended", one and [one.class_index, one.cores, one.key, one.machine])
             if random.random() < 0.2:
-                tally.over(step - random.randrange(30))
-            carried.hear(now, place, random.uniform(0, 50))
-            asked = tally.asked(step - 3)
+                tally.request_closed(step - random.randrange(30))
+            carried.add_sample(now, place, random.uniform(0, 50))
+            asked = tally.pending(step - 3)
             record.add(
                 "tally",
-                {str(k): v for k, v in tally.rates(now).items()},
+                {str(k): v for k, v in tally.work_rates(now).items()},
                 tally.cores_on,
-                tally.by_machine,
+                tally.requests_on,
                 asked and [asked.class_index, asked.cores, asked.key],
-                carried.most(now, place),
+                carried.peak(now, place),
             )
 
 
 def agreed(record):
     for seed in range(6):
-        random, zones = Random(seed), Zones()
+        random, zones = Random(seed), ZoneStates()
         for index in range(1, 501):
             place = random.choice((*ZONES, "z1/2", "z2/0", "z9"))
-            last = zones.at(place)
+            last = zones.place(place)
             draw = random.random()
             if draw < 0.85:
                 told = {
@@ -314,26 +338,30 @@
                 ):
                     if random.random() < 0.5:
                         told[key] = value
-                record.add("take", zones.take(index, told, ZONES))
+                record.add("take", zones.apply(index, told, ZONES))
             elif draw < 0.92:
                 record.add(
-                    "hold", zones.hold(index, {"place": place, "held": random.random() < 0.3, "why": "w"})
+                    "hold",
+                    zones.apply_hold(index, {"place": place, "held": random.random() < 0.3, "why": "w"}),
                 )
             else:
                 keys = [f"{random.randrange(99):x}" for _ in range(5)]
-                record.add("fence", zones.fence(place, keys, "g1"))
+                record.add("fence", zones.apply_fence(place, keys, "g1"))
             record.add(
-                "phase", zones.phase("z1", "z1/2"), zones.others("z1", ZONES), last.part("lookup", "acme")
+                "phase",
+                zones.narrowest_phase("z1", "z1/2"),
+                zones.another_serves("z1", ZONES),
+                last.shed_part("lookup", "acme"),
             )
-        text = json.dumps(zones.state())
+        text = json.dumps(zones.to_tree())
         record.add("state", text)
-        assert json.dumps(Zones.of(json.loads(text)).state()) == text
+        assert json.dumps(ZoneStates.from_tree(json.loads(text)).to_tree()) == text
 
 
 def change_of(random, zones, index):
     """A change that can follow, of a random place."""
     place = random.choice((*ZONES, "z1/2", "z0/0"))
-    last = zones.at(place)
+    last = zones.place(place)
     nexts = {
         "serving": "suspected",
         "suspected": random.choice(("leaving", "serving")),
@@ -342,7 +370,7 @@
         "returning": random.choice(("returning", "serving", "leaving")),
     }
     shed = {"lookup": random.choice((0.0, 0.3, 1.0))}
-    return zones.take(
+    return zones.apply(
         index,
         {
             "place": place,
@@ -363,10 +391,12 @@
     for seed in range(6):
         random, now = Random(seed), 0.0
         settings = settings_of(seed % 3)
-        one = Keeper(settings, 0.02, Random(seed + 50), lambda machine: f"m{machine}", fences=seed != 5)
-        heard = one.heard
+        one = FailoverMember(
+            settings, 0.02, Random(seed + 50), lambda machine: f"m{machine}", fences=seed != 5
+        )
+        heard = one.handle_event
         heard(now, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(n) for n in range(36))))
-        zones, index, serial = Zones(), 0, 0
+        zones, index, serial = ZoneStates(), 0, 0
         for step in range(1500):
             now += random.expovariate(40.0)
             n = random.randrange(38)
@@ -422,32 +452,36 @@
                     ),
                 )
             elif draw < 0.84:
-                one.broke(n)
+                one.connection_lost(n)
             elif draw < 0.841:
                 now += 1.0  # it was stopped
             elif draw < 0.86:
                 index += 1
                 change_of(random, zones, index)
-                one.agreed(now, Zones.of(json.loads(json.dumps(zones.state()))))
+                one.apply_agreed_state(now, ZoneStates.from_tree(json.loads(json.dumps(zones.to_tree()))))
             elif draw < 0.862:
                 settings = settings_of(seed % 3)
-                one.settle(settings)
+                one.update_settings(settings)
             elif draw < 0.88:
                 place = random.choice(("z1", "z0", "z1/2"))
-                share = Share(place, f"e{step}", step, random.randrange(3), 3, random.randrange(1, 9), 0.5)
-                record.add("take", one.take([share], now - 0.01))
+                share = StartQuota(
+                    place, f"e{step}", step, random.randrange(3), 3, random.randrange(1, 9), 0.5
+                )
+                record.add("take", one.receive_quotas([share], now - 0.01))
             else:
                 for _ in range(random.choice((1, 1, 1, 8))):
-                    record.add("stops", n, one.stops(now, n, random.choice((-1, 0, 1, 1))))
-            record.add("state", now, one.state(now, n), one.phase(n))
-            record.add("away", rejection(one.away(now, step % 3, serial - 5, serial % 4, 1.0)), one.refused)
+                    record.add("stops", n, one.start_refusal(now, n, random.choice((-1, 0, 1, 1))))
+            record.add("state", now, one.effective_state(now, n), one.phase(n))
+            record.add(
+                "away", rejection(one.rejection(now, step % 3, serial - 5, serial % 4, 1.0)), one.rejected
+            )
             if not step % 4:
-                record.add("tick", one.tick(now), one.hushed)
+                record.add("tick", one.tick(now), one.silent_zones)
                 record.add("sent", report_text(one, now))
-                place, keys = one.fences()
+                place, keys = one.unreported_fences()
                 record.add("fences", place, keys)
                 if keys and random.random() < 0.3:
-                    zones.fence(place, keys, "d0")
+                    zones.apply_fence(place, keys, "d0")
 
 
 def report_of(random, now, n, truth, sums):
@@ -482,9 +516,9 @@
     settings = settings_of()
     words = ("leave", "return", "hold", "release", "other")
     for seed in range(6):
-        random, now, zones = Random(seed), 0.0, Zones()
-        times = Times(quorum=1) if seed == 5 else Times(served=20.0)
-        one = Marshal(0.0, "l0.1", times, 1.0, 0.5, 0.02)
+        random, now, zones = Random(seed), 0.0, ZoneStates()
+        times = FailoverTiming(quorum=1) if seed == 5 else FailoverTiming(served=20.0)
+        one = FailoverLeader(0.0, "l0.1", times, 1.0, 0.5, 0.02)
         truth, sums, bearers = dict.fromkeys((*ZONES, "z1/2"), "fine"), {}, range(8)
         for step in range(1000):
             now += 0.05
@@ -494,19 +528,19 @@
                 if place == "z1":
                     truth["z1/2"] = truth["z1"]
             if random.random() < 0.004:
-                one = Marshal(now, f"l{step}.1", times, 1.0, 0.5, 0.02)
+                one = FailoverLeader(now, f"l{step}.1", times, 1.0, 0.5, 0.02)
             if random.random() < 0.01:
                 bearers = random.sample(range(8), random.randrange(4, 9))
             for n in bearers:
                 if random.random() < 0.3:
                     receive(one, now, f"d{n}", f"d{n}.1.t", report_of(random, now, n, truth, sums))
-                    got = one.shares(now, f"d{n}.1.t", zones, settings)
+                    got = one.quotas_for(now, f"d{n}.1.t", zones, settings)
                     if got:
                         record.add("shares", quota_trees(got))
-            one.gone({f"d{n}" for n in range(8)} if step % 100 else {f"d{n}" for n in range(6)})
+            one.set_members({f"d{n}" for n in range(8)} if step % 100 else {f"d{n}" for n in range(6)})
             wait = random.random() < 0.2
             for command in changes(one, now, zones, settings, lambda index, wait=wait: not wait):
-                record.add("command", command, zones.take(zones.number + 1, command, ZONES))
+                record.add("command", command, zones.apply(zones.number + 1, command, ZONES))
             if random.random() < 0.02:
                 told = {
                     "id": f"o{step}",
@@ -516,18 +550,24 @@
                     "despite": random.random() < 0.7,
                     "at": step,
                 }
-                command = one.operator(now, told, zones, settings)
+                command = one.operator_command(now, told, zones, settings)
                 record.add("operator", command)
                 if command.get("do") == "zone":
-                    record.add("done", zones.take(zones.number + 1, command, ZONES))
+                    record.add("done", zones.apply(zones.number + 1, command, ZONES))
                 elif command.get("do") == "zone_hold" and (not command["held"] or random.random() < 0.2):
-                    record.add("done", zones.hold(zones.number + 1, command))
+                    record.add("done", zones.apply_hold(zones.number + 1, command))
             if not step % 10:
                 record.add("status", one.status(now, [*ZONES, "z1/2"]))
-                need = one.need(now, "z1", zones, settings)
-                record.add("need", need.carried, need.free, need.short, one.shed(now, "z1", zones, settings))
+                need = one.capacity_need(now, "z1", zones, settings)
+                record.add(
+                    "need",
+                    need.carried,
+                    need.free,
+                    need.shortfall,
+                    one.initial_shed(now, "z1", zones, settings),
+                )
         record.add("timeline", one.timeline)
-        record.add("state", zones.state())
+        record.add("state", zones.to_tree())
 
 
 class RecordedRealm(Realm):
@@ -577,51 +617,59 @@
         fault(one)
         one.run(until)
         record.add("changes", one.changes, one.starts, one.unheard, one.peak)
-        record.add("left", {str(key): at for key, at in one.left_at.items()}, one.zones.state())
+        record.add("left", {str(key): at for key, at in one.left_at.items()}, one.zones.to_tree())
         record.add("timeline", one.leader.timeline)
 
 
 def standalone(record):
     for seed in range(2):
-        one = Solitary(realm_settings(3, 6, 12.0), Times(), Random(seed), 0.0)
-        one.keeper.heard(
+        one = StandaloneFailover(realm_settings(3, 6, 12.0), FailoverTiming(), Random(seed), 0.0)
+        one.member.handle_event(
             0.0, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(n) for n in range(30)))
         )
-        overlay = Narrowed()
+        overlay = EndpointOverlay()
         for n in range(30):
-            overlay.heard(machine_of(n))
+            overlay.machine_listed(machine_of(n))
         now = 0.0
         for step in range(1200):
             now += 0.025
             down = () if now < 3.0 or 7.0 < now < 21.0 else (1,)
             machine = step % 30
-            state, stopped = one.keeper.state(now, machine), one.keeper.stops(now, machine, step % 2)
+            state, stopped = (
+                one.member.effective_state(now, machine),
+                one.member.start_refusal(now, machine, step % 2),
+            )
             record.add("may", state, stopped)
             asked = [machine] if state == "ready" and not stopped else []
             probes, changed = one.tick(now)
             for n in [*asked, *probes]:
                 outcome = events.Outcome.TIMEOUT if n % 3 in down else events.Outcome.OK
-                one.keeper.heard(now, events.ProbeAnswered(n, outcome))
+                one.member.handle_event(now, events.ProbeAnswered(n, outcome))
             record.add(
                 "tick",
                 probes,
                 changed,
-                [[c["place"], c["phase"], c.get("step", 0), c["why"]] for c in one.changes],
+                [[c.place, c.phase, c.step or 0, c.reason] for c in one.changes],
             )
             one.changes.clear()
             if changed:
-                news = overlay.news(
-                    range(30), lambda entry, one=one, now=now: one.keeper.state(now, entry.id)
+                news = overlay.changes(
+                    range(30), lambda entry, one=one, now=now: one.member.effective_state(now, entry.id)
                 )
                 record.add("news", [[entry.id, entry.state] for entry in news])
-        record.add("state", one.zones.state())
+        record.add("state", one.zones.to_tree())
 
 
 def messages(record):
     """What crosses between a member and the leader, byte by byte."""
-    settings, zones, group, now = settings_of(), Zones(), Group(), 0.0
+    settings, zones, group, now = settings_of(), ZoneStates(), Group(), 0.0
     zoning = Zoning(
-        0.0, "g0", 3, Times(), Coordinator(Spans(), 0.0, lambda tree: settings), lambda tree: settings
+        0.0,
+        "g0",
+        3,
+        FailoverTiming(),
+        Coordinator(Spans(), 0.0, lambda tree: settings),
+        lambda tree: settings,
     )
     for index, command in enumerate(
         (
@@ -635,8 +683,10 @@
     zones = group.zones
     members = []
     for n in range(6):
-        one = Keeper(settings_of(n % 3), 0.02, Random(n), str)
-        one.heard(0.0, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(k) for k in range(36))))
+        one = FailoverMember(settings_of(n % 3), 0.02, Random(n), str)
+        one.handle_event(
+            0.0, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(k) for k in range(36)))
+        )
         members.append(one)
     serial = 0
     for step in range(260):
@@ -646,20 +696,22 @@
                 serial += 1
                 machine = (serial * 7) % 36
                 gone = machine % 3 == 1 and 1.0 < now < 4.0
-                one.heard(now, events.RequestArrived(serial, serial % 3, 0, 1, 1.0, 1.0, serial, serial % 3))
-                if not one.stops(now, machine, 0):
+                one.handle_event(
+                    now, events.RequestArrived(serial, serial % 3, 0, 1, 1.0, 1.0, serial, serial % 3)
+                )
+                if not one.start_refusal(now, machine, 0):
                     if gone:
-                        one.heard(
+                        one.handle_event(
                             now,
                             events.AttemptEnded(
                                 serial, 0, machine, events.Outcome.CONNECT_FAILED, closed=True
                             ),
                         )
                     else:
-                        one.heard(now, events.Placed(serial, 0, machine, 0))
+                        one.handle_event(now, events.Placed(serial, 0, machine, 0))
                 for probed in one.tick(now):
                     silent = probed % 3 == 1 and 1.0 < now < 4.0
-                    one.heard(
+                    one.handle_event(
                         now,
                         events.ProbeAnswered(probed, events.Outcome.TIMEOUT if silent else events.Outcome.OK),
                     )
@@ -674,7 +726,7 @@
         for command in zoning.todo(now, group):
             record.add("command", json.dumps(command), group.apply(group.index + 1, json.dumps(command)))
             for one in members:
-                one.agreed(now, zones)
+                one.apply_agreed_state(now, zones)
     record.add("status", json.dumps(zoning.status(now, group)))
     record.add("group", group.state())
 
@@ -720,24 +772,26 @@
 
 def samples() -> dict:
     """One of each form that leaves the package, with the names that are written."""
-    one = Keeper(settings_of(), 0.02, Random(1), str)
-    one.heard(0.0, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(n) for n in range(36))))
+    one = FailoverMember(settings_of(), 0.02, Random(1), str)
+    one.handle_event(
+        0.0, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(n) for n in range(36)))
+    )
     for serial in range(1, 37):
         n = serial - 1
-        one.heard(1.0, events.RequestArrived(serial, n % 3, 0, 1, 2.0, 1.0, serial, n % 3))
+        one.handle_event(1.0, events.RequestArrived(serial, n % 3, 0, 1, 2.0, 1.0, serial, n % 3))
         if n % 3 == 1:
-            one.heard(1.0, events.AttemptEnded(serial, 0, n, events.Outcome.TIMEOUT, closed=True))
+            one.handle_event(1.0, events.AttemptEnded(serial, 0, n, events.Outcome.TIMEOUT, closed=True))
         else:
-            one.heard(1.0, events.Placed(serial, 0, n, 0))
-    zones = Zones()
+            one.handle_event(1.0, events.Placed(serial, 0, n, 0))
+    zones = ZoneStates()
     for index, phase in enumerate(("suspected", "leaving", "left", "returning"), 1):
-        zones.take(index, {"place": "z0", "phase": phase, "number": index - 1, "step": 1}, ZONES)
-    one.agreed(1.0, zones)
-    one.take([Share("z0", "g0.3.0", 0, 0, 1, 30, 0.5)], 1.0)
-    one.stops(1.1, 0, 0)
-    one.heard(1.1, events.Placed(99, 0, 0, 0))
-    one.heard(1.1, events.AttemptEnded(98, 0, 3, events.Outcome.ERROR, closed=True))
-    leader = Marshal(0.0, "g0.3", Times(), 1.0, 0.5, 0.02)
+        zones.apply(index, {"place": "z0", "phase": phase, "number": index - 1, "step": 1}, ZONES)
+    one.apply_agreed_state(1.0, zones)
+    one.receive_quotas([StartQuota("z0", "g0.3.0", 0, 0, 1, 30, 0.5)], 1.0)
+    one.start_refusal(1.1, 0, 0)
+    one.handle_event(1.1, events.Placed(99, 0, 0, 0))
+    one.handle_event(1.1, events.AttemptEnded(98, 0, 3, events.Outcome.ERROR, closed=True))
+    leader = FailoverLeader(0.0, "g0.3", FailoverTiming(), 1.0, 0.5, 0.02)
     report = report_text(one, 1.2)
     for n in range(3):
         receive(leader, 1.7, f"d{n}", f"d{n}.1.t", report)
@@ -747,10 +801,10 @@
     commands = changes(leader, 1.7, zones, settings_of(), lambda index: True)
     return {
         "report": json.loads(report),
-        "quotas": [quota_trees(leader.shares(1.8, f"d{n}.1.t", zones, settings_of())) for n in range(3)],
+        "quotas": [quota_trees(leader.quotas_for(1.8, f"d{n}.1.t", zones, settings_of())) for n in range(3)],
         "commands": commands,
         "operator": {
-            word: leader.operator(
+            word: leader.operator_command(
                 1.7, {"id": "o", "place": place, "word": word, "why": "w", "at": 9}, zones, settings_of()
             )
             for word, place in (
@@ -761,7 +815,7 @@
                 ("x", "z1"),
             )
         },
-        "state": zones.state(),
+        "state": zones.to_tree(),
         "status": {**leader.status(1.7, ZONES), "timeline": leader.timeline},
     }
 
--- a/tests/test_realm.py
+++ b/tests/test_realm.py
@@ -1,15 +1,18 @@
 """Many dispatchers and servers on a virtual clock: no flood, no oscillation; without a guard, one of them."""
 
 import unittest
+from dataclasses import replace
 from itertools import pairwise
 from unittest import mock
 
 from weldhatch.testbed.simulated_zones import Realm
-from weldhatch.zones import start_quota
-from weldhatch.zones.failover_leader import Marshal, Times
-from weldhatch.zones.observations import Cut, Sight
-from weldhatch.zones.silence_detector import Hush
-from weldhatch.zones.state import Phase, Zones
+from weldhatch.zones.failover_rules import FailoverRules, FailoverTiming
+from weldhatch.zones.observations import Observations
+from weldhatch.zones.reports import Isolation
+from weldhatch.zones.silence_detector import SilenceDetector
+from weldhatch.zones.start_quota import QuotaLease, QuotaLedger
+from weldhatch.zones.state import Phase, ZoneStates
+from weldhatch.zones.witnesses import Witnesses
 
 
 def realm(seed=1, **more):
@@ -48,7 +51,7 @@
             self.assertLess(max(left) - 3.0, 2.0, seed)
             self.assertLess(max(left) - min(left), 0.5, seed)
             self.assertEqual(one.oscillations({"z1": 1}), 0, one.changes)
-            self.assertIs(one.zones.at("z1").phase, Phase.SERVING, one.changes)
+            self.assertIs(one.zones.place("z1").phase, Phase.SERVING, one.changes)
             self.assertLessEqual(one.peak, 1.0)
 
     def test_leaders_that_die_at_each_state_change_nothing_of_that(self):
@@ -59,7 +62,7 @@
                 one.at(at, one.kill_leader)
             one.run(30.0)
             self.assertEqual(one.oscillations({"z1": 1}), 0, (kills, one.changes))
-            self.assertIs(one.zones.at("z1").phase, Phase.SERVING, (kills, one.changes))
+            self.assertIs(one.zones.place("z1").phase, Phase.SERVING, (kills, one.changes))
             self.assertLessEqual(one.peak, 1.0, kills)
 
     def test_what_is_no_zone_failure_moves_no_zone(self):
@@ -92,7 +95,7 @@
         return one.unheard
 
     def test_a_zone_that_says_nothing_is_held_back_from_before_starts_time_out(self):
-        with mock.patch.object(Hush, "silent", lambda *_: False):
+        with mock.patch.object(SilenceDetector, "is_silent", lambda *_: False):
             before = self.unheard()
         self.assertLess(self.unheard(), 0.35 * before)
 
@@ -116,14 +119,16 @@
         one.at(14.0, lambda: one.fail_zone(0))  # of the three, one always stays
         one.run(17.0)
         kept = [
-            zone for zone in one.settings.zones if one.zones.at(zone).phase not in (Phase.LEAVING, Phase.LEFT)
+            zone
+            for zone in one.settings.zones
+            if one.zones.place(zone).phase not in (Phase.LEAVING, Phase.LEFT)
         ]
         self.assertTrue(kept)
         one.return_zone(2)
         one.return_zone(0)
         one.run(45.0)
         self.assertEqual(
-            {zone: one.zones.at(zone).phase for zone in one.settings.zones},
+            {zone: one.zones.place(zone).phase for zone in one.settings.zones},
             dict.fromkeys(one.settings.zones, Phase.SERVING),
             one.changes,
         )
@@ -149,19 +154,19 @@
 
     def test_shares_that_hold_for_ever(self):
         with mock.patch.object(
-            start_quota.Purse, "left", lambda self, now, place, uid: 1 if place in self._held else 0
+            QuotaLease, "remaining", lambda self, now, place, uid: 1 if place in self._held else 0
         ):
             self.assertGreater(self.peak_of(seeds=(0,)), 1.0)
 
     def test_epochs_that_do_not_wait_for_a_window(self):
-        with mock.patch.object(start_quota.Ledger, "lasts", 0.05):
+        with mock.patch.object(QuotaLedger, "epoch_length_s", 0.05):
             self.assertGreater(self.peak_of(seeds=(0, 1), pace=0.003), 1.0)
 
     def test_returning_without_steps_or_shares(self):
-        def straight(self, now, name, place, *rest):
-            return {"phase": "serving", "shed": {}, "why": "at once"}
+        def straight(self, situation):
+            return replace(situation.unchanged, phase=Phase.SERVING, shed={}, tenants={}, reason="at once")
 
-        with mock.patch.object(Marshal, "_return", straight):
+        with mock.patch.object(FailoverRules, "_change_of_returning", straight):
             self.assertGreater(self.peak_of(seeds=range(1)), 1.0)
 
     def moved(self, fault, seconds=8.0, **more):
@@ -171,7 +176,7 @@
         return [name for _, name, phase, _, _ in one.changes if phase == "leaving"]
 
     def test_one_witness_that_is_enough(self):
-        with mock.patch.object(Marshal, "_agreed", lambda self, now, place, some, others: bool(some)):
+        with mock.patch.object(Witnesses, "are_enough", lambda self, now, place, some, others: bool(some)):
             self.assertTrue(self.moved(lambda one: one.liars.add(0)))
 
     def test_those_that_are_cut_off_as_witnesses(self):
@@ -179,11 +184,11 @@
             one.blind = {n: {0, 1, 2} for n in range(7)}  # most of them reach nothing; it is they
 
         self.assertEqual(self.moved(blind), [])
-        with mock.patch.object(Sight, "cut", lambda self, now: Cut.NO):
+        with mock.patch.object(Observations, "isolation", lambda self, now: Isolation.NONE):
             self.assertTrue(self.moved(blind))
 
     def test_no_longer_stay_after_each_flap(self):
-        leaves = [flapping(seed, 8.0, Times(stay_most=2.0)).leaves("z1") for seed in (4, 6)]
+        leaves = [flapping(seed, 8.0, FailoverTiming(stay_most=2.0)).leaves("z1") for seed in (4, 6)]
         self.assertFalse(all(map(longer, leaves)), leaves)
 
     def test_the_last_zone_not_kept(self):
@@ -196,8 +201,8 @@
 
         self.assertLess(len(gone(self.moved(all_down))), 3)
         with (
-            mock.patch.object(Zones, "others", lambda self, zone, zones: True),
-            mock.patch.object(Marshal, "_may_leave", lambda self, name, zones, settings: True),
-            mock.patch.object(Sight, "cut", lambda self, now: Cut.NO),
+            mock.patch.object(ZoneStates, "another_serves", lambda self, zone, zones: True),
+            mock.patch.object(FailoverRules, "_may_leave", lambda self, situation: True),
+            mock.patch.object(Observations, "isolation", lambda self, now: Isolation.NONE),
         ):
             self.assertEqual(len(gone(self.moved(all_down, 12.0))), 3)
--- a/tests/test_zone_verdicts.py
+++ b/tests/test_zone_verdicts.py
@@ -11,49 +11,51 @@
 from weldhatch.coordination.zone_leader import Zoning
 from weldhatch.scheduling import types as i
 from weldhatch.testbed.simulated_zones import settings as realm_settings
-from weldhatch.zones.failover_leader import Marshal, Times
-from weldhatch.zones.state import Phase, Zones
+from weldhatch.zones.failover_leader import FailoverLeader
+from weldhatch.zones.failover_rules import FailoverTiming
+from weldhatch.zones.reports import ZoneReport
+from weldhatch.zones.state import Phase, ZoneStates
 
 ZONES = ("z0", "z1", "z2")
 SETTINGS, EIGHT = realm_settings(3, 8), tuple(range(8))
 
 
 def change(zones, place, phase, index=1, **more):
-    number = zones.at(place).number
-    return zones.take(index, {"place": place, "phase": phase, "number": number, **more}, ZONES)
+    number = zones.place(place).number
+    return zones.apply(index, {"place": place, "phase": phase, "number": number, **more}, ZONES)
 
 
 class Agreed(unittest.TestCase):
     def test_the_order_of_states_is_kept_and_a_change_names_what_it_was_made_on(self):
-        zones = Zones()
+        zones = ZoneStates()
         self.assertEqual(change(zones, "z1", "left")["error"], "order")
         self.assertIn("ok", change(zones, "z1", "suspected"))
         old = {"place": "z1", "phase": "leaving", "number": 0}
-        self.assertEqual(zones.take(2, old, ZONES)["error"], "moved")
+        self.assertEqual(zones.apply(2, old, ZONES)["error"], "moved")
         for phase in ("leaving", "left", "returning", "serving"):
             self.assertIn("ok", change(zones, "z1", phase))
         self.assertEqual(change(zones, "z9", "suspected")["error"], "unknown")
 
     def test_the_last_zone_is_never_left(self):
-        zones = Zones()
+        zones = ZoneStates()
         for place in ("z0", "z1"):
             change(zones, place, "leaving")
         self.assertEqual(change(zones, "z2", "leaving")["error"], "last")
         self.assertIn("ok", change(zones, "z2/3", "leaving"))
 
     def test_it_comes_back_whole_from_its_state(self):
-        zones = Zones()
+        zones = ZoneStates()
         change(zones, "z1", "leaving", shed={"lookup": 0.4}, witnesses=["g1"])
-        zones.fence("z1", ["a", "b"], "g1")
-        again = Zones.of(json.loads(json.dumps(zones.state())))
-        self.assertEqual(again.state(), zones.state())
-        self.assertIs(again.at("z1").phase, Phase.LEAVING)
+        zones.apply_fence("z1", ["a", "b"], "g1")
+        again = ZoneStates.from_tree(json.loads(json.dumps(zones.to_tree())))
+        self.assertEqual(again.to_tree(), zones.to_tree())
+        self.assertIs(again.place("z1").phase, Phase.LEAVING)
 
     def test_fences_end_with_the_return(self):
-        zones = Zones()
-        self.assertEqual(zones.fence("z1", ["a"], "g1")["error"], "moved")
+        zones = ZoneStates()
+        self.assertEqual(zones.apply_fence("z1", ["a"], "g1")["error"], "moved")
         change(zones, "z1", "leaving")
-        zones.fence("z1", ["a"], "g1")
+        zones.apply_fence("z1", ["a"], "g1")
         for phase in ("left", "returning"):
             change(zones, "z1", phase)
             self.assertIn("a", zones.fenced)
@@ -74,8 +76,8 @@
     """Eight dispatchers: d0, d3, d6 in z0, d1, d4, d7 in z1, d2, d5 in z2."""
 
     def setUp(self):
-        self.marshal = Marshal(0.0, "l", Times(), 1.0, 0.5, 0.02)
-        self.zones, self.now, self.held = Zones(), 0.0, True
+        self.marshal = FailoverLeader(0.0, "l", FailoverTiming(), 1.0, 0.5, 0.02)
+        self.zones, self.now, self.held = ZoneStates(), 0.0, True
 
     def play(self, seconds, looks, names=EIGHT, zone_cut=(), **more):
         """All say the same for a while, `looks` by place; what came of it."""
@@ -84,20 +86,22 @@
             self.now += 0.05
             for n in names:
                 said = looks(n) if callable(looks) else looks
-                self.marshal.hear(
+                self.marshal.receive_report(
                     self.now,
                     f"d{n}",
                     f"d{n}.1",
-                    told(
-                        f"z{n % 3}",
-                        {"z0": "fine", "z1": "fine", "z2": "fine", **said},
-                        "its zone is cut off" if n in zone_cut else "",
-                        **more,
+                    ZoneReport.from_tree(
+                        told(
+                            f"z{n % 3}",
+                            {"z0": "fine", "z1": "fine", "z2": "fine", **said},
+                            "its zone is cut off" if n in zone_cut else "",
+                            **more,
+                        )
                     ),
                 )
-            for command in self.marshal.todo(self.now, self.zones, SETTINGS, lambda index: self.held):
-                self.zones.take(self.zones.number + 1, command, ZONES)
-        return self.zones.at("z1")
+            for change in self.marshal.due_changes(self.now, self.zones, SETTINGS, lambda index: self.held):
+                self.zones.apply(self.zones.number + 1, change.to_tree(), ZONES)
+        return self.zones.place("z1")
 
     def test_a_zone_that_others_call_down_is_left_and_comes_back_by_steps(self):
         self.assertIs(self.play(0.2, {"z1": "down"}).phase, Phase.SUSPECTED)
@@ -106,7 +110,7 @@
         self.assertEqual(self.play(1.5, {}).step, 1)
         steps = [self.play(0.5, {}).step for _ in range(30)]
         self.assertEqual([step for step, _ in itertools.groupby(steps)], [1, 2, 3, 4, 0])
-        self.assertIs(self.zones.at("z1").phase, Phase.SERVING)
+        self.assertIs(self.zones.place("z1").phase, Phase.SERVING)
 
     def test_it_is_not_left_before_everybody_holds_it(self):
         self.held = False
@@ -115,29 +119,35 @@
     def test_a_leader_that_takes_over_a_suspicion_does_not_begin_it_anew(self):
         def taken_over(names, seconds=0.05):
             """By a leader that has just heard so many, of eight that are members."""
-            self.marshal, self.now = Marshal(self.now, "m", Times(), 1.0, 0.5, 0.02), self.now + 0.05
-            self.marshal.gone({f"d{n}" for n in range(8)})
+            self.marshal, self.now = (
+                FailoverLeader(self.now, "m", FailoverTiming(), 1.0, 0.5, 0.02),
+                self.now + 0.05,
+            )
+            self.marshal.set_members({f"d{n}" for n in range(8)})
             return self.play(seconds, {"z1": "down"}, names).phase
 
         self.assertIs(self.play(0.1, {"z1": "down"}).phase, Phase.SUSPECTED)
         self.assertIs(taken_over((0, 2)), Phase.SUSPECTED)  # two may be wrong: they have to go on for a while
         self.assertIs(taken_over((0, 2, 3)), Phase.LEAVING)
-        self.zones = Zones()
+        self.zones = ZoneStates()
         self.assertIs(taken_over((0, 2, 3), 0.15), Phase.SUSPECTED)  # and what nobody suspected is confirmed
 
     def test_a_new_leader_hears_for_how_long_a_place_is_down_and_believes_a_third_of_all(self):
         """Its leader died before a suspicion was decided: that it is down is no news to those who say so."""
 
         def new_leader(spans):
-            self.marshal, self.zones = Marshal(self.now, "m", Times(), 1.0, 0.5, 0.02), Zones()
-            self.marshal.gone({f"d{n}" for n in range(8)})
+            self.marshal, self.zones = (
+                FailoverLeader(self.now, "m", FailoverTiming(), 1.0, 0.5, 0.02),
+                ZoneStates(),
+            )
+            self.marshal.set_members({f"d{n}" for n in range(8)})
             self.now += 0.05
             for n, ms in spans.items():
                 one = told(f"z{n % 3}", {"z0": "fine", "z1": "down", "z2": "fine"})
                 one["looks"]["z1"].append(ms)
-                self.marshal.hear(self.now, f"d{n}", f"d{n}.1", one)
-            commands = self.marshal.todo(self.now, self.zones, SETTINGS, lambda index: True)
-            return [one["phase"] for one in commands if one["place"] == "z1"]
+                self.marshal.receive_report(self.now, f"d{n}", f"d{n}.1", ZoneReport.from_tree(one))
+            changes = self.marshal.due_changes(self.now, self.zones, SETTINGS, lambda index: True)
+            return [one.phase.value for one in changes if one.place == "z1"]
 
         self.assertEqual(new_leader({0: 800, 2: 700, 3: 300}), ["leaving"])
         self.assertEqual(new_leader({0: 800, 2: 700}), ["suspected"])  # two of eight may be wrong
@@ -148,7 +158,7 @@
         settings = replace(
             SETTINGS, tenants=tuple(i.Tenant(name, portion=one) for name, one in portions.items())
         )
-        marshal, zones = Marshal(0.0, "l", Times(), 1.0, 0.5, 0.02), Zones()
+        marshal, zones = FailoverLeader(0.0, "l", FailoverTiming(), 1.0, 0.5, 0.02), ZoneStates()
         now = 0.0
 
         def play(until, stands, tenants):
@@ -161,33 +171,35 @@
                         if now > 1.0
                         else dict.fromkeys(ZONES, "fine")
                     )
-                    marshal.hear(
+                    marshal.receive_report(
                         now,
                         f"d{n}",
                         f"d{n}.1",
-                        told(
-                            f"z{n % 3}",
-                            looks,
-                            stands={"z1": 30.0, "z0": stands},
-                            size={"z0": 140.0, "z2": 100.0},
-                            rates={"lookup": 8.0},
-                            tenants={"lookup": tenants},
+                        ZoneReport.from_tree(
+                            told(
+                                f"z{n % 3}",
+                                looks,
+                                stands={"z1": 30.0, "z0": stands},
+                                size={"z0": 140.0, "z2": 100.0},
+                                rates={"lookup": 8.0},
+                                tenants={"lookup": tenants},
+                            )
                         ),
                     )
-                for command in marshal.todo(now, zones, settings, lambda index: True):
-                    zones.take(zones.number + 1, command, ZONES)
-            return zones.at("z1")
+                for change in marshal.due_changes(now, zones, settings, lambda index: True):
+                    zones.apply(zones.number + 1, change.to_tree(), ZONES)
+            return zones.place("z1")
 
         place = play(2.0, 10.0, {"acme": 2.0, "bolt": 5.0, "cogs": 1.0})
         self.assertIs(place.phase, Phase.LEFT)
         part = place.shed["lookup"]
         self.assertTrue(0.2 < part < 0.6, place)
-        self.assertEqual((place.part("lookup", "acme"), place.part("lookup", "cogs")), (0.0, 0.0))
-        self.assertAlmostEqual(place.part("lookup", "bolt") * 5.0, part * 8.0, delta=0.1)
-        self.assertEqual(place.part("lookup", "nobody"), part)  # of whom nothing is told
+        self.assertEqual((place.shed_part("lookup", "acme"), place.shed_part("lookup", "cogs")), (0.0, 0.0))
+        self.assertAlmostEqual(place.shed_part("lookup", "bolt") * 5.0, part * 8.0, delta=0.1)
+        self.assertEqual(place.shed_part("lookup", "nobody"), part)  # of whom nothing is told
         # The rest is nearly full, so as much is turned away; another one asks too much now.
         place = play(4.5, 27.0, {"acme": 6.0, "bolt": 1.0, "cogs": 1.0})
-        self.assertGreater(place.part("lookup", "acme"), place.part("lookup", "bolt"))
+        self.assertGreater(place.shed_part("lookup", "acme"), place.shed_part("lookup", "bolt"))
 
     def test_one_alone_moves_nobody_whatever_it_says(self):
         self.play(5.0, lambda n: {zone: "down" for zone in ZONES} if n == 0 else {})
@@ -196,7 +208,7 @@
     def test_nor_does_a_minority_where_others_answer(self):
         self.play(5.0, lambda n: {"z1": "down"} if n in (0, 2) else {})
         self.assertEqual(self.marshal.status(self.now, ["z1"])["witnesses"]["z1"]["down"], ["d0", "d2"])
-        self.assertNotIn(self.zones.at("z1").phase, (Phase.LEAVING, Phase.LEFT))
+        self.assertNotIn(self.zones.place("z1").phase, (Phase.LEAVING, Phase.LEFT))
 
     def test_those_whose_own_zone_is_cut_off_are_no_witnesses_against_the_others(self):
         cut = [n for n in range(8) if n % 3 == 1]
@@ -226,35 +238,35 @@
         stays = []
         for _ in range(3):
             self.play(2.0, {"z1": "down"})
-            self.assertIs(self.zones.at("z1").phase, Phase.LEFT)
+            self.assertIs(self.zones.place("z1").phase, Phase.LEFT)
             began = self.now
-            while self.zones.at("z1").phase is Phase.LEFT:
+            while self.zones.place("z1").phase is Phase.LEFT:
                 self.play(0.1, {})
             stays.append(self.now - began)
         self.assertTrue(stays[0] < stays[1] < stays[2], stays)
 
     def test_a_return_steps_back_at_trouble_without_leaving(self):
         self.play(1.0, {"z1": "down"})
-        while self.zones.at("z1").step < 2:
+        while self.zones.place("z1").step < 2:
             self.play(0.1, {}, starts={"z1": [10, 10, 0]})
         phases = []
         for wrong in range(1, 8):
             self.play(0.2, {}, starts={"z1": [10 + 2 * wrong, 10 + wrong, wrong]})
-            phases.append((self.zones.at("z1").phase, self.zones.at("z1").step))
+            phases.append((self.zones.place("z1").phase, self.zones.place("z1").step))
         self.assertIn((Phase.RETURNING, 1), phases)
         self.assertNotIn(Phase.LEFT, {phase for phase, _ in phases})
 
     def test_a_new_leader_goes_on_at_the_step_that_was_agreed(self):
         self.play(1.0, {"z1": "down"})
-        while self.zones.at("z1").step < 3:
+        while self.zones.place("z1").step < 3:
             self.play(0.1, {})
-        self.marshal = Marshal(self.now, "l2", Times(), 1.0, 0.5, 0.02)
+        self.marshal = FailoverLeader(self.now, "l2", FailoverTiming(), 1.0, 0.5, 0.02)
         self.assertEqual(self.play(1.0, {}).step, 3)
         self.assertIs(self.play(6.0, {}).phase, Phase.SERVING)
 
     def test_of_three_zones_that_are_called_down_the_last_is_kept(self):
         self.play(3.0, {"z0": "down", "z1": "down", "z2": "down"})
-        left = [zone for zone in ZONES if self.zones.at(zone).phase is Phase.LEFT]
+        left = [zone for zone in ZONES if self.zones.place(zone).phase is Phase.LEFT]
         self.assertEqual(len(left), 2)
         self.assertEqual(self.marshal.status(self.now, ZONES)["kept_last"], sorted(set(ZONES) - set(left)))
 
@@ -262,7 +274,7 @@
         self.play(1.0, {}, stands={"z1": 30.0}, size={"z0": 100.0, "z2": 100.0}, rates={"lookup": 5.0})
 
         def word(word, **more):
-            return self.marshal.operator(
+            return self.marshal.operator_command(
                 self.now,
                 {"id": "x", "place": "z1", "word": word, "why": "power", **more},
                 self.zones,
@@ -273,11 +285,11 @@
         command = word("leave", despite=True)
         self.assertEqual((command["phase"], set(command["shed"])), ("leaving", {"lookup"}))
         self.assertEqual(word("return")["error"], "order")
-        self.zones.take(1, command, ZONES)
+        self.zones.apply(1, command, ZONES)
         self.assertIs(self.play(20.0, {}).phase, Phase.LEFT)  # it does not come back by itself
-        self.zones.take(2, word("return"), ZONES)
+        self.zones.apply(2, word("return"), ZONES)
         self.assertIs(self.play(14.0, {}).phase, Phase.SERVING)
-        self.zones.hold(3, word("hold"))
+        self.zones.apply_hold(3, word("hold"))
         self.assertIs(self.play(5.0, {"z1": "down"}).phase, Phase.SERVING)
 
 
@@ -285,7 +297,12 @@
     def setUp(self):
         self.group = Group()
         self.zoning = Zoning(
-            0.0, "l", 1, Times(), Coordinator(Spans(), 0.0, lambda tree: SETTINGS), lambda tree: SETTINGS
+            0.0,
+            "l",
+            1,
+            FailoverTiming(),
+            Coordinator(Spans(), 0.0, lambda tree: SETTINGS),
+            lambda tree: SETTINGS,
         )
 
     def activate(self):
--- a/weldhatch/cluster/admission.py
+++ b/weldhatch/cluster/admission.py
@@ -7,7 +7,7 @@
 from weldhatch.coordination.lease_holder import Holder
 from weldhatch.core.ports import Task
 from weldhatch.scheduling import types as i
-from weldhatch.zones.failover_member import Keeper
+from weldhatch.zones.failover_member import FailoverMember
 
 WAIT_US = 1_000_000  # for an owner that is turned away; settings may bound it
 
@@ -25,7 +25,7 @@
         """`name_of`: what operators call the machine of that number; `rev`: of our own list of machines."""
         self._holder, self._now, self._name_of, self._rev = holder, now, name_of, rev
         self.refused = self.stopped = 0
-        self.keeper: Keeper | None = None  # where the group leaves zones that fail
+        self.keeper: FailoverMember | None = None  # where the group leaves zones that fail
 
     def _refusal(self, class_index: int, machine: str) -> str:
         rules = self._holder.rules
@@ -39,10 +39,10 @@
         if not self._refusal(task.class_index, ""):
             away = None
             if self.keeper is not None:
-                away = self.keeper.away(self._now(), task.class_index, task.key, task.tenant, task.cores)
+                away = self.keeper.rejection(self._now(), task.class_index, task.key, task.tenant, task.cores)
             if away is None:
                 return None
-            wait = max(1, int(1e6 * away.wait_s))
+            wait = max(1, int(1e6 * away.retry_after_s))
         self.refused += 1
         told: i.Settings | None = self._holder.rules and self._holder.rules.narrow.settings
         most = told.max_retry_after_us if told is not None and told.retry_after else WAIT_US
@@ -51,6 +51,6 @@
     def stops(self, class_index: int, machine: int, attempt: int = -1) -> str:
         why = self._refusal(class_index, self._name_of(machine))
         if not why and self.keeper is not None:
-            why = self.keeper.stops(self._now(), machine, attempt)
+            why = self.keeper.start_refusal(self._now(), machine, attempt)
         self.stopped += bool(why)
         return why
--- a/weldhatch/cluster/control_api.py
+++ b/weldhatch/cluster/control_api.py
@@ -184,7 +184,7 @@
 
     async def _zones(self) -> dict:
         """What was agreed on zones, and what the leader knows of them."""
-        zones = self.agreement.holder.group.zones.state()
+        zones = self.agreement.holder.group.zones.to_tree()
         leader = await self._leader_status()
         return {
             **zones,
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -6,7 +6,7 @@
 
 from weldhatch.coordination.lease_holder import Holder
 from weldhatch.scheduling import types as i
-from weldhatch.zones.endpoint_overlay import Narrowed
+from weldhatch.zones.endpoint_overlay import EndpointOverlay
 
 GONE_MOST = 5000  # machines that went, and that the group may not know of yet
 
@@ -19,7 +19,7 @@
         self.states: dict[str, str] = {}  # by uid, as our own list says
         self._ids: dict[str, int] = {}  # of those that are not gone
         self._uids: dict[int, str] = {}
-        self._told = Narrowed()
+        self._told = EndpointOverlay()
         self.changed: Callable[[], None] = lambda: None
 
     def heard(self, topology: dict, machines: tuple[i.Machine, ...]) -> None:
@@ -29,12 +29,12 @@
         if topology.get("all"):
             for uid in self._ids.keys() - set(uids):
                 self.states[uid] = "gone"
-                self._told.gone(self._ids[uid])
+                self._told.machine_removed(self._ids[uid])
                 self._forget(uid)
         for uid, machine in zip(uids, machines, strict=True):
             self.states[uid] = machine.state.name.lower()
             self._ids[uid], self._uids[machine.id] = machine.id, uid
-            self._told.heard(machine)
+            self._told.machine_listed(machine)
             if machine.state is i.MachineState.GONE:
                 self._forget(uid)
         gone = [uid for uid, state in self.states.items() if state == "gone"]
@@ -71,4 +71,4 @@
             state = holder.acts(self._uids[machine.id], self.rev)
             return zoned(machine.id) if state == "ready" and zoned is not None else state
 
-        return self._told.news(ids, acts)
+        return self._told.changes(ids, acts)
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -25,7 +25,7 @@
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.remote_sites import link_contexts
 from weldhatch.scheduling import types as i
-from weldhatch.zones.endpoint_overlay import Narrowed
+from weldhatch.zones.endpoint_overlay import EndpointOverlay
 
 
 class Front(Protocol):
@@ -91,7 +91,7 @@
             return ""
 
         contexts = link_contexts(told.keys, told.name, "agreement.keys")
-        self._roll, self.zoner, self._known = front.roll, None, Narrowed()
+        self._roll, self.zoner, self._known = front.roll, None, EndpointOverlay()
         if zones is not None:
             if self._roll is None:
                 front.driver.watches.append(self._listed)
@@ -111,7 +111,7 @@
             shared=self.zoner.shared if self.zoner is not None else lambda shares, asked: None,
         )
         if self.zoner is not None:
-            front.on_break(self.zoner.keeper.broke)
+            front.on_break(self.zoner.keeper.connection_lost)
             self.zoner.join(self.agreement, self._roll.machines if self._roll is not None else ())
         rev = (lambda: self._roll.rev) if self._roll is not None else (lambda: 0)
         self._gate = Gate(self.agreement.holder, clock, front.name_of, rev)
@@ -136,7 +136,7 @@
         if rules is not None and rules.narrow.settings != self._front.settings:
             self._front.rule(rules.narrow.settings, self._gate)
             if self.zoner is not None:
-                self.zoner.keeper.settle(rules.narrow.settings)
+                self.zoner.keeper.update_settings(rules.narrow.settings)
         for machine, word in self.agreement.holder.group.words.items():
             self._front.agreed(machine, word.acts, word.fence, word.op)
         if self.zoner is not None:
@@ -148,17 +148,17 @@
     def _narrow(self) -> None:
         """Tell the module of machines that count for less, or for more again, than our list says."""
         zoned, keeper, now = None, self.zoner.keeper if self.zoner is not None else None, clock()
-        if keeper is not None and (keeper.zones.entries or keeper.hushed):
+        if keeper is not None and (keeper.zones.entries or keeper.silent_zones):
 
             def zoned(machine: int) -> str:
-                return keeper.state(now, machine)
+                return keeper.effective_state(now, machine)
 
         if self._roll is not None:
             if machines := self._roll.narrow(self.agreement.holder, zoned):
                 self._front.listed(machines)
         elif keeper is not None:
             known = self._known
-            if machines := known.news(
+            if machines := known.changes(
                 known.entries if zoned else (), lambda machine: zoned(machine.id) if zoned else "ready"
             ):
                 self._front.driver.tell(i.MachinesChanged(i.ListForm.DELTA, machines))
@@ -167,7 +167,7 @@
         """What the module hears of machines that make themselves known."""
         if isinstance(event, i.MachinesChanged):
             for machine in event.machines:
-                self._known.heard(machine)
+                self._known.machine_listed(machine)
 
     def _tell(self) -> None:
         """Our own list has news for the group: told once at a time, and again once the group is heard."""
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -16,7 +16,7 @@
 from weldhatch.coordination.leader import Spans
 from weldhatch.coordination.messages import Word
 from weldhatch.scheduling import types as i
-from weldhatch.zones.failover_leader import Times
+from weldhatch.zones.failover_rules import FailoverTiming
 
 TICK = 0.0375  # of the stated time: half of the beat of voters
 HOLDS_S = 0.02  # how often it is looked whether something is held
@@ -46,7 +46,7 @@
         event: Callable[..., None],
         tls: tuple = (None, None),
         now: Callable[[], float] = clock,
-        zones: Times | None = None,
+        zones: FailoverTiming | None = None,
         shared: Callable[[str, float], None] = lambda shares, asked: None,
     ) -> None:
         """`zones`: where the group leaves zones that fail; `shared` hears of starts on those that return."""
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -10,8 +10,8 @@
 from weldhatch.cluster.node import Agreement, Unreached
 from weldhatch.core.policy_driver import Driver
 from weldhatch.scheduling import types as i
-from weldhatch.zones.failover_member import Keeper
-from weldhatch.zones.start_quota import Share
+from weldhatch.zones.failover_member import FailoverMember
+from weldhatch.zones.start_quota import StartQuota
 from weldhatch.zones.state import Phase
 
 TICK_S = 0.1
@@ -33,7 +33,7 @@
         log: Callable[[str], None],
         now: Callable[[], float],
     ) -> None:
-        self.keeper = Keeper(settings, drift, Random(), uid_of)
+        self.keeper = FailoverMember(settings, drift, Random(), uid_of)
         self._driver, self._changed, self._log, self._now = driver, changed, log, now
         self._stated = stated
         self._agreement: Agreement | None = None
@@ -42,12 +42,12 @@
         self._looks: object = None
         self._last_looks: object = None
         self._telling: asyncio.Task | None = None
-        driver.watches.append(lambda event: self.keeper.heard(now(), event))
+        driver.watches.append(lambda event: self.keeper.handle_event(now(), event))
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def join(self, agreement: Agreement, machines: tuple[i.Machine, ...]) -> None:
         """`machines`: those that the module heard of before we listened to what it hears."""
-        self.keeper.heard(self._now(), i.MachinesChanged(i.ListForm.DELTA, machines))
+        self.keeper.handle_event(self._now(), i.MachinesChanged(i.ListForm.DELTA, machines))
         self._agreement = agreement
         agreement.member.sight = self.sight
 
@@ -55,14 +55,14 @@
         """What the leader is to hear with the next question; '' where it was told lately."""
         report = self.keeper.report(now)
         looks = [
-            report["cut"],
-            {place: look[0] for place, look in report["looks"].items()},
-            report.get("starts"),
+            report.isolation,
+            {place: one.health for place, one in report.places.items()},
+            report.starts,
         ]
         if looks == self._looks and now - self._told_at < TELL * self._stated:
             return ""
         self._looks, self._told_at = looks, now
-        return json.dumps(report, separators=(",", ":"))
+        return report.to_json()
 
     def _tick(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
@@ -70,18 +70,18 @@
         for machine in self.keeper.tick(now):
             self._driver.site.probe(
                 machine,
-                lambda outcome, report, machine=machine: self.keeper.heard(
+                lambda outcome, report, machine=machine: self.keeper.handle_event(
                     self._now(), i.ProbeAnswered(machine, outcome, 0, report)
                 ),
             )
         if self._agreement is None:
             return
-        counts = self.keeper.sight.counts(now)
-        looks = {place: counts[place].look() for place in self.keeper.sight.zones}
+        counts = self.keeper.observations.counts(now)
+        looks = {place: counts[place].health() for place in self.keeper.observations.zones}
         if looks != self._last_looks:
             self._last_looks = looks
             self._agreement.ask()
-        hushed, self._hushed = self._hushed, self.keeper.hushed
+        hushed, self._hushed = self._hushed, self.keeper.silent_zones
         if hushed != self._hushed:
             for zone in sorted(hushed ^ self._hushed):
                 self._log(
@@ -92,13 +92,13 @@
             self._changed()
         if any(one.phase is not Phase.SERVING for one in self.keeper.zones.entries.values()):
             self._changed()  # shares lapse by time alone, and machines are told of anew
-        if self._telling is None and self.keeper.fences()[1]:
+        if self._telling is None and self.keeper.unreported_fences()[1]:
             self._telling = asyncio.get_running_loop().create_task(self._fence())
 
     async def _fence(self) -> None:
         """Tell the group of tasks that may still run behind a cut."""
         try:
-            while (told := self.keeper.fences())[1]:
+            while (told := self.keeper.unreported_fences())[1]:
                 result = await self._agreement.command(
                     {"do": "fence", "place": told[0], "keys": told[1], "by": self._agreement.told.name}
                 )
@@ -114,15 +114,15 @@
 
     def agreed(self) -> None:
         """The group's state has changed here."""
-        self.keeper.agreed(self._now(), self._agreement.holder.group.zones)
+        self.keeper.apply_agreed_state(self._now(), self._agreement.holder.group.zones)
 
     def shared(self, shares: str, asked: float) -> None:
         try:
-            told = [Share(*one) for one in json.loads(shares)[:READ_MOST]]
+            told = [StartQuota.from_tree(one) for one in json.loads(shares)[:READ_MOST]]
         except (ValueError, TypeError):
             self._log("zones: shares that can't be read are left")
             return
-        if self.keeper.take(told, asked):
+        if self.keeper.receive_quotas(told, asked):
             self._changed()
 
     def close(self) -> None:
--- a/weldhatch/config.py
+++ b/weldhatch/config.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from weldhatch.planning.engine import Patience
     from weldhatch.planning.fleet import Fleet
-    from weldhatch.zones.failover_leader import Times
+    from weldhatch.zones.failover_rules import FailoverTiming
 
 # ---- what the platform tells a dispatcher -----------------------------------------------------------------
 
@@ -159,7 +159,7 @@
 class ZonesFile:
     """Leaving zones that fail: with the others of the agreement, or `alone`."""
 
-    times: Times
+    times: FailoverTiming
     alone: bool
 
 
@@ -362,10 +362,10 @@
     if not told:
         return None
     from weldhatch.zones.failover_leader import (
-        Times,  # only where it is used: `run` on the platform needs none of it
+        FailoverTiming,  # only where it is used: `run` on the platform needs none of it
     )
 
-    spans = {name: default for name, default in asdict(Times()).items() if name != "quorum"}
+    spans = {name: default for name, default in asdict(FailoverTiming()).items() if name != "quorum"}
     for key in told:
         if key not in spans and key not in ("enabled", "alone", "quorum"):
             raise ConfigError(f"zones.{key} is no key of a pull queue's file")
@@ -384,7 +384,7 @@
         return None
     if not alone and not tree.get("agreement"):
         raise ConfigError("zones needs the table agreement (or zones.alone = true): a fleet leaves together")
-    return ZonesFile(Times(**values, quorum=1 if alone else quorum), alone)
+    return ZonesFile(FailoverTiming(**values, quorum=1 if alone else quorum), alone)
 
 
 def _span(key: str, value: object, least: float) -> float:
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -20,7 +20,7 @@
 from weldhatch.coordination.state_machine import Group
 from weldhatch.coordination.zone_leader import Zoning
 from weldhatch.scheduling import types as i
-from weldhatch.zones.failover_leader import Times
+from weldhatch.zones.failover_rules import FailoverTiming
 
 SNAPSHOT_EVERY = 400  # entries
 JOIN_AGAIN_S = 0.5
@@ -59,7 +59,7 @@
         now: float,
         saved: Saved | None,
         begin: dict[str, str] | None = None,
-        zones: Times | None = None,
+        zones: FailoverTiming | None = None,
     ) -> None:
         """`saved`: a voter's log, None for one that never votes; `begin`: the first voters of a new group;
         `first`: the settings that are proposed where a group has none yet; `zones`: where the group leaves
--- a/weldhatch/coordination/state_machine.py
+++ b/weldhatch/coordination/state_machine.py
@@ -12,7 +12,7 @@
 from dataclasses import asdict, dataclass, field
 
 from weldhatch.coordination.drain_reports import ORDER, Lists, narrower
-from weldhatch.zones.state import Zones
+from weldhatch.zones.state import ZoneStates
 
 HISTORY_MOST = 100
 TREES_MOST = 20  # versions whose settings are kept, to tell what moved
@@ -69,7 +69,7 @@
         self.rev = 0  # of the list of words
         self.unsettled = 0  # the newest rev that widens and is not settled; 0 for none
         self.lists = Lists()  # what dispatchers' own lists of machines have told
-        self.zones = Zones()  # zones and racks that are left, or return
+        self.zones = ZoneStates()  # zones and racks that are left, or return
         self.recoveries: list[dict] = []
         self.results: dict[str, dict] = {}
         self._digest = ""
@@ -167,14 +167,14 @@
 
     def _do_zone(self, it: dict) -> dict:
         """By the leader on its witnesses' word, or by an operator through the leader."""
-        return self.zones.take(self.index, it, self.active.tree.get("zones", []) if self.active else [])
+        return self.zones.apply(self.index, it, self.active.tree.get("zones", []) if self.active else [])
 
     def _do_zone_hold(self, it: dict) -> dict:
-        return self.zones.hold(self.index, it)
+        return self.zones.apply_hold(self.index, it)
 
     def _do_fence(self, it: dict) -> dict:
         """By a dispatcher that has left a place: tasks of its own that may still run there."""
-        return {**self.zones.fence(it["place"], it["keys"], it["by"]), "index": self.index}
+        return {**self.zones.apply_fence(it["place"], it["keys"], it["by"]), "index": self.index}
 
     def _do_settled(self, it: dict) -> dict:
         """By the leader: everybody holds the list up to this revision."""
@@ -222,7 +222,7 @@
                 "unsettled": self.unsettled,
                 "recoveries": self.recoveries,
                 "lists": asdict(self.lists),
-                "zones": self.zones.state(),
+                "zones": self.zones.to_tree(),
                 "results": list(self.results.items()),
             },
             sort_keys=True,
@@ -241,7 +241,9 @@
         self.history, self.recoveries = told["history"], told["recoveries"]
         self.results = dict(told["results"])  # pairs: their order says which are the oldest
         self.lists = Lists(**told["lists"])
-        self.zones = Zones.of(told["zones"]) if "zones" in told else Zones()  # of a version before them
+        self.zones = (
+            ZoneStates.from_tree(told["zones"]) if "zones" in told else ZoneStates()
+        )  # of a version before them
         self.words = {n: Word(**word) for n, word in told["words"].items()}
         self._digest = ""
 
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -31,7 +31,7 @@
 from weldhatch.scheduling.policy import Policy
 
 if TYPE_CHECKING:
-    from weldhatch.standalone_zones import Alone
+    from weldhatch.standalone_zones import StandaloneZones
 
 LISTEN_ON_S = 0.7  # after SIGTERM requests keep coming for so long, and are served
 LAST_READ_S = 0.05  # what had been written to us when we ceased to listen is read and answered
@@ -63,7 +63,7 @@
         told: config.Platform,
         log: Callable[[str], None],
         roll: Roll | None = None,
-        alone: Alone | None = None,
+        alone: StandaloneZones | None = None,
     ) -> None:
         """`roll`: hears the list of machines too, where dispatchers agree on what it says, or where we leave
         zones that fail `alone`."""
@@ -194,9 +194,9 @@
 
                 roll = OwnRoll()
             elif pull is not None and pull.zones is not None:
-                from weldhatch.standalone_zones import Alone
+                from weldhatch.standalone_zones import StandaloneZones
 
-                roll = alone = Alone(pull.zones.times, log)
+                roll = alone = StandaloneZones(pull.zones.times, log)
             self._gateway = Gateway(told, log, roll, alone)
             self.fronts.append(self._gateway)
             log(f"{told.name} listens on {told.listen[0]}:{told.listen[1]}")
--- a/weldhatch/simulation/seeded_defects.py
+++ b/weldhatch/simulation/seeded_defects.py
@@ -22,7 +22,7 @@
 from weldhatch.pullqueue.durable_state import Durable
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.simulation.scenario_runner import SCENARIOS, play
-from weldhatch.zones.failover_leader import Marshal
+from weldhatch.zones.failover_rules import FailoverRules
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,7 +61,7 @@
 
 
 def _never_returns() -> AbstractContextManager:
-    return mock.patch.object(Marshal, "_return", lambda *_: None)
+    return mock.patch.object(FailoverRules, "_change_of_returning", lambda *_: None)
 
 
 def _sent_late() -> AbstractContextManager:
--- a/weldhatch/simulation/zone_scenario.py
+++ b/weldhatch/simulation/zone_scenario.py
@@ -26,7 +26,7 @@
 from weldhatch.simulation.world import World
 from weldhatch.testbed.servers import Halls, Pace, Server, doubled
 from weldhatch.testbed.zone_cluster import HALLS, SETTINGS
-from weldhatch.zones.state import AWAY, Phase
+from weldhatch.zones.state import NO_NEW_WORK, Phase
 
 HOST, BUS, SERVERS = "127.0.0.1", ("127.0.0.1", 9_000), 12_000
 COLD, WARM_S = 2, 3.0
@@ -370,7 +370,7 @@
                 if self.hall(name) != hall
                 and self.world.alive(name)
                 and not self.world.lives[name].stopped
-                and self.governors[name].agreement.holder.group.zones.at(hall).phase not in AWAY
+                and self.governors[name].agreement.holder.group.zones.place(hall).phase not in NO_NEW_WORK
             ]
             if not waits:
                 return
@@ -407,7 +407,7 @@
             (name, hall)
             for name, one in self.governors.items()
             for hall in HALLS
-            if one.agreement.holder.group.zones.at(hall).phase is not Phase.SERVING
+            if one.agreement.holder.group.zones.place(hall).phase is not Phase.SERVING
         ]
 
     def _whole(self) -> bool:
--- a/weldhatch/testbed/simulated_zones.py
+++ b/weldhatch/testbed/simulated_zones.py
@@ -14,10 +14,12 @@
 from random import Random
 
 from weldhatch.scheduling import types as i
-from weldhatch.zones.failover_leader import Marshal, Times
-from weldhatch.zones.failover_member import Keeper
-from weldhatch.zones.start_quota import Share
-from weldhatch.zones.state import Phase, Zones
+from weldhatch.zones.failover_leader import FailoverLeader
+from weldhatch.zones.failover_member import FailoverMember
+from weldhatch.zones.failover_rules import FailoverTiming
+from weldhatch.zones.reports import ZoneReport
+from weldhatch.zones.start_quota import StartQuota
+from weldhatch.zones.state import Phase, ZoneStates
 
 STATED, DRIFT = 2.0, 0.02
 ASK_S, TICK_S = 0.2, 0.05
@@ -62,13 +64,13 @@
         loss: float = 0.02,
         delay_s: float = 0.02,
         every_s: float = 0.05,
-        times: Times | None = None,
+        times: FailoverTiming | None = None,
         silence_s: float = 0.27,
     ) -> None:
         """`silence_s`: until a start that is not answered is given up; probes are after a quarter of a
         second."""
         self.random, self.loss, self.delay_s, self.every_s = Random(seed), loss, delay_s, every_s
-        self.times, self.silence_s = times or Times(), silence_s
+        self.times, self.silence_s = times or FailoverTiming(), silence_s
         self.settings = settings(zones, dispatchers)
         self.now = 0.0
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
@@ -78,8 +80,8 @@
             [n for n, one in enumerate(self.machines) if one.zone == zone] for zone in range(zones)
         ]
         listed = tuple(i.Machine(n, one.zone, 0, one.cell) for n, one in enumerate(self.machines))
-        self.zones, self.changes = Zones(), []
-        self.keepers: list[Keeper] = []
+        self.zones, self.changes = ZoneStates(), []
+        self.keepers: list[FailoverMember] = []
         self.alive = [True] * dispatchers
         self.cut_off: set[int] = set()  # dispatchers whose words to the leader are lost
         self.blind: dict[int, set[int]] = {}  # dispatcher: zones that never answer it
@@ -87,18 +89,18 @@
         self._held = [0] * dispatchers
         self._heard = [0.0] * dispatchers
         self.left_at: dict[tuple[int, str], float] = {}  # dispatcher and place: when it left last
-        self.leader = Marshal(0.0, "l0", self.times, 1.0, 0.25 * STATED, DRIFT)
+        self.leader = FailoverLeader(0.0, "l0", self.times, 1.0, 0.25 * STATED, DRIFT)
         self.leaders = 1
         self.starts = 0
         self.unheard = 0  # starts that nobody will ever answer
         for n in range(dispatchers):
-            keeper = Keeper(
+            keeper = FailoverMember(
                 replace(self.settings, zone=n % zones),
                 DRIFT,
                 Random(seed * 1000 + n),
                 lambda machine: self.machines[machine].uid,
             )
-            keeper.heard(0.0, i.MachinesChanged(i.ListForm.FULL, listed))
+            keeper.handle_event(0.0, i.MachinesChanged(i.ListForm.FULL, listed))
             self.keepers.append(keeper)
             self._later(self.random.random() * ASK_S, lambda n=n: self._ask(n))
             self._later(self.random.random() * TICK_S, lambda n=n: self._tick(n))
@@ -131,7 +133,7 @@
         self._later(ASK_S, lambda: self._ask(n))
         if not self.alive[n] or n in self.cut_off:
             return
-        told = self.keepers[n].report(self.now)
+        told = self.keepers[n].report(self.now).to_tree()
         if n in self.liars:
             told |= {
                 "cut": "",
@@ -144,26 +146,26 @@
         if self.leader is None:
             return
         self._heard[n], self._held[n] = self.now, held
-        self.leader.hear(self.now, f"d{n}", f"d{n}.1", told)
-        shares = self.leader.shares(self.now, f"d{n}.1", self.zones, self.settings)
-        state = json.dumps(self.zones.state()) if held < self.zones.number else ""
+        self.leader.receive_report(self.now, f"d{n}", f"d{n}.1", ZoneReport.from_tree(told))
+        shares = self.leader.quotas_for(self.now, f"d{n}.1", self.zones, self.settings)
+        state = json.dumps(self.zones.to_tree()) if held < self.zones.number else ""
         self._send(lambda: self._answered(n, shares, sent, state))
 
-    def _answered(self, n: int, shares: list[Share], sent: float, state: str) -> None:
+    def _answered(self, n: int, shares: list[StartQuota], sent: float, state: str) -> None:
         if self.alive[n] and n not in self.cut_off:
             if state:
                 self._hold(n, state)
-            self.keepers[n].take(shares, sent)
+            self.keepers[n].receive_quotas(shares, sent)
 
     def _hold(self, n: int, state: str) -> None:
-        zones = Zones.of(json.loads(state))
+        zones = ZoneStates.from_tree(json.loads(state))
         if self.alive[n] and n not in self.cut_off and zones.number > self.keepers[n].zones.number:
             before = {
                 name
                 for name, one in self.keepers[n].zones.entries.items()
                 if one.phase in (Phase.LEAVING, Phase.LEFT)
             }
-            self.keepers[n].agreed(self.now, zones)
+            self.keepers[n].apply_agreed_state(self.now, zones)
             for name, one in zones.entries.items():
                 if one.phase in (Phase.LEAVING, Phase.LEFT) and name not in before:
                     self.left_at[n, name] = self.now
@@ -182,9 +184,11 @@
         keeper = self.keepers[n]
         for _ in range(6):
             machine = self.random.randrange(len(self.machines))
-            if keeper.state(self.now, machine) == "ready" and not keeper.stops(self.now, machine, 0):
+            if keeper.effective_state(self.now, machine) == "ready" and not keeper.start_refusal(
+                self.now, machine, 0
+            ):
                 self._serial += 1
-                keeper.heard(self.now, i.RequestArrived(self._serial, 0, 0, 1, 1.0, 1.0))
+                keeper.handle_event(self.now, i.RequestArrived(self._serial, 0, 0, 1, 1.0, 1.0))
                 self._exchange(n, machine, self._serial)
                 return
 
@@ -213,17 +217,17 @@
         keeper = self.keepers[n]
         if not request:
             outcome = i.Outcome.OK if reached else i.Outcome.TIMEOUT
-            keeper.heard(self.now, i.ProbeAnswered(machine, outcome))
+            keeper.handle_event(self.now, i.ProbeAnswered(machine, outcome))
         elif reached:
-            keeper.heard(self.now, i.Placed(request, 0, machine, 0))
+            keeper.handle_event(self.now, i.Placed(request, 0, machine, 0))
             self._later(
                 3.0,
-                lambda: keeper.heard(
+                lambda: keeper.handle_event(
                     self.now, i.AttemptEnded(request, 0, machine, i.Outcome.OK, closed=True)
                 ),
             )
         else:
-            keeper.heard(self.now, i.AttemptEnded(request, 0, machine, i.Outcome.TIMEOUT, closed=True))
+            keeper.handle_event(self.now, i.AttemptEnded(request, 0, machine, i.Outcome.TIMEOUT, closed=True))
 
     # ---- the leader ------------------------------------------------------------------------------------
 
@@ -238,20 +242,20 @@
                 for n in range(len(self.keepers))
             )
 
-        self.leader.gone({f"d{n}" for n in range(len(self.keepers))})
-        for command in self.leader.todo(self.now, self.zones, self.settings, held):
-            result = self.zones.take(self.zones.number + 1, command, self.settings.zones)
+        self.leader.set_members({f"d{n}" for n in range(len(self.keepers))})
+        for change in self.leader.due_changes(self.now, self.zones, self.settings, held):
+            result = self.zones.apply(self.zones.number + 1, change.to_tree(), self.settings.zones)
             if "error" not in result:
                 self.changes.append(
                     (
                         round(self.now, 2),
-                        command["place"],
-                        command["phase"],
-                        command.get("step", 0),
-                        command["why"],
+                        change.place,
+                        change.phase.value,
+                        change.step or 0,
+                        change.reason,
                     )
                 )
-                state = json.dumps(self.zones.state())
+                state = json.dumps(self.zones.to_tree())
                 for n in range(len(self.keepers)):
                     self._send(lambda n=n, state=state: self._hold(n, state))
 
@@ -260,7 +264,7 @@
         self.leader = None
 
         def elected() -> None:
-            self.leader = Marshal(self.now, f"l{self.leaders}", self.times, 1.0, 0.25 * STATED, DRIFT)
+            self.leader = FailoverLeader(self.now, f"l{self.leaders}", self.times, 1.0, 0.25 * STATED, DRIFT)
             self.leaders += 1
 
         self._later(gone_s, elected)
@@ -283,7 +287,7 @@
         return [when for when, name, phase, _, _ in self.changes if name == place and phase == "leaving"]
 
     def oscillations(self, failures: dict[str, int]) -> int:
-        """Times that a place was left beyond its true failures."""
+        """FailoverTiming that a place was left beyond its true failures."""
         left = [name for _, name, phase, _, _ in self.changes if phase == "leaving"]
         return sum(max(0, left.count(name) - failures.get(name, 0)) for name in set(left))
 
--- a/weldhatch/zones/load_shedding.py
+++ b/weldhatch/zones/load_shedding.py
@@ -1,84 +1,95 @@
-"""Whose work is turned away where not all can be borne: what is asked over a share goes first. Pure.
+"""Decide whose work is shed where not all can be taken: what is asked over a fair share goes first. Pure.
 
 Weighted max-min fairness (Bertsekas and Gallager 1992, 6.5.2): a tenant that asks no more than its share of
-what can be borne loses nothing, and what it leaves is shared by the others. Rates are cores a second.
+the capacity loses nothing, and what it leaves is shared by the others. Rates are cores a second.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Tenant
+from weldhatch.zones.reports import ZoneReport
 
-TOLD_MOST = 8  # pairs of class and tenant that one report names: it stays under 1 KB
-MOVED = 0.1  # a tenant's part that has moved by less is not worth a change of the agreed state
+MAX_REPORTED_RATES = 8  # pairs of class and tenant that one report names: it stays under 1 KB
+MIN_DIFFERENCE = 0.1  # a tenant's part that has moved by less is not worth a change of the agreed state
 
 
-def weights(tenants: Iterable[i.Tenant]) -> dict[str, float]:
-    """Each tenant's share by the first of cores, rate and portion that the settings give all of them;
-    equal ones where they give none."""
-    told = list(tenants)
-    for read in (lambda one: one.cores, lambda one: one.quota_per_s, lambda one: one.portion):
-        if told and all(read(one) > 0 for one in told):
-            return {one.name: read(one) for one in told}
-    return {one.name: 1.0 for one in told}
+def tenant_weights(tenants: Iterable[Tenant]) -> dict[str, float]:
+    """Return each tenant's weight: the first of cores, rate and portion that the settings give all of them.
 
-
-def borne(rates: Mapping[str, float], shares: Mapping[str, float], room: float) -> dict[str, float]:
-    """Of each tenant's rate, what can be borne: together `room`, or all where that is less."""
-    out, left = {}, max(0.0, room)
-    open_ = sorted(rates, key=lambda name: rates[name] / shares.get(name, 1.0))  # the most modest first
-    weight = sum(shares.get(name, 1.0) for name in open_)
-    for name in open_:
-        share = shares.get(name, 1.0)
-        out[name] = min(rates[name], left * share / weight)
-        left, weight = left - out[name], weight - share
-    return out
-
-
-def parts(part: float, rates: Mapping[str, float], shares: Mapping[str, float]) -> dict[str, float]:
-    """By tenant, the part of its work to turn away, so that of all of it `part` is.
-
-    Tenants of whom no rate is told are left to `part` itself, by those who ask.
+    They are equal where the settings give none.
+    """
+    known = list(tenants)
+    for name in ("cores", "quota_per_s", "portion"):
+        weights = {one.name: float(getattr(one, name)) for one in known}
+        if known and all(weight > 0 for weight in weights.values()):
+            return weights
+    return {one.name: 1.0 for one in known}
+
+
+def max_min_fair(
+    rates: Mapping[str, float], weights: Mapping[str, float], capacity: float
+) -> dict[str, float]:
+    """Return what is granted of each tenant's rate: together `capacity`, or all where that is less."""
+    granted: dict[str, float] = {}
+    left = max(0.0, capacity)
+    modest_first = sorted(rates, key=lambda name: rates[name] / weights.get(name, 1.0))
+    weight_left = sum(weights.get(name, 1.0) for name in modest_first)
+    for name in modest_first:
+        weight = weights.get(name, 1.0)
+        granted[name] = min(rates[name], left * weight / weight_left)
+        left -= granted[name]
+        weight_left -= weight
+    return granted
+
+
+def shed_by_tenant(part: float, rates: Mapping[str, float], weights: Mapping[str, float]) -> dict[str, float]:
+    """Return by tenant the part of its work to shed, so that `part` of all of it is.
+
+    Tenants without a reported rate are left to `part` itself, by those who apply it.
     """
-    told = {name: rate for name, rate in rates.items() if rate > 0}
-    kept = borne(told, shares, (1.0 - part) * sum(told.values()))
-    return {name: round(1.0 - kept[name] / rate, 2) for name, rate in told.items()}
+    asking = {name: rate for name, rate in rates.items() if rate > 0}
+    granted = max_min_fair(asking, weights, (1.0 - part) * sum(asking.values()))
+    return {name: round(1.0 - granted[name] / rate, 2) for name, rate in asking.items()}
 
 
-def of_shed(
+def tenant_parts(
     shed: Mapping[str, float],
-    reports: Iterable[Mapping],
-    tenants: Sequence[i.Tenant],
+    reports: Iterable[ZoneReport],
+    tenants: Sequence[Tenant],
 ) -> dict[str, dict[str, float]]:
-    """By class that is turned away in part, each tenant's part of that. `reports`: `told` of `rates_told`."""
+    """Return, by class that is shed in part, each tenant's part of that, from the reported rates."""
     if len(tenants) < 2:
         return {}
-    shares, sums = weights(tenants), {}
-    for told in reports:
-        for name, by_tenant in told.get("tenants", {}).items():
-            into = sums.setdefault(name, {})
+    weights = tenant_weights(tenants)
+    sums: dict[str, dict[str, float]] = {}
+    for report in reports:
+        for name, by_tenant in (report.tenant_rates or {}).items():
+            total = sums.setdefault(name, {})
             for tenant, rate in by_tenant.items():
-                if tenant in shares:
-                    into[tenant] = into.get(tenant, 0.0) + max(0.0, rate)
+                if tenant in weights:
+                    total[tenant] = total.get(tenant, 0.0) + max(0.0, rate)
     return {
-        name: parts(part, sums[name], shares) for name, part in shed.items() if 0 < part < 1 and name in sums
+        name: shed_by_tenant(part, sums[name], weights)
+        for name, part in shed.items()
+        if 0 < part < 1 and name in sums
     }
 
 
-def moved(old: Mapping[str, Mapping[str, float]], new: Mapping[str, Mapping[str, float]]) -> bool:
-    """Whether any tenant's part is another one than was agreed."""
+def differs(old: Mapping[str, Mapping[str, float]], new: Mapping[str, Mapping[str, float]]) -> bool:
+    """Tell whether any tenant's part differs from what was agreed by enough to change it."""
     pairs = {(name, tenant) for one in (old, new) for name in one for tenant in one[name]}
     return any(
-        abs(old.get(name, {}).get(tenant, 0.0) - new.get(name, {}).get(tenant, 0.0)) >= MOVED
+        abs(old.get(name, {}).get(tenant, 0.0) - new.get(name, {}).get(tenant, 0.0)) >= MIN_DIFFERENCE
         for name, tenant in pairs
     )
 
 
-def rates_told(rates: Mapping[tuple[str, str], float]) -> dict[str, dict[str, float]]:
-    """For a report: the greatest rates by class and tenant."""
-    out: dict[str, dict[str, float]] = {}
-    for (name, tenant), rate in sorted(rates.items(), key=lambda one: -one[1])[:TOLD_MOST]:
+def greatest_rates(rates: Mapping[tuple[str, str], float]) -> dict[str, dict[str, float]]:
+    """Return the greatest rates by class and tenant, for a report."""
+    greatest: dict[str, dict[str, float]] = {}
+    for (name, tenant), rate in sorted(rates.items(), key=lambda one: -one[1])[:MAX_REPORTED_RATES]:
         if rate > 0:
-            out.setdefault(name, {})[tenant] = round(rate, 1)
-    return out
+            greatest.setdefault(name, {})[tenant] = round(rate, 1)
+    return greatest
--- a/weldhatch/zones/observations.py
+++ b/weldhatch/zones/observations.py
@@ -1,7 +1,7 @@
-"""What one dispatcher sees of each zone and rack, from how its own exchanges with machines ended. Pure.
+"""What one dispatcher observes of each zone and rack, from how its own exchanges with machines ended. Pure.
 
-A place is named by its zone ("hall-a") or by zone and rack ("hall-a/3"). One record a listed machine is kept.
-Times are seconds of the caller's monotonic clock.
+A place is named by its zone ("zone-a") or by zone and rack ("zone-a/3"). One record is kept for each listed
+machine. Times are seconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -11,19 +11,21 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-# What counts is the last sign of each machine within the shortest span that tells of enough of them. Answers
-# and failures count for equally long: a zone that has just gone is not hidden by what answered before, and
+from weldhatch.zones.reports import Isolation, PlaceHealth, PlaceObservation
+
+# What counts is the last result of each machine within the shortest span that shows enough of them. Answers
+# and failures count for equally long: a zone that has just failed is not hidden by what answered before, and
 # what failed once, and is hardly tried since, does not add up.
 SPANS_S = (0.8, 1.6, 4.0)
-KEEP_S = 12.0  # a machine that failed is taken to fail for so long, where nothing was heard of it since
-LEAST = 3  # machines that must have been heard of before anything is said of a place
-DOWN = 0.75  # the share of the heard machines that fail, from which on a place counts as down
-GRAY = 0.08
-RACKS_MOST = 6  # that a report names: it stays under 1 KB
+FAILURE_VALID_S = 12.0  # a machine that failed is taken to fail for so long without a later answer
+MIN_MACHINES = 3  # with a result, before anything is concluded about a place
+DOWN_PART = 0.75  # of the machines with a result, that fail: from here on a place counts as down
+DEGRADED_PART = 0.08
+MAX_RACKS = 6  # that a report names: it stays under 1 KB
 
 
-class Sign(Enum):
-    """How one exchange with a machine ended. A refusal for want of room is an answer."""
+class ExchangeResult(Enum):
+    """How one exchange with a machine ended. A rejection for want of capacity is an answer."""
 
     ANSWER = "answer"
     REFUSED = "refused"  # no connection: its process is not there
@@ -32,196 +34,207 @@
     ERROR = "error"
 
 
-class Look(Enum):
-    FINE = "fine"
-    GRAY = "gray"  # some fail, most answer: for the module's own suspects, no reason to leave
-    DOWN = "down"
-    UNSURE = "unsure"
-
-
-class Cut(Enum):
-    """Where a dispatcher looks for the fault in itself."""
-
-    NO = ""
-    SELF = "cut off"  # no zone answers it
-    ZONE = "its zone is cut off"  # its own zone answers, and none of two or more others
-
-
 @dataclass(slots=True)
-class Seen:
-    """One machine."""
+class MachineRecord:
+    """The last results of one machine."""
 
     zone: str
     rack: str
-    good: float = float("-inf")
-    bad: float = float("-inf")
-    sign: Sign = Sign.ANSWER  # of the last failure
+    answered_at: float = float("-inf")
+    failed_at: float = float("-inf")
+    last_failure: ExchangeResult = ExchangeResult.ANSWER
 
     def fails(self, now: float) -> bool:
-        return self.bad > self.good and now - self.bad <= KEEP_S
+        """Tell whether the machine is taken to fail."""
+        return self.failed_at > self.answered_at and now - self.failed_at <= FAILURE_VALID_S
 
 
 @dataclass(slots=True)
-class Counts:
-    """Of one place: machines listed, that answer, that fail."""
+class PlaceCounts:
+    """Machines of one place: those listed, those that answer, and those that fail."""
 
     listed: int = 0
-    one_rack: bool = True  # only one is listed there
-    good: int = 0
+    single_rack: bool = True  # all that are listed there are of one rack
+    answering: int = 0
     failing: int = 0
     failing_racks: set[str] = field(default_factory=set)
 
-    def add(self, seen: Seen) -> None:
-        if seen.bad > seen.good:
+    def add(self, record: MachineRecord) -> None:
+        """Count one machine by its last result."""
+        if record.failed_at > record.answered_at:
             self.failing += 1
-            self.failing_racks.add(seen.rack)
+            self.failing_racks.add(record.rack)
         else:
-            self.good += 1
+            self.answering += 1
 
     @property
-    def heard(self) -> int:
-        return self.good + self.failing
+    def known(self) -> int:
+        """Machines with a result."""
+        return self.answering + self.failing
 
     @property
-    def enough(self) -> bool:
-        return self.heard >= min(LEAST, max(1, self.listed))
+    def is_enough(self) -> bool:
+        """Whether so many have a result that anything can be concluded."""
+        return self.known >= min(MIN_MACHINES, max(1, self.listed))
 
     @property
     def fails(self) -> bool:
-        """Whether nearly all that was heard of lately fails, and in more than one rack: what is true of one
-        rack is not taken for its whole zone."""
+        """Whether nearly all that have a result fail, and in more than one rack.
+
+        What is true of one rack is not taken for its whole zone.
+        """
         return (
-            self.enough
-            and self.failing >= DOWN * self.heard
-            and self.failing >= min(LEAST, self.listed)
-            and (len(self.failing_racks) > 1 or self.one_rack)
+            self.is_enough
+            and self.failing >= DOWN_PART * self.known
+            and self.failing >= min(MIN_MACHINES, self.listed)
+            and (len(self.failing_racks) > 1 or self.single_rack)
         )
 
-    def look(self) -> Look:
-        if not self.enough:
-            return Look.UNSURE
-        share = self.failing / self.heard
-        # Guards a small place against one stall that meets all of its machines: the module avoids one or two
+    def health(self) -> PlaceHealth:
+        """Conclude from the counts."""
+        if not self.is_enough:
+            return PlaceHealth.UNKNOWN
+        part = self.failing / self.known
+        # Guards a small place against one stall that meets all of its machines: the policy avoids one or two
         # machines by itself, and operators can have the place left.
-        if self.fails and self.listed >= LEAST:
-            return Look.DOWN
-        if share >= DOWN and self.listed >= LEAST:
-            return Look.UNSURE
-        return Look.GRAY if share >= GRAY else Look.FINE
+        if self.fails and self.listed >= MIN_MACHINES:
+            return PlaceHealth.DOWN
+        if part >= DOWN_PART and self.listed >= MIN_MACHINES:
+            return PlaceHealth.UNKNOWN
+        return PlaceHealth.DEGRADED if part >= DEGRADED_PART else PlaceHealth.HEALTHY
 
 
-class Sight:
-    """Feed it `listed`, `gone` and `sign`; ask for `counts`."""
+class Observations:
+    """Results of exchanges by machine, and what they say of the places. `zones`: all that are known."""
 
     def __init__(self, zones: Iterable[str], own: str) -> None:
-        self.zones, self.own = tuple(zones), own
-        self.machines: dict[int, Seen] = {}
-        self._places: dict[str, Counter[str]] = {zone: Counter() for zone in self.zones}  # racks listed there
-        self._heard: dict[int, None] = {}  # machines by their last sign, the newest last
-        self._counted: tuple[float, dict[str, Counts]] = (float("-inf"), {})
-        self._down: dict[str, float] = {}  # places that look down, and since when
-
-    def extend(self, zones: Iterable[str]) -> None:
-        """Other zones may have come at the end."""
+        """Begin without any result; `own`: the zone of this dispatcher."""
+        self.zones = tuple(zones)
+        self.own = own
+        self.machines: dict[int, MachineRecord] = {}
+        self._racks: dict[str, Counter[str]] = {zone: Counter() for zone in self.zones}  # listed, by place
+        self._by_result: dict[int, None] = {}  # machines by their last result, the newest last
+        self._counted: tuple[float, dict[str, PlaceCounts]] = (float("-inf"), {})
+        self._down_since: dict[str, float] = {}  # places that look down
+
+    def set_zones(self, zones: Iterable[str]) -> None:
+        """Take the zones of another version of the settings: others may have come at the end."""
         self.zones = tuple(zones)
         for zone in self.zones:
-            self._places.setdefault(zone, Counter())
+            self._racks.setdefault(zone, Counter())
 
-    def listed(self, machine: int, zone: str, rack: str) -> None:
+    def machine_listed(self, machine: int, zone: str, rack: str) -> None:
+        """Note a machine of the endpoint list; `rack` is named with its zone. One that moved is a new one."""
         known = self.machines.get(machine)
         if known is not None and (known.zone, known.rack) == (zone, rack):
             return
-        self.gone(machine)
-        self.machines[machine] = Seen(zone, rack)
+        self.machine_removed(machine)
+        self.machines[machine] = MachineRecord(zone, rack)
         for place in (zone, rack):
-            self._places.setdefault(place, Counter())[rack] += 1
+            self._racks.setdefault(place, Counter())[rack] += 1
 
-    def gone(self, machine: int) -> None:
+    def machine_removed(self, machine: int) -> None:
+        """Forget a machine that is listed no more."""
         known = self.machines.pop(machine, None)
-        self._heard.pop(machine, None)
+        self._by_result.pop(machine, None)
         if known is not None:
             for place in (known.zone, known.rack):
-                self._places[place] -= Counter((known.rack,))
+                self._racks[place] -= Counter((known.rack,))
 
-    def one_rack(self, zone: str) -> bool:
-        """Whether all machines that are listed there are of one rack."""
-        return len(self._places[zone]) < 2
+    def has_single_rack(self, zone: str) -> bool:
+        """Tell whether all machines that are listed there are of one rack."""
+        return len(self._racks[zone]) < 2
 
-    def sign(self, now: float, machine: int, sign: Sign) -> None:
-        seen = self.machines.get(machine)
-        if seen is None:
+    def add_result(self, now: float, machine: int, result: ExchangeResult) -> None:
+        """Note how an exchange with a machine ended; one that is not listed is left out."""
+        record = self.machines.get(machine)
+        if record is None:
             return
         self._counted = (float("-inf"), {})
-        self._heard.pop(machine, None)
-        self._heard[machine] = None
-        if sign is Sign.ANSWER:
-            seen.good = now
+        self._by_result.pop(machine, None)
+        self._by_result[machine] = None
+        if result is ExchangeResult.ANSWER:
+            record.answered_at = now
         else:
-            seen.bad, seen.sign = now, sign
-
-    def excuse(self, since: float) -> None:
-        """We were stopped, or held up: what has failed since then tells of us, and not of machines."""
-        for machine, seen in self.machines.items():
-            if seen.bad >= since:
-                seen.bad = float("-inf")
-                if seen.good < since:
-                    self._heard.pop(machine, None)
-
-    def counts(self, now: float) -> dict[str, Counts]:
-        """By place, zones and racks. One walk over the machines heard lately; none if nothing is new."""
+            record.failed_at = now
+            record.last_failure = result
+
+    def discard_failures(self, since: float) -> None:
+        """Strike out what has failed since then: we were stopped, and it says nothing of machines."""
+        for machine, record in self.machines.items():
+            if record.failed_at >= since:
+                record.failed_at = float("-inf")
+                if record.answered_at < since:
+                    self._by_result.pop(machine, None)
+
+    def counts(self, now: float) -> dict[str, PlaceCounts]:
+        """Return the counts by place, zones and racks.
+
+        One walk over the machines with a recent result; none if nothing is new.
+        """
         if self._counted[0] == now:
             return self._counted[1]
-        spans = [
-            {place: Counts(racks.total(), len(racks) < 2) for place, racks in self._places.items()}
+        by_span = self._counts_by_span(now)
+        counts = {
+            place: next((one[place] for one in by_span if one[place].is_enough), longest)
+            for place, longest in by_span[-1].items()
+        }
+        self._counted = now, counts
+        self._down_since = {
+            place: self._down_since.get(place, now)
+            for place, one in counts.items()
+            if one.health() is PlaceHealth.DOWN
+        }
+        return counts
+
+    def _counts_by_span(self, now: float) -> list[dict[str, PlaceCounts]]:
+        by_span = [
+            {place: PlaceCounts(racks.total(), len(racks) < 2) for place, racks in self._racks.items()}
             for _ in SPANS_S
         ]
-        for machine in reversed(self._heard):
-            seen = self.machines[machine]
-            age = now - max(seen.good, seen.bad)
+        for machine in reversed(self._by_result):
+            record = self.machines[machine]
+            age = now - max(record.answered_at, record.failed_at)
             if age > SPANS_S[-1]:
                 break
-            for out, span in zip(spans, SPANS_S, strict=True):
+            for counts, span in zip(by_span, SPANS_S, strict=True):
                 if age <= span:
-                    out[seen.zone].add(seen)
-                    out[seen.rack].add(seen)
-        out = {
-            place: next((one[place] for one in spans if one[place].enough), last)
-            for place, last in spans[-1].items()
-        }
-        self._counted = now, out
-        self._down = {
-            place: self._down.get(place, now) for place, one in out.items() if one.look() is Look.DOWN
-        }
-        return out
+                    counts[record.zone].add(record)
+                    counts[record.rack].add(record)
+        return by_span
 
-    def cut(self, now: float) -> Cut:
-        """Whether what it sees tells of itself. Guards the fleet against one that can't reach anybody."""
+    def isolation(self, now: float) -> Isolation:
+        """Tell whether what is observed says more of this dispatcher.
+
+        Guards the fleet against one that can't reach anybody.
+        """
         counts = self.counts(now)
         down = {zone for zone in self.zones if counts[zone].fails}
-        up = {zone for zone in self.zones if counts[zone].look() in (Look.FINE, Look.GRAY)} - down
+        up = {
+            zone
+            for zone in self.zones
+            if counts[zone].health() in (PlaceHealth.HEALTHY, PlaceHealth.DEGRADED)
+        } - down
         if len(down) >= 2 and not up:
-            return Cut.SELF
+            return Isolation.MEMBER
         if len(down) >= 2 and up == {self.own}:
-            return Cut.ZONE
-        return Cut.NO
-
-    def report(self, now: float, named: Iterable[str] = ()) -> dict:
-        """Looks by place, for the leader: all zones, racks that are down, and the racks `named`.
+            return Isolation.ZONE
+        return Isolation.NONE
 
-        Each is the look, machines that answer, that fail, that are listed, and where it is down for how many
-        milliseconds it has been so.
-        """
+    def by_place(self, now: float, named: Iterable[str] = ()) -> dict[str, PlaceObservation]:
+        """Return what a report says: of all zones, the racks `named`, and other racks that are down."""
         counts = self.counts(now)
         racks = [name for name in named if "/" in name and name in counts]
         racks += [
             name
             for name, one in counts.items()
-            if "/" in name and name not in racks and one.look() is Look.DOWN
+            if "/" in name and name not in racks and one.health() is PlaceHealth.DOWN
         ]
-        out = {}
-        for name in [*self.zones, *racks[:RACKS_MOST]]:
-            one = counts[name]
-            out[name] = [one.look().value, one.good, one.failing, one.listed]
-            if (since := self._down.get(name)) is not None:
-                out[name].append(int(1000 * (now - since)))
-        return {"zone": self.own, "cut": self.cut(now).value, "looks": out}
+        return {
+            name: self._observation(now, name, counts[name]) for name in [*self.zones, *racks[:MAX_RACKS]]
+        }
+
+    def _observation(self, now: float, name: str, counts: PlaceCounts) -> PlaceObservation:
+        since = self._down_since.get(name)
+        down_ms = None if since is None else int(1000 * (now - since))
+        return PlaceObservation(counts.health(), counts.answering, counts.failing, counts.listed, down_ms)
