--- a/tests/test_zone_verdicts.py
+++ b/tests/test_failover_leader.py
@@ -1,4 +1,4 @@
-"""Verdicts on zones: what is agreed, how witnesses weigh, and what a group of dispatchers makes of it."""
+"""The agreed state of zones, how the leader weighs witnesses, and both in the replicated group."""
 
 import itertools
 import json
@@ -10,14 +10,14 @@
 from weldhatch.coordination.state_machine import Group
 from weldhatch.coordination.zone_leader import Zoning
 from weldhatch.scheduling import types as i
-from weldhatch.testbed.simulated_zones import settings as realm_settings
+from weldhatch.testbed.simulated_zones import settings as zone_settings
 from weldhatch.zones.failover_leader import FailoverLeader
 from weldhatch.zones.failover_rules import FailoverTiming
 from weldhatch.zones.reports import ZoneReport
 from weldhatch.zones.state import Phase, ZoneStates
 
 ZONES = ("z0", "z1", "z2")
-SETTINGS, EIGHT = realm_settings(3, 8), tuple(range(8))
+SETTINGS, EIGHT = zone_settings(3, 8), tuple(range(8))
 
 
 def change(zones, place, phase, index=1, **more):
@@ -25,7 +25,7 @@
     return zones.apply(index, {"place": place, "phase": phase, "number": number, **more}, ZONES)
 
 
-class Agreed(unittest.TestCase):
+class AgreedState(unittest.TestCase):
     def test_the_order_of_states_is_kept_and_a_change_names_what_it_was_made_on(self):
         zones = ZoneStates()
         self.assertEqual(change(zones, "z1", "left")["error"], "order")
@@ -43,7 +43,7 @@
         self.assertEqual(change(zones, "z2", "leaving")["error"], "last")
         self.assertIn("ok", change(zones, "z2/3", "leaving"))
 
-    def test_it_comes_back_whole_from_its_state(self):
+    def test_it_is_restored_completely_from_its_encoded_form(self):
         zones = ZoneStates()
         change(zones, "z1", "leaving", shed={"lookup": 0.4}, witnesses=["g1"])
         zones.apply_fence("z1", ["a", "b"], "g1")
@@ -63,7 +63,7 @@
         self.assertEqual(zones.fenced, {})
 
 
-def told(zone, looks, cut="", **more):
+def encoded_report(zone, looks, cut="", **more):
     return {
         "zone": zone,
         "cut": cut,
@@ -72,96 +72,96 @@
     }
 
 
-class Weighing(unittest.TestCase):
+class Leader(unittest.TestCase):
     """Eight dispatchers: d0, d3, d6 in z0, d1, d4, d7 in z1, d2, d5 in z2."""
 
     def setUp(self):
-        self.marshal = FailoverLeader(0.0, "l", FailoverTiming(), 1.0, 0.5, 0.02)
+        self.leader = FailoverLeader(0.0, "l", FailoverTiming(), 1.0, 0.5, 0.02)
         self.zones, self.now, self.held = ZoneStates(), 0.0, True
 
-    def play(self, seconds, looks, names=EIGHT, zone_cut=(), **more):
+    def run_for(self, seconds, looks, names=EIGHT, zone_cut=(), **more):
         """All say the same for a while, `looks` by place; what came of it."""
         end = self.now + seconds
         while self.now < end:
             self.now += 0.05
             for n in names:
-                said = looks(n) if callable(looks) else looks
-                self.marshal.receive_report(
+                reported = looks(n) if callable(looks) else looks
+                self.leader.receive_report(
                     self.now,
                     f"d{n}",
                     f"d{n}.1",
                     ZoneReport.from_tree(
-                        told(
+                        encoded_report(
                             f"z{n % 3}",
-                            {"z0": "fine", "z1": "fine", "z2": "fine", **said},
+                            {"z0": "fine", "z1": "fine", "z2": "fine", **reported},
                             "its zone is cut off" if n in zone_cut else "",
                             **more,
                         )
                     ),
                 )
-            for change in self.marshal.due_changes(self.now, self.zones, SETTINGS, lambda index: self.held):
+            for change in self.leader.due_changes(self.now, self.zones, SETTINGS, lambda index: self.held):
                 self.zones.apply(self.zones.number + 1, change.to_tree(), ZONES)
         return self.zones.place("z1")
 
     def test_a_zone_that_others_call_down_is_left_and_comes_back_by_steps(self):
-        self.assertIs(self.play(0.2, {"z1": "down"}).phase, Phase.SUSPECTED)
-        self.assertIs(self.play(0.4, {"z1": "down"}).phase, Phase.LEFT)
-        self.assertIs(self.play(1.0, {}).phase, Phase.LEFT)  # not at once
-        self.assertEqual(self.play(1.5, {}).step, 1)
-        steps = [self.play(0.5, {}).step for _ in range(30)]
+        self.assertIs(self.run_for(0.2, {"z1": "down"}).phase, Phase.SUSPECTED)
+        self.assertIs(self.run_for(0.4, {"z1": "down"}).phase, Phase.LEFT)
+        self.assertIs(self.run_for(1.0, {}).phase, Phase.LEFT)  # not at once
+        self.assertEqual(self.run_for(1.5, {}).step, 1)
+        steps = [self.run_for(0.5, {}).step for _ in range(30)]
         self.assertEqual([step for step, _ in itertools.groupby(steps)], [1, 2, 3, 4, 0])
         self.assertIs(self.zones.place("z1").phase, Phase.SERVING)
 
     def test_it_is_not_left_before_everybody_holds_it(self):
         self.held = False
-        self.assertIs(self.play(3.0, {"z1": "down"}).phase, Phase.LEAVING)
+        self.assertIs(self.run_for(3.0, {"z1": "down"}).phase, Phase.LEAVING)
 
     def test_a_leader_that_takes_over_a_suspicion_does_not_begin_it_anew(self):
         def taken_over(names, seconds=0.05):
             """By a leader that has just heard so many, of eight that are members."""
-            self.marshal, self.now = (
+            self.leader, self.now = (
                 FailoverLeader(self.now, "m", FailoverTiming(), 1.0, 0.5, 0.02),
                 self.now + 0.05,
             )
-            self.marshal.set_members({f"d{n}" for n in range(8)})
-            return self.play(seconds, {"z1": "down"}, names).phase
+            self.leader.set_members({f"d{n}" for n in range(8)})
+            return self.run_for(seconds, {"z1": "down"}, names).phase
 
-        self.assertIs(self.play(0.1, {"z1": "down"}).phase, Phase.SUSPECTED)
+        self.assertIs(self.run_for(0.1, {"z1": "down"}).phase, Phase.SUSPECTED)
         self.assertIs(taken_over((0, 2)), Phase.SUSPECTED)  # two may be wrong: they have to go on for a while
         self.assertIs(taken_over((0, 2, 3)), Phase.LEAVING)
         self.zones = ZoneStates()
         self.assertIs(taken_over((0, 2, 3), 0.15), Phase.SUSPECTED)  # and what nobody suspected is confirmed
 
-    def test_a_new_leader_hears_for_how_long_a_place_is_down_and_believes_a_third_of_all(self):
+    def test_a_new_leader_is_told_for_how_long_a_place_is_down_and_believes_a_third_of_all(self):
         """Its leader died before a suspicion was decided: that it is down is no news to those who say so."""
 
         def new_leader(spans):
-            self.marshal, self.zones = (
+            self.leader, self.zones = (
                 FailoverLeader(self.now, "m", FailoverTiming(), 1.0, 0.5, 0.02),
                 ZoneStates(),
             )
-            self.marshal.set_members({f"d{n}" for n in range(8)})
+            self.leader.set_members({f"d{n}" for n in range(8)})
             self.now += 0.05
             for n, ms in spans.items():
-                one = told(f"z{n % 3}", {"z0": "fine", "z1": "down", "z2": "fine"})
+                one = encoded_report(f"z{n % 3}", {"z0": "fine", "z1": "down", "z2": "fine"})
                 one["looks"]["z1"].append(ms)
-                self.marshal.receive_report(self.now, f"d{n}", f"d{n}.1", ZoneReport.from_tree(one))
-            changes = self.marshal.due_changes(self.now, self.zones, SETTINGS, lambda index: True)
+                self.leader.receive_report(self.now, f"d{n}", f"d{n}.1", ZoneReport.from_tree(one))
+            changes = self.leader.due_changes(self.now, self.zones, SETTINGS, lambda index: True)
             return [one.phase.value for one in changes if one.place == "z1"]
 
         self.assertEqual(new_leader({0: 800, 2: 700, 3: 300}), ["leaving"])
         self.assertEqual(new_leader({0: 800, 2: 700}), ["suspected"])  # two of eight may be wrong
         self.assertEqual(new_leader({0: 10**9, 2: 10**9, 3: 100, 5: 100}), ["suspected"])  # and two may lie
 
-    def test_what_tenants_ask_over_their_shares_is_turned_away_first(self):
+    def test_what_tenants_ask_over_their_shares_is_shed_first(self):
         portions = {"acme": 0.5, "bolt": 0.25, "cogs": 0.25}
         settings = replace(
             SETTINGS, tenants=tuple(i.Tenant(name, portion=one) for name, one in portions.items())
         )
-        marshal, zones = FailoverLeader(0.0, "l", FailoverTiming(), 1.0, 0.5, 0.02), ZoneStates()
+        leader, zones = FailoverLeader(0.0, "l", FailoverTiming(), 1.0, 0.5, 0.02), ZoneStates()
         now = 0.0
 
-        def play(until, stands, tenants):
+        def run_until(until, stands, tenants):
             nonlocal now
             while now < until:
                 now += 0.05
@@ -171,12 +171,12 @@
                         if now > 1.0
                         else dict.fromkeys(ZONES, "fine")
                     )
-                    marshal.receive_report(
+                    leader.receive_report(
                         now,
                         f"d{n}",
                         f"d{n}.1",
                         ZoneReport.from_tree(
-                            told(
+                            encoded_report(
                                 f"z{n % 3}",
                                 looks,
                                 stands={"z1": 30.0, "z0": stands},
@@ -186,11 +186,11 @@
                             )
                         ),
                     )
-                for change in marshal.due_changes(now, zones, settings, lambda index: True):
+                for change in leader.due_changes(now, zones, settings, lambda index: True):
                     zones.apply(zones.number + 1, change.to_tree(), ZONES)
             return zones.place("z1")
 
-        place = play(2.0, 10.0, {"acme": 2.0, "bolt": 5.0, "cogs": 1.0})
+        place = run_until(2.0, 10.0, {"acme": 2.0, "bolt": 5.0, "cogs": 1.0})
         self.assertIs(place.phase, Phase.LEFT)
         part = place.shed["lookup"]
         self.assertTrue(0.2 < part < 0.6, place)
@@ -198,21 +198,21 @@
         self.assertAlmostEqual(place.shed_part("lookup", "bolt") * 5.0, part * 8.0, delta=0.1)
         self.assertEqual(place.shed_part("lookup", "nobody"), part)  # of whom nothing is told
         # The rest is nearly full, so as much is turned away; another one asks too much now.
-        place = play(4.5, 27.0, {"acme": 6.0, "bolt": 1.0, "cogs": 1.0})
+        place = run_until(4.5, 27.0, {"acme": 6.0, "bolt": 1.0, "cogs": 1.0})
         self.assertGreater(place.shed_part("lookup", "acme"), place.shed_part("lookup", "bolt"))
 
-    def test_one_alone_moves_nobody_whatever_it_says(self):
-        self.play(5.0, lambda n: {zone: "down" for zone in ZONES} if n == 0 else {})
+    def test_a_single_member_moves_nobody_whatever_it_reports(self):
+        self.run_for(5.0, lambda n: {zone: "down" for zone in ZONES} if n == 0 else {})
         self.assertEqual({one.phase for one in self.zones.entries.values()} - {Phase.SERVING}, set())
 
     def test_nor_does_a_minority_where_others_answer(self):
-        self.play(5.0, lambda n: {"z1": "down"} if n in (0, 2) else {})
-        self.assertEqual(self.marshal.status(self.now, ["z1"])["witnesses"]["z1"]["down"], ["d0", "d2"])
+        self.run_for(5.0, lambda n: {"z1": "down"} if n in (0, 2) else {})
+        self.assertEqual(self.leader.status(self.now, ["z1"])["witnesses"]["z1"]["down"], ["d0", "d2"])
         self.assertNotIn(self.zones.place("z1").phase, (Phase.LEAVING, Phase.LEFT))
 
     def test_those_whose_own_zone_is_cut_off_are_no_witnesses_against_the_others(self):
         cut = [n for n in range(8) if n % 3 == 1]
-        place = self.play(
+        place = self.run_for(
             3.0, lambda n: {"z0": "down", "z2": "down"} if n in cut else {"z1": "down"}, zone_cut=cut
         )
         self.assertIs(place.phase, Phase.LEFT)
@@ -220,77 +220,77 @@
         self.assertNotIn("z0", self.zones.entries)
         self.assertNotIn("z2", self.zones.entries)
 
-    def test_those_inside_who_see_it_fall_later_go_on_there_no_more(self):
+    def test_members_inside_that_see_it_fail_later_stop_starting_there(self):
         inside = (1, 4, 7)
-        place = self.play(0.6, lambda n: {} if n in inside else {"z1": "down"})
+        place = self.run_for(0.6, lambda n: {} if n in inside else {"z1": "down"})
         self.assertTrue(place.inside)
-        place = self.play(0.5, {"z1": "down"})
+        place = self.run_for(0.5, {"z1": "down"})
         self.assertEqual((place.phase, place.inside), (Phase.LEFT, False))
         self.held = False  # nobody comes back before that is held by all
-        self.assertIs(self.play(6.0, {}).phase, Phase.LEFT)
+        self.assertIs(self.run_for(6.0, {}).phase, Phase.LEFT)
         self.held = True
-        self.assertIs(self.play(0.2, {}).phase, Phase.RETURNING)
+        self.assertIs(self.run_for(0.2, {}).phase, Phase.RETURNING)
 
-    def test_gray_is_not_left(self):
-        self.assertIs(self.play(5.0, {"z1": "gray"}).phase, Phase.SERVING)
+    def test_a_degraded_zone_is_not_left(self):
+        self.assertIs(self.run_for(5.0, {"z1": "gray"}).phase, Phase.SERVING)
 
     def test_each_flap_is_answered_by_a_longer_stay(self):
         stays = []
         for _ in range(3):
-            self.play(2.0, {"z1": "down"})
+            self.run_for(2.0, {"z1": "down"})
             self.assertIs(self.zones.place("z1").phase, Phase.LEFT)
             began = self.now
             while self.zones.place("z1").phase is Phase.LEFT:
-                self.play(0.1, {})
+                self.run_for(0.1, {})
             stays.append(self.now - began)
         self.assertTrue(stays[0] < stays[1] < stays[2], stays)
 
-    def test_a_return_steps_back_at_trouble_without_leaving(self):
-        self.play(1.0, {"z1": "down"})
+    def test_a_return_steps_back_at_failed_starts_without_leaving(self):
+        self.run_for(1.0, {"z1": "down"})
         while self.zones.place("z1").step < 2:
-            self.play(0.1, {}, starts={"z1": [10, 10, 0]})
+            self.run_for(0.1, {}, starts={"z1": [10, 10, 0]})
         phases = []
         for wrong in range(1, 8):
-            self.play(0.2, {}, starts={"z1": [10 + 2 * wrong, 10 + wrong, wrong]})
+            self.run_for(0.2, {}, starts={"z1": [10 + 2 * wrong, 10 + wrong, wrong]})
             phases.append((self.zones.place("z1").phase, self.zones.place("z1").step))
         self.assertIn((Phase.RETURNING, 1), phases)
         self.assertNotIn(Phase.LEFT, {phase for phase, _ in phases})
 
     def test_a_new_leader_goes_on_at_the_step_that_was_agreed(self):
-        self.play(1.0, {"z1": "down"})
+        self.run_for(1.0, {"z1": "down"})
         while self.zones.place("z1").step < 3:
-            self.play(0.1, {})
-        self.marshal = FailoverLeader(self.now, "l2", FailoverTiming(), 1.0, 0.5, 0.02)
-        self.assertEqual(self.play(1.0, {}).step, 3)
-        self.assertIs(self.play(6.0, {}).phase, Phase.SERVING)
+            self.run_for(0.1, {})
+        self.leader = FailoverLeader(self.now, "l2", FailoverTiming(), 1.0, 0.5, 0.02)
+        self.assertEqual(self.run_for(1.0, {}).step, 3)
+        self.assertIs(self.run_for(6.0, {}).phase, Phase.SERVING)
 
     def test_of_three_zones_that_are_called_down_the_last_is_kept(self):
-        self.play(3.0, {"z0": "down", "z1": "down", "z2": "down"})
+        self.run_for(3.0, {"z0": "down", "z1": "down", "z2": "down"})
         left = [zone for zone in ZONES if self.zones.place(zone).phase is Phase.LEFT]
         self.assertEqual(len(left), 2)
-        self.assertEqual(self.marshal.status(self.now, ZONES)["kept_last"], sorted(set(ZONES) - set(left)))
+        self.assertEqual(self.leader.status(self.now, ZONES)["kept_last"], sorted(set(ZONES) - set(left)))
 
-    def test_operators_words_and_what_the_rest_can_bear(self):
-        self.play(1.0, {}, stands={"z1": 30.0}, size={"z0": 100.0, "z2": 100.0}, rates={"lookup": 5.0})
+    def test_operators_commands_and_what_the_other_zones_can_take(self):
+        self.run_for(1.0, {}, stands={"z1": 30.0}, size={"z0": 100.0, "z2": 100.0}, rates={"lookup": 5.0})
 
-        def word(word, **more):
-            return self.marshal.operator_command(
+        def command_for(action, **more):
+            return self.leader.operator_command(
                 self.now,
-                {"id": "x", "place": "z1", "word": word, "why": "power", **more},
+                {"id": "x", "place": "z1", "word": action, "why": "power", **more},
                 self.zones,
                 SETTINGS,
             )
 
-        self.assertEqual(word("leave")["error"], "room")
-        command = word("leave", despite=True)
+        self.assertEqual(command_for("leave")["error"], "room")
+        command = command_for("leave", despite=True)
         self.assertEqual((command["phase"], set(command["shed"])), ("leaving", {"lookup"}))
-        self.assertEqual(word("return")["error"], "order")
+        self.assertEqual(command_for("return")["error"], "order")
         self.zones.apply(1, command, ZONES)
-        self.assertIs(self.play(20.0, {}).phase, Phase.LEFT)  # it does not come back by itself
-        self.zones.apply(2, word("return"), ZONES)
-        self.assertIs(self.play(14.0, {}).phase, Phase.SERVING)
-        self.zones.apply_hold(3, word("hold"))
-        self.assertIs(self.play(5.0, {"z1": "down"}).phase, Phase.SERVING)
+        self.assertIs(self.run_for(20.0, {}).phase, Phase.LEFT)  # it does not come back by itself
+        self.zones.apply(2, command_for("return"), ZONES)
+        self.assertIs(self.run_for(14.0, {}).phase, Phase.SERVING)
+        self.zones.apply_hold(3, command_for("hold"))
+        self.assertIs(self.run_for(5.0, {"z1": "down"}).phase, Phase.SERVING)
 
 
 class InTheGroup(unittest.TestCase):
@@ -335,7 +335,7 @@
         ):
             self.zoning.hear(1.0, self.group, self.ask("d0", text))
         self.assertEqual(self.zoning.status(1.0, self.group)["reports"], {})
-        self.zoning.hear(1.0, self.group, self.ask("d0", json.dumps(told("z0", {"z1": "down"}))))
+        self.zoning.hear(1.0, self.group, self.ask("d0", json.dumps(encoded_report("z0", {"z1": "down"}))))
         self.assertIn("d0", self.zoning.status(1.0, self.group)["reports"])
 
     def test_before_a_version_is_in_force_there_are_no_zones(self):
--- /dev/null
+++ b/tests/test_failover_member.py
@@ -0,0 +1,242 @@
+"""What one dispatcher starts, rejects, fences and reports while zones are left, and its settings."""
+
+import json
+import unittest
+from dataclasses import replace
+from random import Random
+
+from hypothesis import given
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
+
+from weldhatch import config
+from weldhatch.scheduling import types as i
+from weldhatch.testbed.simulated_zones import settings as zone_settings
+from weldhatch.zones.failover_member import FailoverMember
+from weldhatch.zones.reports import PlaceHealth
+from weldhatch.zones.start_quota import StartQuota
+from weldhatch.zones.state import ZoneStates
+
+ZONES = ("z0", "z1", "z2")
+SETTINGS = zone_settings(3, 8)
+
+
+def change(zones, place, phase, **more):
+    zones.apply(1, {"place": place, "phase": phase, "number": zones.place(place).number, **more}, ZONES)
+
+
+class Member(unittest.TestCase):
+    def setUp(self):
+        self.member = FailoverMember(SETTINGS, 0.02, Random(1), lambda machine: f"m{machine}")
+        self.member.handle_event(
+            0.0,
+            i.MachinesChanged(
+                i.ListForm.FULL, tuple(i.Machine(n, n % 3, cell=n // 3 % 2) for n in range(12))
+            ),
+        )
+        self.zones = ZoneStates()
+
+    def agree(self, now, *phases, **more):
+        for phase in phases:
+            change(self.zones, "z1", phase, **more)
+        self.member.apply_agreed_state(
+            now, ZoneStates.from_tree(json.loads(json.dumps(self.zones.to_tree())))
+        )
+
+    def place(self, now, request, machine, class_index=0, key=0):
+        self.member.handle_event(now, i.RequestArrived(request, class_index, 0, 1, 1.0, 1.0, key))
+        self.member.handle_event(now, i.Placed(request, 0, machine, 0))
+
+    def test_a_left_zone_gets_nothing_but_health_checks(self):
+        self.agree(1.0, "leaving")
+        self.assertEqual(self.member.effective_state(1.0, 4), "draining")
+        self.assertIn("leaving", self.member.start_refusal(1.0, 4, 0))
+        self.assertEqual(self.member.start_refusal(1.0, 3, 0), "")
+        probed = {machine for n in range(40) for machine in self.member.tick(1.0 + n / 10)}
+        self.assertTrue(probed and all(machine % 3 == 1 for machine in probed))
+
+    def test_a_returning_zone_gets_what_there_is_a_quota_for(self):
+        self.agree(1.0, "leaving", "left", "returning", step=1)
+        self.assertEqual(self.member.effective_state(2.0, 4), "draining")
+        self.member.receive_quotas([StartQuota("z1", "l.0", 0, 0, 1, 1, 0.5)], 2.0)
+        self.assertEqual(self.member.effective_state(2.1, 4), "ready")
+        self.assertEqual(self.member.start_refusal(2.1, 4, 0), "")
+        self.assertEqual(self.member.effective_state(2.1, 4), "draining")
+        self.assertIn("no share", self.member.start_refusal(2.1, 4, 0))
+        self.assertEqual(self.member.start_refusal(2.1, 4, -1), "")  # asked for before: it has been spent
+        self.assertIn("no share", self.member.start_refusal(2.6, 7, 0))  # lapsed
+        self.member.receive_quotas([StartQuota("z1", "l.1", 1, 0, 1, 1, 0.5)], 4.0)
+        self.agree(4.1, "leaving")
+        self.agree(4.1, "left", "returning", step=1)
+        self.assertEqual(
+            self.member.effective_state(4.2, 7), "draining"
+        )  # held from before it was left again
+
+    def test_a_writer_that_may_run_behind_a_cut_is_fenced_and_one_on_a_dead_machine_is_not(self):
+        self.place(1.0, 1, 4, 1, 0xAA)
+        self.place(1.0, 2, 7, 1, 0xBB)
+        self.place(1.0, 3, 3, 1, 0xCC)
+        for request, machine in ((4, 10), (5, 9)):  # no answer: one there may run
+            self.member.handle_event(1.2, i.RequestArrived(request, 1, 0, 1, 1.0, 1.0, 0xD0 + request))
+            self.member.handle_event(1.4, i.AttemptEnded(request, 0, machine, i.Outcome.TIMEOUT))
+        self.place(1.0, 6, 1, 1, 0xEE)
+        self.member.handle_event(
+            1.4, i.AttemptEnded(6, 0, 1, i.Outcome.RESET, closed=True)
+        )  # given up as lost
+        self.member.handle_event(1.5, i.ProbeAnswered(7, i.Outcome.CONNECT_FAILED))
+        self.agree(2.0, "leaving")
+        self.assertEqual(self.member.unreported_fences(), ("z1", ["aa", "d4", "ee"]))
+        self.zones.apply_fence("z1", ["aa", "d4", "ee"], "d0")
+        self.agree(2.1, "left")
+        self.assertEqual(self.member.unreported_fences(), ("", []))
+        self.assertIn("may still run in z1", self.member.rejection(2.2, 1, 0xAA).reason)
+        self.assertIsNone(self.member.rejection(2.2, 1, 0xBB))
+
+    def test_idempotent_work_waits_out_its_window(self):
+        settings = zone_settings(3, 8)
+        keyed = i.RequestClass("import", 1, 1, i.Effect.KEYED, i.Scope.ZONE, 4_000_000)
+        member = self.member = FailoverMember(
+            i.Settings(
+                **{
+                    **{name: getattr(settings, name) for name in ("kinds", "zones", "group_size")},
+                    "classes": (settings.classes[0], keyed),
+                }
+            ),
+            0.02,
+            Random(1),
+            str,
+        )
+        member.handle_event(
+            0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, n % 3) for n in range(6)))
+        )
+        self.place(1.0, 1, 4, 1, 0xAA)
+        self.agree(2.0, "leaving")
+        self.assertIsNotNone(member.rejection(5.9, 1, 0xAA))
+        self.assertIsNone(member.rejection(6.1, 1, 0xAA))
+
+    def test_dispatchers_inside_go_on_where_that_was_agreed_and_end_where_not(self):
+        inside = FailoverMember(
+            i.Settings(**{name: getattr(SETTINGS, name) for name in ("kinds", "zones", "classes")}, zone=1),
+            0.02,
+            Random(1),
+            str,
+        )
+        inside.handle_event(0.0, i.MachinesChanged(i.ListForm.FULL, (i.Machine(4, 1),)))
+        self.agree(1.0, "leaving", inside=True)
+        inside.apply_agreed_state(1.0, self.zones)
+        self.assertEqual((inside.effective_state(1.0, 4), inside.rejection(1.0, 0, 0)), ("ready", None))
+        self.assertEqual(self.member.effective_state(1.0, 4), "draining")
+        change(self.zones, "z1", "left", inside=False)
+        inside.apply_agreed_state(1.1, self.zones)
+        self.assertIsNone(inside.rejection(1.1, 0, 0))  # it still reaches the others, or does not know better
+        inside.handle_event(1.1, i.MachinesChanged(i.ListForm.DELTA, (i.Machine(3, 0), i.Machine(5, 2))))
+        for machine in (3, 5):
+            inside.handle_event(1.2, i.ProbeAnswered(machine, i.Outcome.TIMEOUT))
+        inside.tick(1.2)
+        self.assertIn("z1 is left", inside.rejection(1.2, 0, 0).reason)
+
+    def test_a_part_is_shed_where_the_other_zones_can_not_take_it(self):
+        self.agree(1.0, "leaving", shed={"lookup": 0.5})
+        rejections = [self.member.rejection(5.0, 0, 0) for _ in range(400)]
+        self.assertTrue(150 < sum(one is not None for one in rejections) < 250)
+        self.assertIsNone(self.member.rejection(5.0, 1, 0))
+
+    def test_a_tenant_within_its_share_is_not_shed_and_one_over_it_counts_completely(self):
+        tenants = (i.Tenant("acme"), i.Tenant("bolt"))
+        self.member.update_settings(replace(SETTINGS, tenants=tenants))
+        self.agree(1.0, "leaving", shed={"lookup": 0.5}, tenants={"lookup": {"acme": 0.0, "bolt": 1.0}})
+        self.assertEqual([self.member.rejection(5.0 + n / 100, 0, 0, 0, 1.0) for n in range(20)], [None] * 20)
+        rejections = [self.member.rejection(5.0 + n / 100, 0, 0, 1, 1.0) for n in range(20)]
+        self.assertIn("100% of bolt's lookup", rejections[0].reason)
+        # What was turned away is asked for all the same: else its part would swing from look to look.
+        self.assertEqual(self.member.report(5.2).tenant_rates, {"lookup": {"bolt": 5.0}})
+
+    def test_inside_a_left_place_only_machines_known_to_be_warm_need_no_quota(self):
+        inside = FailoverMember(replace(SETTINGS, zone=1), 0.02, Random(1), str)
+        inside.handle_event(
+            0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, n % 3) for n in range(12)))
+        )
+        for machine in (3, 4, 7, 10):
+            inside.handle_event(1.0, i.ProbeAnswered(machine, i.Outcome.OK))
+        self.agree(9.0, "leaving", "left", inside=True)
+        inside.apply_agreed_state(9.0, self.zones)
+        inside.connection_lost(4)  # no list says that its process is a new one
+        inside.handle_event(9.0, i.ProbeAnswered(4, i.Outcome.OK))
+        inside.handle_event(9.0, i.ProbeAnswered(10, i.Outcome.CONNECT_FAILED))
+        self.assertEqual(
+            [inside.effective_state(9.1, machine) for machine in (1, 4, 7, 10)],  # 1 was never heard of
+            ["draining", "draining", "ready", "draining"],
+        )
+        self.assertIn("no share", inside.start_refusal(9.1, 4, 0))
+        self.assertEqual(inside.start_refusal(9.1, 7, 0), "")
+        inside.receive_quotas([StartQuota("z1", "l.0", 0, 0, 1, 1, 0.5)], 9.1)
+        inside.apply_agreed_state(9.1, self.zones)  # news of something else: the share is kept
+        self.assertEqual((inside.start_refusal(9.2, 4, 0), inside.effective_state(9.2, 4)), ("", "draining"))
+        self.assertEqual(
+            inside.effective_state(9.1 + SETTINGS.cold_us / 1e6, 4), "ready"
+        )  # it is warm by now
+        inside.connection_lost(3)  # in a zone that serves, that is the module's to look after
+        self.assertEqual(inside.effective_state(9.2, 3), "ready")
+
+    def test_retries_stop_when_the_budget_is_spent(self):
+        self.agree(1.0, "leaving")
+        stopped = [self.member.start_refusal(1.0, 3, 1) for _ in range(30)]
+        self.assertTrue(5 < sum(why == "" for why in stopped) < 15)
+        self.assertIn("budget", stopped[-1])
+
+    def test_a_class_and_a_zone_of_a_later_version_are_known(self):
+        more = replace(SETTINGS, zones=(*ZONES, "z3"), classes=(*SETTINGS.classes, SETTINGS.classes[0]))
+        self.member.update_settings(more)
+        self.assertIsNone(self.member.rejection(1.0, 2, 0xAA))
+        self.member.handle_event(1.0, i.MachinesChanged(i.ListForm.DELTA, (i.Machine(99, 3),)))
+        self.member.handle_event(1.0, i.ProbeAnswered(99, i.Outcome.OK))
+        self.assertIs(self.member.report(1.1).health("z3"), PlaceHealth.HEALTHY)
+
+    @hypothesis_settings(max_examples=50)
+    @given(
+        st.lists(
+            st.tuples(st.sampled_from(("arrive", "place", "end", "gone")), st.integers(0, 8)), max_size=60
+        )
+    )
+    def test_accounted_cores_are_those_of_running_tasks(self, events):
+        member, standing, arrived = FailoverMember(SETTINGS, 0.02, Random(1), str), {}, set()
+        member.handle_event(
+            0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, n % 3) for n in range(3)))
+        )
+        for n, (what, request) in enumerate(events):
+            match what:
+                case "arrive" if request not in standing:
+                    arrived.add(request)
+                    member.handle_event(n, i.RequestArrived(request, 0, 0, 1, 1.0, 1.0))
+                case "place" if request in arrived:
+                    arrived.discard(request)
+                    standing[request] = request % 3
+                    member.handle_event(n, i.Placed(request, 0, request % 3, 0))
+                case "end" if request in standing:
+                    del standing[request]
+                    member.handle_event(n, i.AttemptEnded(request, 0, request % 3, i.Outcome.OK, closed=True))
+                case "gone" if request in arrived:
+                    arrived.discard(request)
+                    member.handle_event(n, i.RequestGone(request))
+        cores = {}
+        for machine in standing.values():
+            cores[machine] = cores.get(machine, 0.0) + 1.0
+        self.assertEqual(member.load.cores_on, cores)
+
+
+class Settings(unittest.TestCase):
+    def test_a_fault_names_its_key(self):
+        group = {"agreement": {"name": "g"}}
+        for table, key in (
+            ({"step": "x"}, "zones.step"),
+            ({"quorum": 1}, "zones.quorum"),
+            ({"alone": 1}, "zones.alone"),
+            ({"colour": 1}, "zones.colour"),
+            ({"stay": -1}, "zones.stay"),
+        ):
+            with self.assertRaisesRegex(config.ConfigError, key):
+                config.zones({"zones": table, **group})
+        with self.assertRaisesRegex(config.ConfigError, "agreement"):
+            config.zones({"zones": {"step": 1.0}})
+        self.assertIsNone(config.zones({"zones": {"enabled": False}}))
+        self.assertEqual(config.zones({"zones": {"alone": True}}).times.quorum, 1)
--- a/tests/test_realm.py
+++ b/tests/test_simulated_zones.py
@@ -1,4 +1,4 @@
-"""Many dispatchers and servers on a virtual clock: no flood, no oscillation; without a guard, one of them."""
+"""Many dispatchers and servers on a virtual clock: no overload and no oscillation, until a guard is taken out."""
 
 import unittest
 from dataclasses import replace
@@ -40,8 +40,8 @@
     return len(leaves) > 2 and all(b - a > 2.0 * 2**n for n, (a, b) in enumerate(pairwise(leaves)))
 
 
-class Whole(unittest.TestCase):
-    def test_a_zone_is_left_at_once_by_all_and_the_return_floods_nobody(self):
+class AllGuards(unittest.TestCase):
+    def test_a_zone_is_left_at_once_by_all_and_the_return_overloads_no_server(self):
         for seed in range(3):
             one = realm(seed)
             lost_and_back(one)
@@ -84,7 +84,7 @@
                 [name for _, name, phase, _, _ in one.changes if phase == "leaving" and "/" not in name], []
             )
 
-    def unheard(self):
+    def unanswered_starts(self):
         """Starts into a zone that hears and says nothing; each is given up after a second."""
         one = realm(1, silence_s=1.0)
         lost_and_back(one)
@@ -94,10 +94,10 @@
         self.assertEqual(one.oscillations({"z1": 1}), 0, one.changes)
         return one.unheard
 
-    def test_a_zone_that_says_nothing_is_held_back_from_before_starts_time_out(self):
+    def test_members_hold_back_from_a_silent_zone_before_starts_time_out(self):
         with mock.patch.object(SilenceDetector, "is_silent", lambda *_: False):
-            before = self.unheard()
-        self.assertLess(self.unheard(), 0.35 * before)
+            before = self.unanswered_starts()
+        self.assertLess(self.unanswered_starts(), 0.35 * before)
 
     def test_one_rack_is_left_without_its_zone(self):
         one = realm(3, every_s=0.01)
@@ -149,10 +149,10 @@
             worst = max(worst, one.peak)
         return worst
 
-    def test_with_all_of_them_there_is_no_flood(self):
+    def test_with_all_guards_no_server_is_overloaded(self):
         self.assertLessEqual(self.peak_of(), 1.0)
 
-    def test_shares_that_hold_for_ever(self):
+    def test_quotas_that_never_expire(self):
         with mock.patch.object(
             QuotaLease, "remaining", lambda self, now, place, uid: 1 if place in self._held else 0
         ):
@@ -162,7 +162,7 @@
         with mock.patch.object(QuotaLedger, "epoch_length_s", 0.05):
             self.assertGreater(self.peak_of(seeds=(0, 1), pace=0.003), 1.0)
 
-    def test_returning_without_steps_or_shares(self):
+    def test_returning_without_steps_or_quotas(self):
         def straight(self, situation):
             return replace(situation.unchanged, phase=Phase.SERVING, shed={}, tenants={}, reason="at once")
 
@@ -179,7 +179,7 @@
         with mock.patch.object(Witnesses, "are_enough", lambda self, now, place, some, others: bool(some)):
             self.assertTrue(self.moved(lambda one: one.liars.add(0)))
 
-    def test_those_that_are_cut_off_as_witnesses(self):
+    def test_isolated_members_as_witnesses(self):
         def blind(one):
             one.blind = {n: {0, 1, 2} for n in range(7)}  # most of them reach nothing; it is they
 
@@ -196,13 +196,13 @@
             for zone in range(3):
                 one.at(3.0 + zone, lambda zone=zone: one.fail_zone(zone))
 
-        def gone(names):
+        def zones_of(names):
             return {name for name in names if "/" not in name}
 
-        self.assertLess(len(gone(self.moved(all_down))), 3)
+        self.assertLess(len(zones_of(self.moved(all_down))), 3)
         with (
             mock.patch.object(ZoneStates, "another_serves", lambda self, zone, zones: True),
             mock.patch.object(FailoverRules, "_may_leave", lambda self, situation: True),
             mock.patch.object(Observations, "isolation", lambda self, now: Isolation.NONE),
         ):
-            self.assertEqual(len(gone(self.moved(all_down, 12.0))), 3)
+            self.assertEqual(len(zones_of(self.moved(all_down, 12.0))), 3)
--- a/tests/test_alone.py
+++ b/tests/test_standalone_zones.py
@@ -1,4 +1,4 @@
-"""One dispatcher that shares nothing leaves a zone that fails by its own word, and returns to it."""
+"""One dispatcher that shares nothing leaves a zone that fails by its own evidence, and returns to it."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 from weldhatch.server import Gateway
 from weldhatch.standalone_zones import StandaloneZones
 from weldhatch.testbed.process_cluster import until
-from weldhatch.testbed.simulated_zones import settings as realm_settings
+from weldhatch.testbed.simulated_zones import settings as zone_settings
 from weldhatch.zones.failover_rules import FailoverTiming
 from weldhatch.zones.standalone import StandaloneFailover
 from weldhatch.zones.state import Phase
@@ -27,51 +27,52 @@
 class Pure(unittest.TestCase):
     """On a virtual clock: ten machines in each of three zones, one start each 20 ms."""
 
-    def play(self, solitary, now, end, down=()):
+    def run_until(self, standalone, now, end, down=()):
+        member = standalone.member
         n = 0
         while now < end:
             now, n = now + 0.02, n + 1
             machine = n % 30
-            if solitary.member.effective_state(now, machine) == "ready" and not solitary.member.start_refusal(
-                now, machine, 0
-            ):
+            if standalone.member.effective_state(
+                now, machine
+            ) == "ready" and not standalone.member.start_refusal(now, machine, 0):
                 self.starts.append((now, machine))
                 outcome = i.Outcome.TIMEOUT if machine % 3 in down else i.Outcome.OK
-                solitary.member.handle_event(now, i.ProbeAnswered(machine, outcome))
-            probes, _ = solitary.tick(now)
+                member.handle_event(now, i.ProbeAnswered(machine, outcome))
+            probes, _ = standalone.tick(now)
             for machine in probes:
                 outcome = i.Outcome.TIMEOUT if machine % 3 in down else i.Outcome.OK
-                solitary.member.handle_event(now, i.ProbeAnswered(machine, outcome))
+                member.handle_event(now, i.ProbeAnswered(machine, outcome))
         return now
 
-    def test_it_leaves_by_its_own_word_and_takes_its_part_of_a_return(self):
+    def test_it_leaves_by_its_own_evidence_and_takes_its_part_of_a_return(self):
         self.starts = []
-        solitary = StandaloneFailover(realm_settings(3, 6, 12.0), FailoverTiming(), Random(1), 0.0)
-        solitary.member.handle_event(
+        standalone = StandaloneFailover(zone_settings(3, 6, 12.0), FailoverTiming(), Random(1), 0.0)
+        standalone.member.handle_event(
             0.0,
             i.MachinesChanged(
                 i.ListForm.FULL, tuple(i.Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))
             ),
         )
-        now = self.play(solitary, 0.0, 3.0)
-        now = self.play(solitary, now, 6.0, down=(1,))
-        self.assertIs(solitary.zones.place("z1").phase, Phase.LEFT)
+        now = self.run_until(standalone, 0.0, 3.0)
+        now = self.run_until(standalone, now, 6.0, down=(1,))
+        self.assertIs(standalone.zones.place("z1").phase, Phase.LEFT)
         self.assertEqual([machine for at, machine in self.starts if at > 5.0 and machine % 3 == 1], [])
-        back = now = self.play(solitary, now, 9.0)
-        self.assertIs(solitary.zones.place("z1").phase, Phase.RETURNING)
-        now = self.play(solitary, now, 11.0)
+        back = now = self.run_until(standalone, now, 9.0)
+        self.assertIs(standalone.zones.place("z1").phase, Phase.RETURNING)
+        now = self.run_until(standalone, now, 11.0)
         mine = [machine for at, machine in self.starts if back < at and machine % 3 == 1]
         # Six of its kind and a quarter of 12 starts a machine: half a start each, for ten machines.
         self.assertTrue(0 < len(mine) <= 10, mine)
-        self.play(solitary, now, 40.0)
-        self.assertIs(solitary.zones.place("z1").phase, Phase.SERVING)
+        self.run_until(standalone, now, 40.0)
+        self.assertIs(standalone.zones.place("z1").phase, Phase.SERVING)
 
 
 class Front(Scenario):
     servers = 6  # s1 to s3 in the east, s4 to s6 in the west
 
     async def start(self):
-        alone = StandaloneZones(FailoverTiming(quorum=1), self.logged.append)
+        zones = StandaloneZones(FailoverTiming(quorum=1), self.logged.append)
         self.gateway = Gateway(
             config.Platform(
                 "n0",
@@ -85,8 +86,8 @@
                 0.25,
             ),
             self.logged.append,
-            alone,
-            alone,
+            zones,
+            zones,
         )
 
     def target(self, name, state="ready"):
