--- a/tests/test_simulated_zones.py
+++ b/tests/test_simulated_zones.py
@@ -1,4 +1,4 @@
-"""Many dispatchers and servers on a virtual clock: no overload and no oscillation, until a guard is taken out."""
+"""Many dispatchers and servers on a virtual clock: no overload, no oscillation, until a guard is taken out."""
 
 import unittest
 from dataclasses import replace
