--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -14,14 +14,14 @@
 from weldhatch import config
 from weldhatch.cli.main import main
 from weldhatch.cluster import codec, front_controller
-from weldhatch.cluster.control_api import Desk
-from weldhatch.cluster.node import Agreement
-from weldhatch.cluster.storage import AgreementBook, Fold
-from weldhatch.consensus.messages import Append, Entry
+from weldhatch.cluster.control_api import ControlApi
+from weldhatch.cluster.node import ClusterNode
+from weldhatch.cluster.storage import ClusterRecords, ClusterStore
+from weldhatch.consensus.messages import AppendEntries, LogEntry
 from weldhatch.coordination import compatibility, drain_reports
-from weldhatch.coordination.compatibility import Overlap, Unfit
-from weldhatch.coordination.messages import Ask, Learn
-from weldhatch.coordination.state_machine import Group
+from weldhatch.coordination.compatibility import IncompatibleChangeError, Overlap
+from weldhatch.coordination.messages import LeaseRequest, LeaseResponse
+from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.pullqueue.operator_states import STATES
 from weldhatch.scheduling import types as i
 from weldhatch.sites.session import Faulty
@@ -66,31 +66,31 @@
     ],
 )
 def test_the_difference_of_two_values_says_how_they_may_overlap(new, overlap):
-    (change,) = compatibility.changes(BASE, new)
+    (change,) = compatibility.find_changes(BASE, new)
     assert change.overlap is overlap
-    assert compatibility.waits_for_all([change]) == (overlap in (Overlap.WIDENS, Overlap.SWITCHES))
+    assert compatibility.needs_all_members([change]) == (overlap in (Overlap.WIDENS, Overlap.SWITCHES))
 
 
 def test_what_is_acted_on_meanwhile_is_the_narrower_of_both_whichever_is_newer():
     new = replace(of_class(spread_most=5, worth=9.0), max_attempts=2, cold_sends=20.0)
-    for narrow in (compatibility.meet(BASE, new), compatibility.meet(new, BASE)):
+    for narrow in (compatibility.intersect(BASE, new), compatibility.intersect(new, BASE)):
         told = narrow.settings
         assert (told.max_attempts, told.cold_sends, told.classes[0].spread_most) == (2, BASE.cold_sends, 3)
         assert narrow.allows("a")
     assert (
-        compatibility.meet(BASE, new).settings.classes[0].worth == 1.0
+        compatibility.intersect(BASE, new).settings.classes[0].worth == 1.0
     )  # what is free waits for its version
 
 
 def test_a_switch_blocks_its_class_and_one_of_all_blocks_all():
-    narrow = compatibility.meet(BASE, of_class(effect=i.Effect.UNSAFE))
+    narrow = compatibility.intersect(BASE, of_class(effect=i.Effect.UNSAFE))
     assert (narrow.allows("a"), narrow.allows("b")) == (False, True)
-    assert not compatibility.meet(BASE, replace(BASE, confirms_running=False)).allows("b")
+    assert not compatibility.intersect(BASE, replace(BASE, confirms_running=False)).allows("b")
 
 
 def test_safe_work_is_touched_by_its_own_classes_and_by_what_is_for_all():
     def touched(new):
-        return compatibility.touches_safe(compatibility.changes(BASE, new), BASE, new)
+        return compatibility.affects_safe_work(compatibility.find_changes(BASE, new), BASE, new)
 
     keyed = replace(BASE, classes=(BASE.classes[0], replace(BASE.classes[1], window_us=9)))
     assert not touched(keyed)
@@ -110,8 +110,8 @@
     ],
 )
 def test_what_no_running_dispatcher_can_move_to_names_its_key(new, key):
-    with pytest.raises(Unfit) as unfit:
-        compatibility.changes(BASE, new)
+    with pytest.raises(IncompatibleChangeError) as unfit:
+        compatibility.find_changes(BASE, new)
     assert unfit.value.key == key
 
 
@@ -121,7 +121,7 @@
         bold: bool = False
 
     with pytest.raises(AssertionError, match="bold"):
-        compatibility._check(More, compatibility.CLASSES)
+        compatibility.check_complete(More, compatibility.CLASSES)
     assert {one.name for one in fields(i.Settings)} == compatibility.SETTINGS.keys() | compatibility.LISTS
 
 
@@ -133,7 +133,7 @@
 
 
 def test_the_state_comes_back_from_its_text_and_goes_on_the_same():
-    one, other = Group(), Group()
+    one, other = StateMachine(), StateMachine()
     log = [
         command(do="join", name="g1", epoch=1, token="t"),
         command(do="propose", base=0, tree={"a": 1}, why="w", by="x", id="p1"),
@@ -148,7 +148,7 @@
     ]
     for n, data in enumerate(log, 1):
         one.apply(n, data)
-        again = Group()
+        again = StateMachine()
         again.load(one.state())
         other.apply(n, data)
         assert again.digest == one.digest == other.digest
@@ -178,7 +178,7 @@
     ],
 )
 def test_a_command_that_can_not_be_carried_out_changes_nothing(it, error):
-    group = Group()
+    group = StateMachine()
     group.apply(1, command(do="join", name="g", epoch=2, token="t"))
     group.apply(2, command(do="word", machine="m", state="off", fence=5, op=""))
     before = json.loads(group.state())
@@ -187,14 +187,14 @@
 
 
 def test_operators_states_are_ordered():
-    assert STATES.keys() <= drain_reports.ORDER.keys()
+    assert STATES.keys() <= drain_reports.PERMISSIVENESS.keys()
 
 
 # ---- lists -----------------------------------------------------------------------------------------------
 
 
 def test_what_one_list_narrows_counts_for_those_with_an_older_one():
-    told = drain_reports.Lists()
+    told = drain_reports.DrainReports()
     told.take(7, {"s1": "draining", "s2": "gone", "s3": "ready"}, "g1")
     assert [told.acts(uid, 6) for uid in ("s1", "s2", "s3")] == ["draining", "gone", "ready"]
     assert told.acts("s1", 8) == "ready"  # its own list is newer
@@ -205,7 +205,7 @@
 
 
 def test_two_lists_of_one_revision_the_narrower_acts_and_it_is_told():
-    told = drain_reports.Lists()
+    told = drain_reports.DrainReports()
     told.take(7, {"s1": "draining"}, "g1")
     told.take(7, {"s1": "ready"}, "g2")
     assert told.acts("s1", 7, "ready") == "draining"
@@ -215,7 +215,7 @@
 
 
 def test_a_dispatcher_tells_only_what_is_news():
-    told = drain_reports.Lists()
+    told = drain_reports.DrainReports()
     states = {"s1": "draining", "s2": "ready"}
     assert told.news(3, states) == {"s1": "draining"}
     told.take(3, told.news(3, states), "g1")
@@ -233,11 +233,11 @@
 
 
 def test_words_cross_whole_also_where_they_are_long():
-    learn = Learn(0, 1.5, True, "", "", 0, ("x" * 50_000, "y"), "", 3, "d")
-    append = Append(0, 1, 0, 0, (Entry(1, "command", "z"),), 0, 1.0)
-    for word in (learn, Ask(0, "g1", 1, "t", 2.0, 3, "d"), append):
+    learn = LeaseResponse(0, 1.5, True, "", "", 0, ("x" * 50_000, "y"), "", 3, "d")
+    append = AppendEntries(0, 1, 0, 0, (LogEntry(1, "command", "z"),), 0, 1.0)
+    for word in (learn, LeaseRequest(0, "g1", 1, "t", 2.0, 3, "d"), append):
         stream, data = codec.encode(word)
-        parts, held = list(codec.parts(data)), codec.Parts()
+        parts, held = list(codec.split(data)), codec.Reassembler()
         assert all(len(part) <= codec.PART + 1 for part in parts)
         assert [held.add(stream, part) for part in parts][:-1] == [None] * (len(parts) - 1)
         for part in parts[:-1]:
@@ -248,11 +248,11 @@
             codec.decode(codec.WORDS, bad)
     for bad in (b"", b"\2x"):
         with pytest.raises(Faulty):
-            codec.Parts().add(0, bad)
+            codec.Reassembler().add(0, bad)
 
 
 def test_the_book_folds_to_the_same_and_names_what_it_can_not_read(tmp_path):
-    fold = Fold()
+    fold = ClusterRecords()
     for record in (
         ["begins", 3, "t"],
         ["met", "g2", 5, "u"],
@@ -260,7 +260,7 @@
         ["raft", "vote", 0, 4, "g2"],
     ):
         fold.take(json.dumps(record).encode())
-    again = Fold()
+    again = ClusterRecords()
     for record in fold.records():
         again.take(record)
     assert (again.epoch, again.met, again.state, again.saved.term, again.saved.writes) == (
@@ -275,7 +275,7 @@
             again.take(bad)
     (tmp_path / "lock").mkdir()
     with pytest.raises(config.ConfigError, match=r"agreement\.store: "):
-        AgreementBook(str(tmp_path), 0.0, print)
+        ClusterStore(str(tmp_path), 0.0, print)
 
 
 # ---- the file --------------------------------------------------------------------------------------------
@@ -332,7 +332,7 @@
             }
         )
         self.events = []
-        self.agreement = Agreement(
+        self.agreement = ClusterNode(
             told,
             config.settings_of_json,
             lambda settings: "",
@@ -341,11 +341,11 @@
             lambda text: None,
             lambda name, **fields: self.events.append((name, fields)),
         )
-        self.desk = Desk(self.agreement, config.settings_of_json, lambda text: None, time.time)
+        self.desk = ControlApi(self.agreement, config.settings_of_json, lambda text: None, time.time)
         self.closes = [self.desk.abort, self.agreement.close]
         host, port = self.desk.listener.address
         self.at = ["--control", f"{host}:{port}"]
-        await until(lambda: self.agreement.holder.group.active, 10, "version 1")
+        await until(lambda: self.agreement.lease_holder.state_machine.active, 10, "version 1")
 
     async def asyncTearDown(self):
         for close in self.closes:
@@ -376,7 +376,7 @@
         self.assertEqual((await self.run_("rules", "diff", path))[0], 0)
         code, out = await self.run_("rules", "undo", "--why", "back", "--json")
         self.assertEqual((code, json.loads(out)["state"]), (0, "active"))
-        self.assertEqual(self.agreement.holder.group.active.tree["limits"]["mostTries"], 4)
+        self.assertEqual(self.agreement.lease_holder.state_machine.active.tree["limits"]["mostTries"], 4)
         code, out = await self.run_("rules", "history", "--json")
         self.assertEqual(
             [one["number"] for one in json.loads(out)["history"] if one["came"] == "active"], [1, 2, 3]
@@ -406,12 +406,12 @@
             code, out = await self.run_(*words)
             self.assertEqual(code, 2, (words, out))
             self.assertIn(said, out)
-        self.assertEqual(self.agreement.holder.group.active.number, 1)
+        self.assertEqual(self.agreement.lease_holder.state_machine.active.number, 1)
 
     async def test_a_recovery_by_hand_is_seen_for_ever_after(self):
         code, out = await self.run_("rules", "recover", "--why", "the others burnt", "--yes")
         self.assertEqual(code, 0, out)
-        await until(lambda: self.agreement.holder.lineage == 1, 5, "the new lineage is held")
+        await until(lambda: self.agreement.lease_holder.lineage == 1, 5, "the new lineage is held")
         code, out = await self.run_("rules", "status")
         self.assertIn("the others burnt", out)
 
@@ -429,7 +429,7 @@
         self.assertIn("no leader took it", out)
         self.assertIn("No space left", (await self.run_("rules", "status"))[1])
         log.append = whole
-        await until(lambda: self.agreement.holder.group.active.number == 2, 10, "it goes on")
+        await until(lambda: self.agreement.lease_holder.state_machine.active.number == 2, 10, "it goes on")
 
     async def test_a_restart_shows_what_was_held_and_acts_on_nothing_before_it_is_heard(self):
         code, out = await self.run_("rules", "propose", self.file(limits__mostTries=2), "--why", "x")
@@ -437,7 +437,7 @@
         await self.agreement.book.flush()
         told = self.agreement.told
         self.agreement.close()
-        again = Agreement(
+        again = ClusterNode(
             told,
             config.settings_of_json,
             lambda settings: "",
@@ -448,12 +448,14 @@
         )
         self.closes.append(again.close)
         self.assertEqual(again.status()["number"], 2)
-        cls = again.holder.rules.narrow.settings.classes[0]
-        self.assertTrue(again.holder.refusal(again._now(), cls))
-        await until(lambda: not again.holder.refusal(again._now(), cls), 10, "it has its lease again")
+        cls = again.lease_holder.rules.narrow.settings.classes[0]
+        self.assertTrue(again.lease_holder.refusal_reason(again._now(), cls))
+        await until(
+            lambda: not again.lease_holder.refusal_reason(again._now(), cls), 10, "it has its lease again"
+        )
 
 
 def test_events_are_one_json_object_a_line(capsys):
-    front_controller.events()("leads", term=3)
+    front_controller.event_logger()("leads", term=3)
     told = json.loads(capsys.readouterr().err)
     assert (told["event"], told["term"]) == ("agreement.leads", 3)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -7,10 +7,20 @@
 import pytest
 
 from weldhatch.consensus import raft
-from weldhatch.consensus.messages import Entry
-from weldhatch.consensus.persistent_state import Saved
-from weldhatch.consensus.raft import Busy, Commit, Load, NotLeader, Raft, Say, Stored, Times, Write
-from weldhatch.consensus.rejoin import Vouched
+from weldhatch.consensus.messages import LogEntry
+from weldhatch.consensus.persistent_state import PersistentState
+from weldhatch.consensus.raft import (
+    BusyError,
+    Commit,
+    EntryPersisted,
+    LoadSnapshot,
+    NotLeaderError,
+    Raft,
+    Send,
+    Timing,
+    WriteRecord,
+)
+from weldhatch.consensus.rejoin import RejoinGuard
 
 
 class Voters:
@@ -26,10 +36,10 @@
             self.boot(name)
 
     def boot(self, name):
-        saved = Saved()
+        saved = PersistentState()
         for word in self.disks[name]:
-            saved.take_word(*json.loads(json.dumps(word)))
-        node = self.nodes[name] = Raft(name, saved, Times(), self.random, self.now)
+            saved.apply(*json.loads(json.dumps(word)))
+        node = self.nodes[name] = Raft(name, saved, Timing(), self.random, self.now)
         if not self.disks[name]:
             node.begin(dict.fromkeys(self.names, ""))
         self.applied[name] = saved.base
@@ -78,17 +88,17 @@
             if not node.out:
                 return
             match effect := node.out.pop(0):
-                case Write(word):
+                case WriteRecord(word):
                     self.disks[name].append(word)
-                case Say(to, message):
+                case Send(to, message):
                     self.net.append((self.now + self.random.uniform(*self.delay), name, to, message))
-                case Stored():
+                case EntryPersisted():
                     node.stored(effect)
                 case Commit(index, entry):
                     assert index == self.applied[name] + 1
                     self.applied[name] = index
                     assert self.decided.setdefault(index, entry) == entry  # one value a number
-                case Load(index, _):
+                case LoadSnapshot(index, _):
                     self.applied[name] = index
 
     def leader(self, within=10.0):
@@ -126,7 +136,7 @@
                 try:
                     node.propose(voters.now, str(given))
                     given += 1
-                except Busy:
+                except BusyError:
                     pass
             if rnd.random() < 0.003:
                 node.hand_over(voters.now, rnd.choice([one for one in voters.names if one != name]))
@@ -159,7 +169,7 @@
     voters.cut |= {(a, b) for a in voters.names for b in voters.names if leader.name in (a, b)}
     voters.until(lambda: leader.role != "leader", 1.0)
     assert leader.leads_until(voters.now) == float("-inf")
-    with pytest.raises(NotLeader):
+    with pytest.raises(NotLeaderError):
         leader.propose(voters.now, "x")
 
 
@@ -282,10 +292,10 @@
         leader.change_voters(voters.now, {"a": "", "x": "", "y": "", "b": "", "c": ""})
     voters.names.append("d")
     voters.disks["d"] = []
-    voters.nodes["d"] = Raft("d", Saved(), Times(), voters.random, voters.now)
+    voters.nodes["d"] = Raft("d", PersistentState(), Timing(), voters.random, voters.now)
     voters.applied["d"] = 0
     index = leader.change_voters(voters.now, {**leader.voters, "d": ""})
-    with pytest.raises(Busy, match="not decided"):
+    with pytest.raises(BusyError, match="not decided"):
         leader.change_voters(voters.now, {name: "" for name in voters.names if name != "a"})
     voters.until(lambda: voters.applied["d"] >= index)
     assert voters.nodes["d"].votes
@@ -371,7 +381,7 @@
 
 
 def test_saved_records_fold_to_the_same():
-    saved = Saved()
+    saved = PersistentState()
     for word in (
         ("snapshot", 0, 0, 0, '{"a": ""}', ""),
         ("vote", 0, 1, "a"),
@@ -380,8 +390,8 @@
         ("entry", 2, 2, "command", "y"),
         ("lost", "why"),
     ):
-        saved.take_word(*word)
-    again = Saved()
+        saved.apply(*word)
+    again = PersistentState()
     for record in saved.records():
         again.take(record)
     assert (again.term, again.vote, again.entries, again.lost, again.writes, again.voters) == (
@@ -392,7 +402,7 @@
         saved.writes,
         saved.voters,
     )
-    assert again.entries[1] == Entry(2, "command", "y")
+    assert again.entries[1] == LogEntry(2, "command", "y")
     for bad in (b"[]", b'["entry", 9, 1, "command", "x"]', b'["vote", 1]', b"\xff", b'["what"]', b"7"):
         with pytest.raises(ValueError):
             again.take(bad)
@@ -401,18 +411,20 @@
 
 def test_a_voter_that_comes_back_hears_enough_others_before_it_votes():
     five = ("a", "b", "c", "d", "e")
-    one = Vouched(10.0)
-    assert one.far(0.0, "a", five) is None
+    one = RejoinGuard(10.0)
+    assert one.required_log(0.0, "a", five) is None
     one.heard("b", 3, (2, 7))
     one.heard("c", 4, (3, 1))
     one.heard("z", 9, (9, 9))  # no voter of ours
-    assert one.far(1.0, "a", five) is None  # two others may be a majority's that did not count it
+    assert one.required_log(1.0, "a", five) is None  # two others may be a majority's that did not count it
     one.heard("d", 4, (1, 50))
-    assert one.far(1.0, "a", five) == (3, 1)
-    assert one.far(1.0, "a", ("a", "b")) == (2, 7) and one.far(1.0, "a", ("a",)) == (0, 0)
-    assert one.far(1.0, "a", ("a", "b", "y")) is None  # of three, both
+    assert one.required_log(1.0, "a", five) == (3, 1)
+    assert one.required_log(1.0, "a", ("a", "b")) == (2, 7) and one.required_log(1.0, "a", ("a",)) == (0, 0)
+    assert one.required_log(1.0, "a", ("a", "b", "y")) is None  # of three, both
     assert one.spent(1.0, 4) and not one.spent(1.0, 10)
-    assert one.far(10.0, "a", five) == (0, 0) and not one.spent(10.0, 4)  # it has waited for long enough
+    assert one.required_log(10.0, "a", five) == (0, 0) and not one.spent(
+        10.0, 4
+    )  # it has waited for long enough
 
 
 def older_copy_votes():
@@ -440,7 +452,7 @@
 
 def test_an_older_copy_waits_for_those_who_could_tell(monkeypatch):
     assert not older_copy_votes()
-    monkeypatch.setattr(Vouched, "far", lambda *_: (0, 0))
+    monkeypatch.setattr(RejoinGuard, "required_log", lambda *_: (0, 0))
     assert older_copy_votes()
 
 
@@ -450,11 +462,11 @@
     for _ in range(300):
         voters.step()
     back, other = voters.names[:2]
-    assert not [say for say in voters.nodes[other].out if isinstance(say, Say)]
-    saved = Saved()
+    assert not [say for say in voters.nodes[other].out if isinstance(say, Send)]
+    saved = PersistentState()
     for word in voters.disks[back]:
-        saved.take_word(*json.loads(json.dumps(word)))
-    one = Raft(back, saved, Times(), voters.random, voters.now)
+        saved.apply(*json.loads(json.dumps(word)))
+    one = Raft(back, saved, Timing(), voters.random, voters.now)
     one.greet(other)
     (asked,) = [say.message for say in one.out]
     assert asked.asks
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.coordination.leader import Coordinator
-from weldhatch.coordination.lease_holder import Footing, Holder
-from weldhatch.coordination.state_machine import Word
+from weldhatch.coordination.leader import Leader
+from weldhatch.coordination.lease_holder import LeaseHolder, LeaseStatus
+from weldhatch.coordination.state_machine import MachineDirective
 from weldhatch.testbed import simulated_cluster
 from weldhatch.testbed.simulated_cluster import KINDS, Contradiction, Council, scenario, settings, settled
 
@@ -81,10 +81,10 @@
         waited += 1
         assert waited < 200
     assert waited * simulated_cluster.STEP_S > done.spans.lease * 0.7  # it waited for the lease to run out
-    holder = done.seats["n3"].member.holder
-    assert holder.footing(done.seats["n3"].now(done.time)) is not Footing.LEASE
+    holder = done.seats["n3"].member.lease_holder
+    assert holder.lease_status(done.seats["n3"].now(done.time)) is not LeaseStatus.VALID
     done.run(100)
-    assert holder.footing(done.seats["n3"].now(done.time)) is Footing.NOTHING
+    assert holder.lease_status(done.seats["n3"].now(done.time)) is LeaseStatus.EXPIRED
 
 
 def test_safe_work_goes_on_without_a_lease_for_a_while_and_nothing_else():
@@ -93,17 +93,17 @@
     seen = set()
     for _ in range(120):
         done.step()
-        holder, now = seat.member.holder, seat.now(done.time)
+        holder, now = seat.member.lease_holder, seat.now(done.time)
         lookup, keyed, writer = holder.rules.narrow.settings.classes
-        footing = holder.footing(now)
+        footing = holder.lease_status(now)
         seen.add(footing)
-        assert (not holder.refusal(now, lookup)) == (footing is not Footing.NOTHING)
+        assert (not holder.refusal_reason(now, lookup)) == (footing is not LeaseStatus.EXPIRED)
         assert (
-            (not holder.refusal(now, keyed))
-            == (not holder.refusal(now, writer))
-            == (footing is Footing.LEASE)
+            (not holder.refusal_reason(now, keyed))
+            == (not holder.refusal_reason(now, writer))
+            == (footing is LeaseStatus.VALID)
         )
-    assert seen == set(Footing)
+    assert seen == set(LeaseStatus)
 
 
 def test_a_stopped_process_wakes_to_no_lease():
@@ -120,8 +120,10 @@
     while 2 not in done.active:
         done.step()
         assert seat.stopped
-    cls = seat.member.holder.rules.narrow.settings.classes[1]
-    assert seat.member.holder.refusal(seat.now(done.time), cls)  # asked before it has heard anything
+    cls = seat.member.lease_holder.rules.narrow.settings.classes[1]
+    assert seat.member.lease_holder.refusal_reason(
+        seat.now(done.time), cls
+    )  # asked before it has heard anything
     done.run(300)
     assert settled(done)
 
@@ -134,16 +136,16 @@
     tree = settings(effect="read_like")
     done.give("n0", "p1", {"do": "propose", "base": 1, "tree": tree, "why": "x", "by": "x"})
     done.run(60)
-    history = done.seats["n0"].member.group.history
+    history = done.seats["n0"].member.state_machine.history
     assert history[-1]["came"] == "dropped"
     assert "n3 refuses: classes.import.effect" in history[-1]["why"]
     done.give(
         "n0", "p2", {"do": "propose", "base": 1, "tree": tree, "why": "x", "by": "x", "despite": ["n3"]}
     )
     done.run(200)
-    assert done.seats["n0"].member.group.active.number == 3
-    holder = done.seats["n3"].member.holder
-    assert holder.footing(done.seats["n3"].now(done.time)) is Footing.NOTHING
+    assert done.seats["n0"].member.state_machine.active.number == 3
+    holder = done.seats["n3"].member.lease_holder
+    assert holder.lease_status(done.seats["n3"].now(done.time)) is LeaseStatus.EXPIRED
 
 
 def test_two_proposals_at_once_one_is_in_and_the_other_hears_so():
@@ -169,7 +171,7 @@
         done.step()
 
     def acts():
-        return {name: seat.member.holder.acts("m1") for name, seat in done.seats.items()}
+        return {name: seat.member.lease_holder.machine_state("m1") for name, seat in done.seats.items()}
 
     done.give("n0", "w1", {"do": "word", "machine": "m1", "state": "draining", "fence": 1, "op": "x"})
     done.run(10)
@@ -197,16 +199,24 @@
     seat = done.seats["n3"]
     done.seats["n3"].member, seat.member = old, old
     done.run(60)
-    assert "fenced" in old.holder.why
-    assert old.holder.footing(seat.now(done.time)) is Footing.NOTHING
+    assert "fenced" in old.lease_holder.why
+    assert old.lease_holder.lease_status(seat.now(done.time)) is LeaseStatus.EXPIRED
 
 
 @pytest.mark.parametrize(
     "owner, name, put",
     [
-        (Holder, "footing", lambda self, now: Footing.LEASE),  # the lease check, when a decision acts
-        (Coordinator, "waits", lambda self, *args, **more: {}),  # the wait for all who hold a lease
-        (Holder, "_narrowed", lambda self, real=Holder._narrowed: _only_active(self, real)),  # the narrower
+        (
+            LeaseHolder,
+            "lease_status",
+            lambda self, now: LeaseStatus.VALID,
+        ),  # the lease check, when a decision acts
+        (Leader, "waits", lambda self, *args, **more: {}),  # the wait for all who hold a lease
+        (
+            LeaseHolder,
+            "_narrowed",
+            lambda self, real=LeaseHolder._narrowed: _only_active(self, real),
+        ),  # the narrower
     ],
 )
 def test_without_a_guard_somebody_contradicts(monkeypatch, owner, name, put):
@@ -220,15 +230,15 @@
 
 
 def _only_active(self, real):
-    prepared, self.group.prepared = self.group.prepared, None
+    prepared, self.state_machine.prepared = self.state_machine.prepared, None
     try:
         return real(self)
     finally:
-        self.group.prepared = prepared
+        self.state_machine.prepared = prepared
 
 
 def test_without_the_narrower_word_a_machine_is_used_too_early(monkeypatch):
-    monkeypatch.setattr(Word, "acts", property(lambda self: self.state))
+    monkeypatch.setattr(MachineDirective, "acts", property(lambda self: self.state))
     with pytest.raises(AssertionError):
         test_a_drain_acts_at_once_and_its_undoing_once_everybody_holds_it()
 
--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -19,17 +19,35 @@
 
 from weldhatch import config
 from weldhatch.cluster.codec import decode, encode
-from weldhatch.cluster.control_api import Desk
-from weldhatch.cluster.node import Agreement
-from weldhatch.cluster.storage import AgreementBook, Fold
-from weldhatch.consensus.messages import Append, Appended, AskVote, Entry, Install, Seen, StandNow, Vote
-from weldhatch.consensus.persistent_state import Saved
-from weldhatch.consensus.raft import Busy, Commit, Load, Raft, Say, Stored, Times, Write
+from weldhatch.cluster.control_api import ControlApi
+from weldhatch.cluster.node import ClusterNode
+from weldhatch.cluster.storage import ClusterRecords, ClusterStore
+from weldhatch.consensus.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Hello,
+    InstallSnapshot,
+    LogEntry,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
+)
+from weldhatch.consensus.persistent_state import PersistentState
+from weldhatch.consensus.raft import (
+    BusyError,
+    Commit,
+    EntryPersisted,
+    LoadSnapshot,
+    Raft,
+    Send,
+    Timing,
+    WriteRecord,
+)
 from weldhatch.coordination import effects
-from weldhatch.coordination.leader import Spans
-from weldhatch.coordination.messages import Ask, Learn, Result, Submit
-from weldhatch.coordination.node import Member
-from weldhatch.coordination.state_machine import Group
+from weldhatch.coordination.leader import LeaseTiming
+from weldhatch.coordination.messages import CommandRequest, CommandResult, LeaseRequest, LeaseResponse
+from weldhatch.coordination.node import CoordinationNode
+from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 from weldhatch.store.log import Log
@@ -72,35 +90,45 @@
 REPORT = '{"zone":"a","cut":"no","looks":{"a":["fine",3,0,3],"b":["down",0,9,9,1200]},"refused":0}'
 SHARES = '[["b","n0.3.1",1,2,5,7,0.5]]'
 MESSAGES = {
-    "vote asked": AskVote(1, 2, 3, 4, True, True, 5, 6),
-    "vote asked, as by default": AskVote(1, 2, 3, 4, False),
-    "vote": Vote(1, 2, True, False, 3),
-    "entries": Append(
+    "vote asked": RequestVote(1, 2, 3, 4, True, True, 5, 6),
+    "vote asked, as by default": RequestVote(1, 2, 3, 4, False),
+    "vote": RequestVoteResponse(1, 2, True, False, 3),
+    "entries": AppendEntries(
         1,
         2,
         3,
         4,
-        (Entry(5, "command", '{"do":"join"}'), Entry(6, "voters", '{"n0": "h:1"}'), Entry(7, "first")),
+        (
+            LogEntry(5, "command", '{"do":"join"}'),
+            LogEntry(6, "voters", '{"n0": "h:1"}'),
+            LogEntry(7, "first"),
+        ),
         8,
         9.25,
         10,
         11,
     ),
-    "heartbeat": Append(1, 2, 3, 4, (), 5, 6.5),
-    "entries answered": Appended(1, 2, True, 3, 4.5, 6),
-    "entries refused": Appended(1, 2, False, -1, 4.5),
-    "snapshot": Install(1, 2, 3, 4, '{"n0": "h:1"}', '{"index":3}', 5.5),
-    "stand now": StandNow(1, 2),
-    "greeting": Seen(1, 2, 3, 4, 5, True),
-    "greeting of another lineage": Seen(1, 0),
-    "lease asked": Ask(1, "g1", 2, "t", 3.5, 4, "d", 5, "zones: x", True, REPORT),
-    "lease asked, as by default": Ask(1, "g1", 2, "t", 3.5, 4, "d"),
-    "lease granted": Learn(1, 2.5, True, "", "", 3, ('{"do":"x"}', ""), "", 5, "d", '{"n0": "h:1"}', SHARES),
-    "lease denied": Learn(1, 2.5, False, "fenced: x", "n2", 0, (), '{"index":3}', 5, "d"),
-    "version proposed": Submit("g1-2-t-1", '{"do":"propose","base":1,"tree":{},"why":"w","by":"x"}'),
-    "drain reported": Submit("g1-2-t-2", '{"do":"listed","rev":4,"entries":{"s1":"draining"},"by":"g1"}'),
-    "zone held": Submit("g1-2-t-3", '{"do":"zone_word","word":"hold","place":"a","why":"w","by":"x"}'),
-    "result": Result("g1-2-t-1", '{"ok": true, "number": 2}'),
+    "heartbeat": AppendEntries(1, 2, 3, 4, (), 5, 6.5),
+    "entries answered": AppendEntriesResponse(1, 2, True, 3, 4.5, 6),
+    "entries refused": AppendEntriesResponse(1, 2, False, -1, 4.5),
+    "snapshot": InstallSnapshot(1, 2, 3, 4, '{"n0": "h:1"}', '{"index":3}', 5.5),
+    "stand now": TimeoutNow(1, 2),
+    "greeting": Hello(1, 2, 3, 4, 5, True),
+    "greeting of another lineage": Hello(1, 0),
+    "lease asked": LeaseRequest(1, "g1", 2, "t", 3.5, 4, "d", 5, "zones: x", True, REPORT),
+    "lease asked, as by default": LeaseRequest(1, "g1", 2, "t", 3.5, 4, "d"),
+    "lease granted": LeaseResponse(
+        1, 2.5, True, "", "", 3, ('{"do":"x"}', ""), "", 5, "d", '{"n0": "h:1"}', SHARES
+    ),
+    "lease denied": LeaseResponse(1, 2.5, False, "fenced: x", "n2", 0, (), '{"index":3}', 5, "d"),
+    "version proposed": CommandRequest("g1-2-t-1", '{"do":"propose","base":1,"tree":{},"why":"w","by":"x"}'),
+    "drain reported": CommandRequest(
+        "g1-2-t-2", '{"do":"listed","rev":4,"entries":{"s1":"draining"},"by":"g1"}'
+    ),
+    "zone held": CommandRequest(
+        "g1-2-t-3", '{"do":"zone_word","word":"hold","place":"a","why":"w","by":"x"}'
+    ),
+    "result": CommandResult("g1-2-t-1", '{"ok": true, "number": 2}'),
 }
 
 
@@ -164,10 +192,10 @@
             self.boot(name)
 
     def boot(self, name):
-        saved = Saved()
+        saved = PersistentState()
         for record in self.disks[name]:
             saved.take(record.encode())
-        node = self.nodes[name] = Raft(name, saved, Times(), Random(self.random.getrandbits(32)), self.now)
+        node = self.nodes[name] = Raft(name, saved, Timing(), Random(self.random.getrandbits(32)), self.now)
         if not self.disks[name] and name in VOTERS:
             node.begin({one: f"{one}:1" for one in VOTERS})
         for other in self.nodes:
@@ -180,20 +208,20 @@
         while node.out:
             effect = node.out.pop(0)
             match effect:
-                case Write(record):
+                case WriteRecord(record):
                     text = record_text(record)
                     self.disks[name].append(text)
                     self.transcript.add(f"record {json.loads(text)[0]}", name, text)
-                case Say(to, message):
+                case Send(to, message):
                     stream, data = encode(message)
                     self.transcript.add(f"message {stream} {data[1]}", name, to, data)
                     self.net.append((name, to, stream, data))
-                case Stored(index, term):
+                case EntryPersisted(index, term):
                     self.transcript.add("stored", name, index, term)
                     node.stored(effect)
                 case Commit(index, entry):
                     self.transcript.add("commit", name, index, fields_of(entry))
-                case Load(index, state):
+                case LoadSnapshot(index, state):
                     self.transcript.add("load", name, index, state)
 
     def step(self):
@@ -246,7 +274,7 @@
                 node.change_voters(self.now, voters)
             if rnd.random() < 0.005 and len(node.voters) > 1:
                 node.hand_over(self.now, rnd.choice([one for one in node.voters if one != node.name]))
-        except (Busy, ValueError) as fault:
+        except (BusyError, ValueError) as fault:
             self.transcript.add("refused", str(fault))
         if rnd.random() < 0.01 and node.applied:
             node.snapshot(f"state {node.applied}", node.applied)
@@ -271,7 +299,7 @@
     rate: float
     disk: list[str] = field(default_factory=list)
     epoch: int = 0
-    member: Member | None = None
+    member: CoordinationNode | None = None
     writing: list[str] | None = None
     held: tuple[int, str] = (0, "")
 
@@ -292,18 +320,18 @@
     def boot(self, seat):
         seat.epoch, seat.writing, saved = seat.epoch + 1, None, None
         if seat.name in VOTERS:
-            saved = Saved()
+            saved = PersistentState()
             for record in seat.disk:
                 saved.take(record.encode())
 
         def read(told):
             return replace(config.settings_of_json(told), zone=0)
 
-        seat.member = Member(
+        seat.member = CoordinationNode(
             seat.name,
             seat.epoch,
             f"t{seat.epoch}",
-            Spans(),
+            LeaseTiming(),
             read,
             lambda settings: "import: not here" if settings.classes[0].spread_most == 13 else "",
             tree(),
@@ -313,15 +341,15 @@
             {name: f"{name}:1" for name in VOTERS} if seat.name in VOTERS and not seat.disk else None,
             ZoneTimes(quorum=2),
         )
-        seat.member.sight = lambda now: self.report(seat)
+        seat.member.observe_zones = lambda now: self.report(seat)
         if seat.held[1]:
-            seat.member.holder.restart(seat.held[1], seat.held[0])
+            seat.member.lease_holder.restore(seat.held[1], seat.held[0])
         for other in self.seats.values():
             if other.member is not None and other is not seat:
                 if other.name in VOTERS:
-                    seat.member.up(seat.now(self.time), other.name)
+                    seat.member.peer_up(seat.now(self.time), other.name)
                 if seat.name in VOTERS:
-                    other.member.up(other.now(self.time), seat.name)
+                    other.member.peer_up(other.now(self.time), seat.name)
 
     def report(self, seat):
         down = 6.0 < self.time < 12.0
@@ -340,26 +368,26 @@
         )
 
     def carry(self, seat):
-        out, seat.member.out = seat.member.out, []
+        out, seat.member.effects = seat.member.effects, []
         for effect in out:
             match effect:
-                case effects.Write(records):
+                case effects.WriteRecords(records):
                     seat.writing = [record_text(record) for record in records]
                     self.transcript.add("write", seat.name, seat.writing)
-                case effects.Say(to, word):
+                case effects.Send(to, word):
                     stream, data = encode(word)
                     self.transcript.add(f"message {stream} {data[1]}", seat.name, to, data)
                     self.net.append((seat.name, to, stream, data))
-                case effects.Hold(lineage, state):
+                case effects.SaveState(lineage, state):
                     seat.held = lineage, state
                     self.transcript.add("hold", seat.name, lineage, state)
-                case effects.Reach(voters):
+                case effects.ConnectVoters(voters):
                     self.transcript.add("reach", seat.name, voters)
-                case effects.Came(id, result):
+                case effects.CommandCompleted(id, result):
                     self.transcript.add("result", seat.name, id, result)
-                case effects.Event(name, fields):
+                case effects.LogEvent(name, fields):
                     self.transcript.add(f"event {name}", seat.name, fields)
-                case effects.Shared(shares, asked):
+                case effects.QuotaReceived(shares, asked):
                     self.transcript.add("shares", seat.name, shares, asked)
 
     def step(self):
@@ -373,7 +401,7 @@
                 if seat.writing is not None:
                     seat.disk += seat.writing
                     seat.writing = None
-                    seat.member.wrote(seat.now(self.time))
+                    seat.member.records_written(seat.now(self.time))
                 seat.member.tick(seat.now(self.time))
                 self.carry(seat)
         net, self.net = self.net, deque()
@@ -381,7 +409,7 @@
             fate = self.random.random()
             seat = self.seats[to]
             for _ in range(0 if to in self.down or fate < 0.02 else 2 if fate < 0.04 else 1):
-                seat.member.hear(seat.now(self.time), name, decode(stream, data))
+                seat.member.receive(seat.now(self.time), name, decode(stream, data))
                 self.carry(seat)
 
     def play(self, steps, crashes):
@@ -392,7 +420,7 @@
                 name, command = given[n]
                 if name not in self.down:
                     seat = self.seats[name]
-                    seat.member.give(seat.now(self.time), f"c{n}", command)
+                    seat.member.submit(seat.now(self.time), f"c{n}", command)
                     self.carry(seat)
             if n == steps - 200 and "n2" not in self.down:
                 seat = self.seats["n2"]
@@ -410,7 +438,9 @@
                         cls = config.settings_of_json(tree()).classes[1]
                         self.transcript.add("status", seat.member.status(now))
                         self.transcript.add("seen by the leader", seat.member.leader_status(now))
-                        self.transcript.add("refusal", seat.member.holder.refusal(now, cls, "m1", 3))
+                        self.transcript.add(
+                            "refusal", seat.member.lease_holder.refusal_reason(now, cls, "m1", 3)
+                        )
         return self.transcript.told()
 
 
@@ -487,7 +517,7 @@
 
 
 def test_records_of_every_kind_fold_to_the_least_that_say_the_same():
-    fold = Fold()
+    fold = ClusterRecords()
     for record in RECORDS:
         fold.take(record.encode())
     assert [record.decode() for record in fold.records()] == FOLDED
@@ -499,14 +529,14 @@
 )
 def test_a_record_of_no_kind_is_an_error(bad):
     with pytest.raises(ValueError):
-        Fold().take(bad.encode())
+        ClusterRecords().take(bad.encode())
 
 
 def play_store(folder):
     """One run on a store: what it finds, and then more of everything."""
 
     async def run():
-        book = AgreementBook(str(folder), 0.0, print)
+        book = ClusterStore(str(folder), 0.0, print)
         found = {
             "fresh": book.fresh,
             "epoch": book.epoch,
@@ -514,7 +544,7 @@
             "met": list(book.known("g2")),
             "saved": [record.decode() for record in book.saved.records()],
         }
-        raft = Raft("g1", book.saved, Times(), Random(book.epoch), 0.0)
+        raft = Raft("g1", book.saved, Timing(), Random(book.epoch), 0.0)
         if book.fresh:
             raft.begin({"g1": "h:1"})
         for n in range(5000):
@@ -523,11 +553,11 @@
             raft.recover(103.0, "h:1")
         for text in ("one", "two"):
             raft.propose(103.0, text)
-        for effect in [one for one in raft.out if isinstance(one, Stored)]:
+        for effect in [one for one in raft.out if isinstance(one, EntryPersisted)]:
             raft.stored(effect)
         if book.epoch == 1:
             raft.change_voters(103.0, {"g1": "h:1", "g2": "h:2"})
-        await book.write([fields_of(effect)[0] for effect in raft.out if isinstance(effect, Write)])
+        await book.write([fields_of(effect)[0] for effect in raft.out if isinstance(effect, WriteRecord)])
         await book.met("g2", book.epoch + 4, "t5")
         book.hold(0, json.dumps({"index": 10 * book.epoch}))
         await book.flush()
@@ -548,7 +578,7 @@
     """The least records that say the same, as a store has them that has grown long."""
     play_store(folder)
     play_store(folder)
-    fold, log = Fold(), Log(folder / "agreement.log")
+    fold, log = ClusterRecords(), Log(folder / "agreement.log")
     for record in log.records():
         fold.take(record)
     log.rewrite(fold.records())
@@ -623,7 +653,7 @@
 
 
 def play_state():
-    group, out = Group(), []
+    group, out = StateMachine(), []
     for index, command in enumerate(STATE_COMMANDS, 1):
         data = json.dumps(command) if command is not None else ""
         out.append([json.dumps(group.apply(index, data)), group.digest])
@@ -635,7 +665,7 @@
 
 
 def test_a_snapshot_of_version_0_2_0_is_read_and_gone_on_with():
-    group = Group()
+    group = StateMachine()
     group.load(recorded("state")["state"])
     assert group.state() == recorded("state")["state"]
     assert group.digest == recorded("state")["applied"][-1][1]
@@ -719,7 +749,7 @@
         def read(told):
             return config.settings_of_json(told)
 
-        agreement = Agreement(
+        agreement = ClusterNode(
             told,
             read,
             lambda settings: "",
@@ -729,10 +759,10 @@
             lambda name, **fields: events.append([name, shape(fields)]),
             zones=ZoneTimes(quorum=1),
         )
-        desk = Desk(agreement, read, lambda text: None, lambda: 7.0)
+        desk = ControlApi(agreement, read, lambda text: None, lambda: 7.0)
         try:
             end = asyncio.get_running_loop().time() + 10
-            while not agreement.holder.group.active:
+            while not agreement.lease_holder.state_machine.active:
                 assert asyncio.get_running_loop().time() < end
                 await asyncio.sleep(0.01)
             for method, path, body in CALLS:
@@ -745,8 +775,8 @@
                 except HttpError as fault:
                     out.append([method, path, fault.body()])
                 if (method, path) == ("POST", "/v1/rules/propose") and isinstance(out[-1][2], dict):
-                    number = agreement.holder.group.number
-                    while agreement.holder.group.active.number < number:
+                    number = agreement.lease_holder.state_machine.number
+                    while agreement.lease_holder.state_machine.active.number < number:
                         await asyncio.sleep(0.01)
         finally:
             desk.abort()
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -29,16 +29,15 @@
 from weldhatch.cli import zones as cli_zones
 from weldhatch.cli.main import root
 from weldhatch.cluster import codec
-from weldhatch.coordination.leader import Coordinator, Spans
-from weldhatch.coordination.messages import Ask, Learn
-from weldhatch.coordination.state_machine import Group
-from weldhatch.coordination.zone_leader import Zoning
+from weldhatch.coordination.leader import Leader, LeaseTiming
+from weldhatch.coordination.messages import LeaseRequest, LeaseResponse
+from weldhatch.coordination.state_machine import StateMachine
+from weldhatch.coordination.zone_leader import ZoneLeader
 from weldhatch.scheduling import types as events
 from weldhatch.simulation.scenario_runner import SCENARIOS, play
 from weldhatch.testbed.simulated_zones import Realm
 from weldhatch.testbed.simulated_zones import settings as realm_settings
-from weldhatch.zones import capacity
-from weldhatch.zones import load_shedding
+from weldhatch.zones import capacity, load_shedding
 from weldhatch.zones.endpoint_overlay import Narrowed
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.failover_member import Keeper
@@ -619,9 +618,9 @@
 
 def messages(record):
     """What crosses between a member and the leader, byte by byte."""
-    settings, zones, group, now = settings_of(), Zones(), Group(), 0.0
-    zoning = Zoning(
-        0.0, "g0", 3, Times(), Coordinator(Spans(), 0.0, lambda tree: settings), lambda tree: settings
+    settings, zones, group, now = settings_of(), Zones(), StateMachine(), 0.0
+    zoning = ZoneLeader(
+        0.0, "g0", 3, Times(), Leader(LeaseTiming(), 0.0, lambda tree: settings), lambda tree: settings
     )
     for index, command in enumerate(
         (
@@ -664,10 +663,10 @@
                         events.ProbeAnswered(probed, events.Outcome.TIMEOUT if silent else events.Outcome.OK),
                     )
             if step % 4 == n % 4:
-                ask = Ask(7, f"d{n}", 1, "t", now, group.index, "x", sight=report_text(one, now))
+                ask = LeaseRequest(7, f"d{n}", 1, "t", now, group.index, "x", sight=report_text(one, now))
                 zoning.hear(now, group, ask)
                 shares = zoning.shares(now, group, ask)
-                learn = Learn(7, now, True, "", "", 0, (), "", group.index, "x", shares=shares)
+                learn = LeaseResponse(7, now, True, "", "", 0, (), "", group.index, "x", shares=shares)
                 for word in (ask, learn):
                     stream, data = codec.encode(word)
                     record.add("word", stream, data.hex())
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from weldhatch.cli.main import root
-from weldhatch.coordination.lease_holder import Footing, Holder
+from weldhatch.coordination.lease_holder import LeaseHolder, LeaseStatus
 from weldhatch.net.connection import Connection
 from weldhatch.pullqueue import front
 from weldhatch.simulation import faults, invariants, seeded_defects
@@ -79,7 +79,7 @@
             return [text for seed in range(4) for text in play(seed, busy, plan).broken if "drained" in text]
 
         self.assertEqual(broken(), [])
-        with mock.patch.object(Holder, "footing", lambda self, now: Footing.LEASE):
+        with mock.patch.object(LeaseHolder, "lease_status", lambda self, now: LeaseStatus.VALID):
             self.assertTrue(broken())
 
     def test_a_wall_clock_that_leaps_ends_no_lease(self):
--- a/tests/test_zone_verdicts.py
+++ b/tests/test_zone_verdicts.py
@@ -5,10 +5,10 @@
 import unittest
 from dataclasses import replace
 
-from weldhatch.coordination.leader import Coordinator, Spans
-from weldhatch.coordination.messages import Ask
-from weldhatch.coordination.state_machine import Group
-from weldhatch.coordination.zone_leader import Zoning
+from weldhatch.coordination.leader import Leader, LeaseTiming
+from weldhatch.coordination.messages import LeaseRequest
+from weldhatch.coordination.state_machine import StateMachine
+from weldhatch.coordination.zone_leader import ZoneLeader
 from weldhatch.scheduling import types as i
 from weldhatch.testbed.simulated_zones import settings as realm_settings
 from weldhatch.zones.failover_leader import Marshal, Times
@@ -283,9 +283,9 @@
 
 class InTheGroup(unittest.TestCase):
     def setUp(self):
-        self.group = Group()
-        self.zoning = Zoning(
-            0.0, "l", 1, Times(), Coordinator(Spans(), 0.0, lambda tree: SETTINGS), lambda tree: SETTINGS
+        self.group = StateMachine()
+        self.zoning = ZoneLeader(
+            0.0, "l", 1, Times(), Leader(LeaseTiming(), 0.0, lambda tree: SETTINGS), lambda tree: SETTINGS
         )
 
     def activate(self):
@@ -300,7 +300,7 @@
             self.assertIn("ok", self.group.apply(index, json.dumps({**command, "id": str(index)})))
 
     def ask(self, name, sight):
-        return Ask(0, name, 1, "t", 0.0, 0, "", sight=sight)
+        return LeaseRequest(0, name, 1, "t", 0.0, 0, "", sight=sight)
 
     def test_reports_that_can_not_be_read_harm_nobody(self):
         self.activate()
@@ -331,6 +331,6 @@
         self.activate()
         state = json.loads(self.group.state())
         del state["zones"]
-        again = Group()
+        again = StateMachine()
         again.load(json.dumps(state))
         self.assertEqual((again.index, again.zones.entries), (self.group.index, {}))
--- a/weldhatch/cluster/admission.py
+++ b/weldhatch/cluster/admission.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from weldhatch.coordination.lease_holder import Holder
+from weldhatch.coordination.lease_holder import LeaseHolder
 from weldhatch.core.ports import Task
 from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_member import Keeper
@@ -12,12 +12,12 @@
 WAIT_US = 1_000_000  # for an owner that is turned away; settings may bound it
 
 
-class Gate:
+class AdmissionGate:
     """What the core and the fronts ask (`core.ports.Rules`). The holder knows, and the clock tells."""
 
     def __init__(
         self,
-        holder: Holder,
+        holder: LeaseHolder,
         now: Callable[[], float],
         name_of: Callable[[int], str],
         rev: Callable[[], int] = lambda: 0,
@@ -32,7 +32,7 @@
         if rules is None or class_index >= len(rules.narrow.settings.classes):
             return "no rules are in force here" if rules is None else "its class is not in force yet"
         cls = rules.narrow.settings.classes[class_index]
-        return self._holder.refusal(self._now(), cls, machine, self._rev())
+        return self._holder.refusal_reason(self._now(), cls, machine, self._rev())
 
     def away_us(self, task: Task) -> int | None:
         wait = WAIT_US
--- a/weldhatch/cluster/codec.py
+++ b/weldhatch/cluster/codec.py
@@ -3,7 +3,7 @@
     part = first:1 payload     first is 1 for a part that others follow, 0 for the last
 
 A stream brings each part once and in order while its session lives; where a new one has begun, what was half
-heard is dropped (`Parts.clear`), and whoever said it says it again.
+heard is dropped (`Reassembler.clear`), and whoever said it says it again.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 RAFT, WORDS = 0, 1  # streams of a link
 
 _RAFT = (
-    messages.AskVote,
-    messages.Vote,
-    messages.Append,
-    messages.Appended,
-    messages.Install,
-    messages.StandNow,
-    messages.Seen,
+    messages.RequestVote,
+    messages.RequestVoteResponse,
+    messages.AppendEntries,
+    messages.AppendEntriesResponse,
+    messages.InstallSnapshot,
+    messages.TimeoutNow,
+    messages.Hello,
 )
 _WORDS = (
-    coordination_messages.Ask,
-    coordination_messages.Learn,
-    coordination_messages.Submit,
-    coordination_messages.Result,
+    coordination_messages.LeaseRequest,
+    coordination_messages.LeaseResponse,
+    coordination_messages.CommandRequest,
+    coordination_messages.CommandResult,
 )
 _KINDS = {RAFT: _RAFT, WORDS: _WORDS}
 _NUMBER = {kind: (stream, number) for stream, kinds in _KINDS.items() for number, kind in enumerate(kinds)}
@@ -42,13 +42,13 @@
 _pair = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
 
 
-def encode(word: messages.Message | coordination_messages.Word) -> tuple[int, bytes]:
+def encode(word: messages.Message | coordination_messages.GroupMessage) -> tuple[int, bytes]:
     """The stream of a word, and its bytes."""
     stream, number = _NUMBER[type(word)]
     return stream, _pack((number, word))
 
 
-def decode(stream: int, data: bytes) -> messages.Message | coordination_messages.Word:
+def decode(stream: int, data: bytes) -> messages.Message | coordination_messages.GroupMessage:
     """Raises Faulty for what is no word of this stream."""
     try:
         number, rest = _pair(data)
@@ -57,12 +57,12 @@
         raise Faulty(f"a word that can't be read: {type(fault).__name__}: {str(fault)[:120]}") from None
 
 
-def parts(data: bytes) -> Iterator[bytes]:
+def split(data: bytes) -> Iterator[bytes]:
     for at in range(0, len(data), PART):
         yield (b"\1" if at + PART < len(data) else b"\0") + data[at : at + PART]
 
 
-class Parts:
+class Reassembler:
     """What has come of a long word, by stream."""
 
     def __init__(self) -> None:
--- a/weldhatch/cluster/control_api.py
+++ b/weldhatch/cluster/control_api.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from weldhatch import config
-from weldhatch.cluster.node import Agreement, Unreached, clock
+from weldhatch.cluster.node import ClusterNode, GroupUnreachableError, boot_clock
 from weldhatch.coordination import compatibility
 from weldhatch.pullqueue.control_listener import Counter
 from weldhatch.pullqueue.errors import HttpError
@@ -18,12 +18,12 @@
 LOOK_S = 0.02
 
 
-class Desk(Counter):
+class ControlApi(Counter):
     """Reads what is asked, checks it, has it decided. `clock`: Unix seconds, for people to read."""
 
     def __init__(
         self,
-        agreement: Agreement,
+        agreement: ClusterNode,
         read: Callable[[dict], object],
         log: Callable[[str], None],
         clock: Callable[[], float],
@@ -33,7 +33,7 @@
         super().__init__(agreement.told.control, log)
 
     async def _route(self, request: Request) -> tuple[dict, dict[str, str]]:
-        group = self.agreement.holder.group
+        group = self.agreement.lease_holder.state_machine
         match request.method, request.path:
             case "GET", "/v1/rules":
                 return {**self.agreement.status(), "seen_by_leader": await self._leader_status()}, {}
@@ -66,7 +66,7 @@
                     "rev": group.rev,
                 }, {}
             case "PUT", path if path.startswith("/v1/machines/"):
-                return await self.word(path.removeprefix("/v1/machines/"), request.json()), {}
+                return await self.set_machine_state(path.removeprefix("/v1/machines/"), request.json()), {}
             case "GET", "/v1/zones":
                 return await self._zones(), {}
             case "POST", "/v1/zones":
@@ -78,7 +78,7 @@
     async def _decide(self, command: dict) -> dict:
         try:
             result = await self.agreement.command(command)
-        except Unreached as fault:
+        except GroupUnreachableError as fault:
             raise HttpError(503, f"group: {fault}", "group", 1.0) from None
         if "error" in result:
             raise HttpError(409, self._moved(result), result["error"])
@@ -87,20 +87,20 @@
     async def _leader_status(self) -> dict | None:
         try:
             return await self.agreement.command({"do": "status"}, 1.0)
-        except Unreached:
+        except GroupUnreachableError:
             return None
 
     # ---- versions --------------------------------------------------------------------------------------
 
     def changes(self, tree: dict) -> list[dict]:
         """What a version would change, each key with how the two may overlap. Raises HttpError 400."""
-        active = self.agreement.holder.group.active
+        active = self.agreement.lease_holder.state_machine.active
         try:
             new = self._read(tree)
             old = self._read(active.tree) if active is not None else new
             return [
                 {"key": one.key, "from": one.old, "to": one.new, "overlap": one.overlap.value}
-                for one in compatibility.changes(old, new)
+                for one in compatibility.find_changes(old, new)
             ]
         except ValueError as fault:
             raise HttpError(400, str(fault), str(fault).partition(":")[0]) from None
@@ -113,7 +113,7 @@
             raise HttpError(400, f"base: the number of a version is needed, not {base!r}", "base")
         if not isinstance(despite, list) or not all(isinstance(name, str) for name in despite):
             raise HttpError(400, "despite: a list of names is needed", "despite")
-        unknown = set(despite) - self.agreement.holder.group.members.keys()
+        unknown = set(despite) - self.agreement.lease_holder.state_machine.members.keys()
         if unknown:
             raise HttpError(400, f"despite: no dispatcher is named {sorted(unknown)[0]!r}", "despite")
         found = self.changes(tree)
@@ -134,15 +134,15 @@
         text = result["text"]
         if result.get("then") and result.get("now"):
             try:
-                moved = compatibility.changes(self._read(result["then"]), self._read(result["now"]))
+                moved = compatibility.find_changes(self._read(result["then"]), self._read(result["now"]))
             except ValueError:
                 return text
             text += "".join(f"\n  {one.key}: {one.old!r} then, {one.new!r} now" for one in moved)
         return text
 
-    async def settle(self, tree: dict, why: str) -> int:
+    async def propose_and_wait(self, tree: dict, why: str) -> int:
         """Propose and wait until it is in force here; its number. For plans of settings."""
-        group = self.agreement.holder.group
+        group = self.agreement.lease_holder.state_machine
         told = await self.propose(
             {
                 "tree": tree,
@@ -164,7 +164,7 @@
         )
 
     def _version(self, text: str) -> dict:
-        trees = self.agreement.holder.group.trees
+        trees = self.agreement.lease_holder.state_machine.trees
         if not text.isdigit() or int(text) not in trees:
             raise HttpError(404, f"version: the settings of version {text!r} are not kept", "version")
         return {"number": int(text), "tree": trees[int(text)]}
@@ -184,13 +184,13 @@
 
     async def _zones(self) -> dict:
         """What was agreed on zones, and what the leader knows of them."""
-        zones = self.agreement.holder.group.zones.state()
+        zones = self.agreement.lease_holder.state_machine.zones.state()
         leader = await self._leader_status()
         return {
             **zones,
             "fenced": len(zones["fenced"]),
             "name": self.agreement.told.name,
-            "footing": self.agreement.holder.footing(clock()).value,
+            "footing": self.agreement.lease_holder.lease_status(boot_clock()).value,
             "seen_by_leader": leader.get("zones") if leader else None,
         }
 
@@ -214,7 +214,7 @@
 
     # ---- machines and peers ----------------------------------------------------------------------------
 
-    async def word(self, machine: str, told: dict) -> dict:
+    async def set_machine_state(self, machine: str, told: dict) -> dict:
         """An operator's word on a machine, for every dispatcher."""
         try:
             word = read_word(machine, told, self._clock())
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
-from weldhatch.coordination.lease_holder import Holder
+from weldhatch.coordination.lease_holder import LeaseHolder
 from weldhatch.scheduling import types as i
 from weldhatch.zones.endpoint_overlay import Narrowed
 
 GONE_MOST = 5000  # machines that went, and that the group may not know of yet
 
 
-class Roll:
+class LocalEndpointList:
     """Hears each change of the own list; says what is news to the group, and what the module should hear."""
 
     def __init__(self) -> None:
@@ -50,16 +50,16 @@
         """All that our own list names and that are not gone."""
         return tuple(self._told.entries.values())
 
-    def news(self, holder: Holder) -> dict[str, str]:
+    def news(self, holder: LeaseHolder) -> dict[str, str]:
         """What the group should hear of our list."""
-        return holder.group.lists.news(self.rev, self.states)
+        return holder.state_machine.lists.news(self.rev, self.states)
 
-    def narrow(self, holder: Holder, zoned: Callable[[int], str] | None = None) -> tuple[i.Machine, ...]:
+    def narrow(self, holder: LeaseHolder, zoned: Callable[[int], str] | None = None) -> tuple[i.Machine, ...]:
         """Machines of which the module should hear another state than it was told last.
 
         `zoned`: what a machine counts as by its zone, where any zone may count for less.
         """
-        group = holder.group
+        group = holder.state_machine
         if zoned is not None:
             ids = list(self._uids)
         else:
@@ -68,7 +68,7 @@
             ]
 
         def acts(machine: i.Machine) -> str:
-            state = holder.acts(self._uids[machine.id], self.rev)
+            state = holder.machine_state(self._uids[machine.id], self.rev)
             return zoned(machine.id) if state == "ready" and zoned is not None else state
 
         return self._told.news(ids, acts)
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -14,13 +14,13 @@
 import structlog
 
 from weldhatch import config
-from weldhatch.cluster.admission import Gate
-from weldhatch.cluster.control_api import Desk
-from weldhatch.cluster.endpoint_list import Roll
-from weldhatch.cluster.node import Agreement, Unreached, clock
-from weldhatch.cluster.zone_agent import Zoner
+from weldhatch.cluster.admission import AdmissionGate
+from weldhatch.cluster.control_api import ControlApi
+from weldhatch.cluster.endpoint_list import LocalEndpointList
+from weldhatch.cluster.node import ClusterNode, GroupUnreachableError, boot_clock
+from weldhatch.cluster.zone_agent import ZoneAgent
 from weldhatch.coordination import compatibility
-from weldhatch.coordination.lease_holder import Footing
+from weldhatch.coordination.lease_holder import LeaseStatus
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.remote_sites import link_contexts
@@ -33,12 +33,12 @@
 
     settings: i.Settings
     driver: Driver
-    roll: Roll | None  # of a front whose machines come by lists
+    endpoint_list: LocalEndpointList | None  # of a front whose machines come by lists
 
-    def listed(self, machines: tuple[i.Machine, ...]) -> None:
+    def update_machines(self, machines: tuple[i.Machine, ...]) -> None:
         """Machines that count for less, or for more again, than the front's own list said last."""
 
-    def rule(self, settings: i.Settings, rules: Rules) -> None:
+    def apply_rules(self, settings: i.Settings, rules: Rules) -> None:
         """Decide by these settings from now on, as far as `rules` lets anything start."""
 
     def name_of(self, machine: int) -> str:
@@ -47,11 +47,11 @@
     def on_break(self, broke: Callable[[int], None]) -> None:
         """Tell it of machines whose connection has ended, where they have one of their own."""
 
-    def agreed(self, machine: str, state: str, fence: int, op: str) -> None:
+    def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
         """What the group acts on for a machine, by operators' words."""
 
 
-def events(stream: object = None) -> Callable[..., None]:
+def event_logger(stream: object = None) -> Callable[..., None]:
     """Structured log lines, one JSON object each."""
     logger = structlog.wrap_logger(
         structlog.PrintLogger(stream or sys.stderr),
@@ -63,7 +63,7 @@
     return lambda event, **fields: logger.info(f"agreement.{event}", **fields)
 
 
-class Governor:
+class FrontController:
     """Owns the process's part in the agreement and its control address."""
 
     def __init__(
@@ -85,77 +85,81 @@
 
         def fits(settings: i.Settings) -> str:
             try:
-                compatibility.changes(front.settings, settings)
-            except compatibility.Unfit as unfit:
+                compatibility.find_changes(front.settings, settings)
+            except compatibility.IncompatibleChangeError as unfit:
                 return str(unfit)
             return ""
 
         contexts = link_contexts(told.keys, told.name, "agreement.keys")
-        self._roll, self.zoner, self._known = front.roll, None, Narrowed()
+        self._roll, self.zone_agent, self._known = front.endpoint_list, None, Narrowed()
         if zones is not None:
             if self._roll is None:
                 front.driver.watches.append(self._listed)
-            self.zoner = Zoner(
-                own, told.drift, told.stated, front.driver, front.name_of, self._narrow, log, clock
+            self.zone_agent = ZoneAgent(
+                own, told.drift, told.stated, front.driver, front.name_of, self._narrow, log, boot_clock
             )
-        self.agreement = Agreement(
+        self.node = ClusterNode(
             told,
             read,
             fits,
             tree,
             self._changed,
             log,
-            events(),
+            event_logger(),
             contexts,
             zones=zones.times if zones is not None else None,
-            shared=self.zoner.shared if self.zoner is not None else lambda shares, asked: None,
+            shared=self.zone_agent.shared if self.zone_agent is not None else lambda shares, asked: None,
         )
-        if self.zoner is not None:
-            front.on_break(self.zoner.keeper.broke)
-            self.zoner.join(self.agreement, self._roll.machines if self._roll is not None else ())
+        if self.zone_agent is not None:
+            front.on_break(self.zone_agent.keeper.broke)
+            self.zone_agent.join(self.node, self._roll.machines if self._roll is not None else ())
         rev = (lambda: self._roll.rev) if self._roll is not None else (lambda: 0)
-        self._gate = Gate(self.agreement.holder, clock, front.name_of, rev)
-        self._gate.keeper = self.zoner.keeper if self.zoner is not None else None
+        self._gate = AdmissionGate(self.node.lease_holder, boot_clock, front.name_of, rev)
+        self._gate.keeper = self.zone_agent.keeper if self.zone_agent is not None else None
         self._telling: asyncio.Task | None = None
         if self._roll is not None:
             self._roll.changed = self._tell
         self._first = tree
-        front.rule(own, self._gate)
-        self.desk = Desk(self.agreement, read, log, unix)
+        front.apply_rules(own, self._gate)
+        self.control_api = ControlApi(self.node, read, log, unix)
         log(f"agreement: {told.name} of {len(told.voters)} voters, stated time {told.stated} s")
 
     @property
     def tree(self) -> dict:
         """The settings in force in the group, as a file has them."""
-        active = self.agreement.holder.group.active
+        active = self.node.lease_holder.state_machine.active
         return active.tree if active is not None else self._first
 
     def _changed(self) -> None:
         """Something else is held: the module decides by it from its next batch on."""
-        rules = self.agreement.holder.rules
+        rules = self.node.lease_holder.rules
         if rules is not None and rules.narrow.settings != self._front.settings:
-            self._front.rule(rules.narrow.settings, self._gate)
-            if self.zoner is not None:
-                self.zoner.keeper.settle(rules.narrow.settings)
-        for machine, word in self.agreement.holder.group.words.items():
-            self._front.agreed(machine, word.acts, word.fence, word.op)
-        if self.zoner is not None:
-            self.zoner.agreed()
+            self._front.apply_rules(rules.narrow.settings, self._gate)
+            if self.zone_agent is not None:
+                self.zone_agent.keeper.settle(rules.narrow.settings)
+        for machine, word in self.node.lease_holder.state_machine.words.items():
+            self._front.apply_directive(machine, word.acts, word.fence, word.op)
+        if self.zone_agent is not None:
+            self.zone_agent.agreed()
         self._narrow()
         if self._roll is not None:
             self._tell()
 
     def _narrow(self) -> None:
         """Tell the module of machines that count for less, or for more again, than our list says."""
-        zoned, keeper, now = None, self.zoner.keeper if self.zoner is not None else None, clock()
+        zoned, keeper, now = (
+            None,
+            self.zone_agent.keeper if self.zone_agent is not None else None,
+            boot_clock(),
+        )
         if keeper is not None and (keeper.zones.entries or keeper.hushed):
 
             def zoned(machine: int) -> str:
                 return keeper.state(now, machine)
 
         if self._roll is not None:
-            if machines := self._roll.narrow(self.agreement.holder, zoned):
-                self._front.listed(machines)
+            if machines := self._roll.narrow(self.node.lease_holder, zoned):
+                self._front.update_machines(machines)
         elif keeper is not None:
             known = self._known
             if machines := known.news(
@@ -171,34 +175,38 @@
 
     def _tell(self) -> None:
         """Our own list has news for the group: told once at a time, and again once the group is heard."""
-        holder = self.agreement.holder
-        if self._telling is None and holder.footing(clock()) is Footing.LEASE and self._roll.news(holder):
+        holder = self.node.lease_holder
+        if (
+            self._telling is None
+            and holder.lease_status(boot_clock()) is LeaseStatus.VALID
+            and self._roll.news(holder)
+        ):
             self._telling = asyncio.get_running_loop().create_task(self._tell_all())
 
     async def _tell_all(self) -> None:
         try:
-            while news := self._roll.news(self.agreement.holder):
+            while news := self._roll.news(self.node.lease_holder):
                 rev = self._roll.rev
-                result = await self.agreement.command(
-                    {"do": "listed", "rev": rev, "entries": news, "by": self.agreement.told.name}
+                result = await self.node.command(
+                    {"do": "listed", "rev": rev, "entries": news, "by": self.node.told.name}
                 )
                 for text in result.get("conflicts", ()):
                     self._log(f"agreement: two lists differ: {text}")
-                await self.agreement.holds(result["index"])
-        except Unreached:
+                await self.node.holds(result["index"])
+        except GroupUnreachableError:
             pass  # no leader: what is held next, or a lease, brings us here again
         finally:
             self._telling = None
 
     async def end(self) -> None:
-        await self.desk.end()
-        await self.agreement.end()
+        await self.control_api.end()
+        await self.node.end()
         self.abort()
 
     def abort(self) -> None:
-        if self.zoner is not None:
-            self.zoner.close()
+        if self.zone_agent is not None:
+            self.zone_agent.close()
         if self._telling is not None:
             self._telling.cancel()
-        self.desk.abort()
-        self.agreement.close()
+        self.control_api.abort()
+        self.node.close()
--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 
 from weldhatch.cluster import codec
-from weldhatch.cluster.storage import AgreementBook
+from weldhatch.cluster.storage import ClusterStore
 from weldhatch.config import AgreementFile
 from weldhatch.consensus.messages import Message
-from weldhatch.coordination.messages import Word
+from weldhatch.coordination.messages import GroupMessage
 from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.sites.link import Door, Ears, Link
 
@@ -35,16 +35,16 @@
         return self[name]
 
 
-class Peers:
+class PeerLinks:
     """Owns the links, the door and the tasks that dial."""
 
     def __init__(
         self,
         told: AgreementFile,
-        book: AgreementBook,
+        book: ClusterStore,
         up: Callable[[str], None],
         down: Callable[[str], None],
-        heard: Callable[[str, Message | Word], None],
+        heard: Callable[[str, Message | GroupMessage], None],
         log: Callable[[str], None],
         tls: tuple[ssl.SSLContext | None, ssl.SSLContext | None],
     ) -> None:
@@ -52,7 +52,7 @@
         self._told, self._book, self._up, self._heard, self._log = told, book, up, heard, log
         self._down = down
         self._serves, self._dials = tls
-        self._parts: dict[int, tuple[str, codec.Parts]] = {}
+        self._parts: dict[int, tuple[str, codec.Reassembler]] = {}
         self.out: dict[str, Link] = {}
         self.came = _Invited(self._invited, lambda name: self._link(name, dialled=False))
         self._share = Share(Budget(told.sockets), told.sockets)
@@ -69,7 +69,7 @@
         def rise(site: str) -> None:
             known, parts = self._parts.get(id(link), ("", None))
             if known != link.session.name:  # guards against half a word of a session that is no more
-                self._parts[id(link)] = (link.session.name, codec.Parts())
+                self._parts[id(link)] = (link.session.name, codec.Reassembler())
             if dialled:
                 self._up(site)
 
@@ -103,7 +103,7 @@
             link = self.out[name] = self._link(name, dialled=True)
             link.dial(address, self._share, self._dials)
 
-    def say(self, name: str, word: Message | Word) -> bool:
+    def say(self, name: str, word: Message | GroupMessage) -> bool:
         """Send over whichever link is up; False where none is.
 
         Two that both vote have two links: both speak on the one that the first by name dials, so that its
@@ -114,7 +114,7 @@
         for link in links if self._told.name < name else reversed(links):
             if link is not None and link.up:
                 self.sent += len(data)
-                return all(link.send(stream, part) for part in codec.parts(data))
+                return all(link.send(stream, part) for part in codec.split(data))
         return False
 
     def reached(self) -> dict[str, dict]:
--- a/weldhatch/cluster/storage.py
+++ b/weldhatch/cluster/storage.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterator
 
 from weldhatch.config import ConfigError
-from weldhatch.consensus.persistent_state import Saved
+from weldhatch.consensus.persistent_state import PersistentState
 from weldhatch.sites.epochs import EpochBook
 from weldhatch.store.commit import PROBE
 from weldhatch.store.folded import FoldedStore
@@ -21,14 +21,14 @@
 COMPACT_OVER = 500  # records are large here: each may hold a whole state
 
 
-class Fold:
+class ClusterRecords:
     """All records, folded."""
 
     def __init__(self) -> None:
         self.epoch, self.token = 0, ""
         self.met: dict[str, tuple[int, str]] = {}
         self.lineage, self.state = 0, ""
-        self.saved = Saved()
+        self.saved = PersistentState()
 
     def take(self, payload: bytes) -> None:
         """One record. Raises ValueError for what is none."""
@@ -40,7 +40,7 @@
             raise ValueError(f"a record that can't be read: {payload[:80]!r}: {fault}") from None
         match word, rest:
             case "raft", [str(one), *values]:
-                self.saved.take_word(one, *values)
+                self.saved.apply(one, *values)
             case "begins", [int(epoch), str(token)]:
                 self.epoch, self.token = epoch, token
             case "met", [str(name), int(epoch), str(token)]:
@@ -65,12 +65,12 @@
         return 2 + len(self.met) + self.saved.size
 
 
-class AgreementBook(EpochBook):
+class ClusterStore(EpochBook):
     """The folder of the agreement. Its fold of the disk is one, a voter's log in memory another."""
 
     def __init__(self, folder: str, now: float, say: Callable[[str], None], disk: Disk | None = None) -> None:
         """Raises ConfigError where the folder can't be used, is another's, or holds what can't be read."""
-        on_disk, memory = Fold(), Fold()
+        on_disk, memory = ClusterRecords(), ClusterRecords()
         try:
             self._store = FoldedStore(
                 folder, "agreement.log", "agreement", now, [on_disk, memory], say, disk, COMPACT_OVER
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from random import Random
 
-from weldhatch.cluster.node import Agreement, Unreached
+from weldhatch.cluster.node import ClusterNode, GroupUnreachableError
 from weldhatch.core.policy_driver import Driver
 from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_member import Keeper
@@ -19,7 +19,7 @@
 READ_MOST = 100  # shares that one answer may bring
 
 
-class Zoner:
+class ZoneAgent:
     """Owns a keeper and its timer. `changed` hears when machines may count for more or less than before."""
 
     def __init__(
@@ -36,7 +36,7 @@
         self.keeper = Keeper(settings, drift, Random(), uid_of)
         self._driver, self._changed, self._log, self._now = driver, changed, log, now
         self._stated = stated
-        self._agreement: Agreement | None = None
+        self._agreement: ClusterNode | None = None
         self._told_at = float("-inf")
         self._hushed: frozenset[str] = frozenset()
         self._looks: object = None
@@ -45,11 +45,11 @@
         driver.watches.append(lambda event: self.keeper.heard(now(), event))
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
-    def join(self, agreement: Agreement, machines: tuple[i.Machine, ...]) -> None:
+    def join(self, agreement: ClusterNode, machines: tuple[i.Machine, ...]) -> None:
         """`machines`: those that the module heard of before we listened to what it hears."""
         self.keeper.heard(self._now(), i.MachinesChanged(i.ListForm.DELTA, machines))
         self._agreement = agreement
-        agreement.member.sight = self.sight
+        agreement.member.observe_zones = self.sight
 
     def sight(self, now: float) -> str:
         """What the leader is to hear with the next question; '' where it was told lately."""
@@ -107,14 +107,14 @@
                     return
                 await self._agreement.holds(result["index"])
                 self.agreed()
-        except Unreached:
+        except GroupUnreachableError:
             pass  # the next tick tries again
         finally:
             self._telling = None
 
     def agreed(self) -> None:
         """The group's state has changed here."""
-        self.keeper.agreed(self._now(), self._agreement.holder.group.zones)
+        self.keeper.agreed(self._now(), self._agreement.lease_holder.state_machine.zones)
 
     def shared(self, shares: str, asked: float) -> None:
         try:
--- a/weldhatch/consensus/messages.py
+++ b/weldhatch/consensus/messages.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class LogEntry:
     """One place of the log. `kind`: 'command', 'voters' (data: JSON of name to address), 'first' (of a
     term)."""
 
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskVote:
+class RequestVote:
     """`pre`: would you vote for me (no term is begun)? `handed`: the leader has asked me to stand."""
 
     lineage: int
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Vote:
+class RequestVoteResponse:
     lineage: int
     term: int
     granted: bool
@@ -44,22 +44,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Append:
+class AppendEntries:
     """Entries after `prev_index`; none is a heartbeat. `sent`: the leader's clock, echoed."""
 
     lineage: int
     term: int
     prev_index: int
     prev_term: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
     commit: int
     sent: float
-    seen: int = 0  # as in AskVote
+    seen: int = 0  # as in RequestVote
     stored: int = 0  # as there: a leader's own store may come back as an older copy, too
 
 
 @dataclass(slots=True, frozen=True)
-class Appended:
+class AppendEntriesResponse:
     """`match`: how far the log is the leader's; where not `ok`, where it may be."""
 
     lineage: int
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Install:
+class InstallSnapshot:
     """A snapshot, for a log that ends before what the leader still has."""
 
     lineage: int
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StandNow:
+class TimeoutNow:
     """The leader hands over: the hearer stands for election without waiting."""
 
     lineage: int
@@ -92,8 +92,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
-    """The first word on a new link: `seen` as in AskVote, and how far the sender is.
+class Hello:
+    """The first word on a new link: `seen` as in RequestVote, and how far the sender is.
 
     `asks`: it wants to hear the same of the other side, at once.
     """
@@ -106,4 +106,12 @@
     asks: bool = False
 
 
-Message = AskVote | Vote | Append | Appended | Install | StandNow | Seen
+Message = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | TimeoutNow
+    | Hello
+)
--- a/weldhatch/consensus/persistent_state.py
+++ b/weldhatch/consensus/persistent_state.py
@@ -9,10 +9,10 @@
 import json
 from collections.abc import Iterator
 
-from weldhatch.consensus.messages import Entry
+from weldhatch.consensus.messages import LogEntry
 
 
-class Saved:
+class PersistentState:
     """The fold. `entries[0]` has the index `base + 1`."""
 
     def __init__(self) -> None:
@@ -20,18 +20,18 @@
         self.vote = ""
         self.base = self.base_term = 0
         self.voters, self.state = "{}", ""
-        self.entries: list[Entry] = []
+        self.entries: list[LogEntry] = []
         self.lost = ""  # why this store's voter votes no more
         self.writes = 0  # records taken in all the store's life
 
     def take(self, payload: bytes) -> None:
         """One record. Raises ValueError for what is none."""
         try:
-            self.take_word(*json.loads(payload))
+            self.apply(*json.loads(payload))
         except (ValueError, TypeError, IndexError) as fault:
             raise ValueError(f"a record that can't be read: {payload[:80]!r}: {fault}") from None
 
-    def take_word(self, word: str, *rest: object) -> None:
+    def apply(self, word: str, *rest: object) -> None:
         self.writes += 1
         match word, rest:
             case "vote", [int(lineage), int(term), str(name)]:
@@ -40,7 +40,7 @@
                 if not self.base < index <= self.last + 1:
                     raise ValueError(f"entry {index} after {self.last}, of {self.base} on")
                 del self.entries[index - self.base - 1 :]
-                self.entries.append(Entry(term, kind, data))
+                self.entries.append(LogEntry(term, kind, data))
             case "snapshot", [int(lineage), int(index), int(term), str(voters), str(state)]:
                 keep = (
                     lineage == self.lineage and self.base <= index < self.last and self.term_at(index) == term
--- a/weldhatch/consensus/raft.py
+++ b/weldhatch/consensus/raft.py
@@ -1,7 +1,9 @@
 """One voter of a replicated log: Raft with pre-vote, check-quorum, hand-over, snapshots. No I/O.
 
-What it wants done it leaves in `out`, in order: what follows a `Write` happens once that is on the disk.
-Clock (seconds, one process's own) and randomness are arguments. Source: Ongaro 2014, chapters 3, 4, 6, 9.
+What it wants done it leaves in `out`, in order: what follows a `WriteRecord` happens once that is on the
+disk. Clock (seconds, one process's own) and randomness are arguments.
+
+Source: Ongaro 2014, chapters 3, 4, 6, 9.
 """
 
 from __future__ import annotations
@@ -11,18 +13,18 @@
 from random import Random
 
 from weldhatch.consensus.messages import (
-    Append,
-    Appended,
-    AskVote,
-    Entry,
-    Install,
+    AppendEntries,
+    AppendEntriesResponse,
+    Hello,
+    InstallSnapshot,
+    LogEntry,
     Message,
-    Seen,
-    StandNow,
-    Vote,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
-from weldhatch.consensus.persistent_state import Saved
-from weldhatch.consensus.rejoin import Vouched
+from weldhatch.consensus.persistent_state import PersistentState
+from weldhatch.consensus.rejoin import RejoinGuard
 
 ENTRIES_MOST = 64  # in one message
 ANEW = -1  # in the place of a match: nothing here is of this lineage, send all of it
@@ -32,7 +34,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Times:
+class Timing:
     """Spans in seconds. `drift`: by what part two clocks may run apart."""
 
     beat: float = 0.1
@@ -44,20 +46,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Write:
-    """A record of `Saved`; all that follows waits until it is on the disk."""
+class WriteRecord:
+    """A record of `PersistentState`; all that follows waits until it is on the disk."""
 
     word: tuple
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class Send:
     to: str
     message: Message
 
 
 @dataclass(slots=True, frozen=True)
-class Stored:
+class EntryPersisted:
     """All entries up to `index` are on this disk: call `stored`."""
 
     index: int
@@ -69,32 +71,32 @@
     """An entry that is decided: each index once and in order, on every voter the same."""
 
     index: int
-    entry: Entry
+    entry: LogEntry
 
 
 @dataclass(slots=True, frozen=True)
-class Load:
+class LoadSnapshot:
     """A snapshot takes the place of what was applied."""
 
     index: int
     state: str
 
 
-Effect = Write | Say | Stored | Commit | Load
+Effect = WriteRecord | Send | EntryPersisted | Commit | LoadSnapshot
 
 
-class NotLeader(Exception):
+class NotLeaderError(Exception):
     """Only a leader takes commands; the text names the one that is known, or ''."""
 
 
-class Busy(Exception):
+class BusyError(Exception):
     """Not now: the text says why."""
 
 
 class Raft:
     """`name` votes where it is among the voters of its log; otherwise it only listens."""
 
-    def __init__(self, name: str, saved: Saved, times: Times, random: Random, now: float) -> None:
+    def __init__(self, name: str, saved: PersistentState, times: Timing, random: Random, now: float) -> None:
         self.name, self.saved, self._times, self._random = name, saved, times, random
         self.out: list[Effect] = []
         self.role, self.leader = "follower", ""
@@ -112,7 +114,7 @@
         self._handed = ""  # to whom leadership is being handed
         self._handed_at = 0.0
         self._ticked = self._judged_from = now
-        self._vouched = Vouched(now + WARY * times.election)
+        self._vouched = RejoinGuard(now + WARY * times.election)
         if not saved.writes:
             self._vouched.trust()
         self.seen: dict[str, int] = {}  # by voter: the most records of its store that we were told of
@@ -134,8 +136,8 @@
         return len(set(names) & self.voters.keys()) * 2 > len(self.voters)
 
     def _write(self, *word: object) -> None:
-        self.saved.take_word(*word)
-        self.out.append(Write(word))
+        self.saved.apply(*word)
+        self.out.append(WriteRecord(word))
 
     # ---- time ------------------------------------------------------------------------------------------
 
@@ -187,7 +189,7 @@
     # ---- elections -------------------------------------------------------------------------------------
 
     def _may_stand(self, now: float) -> bool:
-        far = self._vouched.far(now, self.name, self.voters)
+        far = self._vouched.required_log(now, self.name, self.voters)
         return self.votes and far is not None and self._log >= far
 
     @property
@@ -208,9 +210,9 @@
         for voter in self.voters:
             if voter != self.name:
                 self.out.append(
-                    Say(
+                    Send(
                         voter,
-                        AskVote(
+                        RequestVote(
                             saved.lineage,
                             saved.term + pre,
                             saved.last,
@@ -238,7 +240,7 @@
         self._match, self._sent = {}, {}
         self._acked = dict.fromkeys(self.voters, now)  # no promise: `leads_until` waits for our first entry
         self.first = self.saved.last + 1
-        self._enter(Entry(self.saved.term, "first"))
+        self._enter(LogEntry(self.saved.term, "first"))
         self.tick(now)
 
     def _follow(self, term: int, leader: str, now: float) -> None:
@@ -249,10 +251,10 @@
             self._heard = self._since = now
             self._wait = self._patience()
 
-    def _asked(self, now: float, name: str, ask: AskVote) -> None:
+    def _asked(self, now: float, name: str, ask: RequestVote) -> None:
         saved = self.saved
         self._vouched.heard(name, 0, (ask.last_term, ask.last_index))
-        far = self._vouched.far(now, self.name, self.voters)
+        far = self._vouched.required_log(now, self.name, self.voters)
         current = far is not None and (ask.last_term, ask.last_index) >= max(self._log, far)
         # Guards a leader that lives, and what it has promised, against a voter that can't hear it.
         sticky = now - self._heard < self._times.election or self.role == "leader"
@@ -263,7 +265,7 @@
             # Guards against two that never elect: one whose term is higher, as it stood once, and one that
             # alone has all entries and would never hear of that term.
             term = ask.term if granted else saved.term
-            self.out.append(Say(name, Vote(saved.lineage, term, granted, True)))
+            self.out.append(Send(name, RequestVoteResponse(saved.lineage, term, granted, True)))
             return
         if ask.term > saved.term:
             self._follow(ask.term, "", now)
@@ -272,7 +274,9 @@
         if granted and not saved.vote:
             self._write("vote", saved.lineage, saved.term, name)
             self._since = now
-        self.out.append(Say(name, Vote(saved.lineage, saved.term, granted, False, saved.writes)))
+        self.out.append(
+            Send(name, RequestVoteResponse(saved.lineage, saved.term, granted, False, saved.writes))
+        )
 
     # ---- hearing ---------------------------------------------------------------------------------------
 
@@ -281,33 +285,40 @@
         if message.lineage != self.saved.lineage:
             # A lineage ends with a recovery by hand: what those say that were left behind counts no more.
             if message.lineage < self.saved.lineage:
-                self.out.append(Say(name, Seen(self.saved.lineage, 0)))
+                self.out.append(Send(name, Hello(self.saved.lineage, 0)))
                 return
-            if not isinstance(message, Install | Append):
+            if not isinstance(message, InstallSnapshot | AppendEntries):
                 # It decides no more, until the group that goes on takes it in.
                 self._lose(f"{name} is of a recovery by hand that left this voter behind")
                 return
-            if isinstance(message, Append):
-                self.out.append(Say(name, Appended(message.lineage, message.term, False, ANEW, message.sent)))
+            if isinstance(message, AppendEntries):
+                self.out.append(
+                    Send(
+                        name, AppendEntriesResponse(message.lineage, message.term, False, ANEW, message.sent)
+                    )
+                )
                 return
         # Of candidates and leaders, too. Guards against one that decides, counting its own store, and comes
         # back with an older one: nobody else would know what it had.
-        if isinstance(message, Vote | Appended | AskVote | Append) and message.stored:
+        if (
+            isinstance(message, RequestVoteResponse | AppendEntriesResponse | RequestVote | AppendEntries)
+            and message.stored
+        ):
             self.seen[name] = max(self.seen.get(name, 0), message.stored)
-        if isinstance(message, AskVote | Append | Seen) and message.seen > self.saved.writes:
+        if isinstance(message, RequestVote | AppendEntries | Hello) and message.seen > self.saved.writes:
             # Before anything is taken from it: what fills the store up again would hide that it is.
             self._lose(
                 f"{name} has been told of {message.seen} records of this store, it holds "
                 f"{self.saved.writes}: it has lost its end, or is an older copy"
             )
         match message:
-            case Seen(_, _, term, last_term, last_index, asks):
+            case Hello(_, _, term, last_term, last_index, asks):
                 self._vouched.heard(name, term, (last_term, last_index))
                 if asks:
                     self._greet(name, False)
-            case AskVote():
+            case RequestVote():
                 self._asked(now, name, message)
-            case Vote(_, term, granted, pre):
+            case RequestVoteResponse(_, term, granted, pre):
                 if term > self.saved.term + (pre and granted):
                     self._follow(term, "", now)
                 elif (
@@ -317,13 +328,13 @@
                 ):
                     self._votes.add(name)
                     self._count(now)
-            case Append():
+            case AppendEntries():
                 self._told(now, name, message)
-            case Appended():
+            case AppendEntriesResponse():
                 self._answered(now, name, message)
-            case Install():
+            case InstallSnapshot():
                 self._installed(now, name, message)
-            case StandNow(_, term):
+            case TimeoutNow(_, term):
                 if term == self.saved.term and self._may_stand(now) and self.role == "follower":
                     self._stand(now, pre=False, handed=True)
 
@@ -338,19 +349,21 @@
 
     def _greet(self, name: str, asks: bool) -> None:
         self.out.append(
-            Say(name, Seen(self.saved.lineage, self.seen.get(name, 0), self.saved.term, *self._log, asks))
+            Send(name, Hello(self.saved.lineage, self.seen.get(name, 0), self.saved.term, *self._log, asks))
         )
 
-    def _told(self, now: float, name: str, told: Append) -> None:
+    def _told(self, now: float, name: str, told: AppendEntries) -> None:
         saved = self.saved
         if told.term < saved.term:
-            self.out.append(Say(name, Appended(saved.lineage, saved.term, False, 0, told.sent)))
+            self.out.append(Send(name, AppendEntriesResponse(saved.lineage, saved.term, False, 0, told.sent)))
             return
         self._follow(told.term, name, now)
         at, match = told.prev_index, told.prev_index
         if at > saved.base and saved.term_at(at) != told.prev_term:
             hint = min(saved.last, at - 1)
-            self.out.append(Say(name, Appended(saved.lineage, saved.term, False, hint, told.sent)))
+            self.out.append(
+                Send(name, AppendEntriesResponse(saved.lineage, saved.term, False, hint, told.sent))
+            )
             return
         for entry in told.entries:
             match += 1
@@ -359,10 +372,12 @@
             if saved.term_at(match) != entry.term:
                 self._write("entry", match, entry.term, entry.kind, entry.data)
                 self.voters = saved.voters_now()
-        self.out.append(Say(name, Appended(saved.lineage, saved.term, True, match, told.sent, saved.writes)))
+        self.out.append(
+            Send(name, AppendEntriesResponse(saved.lineage, saved.term, True, match, told.sent, saved.writes))
+        )
         self._decided(min(told.commit, match))
 
-    def _answered(self, now: float, name: str, told: Appended) -> None:
+    def _answered(self, now: float, name: str, told: AppendEntriesResponse) -> None:
         if told.term > self.saved.term:
             self._follow(told.term, "", now)
             return
@@ -382,9 +397,9 @@
         if self._next.get(name, 1) <= self.saved.last:
             self._append(name, now)
         if self._handed == name and self._match.get(name, 0) == self.saved.last:
-            self.out.append(Say(name, StandNow(self.saved.lineage, self.saved.term)))
+            self.out.append(Send(name, TimeoutNow(self.saved.lineage, self.saved.term)))
 
-    def _installed(self, now: float, name: str, told: Install) -> None:
+    def _installed(self, now: float, name: str, told: InstallSnapshot) -> None:
         saved, behind = self.saved, told.lineage > self.saved.lineage
         if not behind:
             if told.term < saved.term:
@@ -392,7 +407,12 @@
             self._follow(told.term, name, now)
             if told.index <= self.commit:
                 self.out.append(
-                    Say(name, Appended(saved.lineage, saved.term, True, self.commit, told.sent, saved.writes))
+                    Send(
+                        name,
+                        AppendEntriesResponse(
+                            saved.lineage, saved.term, True, self.commit, told.sent, saved.writes
+                        ),
+                    )
                 )
                 return
         else:
@@ -406,29 +426,35 @@
             self._write("lost", "")  # what it may have voted in the lineage before is void
         self.voters = saved.voters_now()
         self.commit = self.applied = told.index
-        self.out.append(Load(told.index, told.state))
+        self.out.append(LoadSnapshot(told.index, told.state))
         self.out.append(
-            Say(name, Appended(saved.lineage, saved.term, True, told.index, told.sent, saved.writes))
+            Send(
+                name,
+                AppendEntriesResponse(saved.lineage, saved.term, True, told.index, told.sent, saved.writes),
+            )
         )
 
     # ---- the leader's log ------------------------------------------------------------------------------
 
     def propose(self, now: float, data: str, kind: str = "command") -> int:
-        """Enter one command; its index. It is decided once `Commit` says so. Raises NotLeader, Busy."""
+        """Enter one command; its index. It is decided once `Commit` says so.
+
+        Raises NotLeaderError, BusyError.
+        """
         if self.role != "leader":
-            raise NotLeader(self.leader)
+            raise NotLeaderError(self.leader)
         if self._handed:
-            raise Busy(f"leadership is being handed to {self._handed}")
-        index = self._enter(Entry(self.saved.term, kind, data))
+            raise BusyError(f"leadership is being handed to {self._handed}")
+        index = self._enter(LogEntry(self.saved.term, kind, data))
         for voter in self.voters:
             if voter != self.name:
                 self._append(voter, now)
         return index
 
     def change_voters(self, now: float, voters: dict[str, str]) -> int:
-        """One voter more, or one less. Raises NotLeader, Busy, ValueError."""
+        """One voter more, or one less. Raises NotLeaderError, BusyError, ValueError."""
         if self.role != "leader":
-            raise NotLeader(self.leader)
+            raise NotLeaderError(self.leader)
         if len(voters.keys() ^ self.voters.keys()) > 1:
             raise ValueError("voters come and go one at a time: any two majorities have to overlap")
         if not voters:
@@ -437,7 +463,7 @@
         if self.commit < self.first or any(
             entry.kind == "voters" for entry in self.saved.entries[self.commit - self.saved.base :]
         ):
-            raise Busy("the change before it is not decided yet")
+            raise BusyError("the change before it is not decided yet")
         index = self.propose(now, json.dumps(voters, sort_keys=True), "voters")
         for voter in voters:
             self._acked.setdefault(voter, now)  # a new one gets an election's time to answer
@@ -446,15 +472,15 @@
     def hand_over(self, now: float, name: str) -> None:
         """Let another voter lead. It steps down after an election's time at the latest.
 
-        Raises NotLeader, ValueError.
+        Raises NotLeaderError, ValueError.
         """
         if self.role != "leader":
-            raise NotLeader(self.leader)
+            raise NotLeaderError(self.leader)
         if name == self.name or name not in self.voters:
             raise ValueError(f"{name!r} is no other voter")
         self._handed, self._handed_at = name, now
         if self._match.get(name, 0) == self.saved.last:
-            self.out.append(Say(name, StandNow(self.saved.lineage, self.saved.term)))
+            self.out.append(Send(name, TimeoutNow(self.saved.lineage, self.saved.term)))
         else:
             self._append(name, now)
 
@@ -474,14 +500,14 @@
         self._write("snapshot", 0, 0, 0, json.dumps(voters, sort_keys=True), "")
         self.voters = self.saved.voters_now()
 
-    def _enter(self, entry: Entry) -> int:
+    def _enter(self, entry: LogEntry) -> int:
         index = self.saved.last + 1
         self._write("entry", index, entry.term, entry.kind, entry.data)
         self.voters = self.saved.voters_now()
-        self.out.append(Stored(index, entry.term))
+        self.out.append(EntryPersisted(index, entry.term))
         return index
 
-    def stored(self, done: Stored) -> None:
+    def stored(self, done: EntryPersisted) -> None:
         """Our own disk counts as one of the majority, once it holds the entry."""
         if self.role == "leader" and self.saved.term_at(done.index) == done.term:
             self._match[self.name] = max(self._match.get(self.name, 0), done.index)
@@ -492,9 +518,9 @@
         at = self._next.setdefault(voter, saved.last + 1)
         if at <= saved.base and (saved.base or not at):
             self.out.append(
-                Say(
+                Send(
                     voter,
-                    Install(
+                    InstallSnapshot(
                         saved.lineage, saved.term, saved.base, saved.base_term, saved.voters, saved.state, now
                     ),
                 )
@@ -503,9 +529,9 @@
             return
         entries = tuple(saved.entries[at - saved.base - 1 : at - saved.base - 1 + ENTRIES_MOST])
         self.out.append(
-            Say(
+            Send(
                 voter,
-                Append(
+                AppendEntries(
                     saved.lineage,
                     saved.term,
                     at - 1,
--- a/weldhatch/consensus/rejoin.py
+++ b/weldhatch/consensus/rejoin.py
@@ -14,7 +14,7 @@
 Log = tuple[int, int]  # the last entry's term and index: the greater, the further
 
 
-class Vouched:
+class RejoinGuard:
     """`until`: from when on the store is taken for what it says, whoever was heard."""
 
     def __init__(self, until: float) -> None:
@@ -36,7 +36,7 @@
         self.term = max(self.term, term)
         self._heard[name] = max(self._heard.get(name, (0, 0)), log)
 
-    def far(self, now: float, name: str, voters: Collection[str]) -> Log | None:
+    def required_log(self, now: float, name: str, voters: Collection[str]) -> Log | None:
         """How far a log has to be that `name` may vote for, its own too; None where that is not known yet."""
         if now >= self._until:
             return 0, 0
--- a/weldhatch/coordination/compatibility.py
+++ b/weldhatch/coordination/compatibility.py
@@ -24,7 +24,7 @@
     SWITCHES = "switches"  # neither the old nor the new is acted on until everybody holds it
 
 
-Judge = Callable[[object, object], Overlap]
+OverlapRule = Callable[[object, object], Overlap]
 
 
 def _free(old: object, new: object) -> Overlap:
@@ -67,7 +67,7 @@
     return Overlap.FREE
 
 
-SETTINGS: dict[str, tuple[str, Judge]] = {  # field: its key in files, and how its values overlap
+SETTINGS: dict[str, tuple[str, OverlapRule]] = {  # field: its key in files, and how its values overlap
     "zone": ("locality", _local),
     "me": ("me", _local),
     "tick_us": ("resolutionUs", _local),
@@ -103,7 +103,7 @@
     "over_share_worth": ("overShareWorth", _free),
     "prices": ("prices", _free),
 }
-CLASSES: dict[str, tuple[str, Judge]] = {
+CLASSES: dict[str, tuple[str, OverlapRule]] = {
     "name": ("name", _switch),
     "aim_us": ("aimUs", _free),
     "deadline_us": ("hardLimitUs", _less),
@@ -120,12 +120,12 @@
     "spread_over": ("extra.spreadOver", _switch),
     "spread_most": ("extra.spreadMost", _bounded),
 }
-KINDS: dict[str, tuple[str, Judge]] = {
+KINDS: dict[str, tuple[str, OverlapRule]] = {
     "name": ("kinds", _switch),
     "cores": ("extra.sizeCores", _less),
     "memory": ("extra.memOfKind", _less),
 }
-TENANTS: dict[str, tuple[str, Judge]] = {
+TENANTS: dict[str, tuple[str, OverlapRule]] = {
     "name": ("name", _free),
     "quota_per_s": ("quotaPerS", _free),
     "portion": ("portion", _free),
@@ -134,17 +134,17 @@
 LISTS = {"classes", "kinds", "zones", "tenants"}  # handled item by item, below
 
 
-def _check(kind: type, rows: dict, besides: frozenset | set = frozenset()) -> None:
+def check_complete(kind: type, rows: dict, besides: frozenset | set = frozenset()) -> None:
     """Guards against a setting that nobody said anything of."""
     known = {one.name for one in fields(kind)}
     if known != rows.keys() | besides:
         raise AssertionError(f"rules.table: {kind.__name__}: {sorted(known ^ (rows.keys() | besides))}")
 
 
-_check(i.Settings, SETTINGS, LISTS)
-_check(i.RequestClass, CLASSES)
-_check(i.MachineKind, KINDS)
-_check(i.Tenant, TENANTS)
+check_complete(i.Settings, SETTINGS, LISTS)
+check_complete(i.RequestClass, CLASSES)
+check_complete(i.MachineKind, KINDS)
+check_complete(i.Tenant, TENANTS)
 
 
 @dataclass(slots=True, frozen=True)
@@ -158,7 +158,7 @@
     of: str = ""
 
 
-class Unfit(ValueError):
+class IncompatibleChangeError(ValueError):
     """A version that no running dispatcher can move to; `key` is at fault."""
 
     def __init__(self, key: str, reason: str) -> None:
@@ -166,24 +166,29 @@
         self.key, self.reason = key, reason
 
 
-def changes(old: i.Settings, new: i.Settings) -> list[Change]:
-    """All values that differ. Raises Unfit where the change takes a restart of the whole group."""
+def find_changes(old: i.Settings, new: i.Settings) -> list[Change]:
+    """All values that differ.
+
+    Raises IncompatibleChangeError where the change takes a restart of the whole group.
+    """
     out = [
         change
         for field, (key, judge) in SETTINGS.items()
         if (change := _change(key, judge, getattr(old, field), getattr(new, field))) and judge is not _local
     ]
-    out += _items("classes", CLASSES, old.classes, new.classes, of_class=True)
-    out += _items("kinds", KINDS, old.kinds, new.kinds)
-    out += _items("tenants", TENANTS, old.tenants, new.tenants)
+    out += compare_items("classes", CLASSES, old.classes, new.classes, of_class=True)
+    out += compare_items("kinds", KINDS, old.kinds, new.kinds)
+    out += compare_items("tenants", TENANTS, old.tenants, new.tenants)
     if old.zones != new.zones:
         if new.zones[: len(old.zones)] != old.zones:
-            raise Unfit("zones", "halls may be added at the end; the others keep their places")
+            raise IncompatibleChangeError(
+                "zones", "halls may be added at the end; the others keep their places"
+            )
         out.append(Change("zones", old.zones, new.zones, Overlap.WIDENS))
     return out
 
 
-def _change(key: str, judge: Judge, old: object, new: object, of: str = "") -> Change | None:
+def _change(key: str, judge: OverlapRule, old: object, new: object, of: str = "") -> Change | None:
     return None if old == new else Change(key, _told(old), _told(new), judge(old, new), of)
 
 
@@ -191,13 +196,17 @@
     return value.value if isinstance(value, i.Effect | i.Scope) else value
 
 
-def _items(list_key: str, rows: dict, old: tuple, new: tuple, of_class: bool = False) -> Iterator[Change]:
+def compare_items(
+    list_key: str, rows: dict, old: tuple, new: tuple, of_class: bool = False
+) -> Iterator[Change]:
     names = [one.name for one in new]
     if names[: len(old)] != [one.name for one in old]:
         # Guards requests under way: they name their class and kind by its place.
-        raise Unfit(list_key, "items may be added at the end; the others keep their places and names")
+        raise IncompatibleChangeError(
+            list_key, "items may be added at the end; the others keep their places and names"
+        )
     if len(set(names)) != len(names):
-        raise Unfit(list_key, "two items have one name")
+        raise IncompatibleChangeError(list_key, "two items have one name")
     for was, now in zip(old, new, strict=False):
         for field, (key, judge) in rows.items():
             change = _change(
@@ -214,7 +223,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Narrow:
+class RestrictedSettings:
     """What may be acted on while either of two versions may be in force elsewhere.
 
     `blocked`: classes of which nothing new starts; `all_blocked`: of none of them.
@@ -228,10 +237,10 @@
         return not self.all_blocked and name not in self.blocked
 
 
-def meet(old: i.Settings, new: i.Settings) -> Narrow:
+def intersect(old: i.Settings, new: i.Settings) -> RestrictedSettings:
     """The narrower of two versions, value by value. It has the places of `old`: what is added waits."""
     blocked, everything = set(), False
-    for change in changes(old, new):
+    for change in find_changes(old, new):
         if change.overlap is Overlap.SWITCHES:
             everything = everything or not change.of
             blocked.add(change.of)
@@ -240,7 +249,7 @@
         for field, (_, judge) in SETTINGS.items()
         if _tightens(judge, getattr(old, field), getattr(new, field))
     }
-    return Narrow(
+    return RestrictedSettings(
         replace(
             old,
             **told,
@@ -252,7 +261,7 @@
     )
 
 
-def _tightens(judge: Judge, old: object, new: object) -> bool:
+def _tightens(judge: OverlapRule, old: object, new: object) -> bool:
     return old != new and judge(old, new) is Overlap.TIGHTENS
 
 
@@ -270,12 +279,12 @@
     )
 
 
-def waits_for_all(found: list[Change]) -> bool:
+def needs_all_members(found: list[Change]) -> bool:
     """Whether a version with these changes comes into force only once everybody holds it."""
     return any(change.overlap in (Overlap.WIDENS, Overlap.SWITCHES) for change in found)
 
 
-def touches_safe(found: list[Change], old: i.Settings, new: i.Settings) -> bool:
+def affects_safe_work(found: list[Change], old: i.Settings, new: i.Settings) -> bool:
     """Whether a dispatcher without a lease, which goes on with safe work, could contradict them."""
     safe = {cls.name for one in (old, new) for cls in one.classes if cls.effect is i.Effect.SAFE}
     return any(
--- a/weldhatch/coordination/drain_reports.py
+++ b/weldhatch/coordination/drain_reports.py
@@ -2,7 +2,7 @@
 
 Lists come to each dispatcher by itself, late and under revisions. What one has heard that narrows, counts for
 all: an entry holds from its revision on, until a dispatcher's own list is newer. Newer never gives way to
-older; where two lists of one revision differ, the narrower acts, and operators are told.
+older; where two lists of one revision differ, the stricter acts, and operators are told.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-NARROW = ("gone", "draining")
-ORDER = {"gone": 0, "off": 0, "draining": 1, "ready": 2}  # the lower allows less
+RESTRICTING = ("gone", "draining")
+PERMISSIVENESS = {"gone": 0, "off": 0, "draining": 1, "ready": 2}  # the lower allows less
 ENTRIES_MOST = 10_000
 NEWS_MOST = 200  # entries that one command tells of
 CONFLICTS_MOST = 20
 
 
-def narrower(one: str, other: str) -> str:
-    return min(one, other, key=ORDER.__getitem__)
+def stricter(one: str, other: str) -> str:
+    return min(one, other, key=PERMISSIVENESS.__getitem__)
 
 
 def digest(states: Mapping[str, str]) -> str:
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Lists:
+class DrainReports:
     """As agreed: by machine, the revision and the state that narrows it."""
 
     entries: dict[str, list] = field(default_factory=dict)  # uid: [revision, state]
@@ -43,8 +43,8 @@
                 continue  # newer never gives way to older
             if known is not None and rev == known[0] and state != known[1]:
                 self._conflict(f"{uid}: {known[1]} and, by {by}, {state}, both in a list of revision {rev}")
-                state = narrower(state, known[1])
-            if state in NARROW:
+                state = stricter(state, known[1])
+            if state in RESTRICTING:
                 self.entries[uid] = [rev, state]
             else:
                 self.entries.pop(uid, None)
@@ -62,7 +62,7 @@
         known = self.entries.get(uid)
         if known is None or known[0] < rev:
             return own
-        return narrower(own, known[1])
+        return stricter(own, known[1])
 
     def news(self, rev: int, states: Mapping[str, str]) -> dict[str, str]:
         """What a dispatcher's own list tells that is not agreed yet: drains and ends, and their undoing."""
@@ -70,7 +70,7 @@
         for uid, state in states.items():
             known = self.entries.get(uid)
             if known is None:
-                if state in NARROW:
+                if state in RESTRICTING:
                     out[uid] = state
             elif known[0] <= rev and known[1] != state:
                 out[uid] = state
--- a/weldhatch/coordination/effects.py
+++ b/weldhatch/coordination/effects.py
@@ -5,24 +5,24 @@
 from dataclasses import dataclass, field
 
 from weldhatch.consensus import messages
-from weldhatch.coordination.messages import Word
+from weldhatch.coordination.messages import GroupMessage
 
 
 @dataclass(slots=True, frozen=True)
-class Write:
-    """Records of the voter: call `wrote` once they are on the disk. One `Write` is out at a time."""
+class WriteRecords:
+    """Records of the voter: call `wrote` once they are on the disk. One `WriteRecords` is out at a time."""
 
     words: tuple[tuple, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class Send:
     to: str
-    word: messages.Message | Word
+    word: messages.Message | GroupMessage
 
 
 @dataclass(slots=True, frozen=True)
-class Hold:
+class SaveState:
     """What is acted on has changed; the state, for a look after a restart."""
 
     lineage: int
@@ -30,14 +30,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reach:
+class ConnectVoters:
     """Who votes, and where: processes to be reached."""
 
     voters: dict[str, str]
 
 
 @dataclass(slots=True, frozen=True)
-class Came:
+class CommandCompleted:
     """The result of a command that was given here, by its id."""
 
     id: str
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Event:
+class LogEvent:
     """For the log."""
 
     name: str
@@ -53,11 +53,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Shared:
+class QuotaReceived:
     """Starts on machines that return, from `asked` on, by our own clock."""
 
     shares: str
     asked: float
 
 
-Out = Write | Say | Hold | Reach | Came | Event | Shared
+Effect = WriteRecords | Send | SaveState | ConnectVoters | CommandCompleted | LogEvent | QuotaReceived
--- a/weldhatch/coordination/leader.py
+++ b/weldhatch/coordination/leader.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass, field
 
 from weldhatch.coordination import compatibility
-from weldhatch.coordination.messages import Ask, Learn
-from weldhatch.coordination.state_machine import Group
+from weldhatch.coordination.messages import LeaseRequest, LeaseResponse
+from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.scheduling import types as i
 
 COMMANDS_MOST = 200  # that are sent as a difference; more, and the whole state goes
 
 
 @dataclass(slots=True, frozen=True)
-class Spans:
+class LeaseTiming:
     """Seconds, all from the stated time, for longer than which no two act on rules that contradict."""
 
     stated: float = 2.0
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class Incarnation:
     """One life of a member, as far as this leader has heard of it."""
 
     granted: float
@@ -67,13 +67,13 @@
 
 
 @dataclass(slots=True)
-class Coordinator:
+class Leader:
     """Made anew at each election, at `now`."""
 
-    spans: Spans
+    spans: LeaseTiming
     began: float
     read: Callable[[dict], i.Settings]  # a version's settings; ConfigError for what is none
-    lives: dict[tuple[str, int, str], Life] = field(default_factory=dict)
+    lives: dict[tuple[str, int, str], Incarnation] = field(default_factory=dict)
     log: dict[int, str] = field(default_factory=dict)  # the last commands by index
     _changes: dict[tuple[int, int], tuple[list[compatibility.Change], bool]] = field(default_factory=dict)
 
@@ -84,7 +84,9 @@
         self.log[index] = data
         self.log.pop(index - COMMANDS_MOST, None)
 
-    def asked(self, now: float, group: Group, ask: Ask, lineage: int, until: float) -> Learn:
+    def asked(
+        self, now: float, group: StateMachine, ask: LeaseRequest, lineage: int, until: float
+    ) -> LeaseResponse:
         """Answer one dispatcher. `until`: no other voter can lead before then (`Raft.leads_until`)."""
         why = self._refusal(now, group, ask, lineage, until)
         commands, state = self._news(group, ask, lineage)
@@ -93,7 +95,7 @@
             life.index, life.number, life.fault = ask.index, ask.number, ask.fault
             if not why:
                 life.granted = now
-        return Learn(
+        return LeaseResponse(
             lineage,
             ask.sent,
             not why,
@@ -106,7 +108,7 @@
             group.digest,
         )
 
-    def _refusal(self, now: float, group: Group, ask: Ask, lineage: int, until: float) -> str:
+    def _refusal(self, now: float, group: StateMachine, ask: LeaseRequest, lineage: int, until: float) -> str:
         known = group.members.get(ask.name)
         if ask.lineage > lineage:
             return "it is of a later recovery than we are"
@@ -124,7 +126,7 @@
             return f"refuses version {ask.number}: {ask.fault}"
         return ""
 
-    def _news(self, group: Group, ask: Ask, lineage: int) -> tuple[tuple[str, ...], str]:
+    def _news(self, group: StateMachine, ask: LeaseRequest, lineage: int) -> tuple[tuple[str, ...], str]:
         if ask.lineage == lineage and ask.index == group.index and ask.digest == group.digest:
             return (), ""
         wanted = range(ask.index + 1, group.index + 1)
@@ -132,15 +134,17 @@
             return tuple(self.log[n] for n in wanted), ""
         return (), group.state()
 
-    def _life(self, ask: Ask) -> Life:
+    def _life(self, ask: LeaseRequest) -> Incarnation:
         key = ask.name, ask.epoch, ask.token
         if key not in self.lives:
-            self.lives[key] = Life(self.began)
+            self.lives[key] = Incarnation(self.began)
         return self.lives[key]
 
     # ---- what an activation waits for ------------------------------------------------------------------
 
-    def waits(self, now: float, group: Group, index: int, span: float, number: int = 0) -> dict[str, str]:
+    def waits(
+        self, now: float, group: StateMachine, index: int, span: float, number: int = 0
+    ) -> dict[str, str]:
         """Who does not hold the state at `index` yet and may have a lease of that span: name to reason.
 
         `number`: a version that each has to have looked at, too.
@@ -172,32 +176,35 @@
         return out
 
     @staticmethod
-    def _despite(group: Group) -> list[str]:
+    def _despite(group: StateMachine) -> list[str]:
         return group.prepared.despite if group.prepared is not None else []
 
-    def changes(self, group: Group) -> tuple[list[compatibility.Change], bool]:
-        """What the prepared version changes, and whether safe work is touched. Raises Unfit, ConfigError."""
+    def changes(self, group: StateMachine) -> tuple[list[compatibility.Change], bool]:
+        """What the prepared version changes, and whether safe work is touched.
+
+        Raises IncompatibleChangeError, ConfigError.
+        """
         prepared = group.prepared
         if group.active is None:
             return [], True
         key = group.active.number, prepared.number
         if key not in self._changes:
             old, new = self.read(group.active.tree), self.read(prepared.tree)
-            found = compatibility.changes(old, new)
-            self._changes = {key: (found, compatibility.touches_safe(found, old, new))}
+            found = compatibility.find_changes(old, new)
+            self._changes = {key: (found, compatibility.affects_safe_work(found, old, new))}
         return self._changes[key]
 
-    def waits_for(self, now: float, group: Group) -> dict[str, str]:
+    def waits_for(self, now: float, group: StateMachine) -> dict[str, str]:
         """What the prepared version waits for; nothing where none is, or it may come into force."""
         if group.prepared is None:
             return {}
         found, safe = self.changes(group)
         # What tightens is acted on by whoever hears of it: then only the answers are waited for.
-        wide = group.active is None or compatibility.waits_for_all(found)
+        wide = group.active is None or compatibility.needs_all_members(found)
         span = self.spans.ground if safe and wide else self.spans.lease
         return self.waits(now, group, group.prepared_at, span, group.prepared.number)
 
-    def todo(self, now: float, group: Group) -> list[dict]:
+    def todo(self, now: float, group: StateMachine) -> list[dict]:
         """Commands that are due now."""
         out: list[dict] = []
         if group.prepared is not None:
@@ -208,20 +215,20 @@
                     out.append({"do": "drop", "number": number, "why": f"{name} refuses: {fault}"})
                 elif not self.waits_for(now, group):
                     out.append({"do": "activate", "number": number})
-            except ValueError as fault:  # Unfit, or no settings at all
+            except ValueError as fault:  # IncompatibleChangeError, or no settings at all
                 out.append({"do": "drop", "number": number, "why": str(fault)})
         if group.unsettled and not self.waits(now, group, self._list_index(group), self.spans.ground):
             out.append({"do": "settled", "rev": group.unsettled})
         return out
 
-    def _list_index(self, group: Group) -> int:
+    def _list_index(self, group: StateMachine) -> int:
         """From which index on a member holds the newest word: that of the last word, or later."""
         for index in sorted(self.log, reverse=True):
             if '"do":"word"' in self.log[index].replace(" ", ""):
                 return index
         return group.index
 
-    def _faults(self, group: Group) -> dict[str, str]:
+    def _faults(self, group: StateMachine) -> dict[str, str]:
         """Members that can't act on the prepared version, but for those that may refuse it."""
         return {
             name: life.fault
--- a/weldhatch/coordination/messages.py
+++ b/weldhatch/coordination/messages.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class LeaseRequest:
     """A dispatcher asks for a lease, and for what it does not know yet.
 
     `sent`: its own clock, echoed; `index`, `digest`: what it holds; `number`: a prepared version that it
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Learn:
+class LeaseResponse:
     """The answer. `commands` follow `base`; `state` takes their place where they are not all there.
 
     `granted`: a lease from `sent` on, for one who holds `index`; `why`: why there is none; `leader`: whom to
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Submit:
+class CommandRequest:
     """A command for the log, under an id of its own: said again until its result comes."""
 
     id: str
@@ -59,9 +59,9 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Result:
+class CommandResult:
     id: str
     result: str
 
 
-Word = Ask | Learn | Submit | Result
+GroupMessage = LeaseRequest | LeaseResponse | CommandRequest | CommandResult
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -1,7 +1,7 @@
 """One process of a group as a whole: its voter, the leader's part where it leads, its holder. Pure.
 
-What is to be done outside leaves in `out`, in order. What follows a `Write` in the voter's order waits here
-until `wrote` says that it is on the disk.
+What is to be done outside leaves in `effects`, in order. What follows a `WriteRecords` in the voter's order
+waits here until `records_written` says that it is on the disk.
 """
 
 from __future__ import annotations
@@ -12,13 +12,28 @@
 from random import Random
 
 from weldhatch.consensus import messages, raft
-from weldhatch.consensus.persistent_state import Saved
-from weldhatch.coordination.effects import Came, Event, Hold, Out, Reach, Say, Shared, Write
-from weldhatch.coordination.leader import Coordinator, Spans
-from weldhatch.coordination.lease_holder import Footing, Holder
-from weldhatch.coordination.messages import Ask, Learn, Result, Submit, Word
-from weldhatch.coordination.state_machine import Group
-from weldhatch.coordination.zone_leader import Zoning
+from weldhatch.consensus.persistent_state import PersistentState
+from weldhatch.coordination.effects import (
+    CommandCompleted,
+    ConnectVoters,
+    Effect,
+    LogEvent,
+    QuotaReceived,
+    SaveState,
+    Send,
+    WriteRecords,
+)
+from weldhatch.coordination.leader import Leader, LeaseTiming
+from weldhatch.coordination.lease_holder import LeaseHolder, LeaseStatus
+from weldhatch.coordination.messages import (
+    CommandRequest,
+    CommandResult,
+    GroupMessage,
+    LeaseRequest,
+    LeaseResponse,
+)
+from weldhatch.coordination.state_machine import StateMachine
+from weldhatch.coordination.zone_leader import ZoneLeader
 from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_leader import Times
 
@@ -43,7 +58,7 @@
 )  # of a command, in the log
 
 
-class Member:
+class CoordinationNode:
     """Feed it time and words; carry out what it leaves in `out`. Nothing here waits."""
 
     def __init__(
@@ -51,13 +66,13 @@
         name: str,
         epoch: int,
         token: str,
-        spans: Spans,
+        spans: LeaseTiming,
         read: Callable[[dict], i.Settings],
         fits: Callable[[i.Settings], str],
         first: dict,
         random: Random,
         now: float,
-        saved: Saved | None,
+        saved: PersistentState | None,
         begin: dict[str, str] | None = None,
         zones: Times | None = None,
     ) -> None:
@@ -66,35 +81,37 @@
         zones that fail, how long it takes its time."""
         self.name, self.spans, self._read, self._first = name, spans, read, first
         self._epoch, self._token = epoch, token
-        self.holder = Holder(name, epoch, token, spans, read, fits)
-        self.group = Group()  # as the voter here has it
+        self.lease_holder = LeaseHolder(name, epoch, token, spans, read, fits)
+        self.state_machine = StateMachine()  # as the voter here has it
         self.raft: raft.Raft | None = None
-        self.coordinator: Coordinator | None = None
+        self.coordinator: Leader | None = None
         self._zone_times, self.zoning = zones, None  # the leader's, while it leads
-        self.sight: Callable[[float], str] = lambda now: ""  # what is told of the zones with each question
-        self.out: list[Out] = []
+        self.observe_zones: Callable[[float], str] = (
+            lambda now: ""
+        )  # what is told of the zones with each question
+        self.effects: list[Effect] = []
         self.leader = ""
         self._queue: deque[raft.Effect] = deque()
         self._writing = False
-        self._own: deque[Word] = deque()  # what it says to itself
+        self._own: deque[GroupMessage] = deque()  # what it says to itself
         self._asked: dict[str, str] = {}  # commands in the log, by id: who is to hear the result
         self._voting: dict[int, tuple[str, str]] = {}  # changes of the voters, by index: id and who asked
         self._joining: dict[tuple, float] = {}
         self._given: dict[str, tuple[str, float]] = {}  # commands given here, and when they were said last
-        self._footing, self._last_ask = Footing.NOTHING, float("-inf")
+        self._footing, self._last_ask = LeaseStatus.EXPIRED, float("-inf")
         self._reaching: dict[str, str] = {}
         self.reached: set[str] = set()  # voters that this process can say something to
         if saved is not None:
-            times = raft.Times(spans.beat, spans.election, spans.drift)
+            times = raft.Timing(spans.beat, spans.election, spans.drift)
             self.raft = raft.Raft(name, saved, times, random, now)
             if begin is not None:
                 self.raft.begin(begin)
             if saved.state:
-                self.group.load(saved.state)
+                self.state_machine.load(saved.state)
             self._carry(now)
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.raft is not None and self.raft.role == "leader"
 
     # ---- time ------------------------------------------------------------------------------------------
@@ -106,7 +123,7 @@
             self._carry(now)
             self._lead(now)
         if now - self._last_ask >= self.spans.ask:
-            self.ask(now)
+            self.request_lease(now)
         for id, (text, said) in list(self._given.items()):
             if now - said >= 2 * self.spans.ask:
                 self._give(now, id, text)
@@ -114,18 +131,18 @@
         self._settle(now)
 
     def _look(self, now: float) -> None:
-        """Say once that the footing has changed."""
-        footing = self.holder.footing(now)
+        """Send once that the footing has changed."""
+        footing = self.lease_holder.lease_status(now)
         if footing is not self._footing:
-            self._event("footing", before=self._footing.value, now=footing.value, why=self.holder.why)
+            self._event("footing", before=self._footing.value, now=footing.value, why=self.lease_holder.why)
             self._footing = footing
 
     def _event(self, name: str, **fields: object) -> None:
-        self.out.append(Event(name, fields))
+        self.effects.append(LogEvent(name, fields))
 
     def _lead(self, now: float) -> None:
         """The leader's own work, once it has just become one and while it is."""
-        if not self.leads:
+        if not self.is_leader:
             if self.coordinator is not None:
                 self.coordinator = self.zoning = None
                 self._asked.clear()  # what was not decided yet may never be: its senders say it again
@@ -133,15 +150,15 @@
                 self._event("leads_no_more", term=self.raft.saved.term, leader=self.raft.leader)
             return
         if self.coordinator is None:
-            self.coordinator = Coordinator(self.spans, now, self._read)
+            self.coordinator = Leader(self.spans, now, self._read)
             if self._zone_times is not None:
-                self.zoning = Zoning(
+                self.zoning = ZoneLeader(
                     now, self.name, self.raft.saved.term, self._zone_times, self.coordinator, self._read
                 )
             self._event("leads", term=self.raft.saved.term)
         if now >= self.sure_until(now):
             return
-        if not self.group.number and self.group.members:
+        if not self.state_machine.number and self.state_machine.members:
             self._enter(
                 now,
                 {
@@ -153,10 +170,10 @@
                     "by": self.name,
                 },
             )
-        for command in self.coordinator.todo(now, self.group):
+        for command in self.coordinator.todo(now, self.state_machine):
             id = f"{command['do']}-{command.get('number', command.get('rev'))}"
             self._enter(now, {**command, "id": id})
-        for command in self.zoning.todo(now, self.group) if self.zoning is not None else ():
+        for command in self.zoning.todo(now, self.state_machine) if self.zoning is not None else ():
             self._enter(now, command)
 
     def sure_until(self, now: float) -> float:
@@ -165,7 +182,7 @@
         Guards against a leader whose own state is not yet what leaders before it have decided, because its
         disk is slow: it would grant a lease on rules that others have moved on from.
         """
-        behind = self.group.index < self.raft.first
+        behind = self.state_machine.index < self.raft.first
         return float("-inf") if behind else self.raft.leads_until(now)
 
     def _enter(self, now: float, command: dict, who: str = "") -> None:
@@ -176,7 +193,7 @@
             return
         try:
             self.raft.propose(now, json.dumps(command, separators=(",", ":")))
-        except (raft.NotLeader, raft.Busy):
+        except (raft.NotLeaderError, raft.BusyError):
             return
         self._asked[id] = who
         self._carry(now)
@@ -191,13 +208,13 @@
         self._fetch()
         while self._queue and not self._writing:
             words = []
-            while self._queue and isinstance(self._queue[0], raft.Write):
+            while self._queue and isinstance(self._queue[0], raft.WriteRecord):
                 words.append(self._queue.popleft().word)
             if words:
                 for _, lineage, term, name in (word for word in words if word[0] == "vote" and word[3]):
                     self._event("votes", lineage=lineage, term=term, for_=name)
                 self._writing = True
-                self.out.append(Write(tuple(words)))
+                self.effects.append(WriteRecords(tuple(words)))
                 return
             self._do(now, self._queue.popleft())
             self._fetch()
@@ -211,10 +228,10 @@
     def _reach(self, voters: dict[str, str]) -> None:
         if voters != self._reaching:
             self._reaching = voters
-            self.out.append(Reach(voters))
+            self.effects.append(ConnectVoters(voters))
 
-    def wrote(self, now: float) -> None:
-        """The `Write` that was out is on the disk."""
+    def records_written(self, now: float) -> None:
+        """The `WriteRecords` that was out is on the disk."""
         self._writing = False
         self._carry(now)
         self._lead(now)
@@ -222,30 +239,30 @@
 
     def _do(self, now: float, effect: raft.Effect) -> None:
         match effect:
-            case raft.Say(to, message):
-                self.out.append(Say(to, message))
-            case raft.Stored():
+            case raft.Send(to, message):
+                self.effects.append(Send(to, message))
+            case raft.EntryPersisted():
                 self.raft.stored(effect)
             case raft.Commit(index, entry):
                 self._decided(index, entry)
-            case raft.Load(_, state):
-                self.group = Group()
+            case raft.LoadSnapshot(_, state):
+                self.state_machine = StateMachine()
                 if state:
-                    self.group.load(state)
+                    self.state_machine.load(state)
 
-    def _decided(self, index: int, entry: messages.Entry) -> None:
+    def _decided(self, index: int, entry: messages.LogEntry) -> None:
         data = entry.data if entry.kind == "command" else ""
-        result = self.group.apply(index, data)
+        result = self.state_machine.apply(index, data)
         if entry.kind == "voters":
             voters = json.loads(entry.data)
             self._event("voters", voters=sorted(voters), index=index)
             if index in self._voting:
                 id, who = self._voting.pop(index)
-                self._tell(who, Result(id, json.dumps({"ok": True, "voters": voters})))
+                self._tell(who, CommandResult(id, json.dumps({"ok": True, "voters": voters})))
         if data:
             command = json.loads(data)
             if who := self._asked.pop(command["id"], ""):
-                self._tell(who, Result(command["id"], json.dumps(result)))
+                self._tell(who, CommandResult(command["id"], json.dumps(result)))
             if command["do"] not in ("join", "leave"):
                 told = {key: value for key, value in command.items() if key in TOLD}
                 self._event(command["do"], index=index, **told, result=result.get("error", "ok"))
@@ -253,14 +270,14 @@
                     self._event("conflict", text=text)
         if self.coordinator is not None:
             self.coordinator.decided(index, data)
-            if self.leads:
+            if self.is_leader:
                 self._push(index, data)
         if index - self.raft.saved.base >= SNAPSHOT_EVERY:
-            self.raft.snapshot(self.group.state(), index)
+            self.raft.snapshot(self.state_machine.state(), index)
 
     def _push(self, index: int, data: str) -> None:
         """News goes out at once, so that everybody asks at once and is known to hold it."""
-        told = Learn(
+        told = LeaseResponse(
             self.raft.saved.lineage,
             0.0,
             False,
@@ -269,18 +286,18 @@
             index - 1,
             (data,),
             "",
-            self.group.index,
-            self.group.digest,
+            self.state_machine.index,
+            self.state_machine.digest,
             json.dumps(self.raft.voters),
         )
-        for name in self.group.members:
+        for name in self.state_machine.members:
             self._tell(name, told)
 
-    def _tell(self, name: str, word: Word) -> None:
+    def _tell(self, name: str, word: GroupMessage) -> None:
         if name == self.name:
             self._own.append(word)
         elif name:
-            self.out.append(Say(name, word))
+            self.effects.append(Send(name, word))
 
     def _settle(self, now: float) -> None:
         """Hear what it said to itself."""
@@ -289,19 +306,19 @@
 
     # ---- hearing ---------------------------------------------------------------------------------------
 
-    def up(self, now: float, name: str) -> None:
+    def peer_up(self, now: float, name: str) -> None:
         """A voter can be reached (again)."""
         self.reached.add(name)
         if self.raft is not None:
             self.raft.greet(name)
             self._carry(now)
-        self.ask(now)
+        self.request_lease(now)
         self._settle(now)
 
-    def down(self, name: str) -> None:
+    def peer_down(self, name: str) -> None:
         self.reached.discard(name)
 
-    def hear(self, now: float, name: str, word: messages.Message | Word) -> None:
+    def receive(self, now: float, name: str, word: messages.Message | GroupMessage) -> None:
         """One word of another process."""
         if isinstance(word, messages.Message):
             if self.raft is not None and len(self._queue) < BACKLOG_MOST:
@@ -315,25 +332,25 @@
             self._hear(now, name, word)
         self._settle(now)
 
-    def _hear(self, now: float, name: str, word: Word) -> None:
+    def _hear(self, now: float, name: str, word: GroupMessage) -> None:
         match word:
-            case Ask() if word.name == name:
+            case LeaseRequest() if word.name == name:
                 self._answer(now, name, word)
-            case Learn():
+            case LeaseResponse():
                 self._learned(now, name, word)
-            case Submit(id, command):
+            case CommandRequest(id, command):
                 self._submitted(now, name, id, command)
-            case Result(id, result):
+            case CommandResult(id, result):
                 if self._given.pop(id, None) is not None:
-                    self.out.append(Came(id, json.loads(result)))
+                    self.effects.append(CommandCompleted(id, json.loads(result)))
 
-    def _answer(self, now: float, name: str, ask: Ask) -> None:
+    def _answer(self, now: float, name: str, ask: LeaseRequest) -> None:
         """A dispatcher asks; only a leader that is sure of it answers with a lease."""
-        if self.coordinator is None or not self.leads:
+        if self.coordinator is None or not self.is_leader:
             if self.raft is not None and self.raft.leader not in ("", self.name):
                 self._tell(
                     name,
-                    Learn(
+                    LeaseResponse(
                         self.raft.saved.lineage,
                         ask.sent,
                         False,
@@ -355,7 +372,7 @@
             )
             return
         until, shares = self.sure_until(now), ""
-        told = self.coordinator.asked(now, self.group, ask, self.raft.saved.lineage, until)
+        told = self.coordinator.asked(now, self.state_machine, ask, self.raft.saved.lineage, until)
         if told.why.startswith("unknown"):
             key = ask.name, ask.epoch, ask.token
             if now - self._joining.get(key, float("-inf")) > JOIN_AGAIN_S:
@@ -371,11 +388,11 @@
                     },
                 )
         if self.zoning is not None:
-            self.zoning.hear(now, self.group, ask)
-            shares = self.zoning.shares(now, self.group, ask) if told.granted else ""
+            self.zoning.hear(now, self.state_machine, ask)
+            shares = self.zoning.shares(now, self.state_machine, ask) if told.granted else ""
         self._tell(
             name,
-            Learn(
+            LeaseResponse(
                 told.lineage,
                 told.sent,
                 told.granted,
@@ -392,22 +409,22 @@
         )
         self._lead(now)
 
-    def _learned(self, now: float, name: str, told: Learn) -> None:
+    def _learned(self, now: float, name: str, told: LeaseResponse) -> None:
         if told.voters and self.name not in (voters := json.loads(told.voters)):
             self._reach(voters)  # also for one that votes no more, and has not heard that
         if told.leader:
             if told.leader != self.leader:
                 self.leader = told.leader
-                self.ask(now)
+                self.request_lease(now)
             return
         self.leader = name
         if told.shares:
-            self.out.append(Shared(told.shares, told.sent))
-        before = self.holder.rules
-        if self.holder.learned(now, told):
-            self.out.append(Hold(self.holder.lineage, self.holder.group.state()))
-            self.ask(now)  # at once: whoever waits for this dispatcher hears that it holds it
-            if (rules := self.holder.rules) != before:
+            self.effects.append(QuotaReceived(told.shares, told.sent))
+        before = self.lease_holder.rules
+        if self.lease_holder.learned(now, told):
+            self.effects.append(SaveState(self.lease_holder.lineage, self.lease_holder.state_machine.state()))
+            self.request_lease(now)  # at once: whoever waits for this dispatcher hears that it holds it
+            if (rules := self.lease_holder.rules) != before:
                 self._event(
                     "acts_on", number=rules.number if rules else 0, prepared=rules.prepared if rules else 0
                 )
@@ -415,58 +432,61 @@
 
     # ---- asking ----------------------------------------------------------------------------------------
 
-    def ask(self, now: float, leaves: bool = False) -> None:
-        """Ask the leader; where none is known, or it says nothing, every voter."""
+    def request_lease(self, now: float, leaves: bool = False) -> None:
+        """LeaseRequest the leader; where none is known, or it says nothing, every voter."""
         self._last_ask = now
-        ask = self.holder.ask(now, leaves, self.sight(now))
-        if self.leads:
+        ask = self.lease_holder.ask(now, leaves, self.observe_zones(now))
+        if self.is_leader:
             self._own.append(ask)
             return
         if self.raft is not None and self.raft.leader:
             self.leader = self.raft.leader
-        if self.leader in self.reached and now - self.holder.heard < 2 * self.spans.ask:
-            self.out.append(Say(self.leader, ask))
+        if self.leader in self.reached and now - self.lease_holder.heard < 2 * self.spans.ask:
+            self.effects.append(Send(self.leader, ask))
             return
-        self.out += [Say(name, ask) for name in sorted(self.reached)]
+        self.effects += [Send(name, ask) for name in sorted(self.reached)]
 
-    def give(self, now: float, id: str, command: dict) -> None:
-        """Have one command decided: `Came` brings its result. It is said again until then, or `forget`."""
+    def submit(self, now: float, id: str, command: dict) -> None:
+        """Have one command decided: `CommandCompleted` brings its result.
+
+        It is said again until then, or `forget_command`.
+        """
         self._give(now, id, json.dumps({**command, "id": id}))
         self._settle(now)
 
-    def forget(self, id: str) -> None:
+    def forget_command(self, id: str) -> None:
         self._given.pop(id, None)
 
     def _give(self, now: float, id: str, text: str) -> None:
         self._given[id] = text, now
-        if self.leads:
+        if self.is_leader:
             self._submitted(now, self.name, id, text)
         elif self.leader in self.reached:
-            self.out.append(Say(self.leader, Submit(id, text)))
+            self.effects.append(Send(self.leader, CommandRequest(id, text)))
         else:
-            self.out += [Say(name, Submit(id, text)) for name in sorted(self.reached)]
+            self.effects += [Send(name, CommandRequest(id, text)) for name in sorted(self.reached)]
 
     def _submitted(self, now: float, name: str, id: str, text: str) -> None:
         """A command of a dispatcher. Not a leader's to take: its sender says it again."""
-        if not self.leads:
+        if not self.is_leader:
             return
-        if id in self.group.results:
-            self._tell(name, Result(id, json.dumps(self.group.results[id])))
+        if id in self.state_machine.results:
+            self._tell(name, CommandResult(id, json.dumps(self.state_machine.results[id])))
             return
         command = json.loads(text)
         match command["do"]:
             case "voters":
                 self._change_voters(now, name, id, command)
             case "status":
-                self._tell(name, Result(id, json.dumps(self.leader_status(now))))
+                self._tell(name, CommandResult(id, json.dumps(self.leader_status(now))))
             case "zone_word":
                 self._zone_word(now, name, command)
             case "hand":
                 try:
                     self.raft.hand_over(now, command["to"])
-                    self._tell(name, Result(id, '{"ok": true}'))
-                except (raft.NotLeader, ValueError) as fault:
-                    self._tell(name, Result(id, json.dumps({"error": "refused", "text": str(fault)})))
+                    self._tell(name, CommandResult(id, '{"ok": true}'))
+                except (raft.NotLeaderError, ValueError) as fault:
+                    self._tell(name, CommandResult(id, json.dumps({"error": "refused", "text": str(fault)})))
                 self._carry(now)
             case _:
                 self._enter(now, command, name)
@@ -475,9 +495,9 @@
         """An operator's word on a zone: weighed here, where the reports are, then decided by the group."""
         command = {"error": "off", "text": "zones: this group does not leave zones; see its file"}
         if self.zoning is not None:
-            command = self.zoning.operator(now, self.group, told)
+            command = self.zoning.operator(now, self.state_machine, told)
         if "error" in command:
-            self._tell(name, Result(told["id"], json.dumps(command)))
+            self._tell(name, CommandResult(told["id"], json.dumps(command)))
         else:
             self._enter(now, command, name)
 
@@ -487,12 +507,12 @@
         voters = {**self.raft.voters, **command.get("add", {})}
         voters = {one: at for one, at in voters.items() if one not in command.get("remove", [])}
         if voters == self.raft.voters:
-            self._tell(name, Result(id, json.dumps({"ok": True, "voters": voters})))
+            self._tell(name, CommandResult(id, json.dumps({"ok": True, "voters": voters})))
             return
         try:
             self._voting[self.raft.change_voters(now, voters)] = (id, name)
-        except (raft.NotLeader, raft.Busy, ValueError) as fault:
-            self._tell(name, Result(id, json.dumps({"error": "refused", "text": str(fault)})))
+        except (raft.NotLeaderError, raft.BusyError, ValueError) as fault:
+            self._tell(name, CommandResult(id, json.dumps({"error": "refused", "text": str(fault)})))
         self._carry(now)
 
     # ---- operators -------------------------------------------------------------------------------------
@@ -525,7 +545,7 @@
         if coordinator is None:
             return {}
         members = {}
-        for name, member in self.group.members.items():
+        for name, member in self.state_machine.members.items():
             life = coordinator.lives.get((name, member.epoch, member.token))
             members[name] = {
                 "epoch": member.epoch,
@@ -534,27 +554,27 @@
                 "fault": life.fault if life else "",
             }
         try:
-            waits = coordinator.waits_for(now, self.group)
+            waits = coordinator.waits_for(now, self.state_machine)
         except ValueError as fault:
             waits = {"": str(fault)}
         sure = self.sure_until(now) - now
         return {
             "members": members,
             "waits": waits,
-            "index": self.group.index,
-            "zones": self.zoning.status(now, self.group) if self.zoning is not None else None,
+            "index": self.state_machine.index,
+            "zones": self.zoning.status(now, self.state_machine) if self.zoning is not None else None,
             "sure_s": round(max(0.0, sure), 3),
         }
 
     def status(self, now: float) -> dict:
         """What this process holds and may act on."""
-        holder, voter = self.holder, self.raft
-        group = holder.group
+        holder, voter = self.lease_holder, self.raft
+        group = holder.state_machine
         return {
             "name": self.name,
             "epoch": self._epoch,
             "lineage": holder.lineage,
-            "footing": holder.footing(now).value,
+            "footing": holder.lease_status(now).value,
             "why": holder.why,
             "lease_s": round(max(0.0, holder.lease_ends - now), 3),
             "ground_s": round(max(0.0, holder.ground_ends - now), 3),
@@ -564,7 +584,7 @@
             "index": group.index,
             "digest": group.digest,
             "rev": group.rev,
-            "leader": self.name if self.leads else (voter.leader if voter else "") or self.leader,
+            "leader": self.name if self.is_leader else (voter.leader if voter else "") or self.leader,
             "term": voter.saved.term if voter else 0,
             "role": voter.role if voter else "learner",
             "zones": {
--- a/weldhatch/coordination/state_machine.py
+++ b/weldhatch/coordination/state_machine.py
@@ -11,7 +11,7 @@
 import json
 from dataclasses import asdict, dataclass, field
 
-from weldhatch.coordination.drain_reports import ORDER, Lists, narrower
+from weldhatch.coordination.drain_reports import PERMISSIVENESS, DrainReports, stricter
 from weldhatch.zones.state import Zones
 
 HISTORY_MOST = 100
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Member:
+class GroupMember:
     """A dispatcher: `epoch` and `token` of its store tell one life of it from another."""
 
     epoch: int
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Version:
+class SettingsVersion:
     number: int
     base: int
     tree: dict  # the `settings` of a file
@@ -39,8 +39,8 @@
 
 
 @dataclass(slots=True)
-class Word:
-    """What operators last said of a machine. Until `settled`, the narrower of `state` and `before` acts."""
+class MachineDirective:
+    """What operators last said of a machine. Until `settled`, the stricter of `state` and `before` acts."""
 
     state: str
     fence: int
@@ -50,25 +50,25 @@
 
     @property
     def acts(self) -> str:
-        return narrower(self.state, self.before) if self.before else self.state
+        return stricter(self.state, self.before) if self.before else self.state
 
 
-class Group:
+class StateMachine:
     """Apply commands in order by `apply`; `index` is the place of the last one in the log."""
 
     def __init__(self) -> None:
         self.index = 0
-        self.members: dict[str, Member] = {}
-        self.active: Version | None = None
-        self.prepared: Version | None = None
+        self.members: dict[str, GroupMember] = {}
+        self.active: SettingsVersion | None = None
+        self.prepared: SettingsVersion | None = None
         self.prepared_at = 0  # the index at which it was proposed
         self.number = 0  # the last version's, whatever became of it
         self.trees: dict[int, dict] = {}
         self.history: list[dict] = []
-        self.words: dict[str, Word] = {}
+        self.words: dict[str, MachineDirective] = {}
         self.rev = 0  # of the list of words
         self.unsettled = 0  # the newest rev that widens and is not settled; 0 for none
-        self.lists = Lists()  # what dispatchers' own lists of machines have told
+        self.lists = DrainReports()  # what dispatchers' own lists of machines have told
         self.zones = Zones()  # zones and racks that are left, or return
         self.recoveries: list[dict] = []
         self.results: dict[str, dict] = {}
@@ -96,7 +96,7 @@
         known = self.members.get(it["name"])
         if known is not None and known.epoch > it["epoch"]:
             return _error("fenced", f"{it['name']}: a later life of it has joined, epoch {known.epoch}")
-        self.members[it["name"]] = Member(it["epoch"], it["token"])
+        self.members[it["name"]] = GroupMember(it["epoch"], it["token"])
         return {"ok": True}
 
     def _do_leave(self, it: dict) -> dict:
@@ -118,7 +118,9 @@
                 "now": self.trees.get(base),
             }
         self.number += 1
-        self.prepared = Version(self.number, base, it["tree"], it["why"], it["by"], it.get("despite", []))
+        self.prepared = SettingsVersion(
+            self.number, base, it["tree"], it["why"], it["by"], it.get("despite", [])
+        )
         self.prepared_at = self.index
         self._note(self.prepared, "proposed", it["why"])
         return {"ok": True, "number": self.number}
@@ -152,9 +154,11 @@
         if last is None and len(self.words) >= ENTRIES_MOST:
             return _error("REFUSED", f"words are kept of {ENTRIES_MOST} machines at the most")
         acts = last.acts if last is not None else "ready"
-        widens = ORDER[it["state"]] > ORDER[acts]
+        widens = PERMISSIVENESS[it["state"]] > PERMISSIVENESS[acts]
         self.rev += 1
-        self.words[machine] = Word(it["state"], it["fence"], it["op"], self.rev, acts if widens else "")
+        self.words[machine] = MachineDirective(
+            it["state"], it["fence"], it["op"], self.rev, acts if widens else ""
+        )
         if widens:
             self.unsettled = self.rev
         return {"ok": True, "rev": self.rev}
@@ -190,7 +194,7 @@
         self.recoveries.append({"by": it["by"], "why": it["why"], "at": it["at"], "index": self.index})
         return {"ok": True}
 
-    def _note(self, version: Version, came: str, why: str) -> None:
+    def _note(self, version: SettingsVersion, came: str, why: str) -> None:
         self.history.append(
             {
                 "number": version.number,
@@ -233,16 +237,16 @@
         """Take what `state` gave. Raises ValueError, KeyError or TypeError for anything else."""
         told = json.loads(state)
         self.index, self.number, self.rev = told["index"], told["number"], told["rev"]
-        self.members = {n: Member(**one) for n, one in told["members"].items()}
-        self.active = Version(**told["active"]) if told["active"] else None
-        self.prepared = Version(**told["prepared"]) if told["prepared"] else None
+        self.members = {n: GroupMember(**one) for n, one in told["members"].items()}
+        self.active = SettingsVersion(**told["active"]) if told["active"] else None
+        self.prepared = SettingsVersion(**told["prepared"]) if told["prepared"] else None
         self.prepared_at, self.unsettled = told["prepared_at"], told["unsettled"]
         self.trees = {int(n): tree for n, tree in told["trees"].items()}
         self.history, self.recoveries = told["history"], told["recoveries"]
         self.results = dict(told["results"])  # pairs: their order says which are the oldest
-        self.lists = Lists(**told["lists"])
+        self.lists = DrainReports(**told["lists"])
         self.zones = Zones.of(told["zones"]) if "zones" in told else Zones()  # of a version before them
-        self.words = {n: Word(**word) for n, word in told["words"].items()}
+        self.words = {n: MachineDirective(**word) for n, word in told["words"].items()}
         self._digest = ""
 
     @property
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -6,9 +6,9 @@
 import math
 from collections.abc import Callable
 
-from weldhatch.coordination.leader import Coordinator
-from weldhatch.coordination.messages import Ask
-from weldhatch.coordination.state_machine import Group
+from weldhatch.coordination.leader import Leader
+from weldhatch.coordination.messages import LeaseRequest
+from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.start_quota import Share
@@ -19,7 +19,7 @@
 SPAN = 0.25  # of the stated time: for which a share holds. Shorter than a lease: shares lapse with it
 
 
-class Zoning:
+class ZoneLeader:
     """Made anew at each election, at `now`; `term` tells its epochs of shares from those of other leaders."""
 
     def __init__(
@@ -28,7 +28,7 @@
         name: str,
         term: int,
         times: Times,
-        coordinator: Coordinator,
+        coordinator: Leader,
         read: Callable[[dict], i.Settings],
     ) -> None:
         self._now, self._name, self._times, self._coordinator = now, f"{name}.{term}", times, coordinator
@@ -37,7 +37,7 @@
         self._settings: tuple[int, i.Settings | None] = (0, None)
         self._looked = float("-inf")
 
-    def _current(self, group: Group) -> tuple[Marshal, i.Settings] | None:
+    def _current(self, group: StateMachine) -> tuple[Marshal, i.Settings] | None:
         """Nothing before a version is in force: only that names the zones."""
         if group.active is None:
             return None
@@ -53,7 +53,7 @@
             )
         return self._marshal, settings
 
-    def hear(self, now: float, group: Group, ask: Ask) -> None:
+    def hear(self, now: float, group: StateMachine, ask: LeaseRequest) -> None:
         """A dispatcher's report. One that can't be read is of no use, and harms nobody."""
         if not ask.sight or (found := self._current(group)) is None:
             return
@@ -85,7 +85,7 @@
             return
         found[0].hear(now, ask.name, f"{ask.name}.{ask.epoch}.{ask.token}", told)
 
-    def todo(self, now: float, group: Group) -> list[dict]:
+    def todo(self, now: float, group: StateMachine) -> list[dict]:
         """Commands that are due now."""
         if now - self._looked < LOOK_S or (found := self._current(group)) is None:
             return []
@@ -101,7 +101,7 @@
             for one in marshal.todo(now, group.zones, settings, held)
         ]
 
-    def shares(self, now: float, group: Group, ask: Ask) -> str:
+    def shares(self, now: float, group: StateMachine, ask: LeaseRequest) -> str:
         """What one who has just been granted a lease may start on machines that return; '' for nothing."""
         if (found := self._current(group)) is None:
             return ""
@@ -110,13 +110,13 @@
         shares: list[Share] = marshal.shares(now, life, group.zones, settings)
         return json.dumps([one.to_tree() for one in shares]) if shares else ""
 
-    def operator(self, now: float, group: Group, told: dict) -> dict:
+    def operator(self, now: float, group: StateMachine, told: dict) -> dict:
         """An operator's word as a command for the log, or an error."""
         if (found := self._current(group)) is None:
             return {"error": "unknown", "text": "no rules are in force yet: nothing names the zones"}
         return found[0].operator(now, told, group.zones, found[1])
 
-    def status(self, now: float, group: Group) -> dict:
+    def status(self, now: float, group: StateMachine) -> dict:
         if (found := self._current(group)) is None:
             return {}
         marshal, settings = found
--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -30,19 +30,19 @@
         return {"error": {**error, "fence": self._fault.fence} if self._fault.fence else error}
 
 
-class Desk(Protocol):
+class GroupControl(Protocol):
     """Where words and versions of a group of gateways are decided."""
 
-    async def word(self, machine: str, told: dict) -> dict: ...
+    async def set_machine_state(self, machine: str, told: dict) -> dict: ...
 
-    async def settle(self, tree: dict, why: str) -> int:
+    async def propose_and_wait(self, tree: dict, why: str) -> int:
         """Propose settings and wait until they are in force; their version."""
 
 
 class Governed(Protocol):
     """What a group has agreed on, as this gateway holds it."""
 
-    desk: Desk
+    control_api: GroupControl
 
     @property
     def tree(self) -> dict: ...
@@ -80,7 +80,7 @@
             case "PUT", path if path.startswith("/v1/machines/"):
                 machine = path.removeprefix("/v1/machines/")
                 if self.governor is not None:
-                    return await self.governor.desk.word(machine, request.json()), {}
+                    return await self.governor.control_api.set_machine_state(machine, request.json()), {}
                 return self._operate(machine, request.json()), {}
         raise HttpError(404, "path: nothing is there", "path")
 
@@ -111,7 +111,9 @@
             config.pull_queue(target)
         except config.ConfigError as fault:
             raise HttpError(400, str(fault), str(fault).split(" ")[0]) from None
-        number = await self.governor.desk.settle(target["settings"], "a plan of settings was applied")
+        number = await self.governor.control_api.propose_and_wait(
+            target["settings"], "a plan of settings was applied"
+        )
         self._tree = target
         return {"applied": len(agreed), "restarting": False, "version": number}
 
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -49,7 +49,7 @@
     def __init__(self, told: PullQueueFile, policy: Decider, log: Callable[[str], None]) -> None:
         self._log, self._told, settings = log, told, told.settings
         self.settings = settings  # those that are in force
-        self.roll = None  # machines make themselves known here
+        self.endpoint_list = None  # machines make themselves known here
         self.driver = Driver(policy, log)
         self.book = Book(told.store, time.time(), log) if told.store else NoBook(time.time_ns())
         ledger = self._ledger = Ledger(told.remember, "" if told.store else told.ledger)
@@ -105,7 +105,7 @@
             raise ConfigError(f"states: {fault}") from None
         return words
 
-    def rule(self, settings: i.Settings, rules: Rules) -> None:
+    def apply_rules(self, settings: i.Settings, rules: Rules) -> None:
         """Decide by settings that a group of gateways has agreed on, as far as `rules` lets anything
         start."""
         self.settings = settings
@@ -132,7 +132,7 @@
     def on_break(self, broke: Callable[[int], None]) -> None:
         """Machines come by themselves: none has a connection of its own that could end."""
 
-    def agreed(self, machine: str, state: str, fence: int, op: str) -> None:
+    def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
         """What a group of gateways acts on for a machine, by its operators' words."""
         last = self.operators.words.get(machine)
         if last is None or (last.state, last.fence) != (state, fence):
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -47,7 +47,7 @@
     print(f"{time.time():.3f} {text}", file=sys.stderr, flush=True)
 
 
-class Roll(Protocol):
+class ListObserver(Protocol):
     """What a group of dispatchers wants to hear of each one's list."""
 
     rev: int
@@ -62,12 +62,12 @@
         self,
         told: config.Platform,
         log: Callable[[str], None],
-        roll: Roll | None = None,
+        endpoint_list: ListObserver | None = None,
         alone: Alone | None = None,
     ) -> None:
-        """`roll`: hears the list of machines too, where dispatchers agree on what it says, or where we leave
-        zones that fail `alone`."""
-        self.roll, self._alone = roll, alone
+        """`endpoint_list`: hears the list of machines too, where dispatchers agree on what it says, or
+        where we leave zones that fail `alone`."""
+        self.endpoint_list, self._alone = endpoint_list, alone
         settings = self.settings = told.settings
         self._started, self._log = told, log
         budget = self.budget = Budget(told.sockets, BUS_SLOTS)
@@ -108,10 +108,10 @@
     def _told(self, event: dict) -> None:
         if changed := self.fleet.take(event):
             self.driver.post(changed)
-            if self.roll is not None:
-                self.roll.heard(event["topology"], changed.machines)
+            if self.endpoint_list is not None:
+                self.endpoint_list.heard(event["topology"], changed.machines)
 
-    def rule(self, settings: i.Settings, rules: Rules) -> None:
+    def apply_rules(self, settings: i.Settings, rules: Rules) -> None:
         """Decide by settings that a group has agreed on, as far as `rules` lets anything start."""
         self.settings, self.core.rules = settings, rules
         self.driver.rule(settings)
@@ -124,12 +124,12 @@
     def on_break(self, broke: Callable[[int], None]) -> None:
         self.servers.broke = broke
 
-    def agreed(self, machine: str, state: str, fence: int, op: str) -> None:
-        """Words reach the module with the list of machines, by `listed`."""
+    def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
+        """Words reach the module with the list of machines, by `update_machines`."""
 
-    def listed(self, machines: tuple[i.Machine, ...]) -> None:
+    def update_machines(self, machines: tuple[i.Machine, ...]) -> None:
         """Machines that count for less, or for more again, than our own list said last."""
-        self.driver.tell(i.MachinesChanged(i.ListForm.DELTA, machines, self.roll.rev))
+        self.driver.tell(i.MachinesChanged(i.ListForm.DELTA, machines, self.endpoint_list.rev))
 
     def reconfigure(self, told: config.Platform) -> None:
         """Take over what can change while it runs: the address of the event bus, and events we missed."""
@@ -188,16 +188,16 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         control: Control | None = None
         if "PROXY_CONFIG" in os.environ or pull is None or not pull.enabled:
-            told, roll, alone = config.platform(os.environ), None, None
+            told, endpoint_list, alone = config.platform(os.environ), None, None
             if pull is not None and pull.agreement is not None:
-                from weldhatch.cluster.endpoint_list import Roll as OwnRoll
+                from weldhatch.cluster.endpoint_list import LocalEndpointList
 
-                roll = OwnRoll()
+                endpoint_list = LocalEndpointList()
             elif pull is not None and pull.zones is not None:
                 from weldhatch.standalone_zones import Alone
 
-                roll = alone = Alone(pull.zones.times, log)
-            self._gateway = Gateway(told, log, roll, alone)
+                endpoint_list = alone = Alone(pull.zones.times, log)
+            self._gateway = Gateway(told, log, endpoint_list, alone)
             self.fronts.append(self._gateway)
             log(f"{told.name} listens on {told.listen[0]}:{told.listen[1]}")
         if pull is not None and pull.enabled:
@@ -207,9 +207,11 @@
             if pull.control is not None:
                 control = Control(tree, pull.control, front, self.restart, log, time.time)
                 self.fronts.append(control)
-        self.governor = None
+        self.front_controller = None
         if pull is not None and pull.agreement is not None:
-            from weldhatch.cluster.front_controller import Governor  # imported only where dispatchers agree
+            from weldhatch.cluster.front_controller import (
+                FrontController,  # imported only where dispatchers agree
+            )
 
             settings = (
                 config.json_file(os.environ["PROXY_CONFIG"])["settings"]
@@ -217,9 +219,11 @@
                 else tree["settings"]
             )
             zones = pull.zones if pull.zones is not None and not pull.zones.alone else None
-            self.governor = Governor(pull.agreement, settings, self.fronts[0], log, time.time, zones)
+            self.front_controller = FrontController(
+                pull.agreement, settings, self.fronts[0], log, time.time, zones
+            )
             if control is not None:
-                control.governor = self.governor
+                control.governor = self.front_controller
 
     def restart(self, tree: dict) -> None:
         self.next_tree = tree
@@ -246,8 +250,8 @@
 
     async def end(self) -> None:
         await asyncio.gather(*(front.end() for front in self.fronts))
-        if self.governor is not None:  # last: what is still answered needs its lease
-            await self.governor.end()
+        if self.front_controller is not None:  # last: what is still answered needs its lease
+            await self.front_controller.end()
 
 
 async def serve(pull_file: str) -> dict | None:
--- a/weldhatch/simulation/scenario_runner.py
+++ b/weldhatch/simulation/scenario_runner.py
@@ -15,8 +15,8 @@
 from weldhatch.client.api import ApiError
 from weldhatch.client.machine import BuildMachine, Lease, Outcome
 from weldhatch.client.submitter import Submitter, Task
-from weldhatch.cluster.front_controller import Governor
-from weldhatch.cluster.node import clock as boot_clock
+from weldhatch.cluster.front_controller import FrontController
+from weldhatch.cluster.node import boot_clock
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.scheduling.policy import Policy
 from weldhatch.simulation import faults, invariants, linearizability, zone_scenario
@@ -145,7 +145,7 @@
         self.random = Random(world.random.getrandbits(64))
         self.names = [f"g{n}" for n in range(scenario.gateways)]
         self.voters = self.names[:3] if len(self.names) < 5 else self.names
-        self.governors: dict[str, Governor] = {}
+        self.governors: dict[str, FrontController] = {}
         self.starts: list[invariants.Start] = []
         self.asked: list[invariants.Asked] = []
         self.drains: list[invariants.Drain] = []
@@ -193,7 +193,7 @@
             policy = Policy(pull.settings, world.dice().getrandbits(64))
             front = PullQueue(pull, policy, world.say)
             if pull.agreement is not None:
-                self.governors[name] = Governor(
+                self.governors[name] = FrontController(
                     pull.agreement, tree["settings"], front, world.say, lambda: world.loop.now, None
                 )
 
@@ -461,13 +461,13 @@
         """What each holds, but for one that the others refuse, as its store is an older copy."""
         out = {}
         for name, one in self.governors.items():
-            holder = one.agreement.holder
+            holder = one.node.lease_holder
             out[name] = self.world.inside(
                 self.world.lives[name],
                 lambda holder=holder: (
-                    holder.group.index,
-                    holder.group.digest,
-                    holder.footing(boot_clock()).value,
+                    holder.state_machine.index,
+                    holder.state_machine.digest,
+                    holder.lease_status(boot_clock()).value,
                 ),
             )
         return {name: told for name, told in out.items() if name not in self.older or told[2] == "lease"}
@@ -475,7 +475,7 @@
     def check(self) -> tuple[list[str], int]:
         """Promises that are broken, and how many were looked at."""
         digests = self._digests()
-        held = {name: self.governors[name].agreement.holder for name in digests}
+        held = {name: self.governors[name].node.lease_holder for name in digests}
         looked = [
             invariants.one_answer(self.asked),
             invariants.placed_runs(self.asked, self.starts),
@@ -483,8 +483,10 @@
             invariants.writers_once(self.starts),
             invariants.keyed_stand_once(self.starts),
             invariants.drains_kept(self.starts, self.drains, STATED),
-            invariants.one_history({name: one.group.history for name, one in held.items()}),
-            invariants.kept_versions(self.proposed, {name: one.group.history for name, one in held.items()}),
+            invariants.one_history({name: one.state_machine.history for name, one in held.items()}),
+            invariants.kept_versions(
+                self.proposed, {name: one.state_machine.history for name, one in held.items()}
+            ),
             invariants.nothing_stands(self.starts, self.world.loop.now),
             linearizability.broken(self.calls),
             [f"nobody caught: {text}" for text in self.world.faults],
--- a/weldhatch/simulation/seeded_defects.py
+++ b/weldhatch/simulation/seeded_defects.py
@@ -14,9 +14,9 @@
 from unittest import mock
 
 from weldhatch.consensus.raft import Raft
-from weldhatch.consensus.rejoin import Vouched
-from weldhatch.coordination.lease_holder import Footing, Holder
-from weldhatch.coordination.state_machine import Group
+from weldhatch.consensus.rejoin import RejoinGuard
+from weldhatch.coordination.lease_holder import LeaseHolder, LeaseStatus
+from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.net.connection import Connection
 from weldhatch.pullqueue import front
 from weldhatch.pullqueue.durable_state import Durable
@@ -38,7 +38,7 @@
 
 
 def _leases_for_ever() -> AbstractContextManager:
-    return mock.patch.object(Holder, "footing", lambda self, now: Footing.LEASE)
+    return mock.patch.object(LeaseHolder, "lease_status", lambda self, now: LeaseStatus.VALID)
 
 
 def _one_is_enough() -> AbstractContextManager:
@@ -46,7 +46,7 @@
 
 
 def _trusts_its_store() -> AbstractContextManager:
-    return mock.patch.object(Vouched, "far", lambda *_: (0, 0))
+    return mock.patch.object(RejoinGuard, "required_log", lambda *_: (0, 0))
 
 
 def _store_forgets() -> AbstractContextManager:
@@ -73,13 +73,13 @@
 
 
 def _said_again() -> AbstractContextManager:
-    apply = Group.apply
+    apply = StateMachine.apply
 
-    def anew(self: Group, index: int, data: str) -> dict:
+    def anew(self: StateMachine, index: int, data: str) -> dict:
         self.results.clear()
         return apply(self, index, data)
 
-    return mock.patch.object(Group, "apply", anew)
+    return mock.patch.object(StateMachine, "apply", anew)
 
 
 def _keys_free() -> AbstractContextManager:
--- a/weldhatch/simulation/world.py
+++ b/weldhatch/simulation/world.py
@@ -83,7 +83,7 @@
         for module in (weldhatch.net.connection, weldhatch.net.listener):
             yield module, "socket", sockets
             yield module, "IOStream", sockets.stream
-        yield weldhatch.cluster.front_controller, "events", lambda stream=None: self._event
+        yield weldhatch.cluster.front_controller, "event_logger", lambda stream=None: self._event
         yield weldhatch.store.folded, "Log", SimLog
         yield weldhatch.store.folded, "Lock", SimLock
 
--- a/weldhatch/simulation/zone_scenario.py
+++ b/weldhatch/simulation/zone_scenario.py
@@ -13,8 +13,8 @@
 from types import SimpleNamespace
 
 from weldhatch import config
-from weldhatch.cluster.endpoint_list import Roll
-from weldhatch.cluster.front_controller import Governor
+from weldhatch.cluster.endpoint_list import LocalEndpointList
+from weldhatch.cluster.front_controller import FrontController
 from weldhatch.net.connection import Connection, connect
 from weldhatch.net.descriptor_budget import Budget
 from weldhatch.net.listener import Listener
@@ -95,7 +95,7 @@
         self._storm_s, self._heal_s = storm_s, heal_s
         self.random = Random(world.random.getrandbits(64))
         self.names = [f"g{n}" for n in range(gateways)]
-        self.governors: dict[str, Governor] = {}
+        self.governors: dict[str, FrontController] = {}
         self.halls = Halls()
         self.asked: list[Asked] = []
         self.late: list[str] = []  # halls that were not left in time
@@ -191,9 +191,9 @@
         pull, told = config.pull_queue(own), config.platform({"PROXY_CONFIG": str(path)})
 
         def begin() -> None:
-            roll = Roll()
-            front = Gateway(told, self.world.say, roll)
-            self.governors[name] = Governor(
+            endpoint_list = LocalEndpointList()
+            front = Gateway(told, self.world.say, endpoint_list)
+            self.governors[name] = FrontController(
                 pull.agreement,
                 platform["settings"],
                 front,
@@ -370,7 +370,7 @@
                 if self.hall(name) != hall
                 and self.world.alive(name)
                 and not self.world.lives[name].stopped
-                and self.governors[name].agreement.holder.group.zones.at(hall).phase not in AWAY
+                and self.governors[name].node.lease_holder.state_machine.zones.at(hall).phase not in AWAY
             ]
             if not waits:
                 return
@@ -407,7 +407,7 @@
             (name, hall)
             for name, one in self.governors.items()
             for hall in HALLS
-            if one.agreement.holder.group.zones.at(hall).phase is not Phase.SERVING
+            if one.node.lease_holder.state_machine.zones.at(hall).phase is not Phase.SERVING
         ]
 
     def _whole(self) -> bool:
@@ -418,7 +418,7 @@
     def check(self) -> tuple[list[str], int]:
         """Promises that are broken, and how many were looked at."""
         struck = [fault.who for fault in self.plan if fault.kind.startswith("hall")]
-        first = next(iter(self.governors.values())).agreement.holder.group.zones.history
+        first = next(iter(self.governors.values())).node.lease_holder.state_machine.zones.history
         left = [one["place"] for one in first if one["phase"] == "leaving" and "/" not in one["place"]]
         looked = [
             self.late,
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -28,7 +28,7 @@
         self._told, self.rev = Narrowed(), 0
 
     def heard(self, topology: dict, machines: tuple[i.Machine, ...]) -> None:
-        """One event of the list, as the module is told of it; also before `begin` (`serving.Roll`)."""
+        """One event of the list, as the module is told of it; also before `begin` (`server.ListObserver`)."""
         if topology.get("all"):
             for machine in self._told.entries.keys() - {one.id for one in machines}:
                 self._told.gone(machine)
--- a/weldhatch/testbed/simulated_cluster.py
+++ b/weldhatch/testbed/simulated_cluster.py
@@ -14,10 +14,17 @@
 from random import Random
 
 from weldhatch import config
-from weldhatch.consensus.persistent_state import Saved
+from weldhatch.consensus.persistent_state import PersistentState
 from weldhatch.coordination import compatibility
-from weldhatch.coordination.leader import Spans
-from weldhatch.coordination.node import Came, Hold, Member, Reach, Say, Write
+from weldhatch.coordination.leader import LeaseTiming
+from weldhatch.coordination.node import (
+    CommandCompleted,
+    ConnectVoters,
+    CoordinationNode,
+    SaveState,
+    Send,
+    WriteRecords,
+)
 from weldhatch.scheduling import types as i
 
 STEP_S = 0.02
@@ -58,10 +65,10 @@
     disk: list[tuple] = field(default_factory=list)
     older: list[tuple] = field(default_factory=list)  # a copy of the disk
     epoch: int = 0
-    member: Member | None = None
+    member: CoordinationNode | None = None
     stopped: bool = False
     back: int = -1  # the step at which it runs again
-    writing: Write | None = None
+    writing: WriteRecords | None = None
     written: int = 0  # the step at which that is on the disk
     slow_until: int = 0
     inbox: deque = field(default_factory=deque)  # what came while it was stopped
@@ -82,11 +89,11 @@
         self,
         names: Iterable[str],
         voters: int = 3,
-        spans: Spans | None = None,
+        spans: LeaseTiming | None = None,
         seed: int = 1,
         faults: Iterable[tuple[int, str, str]] = (),
     ) -> None:
-        self.spans, self.random = spans or Spans(), Random(seed)
+        self.spans, self.random = spans or LeaseTiming(), Random(seed)
         names = list(names)
         self.voters = {name: f"{name}:1" for name in names[:voters]}
         drift = self.spans.drift * 0.45  # any two differ by less than the bound
@@ -119,15 +126,15 @@
         seat.epoch += 1
         saved = None
         if seat.votes:
-            saved = Saved()
+            saved = PersistentState()
             for word in seat.disk:
-                saved.take_word(*word)
+                saved.apply(*word)
         own = config.settings_of_json(settings())
 
         def read(tree: dict) -> i.Settings:
             return replace(config.settings_of_json(tree), zone=own.zone)
 
-        seat.member = Member(
+        seat.member = CoordinationNode(
             name,
             seat.epoch,
             f"t{seat.epoch}",
@@ -142,13 +149,13 @@
         )
         seat.stopped, seat.back, seat.writing = False, -1, None
         if seat.held[1]:
-            seat.member.holder.restart(seat.held[1], seat.held[0])
+            seat.member.lease_holder.restore(seat.held[1], seat.held[0])
         for other in self.voters:
             if other != name:
-                seat.member.up(seat.now(self.time), other)
+                seat.member.peer_up(seat.now(self.time), other)
         for other in self.seats.values():
             if other.member is not None and other.name != name and name in self.voters:
-                other.member.up(other.now(self.time), name)
+                other.member.peer_up(other.now(self.time), name)
 
     def crash(self, name: str, older: bool = False) -> None:
         seat = self.seats[name]
@@ -214,29 +221,29 @@
             seat.stopped = False
             while seat.inbox:
                 name, word = seat.inbox.popleft()
-                seat.member.hear(seat.now(self.time), name, word)
+                seat.member.receive(seat.now(self.time), name, word)
             self._carry(seat)
 
     def _wrote(self, seat: Seat) -> None:
         words, seat.writing = seat.writing.words, None
         seat.disk += words
-        seat.member.wrote(seat.now(self.time))
+        seat.member.records_written(seat.now(self.time))
         self._carry(seat)
 
     def _carry(self, seat: Seat) -> None:
-        out, seat.member.out = seat.member.out, []
+        out, seat.member.effects = seat.member.effects, []
         for effect in out:
             match effect:
-                case Write():
+                case WriteRecords():
                     seat.writing = effect
                     seat.written = self.steps + (SLOW_STEPS if self.steps < seat.slow_until else 1)
-                case Say(to, word):
+                case Send(to, word):
                     self._send(seat.name, to, word)
-                case Hold(lineage, state):
+                case SaveState(lineage, state):
                     seat.held = (lineage, state)
-                case Came(id, result):
+                case CommandCompleted(id, result):
                     self.results[id] = result
-                case Reach():
+                case ConnectVoters():
                     pass
 
     def _send(self, name: str, to: str, word: object) -> None:
@@ -256,7 +263,7 @@
             if seat.stopped:
                 seat.inbox.append((name, word))
                 continue
-            seat.member.hear(seat.now(self.time), name, word)
+            seat.member.receive(seat.now(self.time), name, word)
             self._carry(seat)
 
     # ---- what is asked of it ---------------------------------------------------------------------------
@@ -264,7 +271,7 @@
     def give(self, name: str, id: str, command: dict) -> None:
         seat = self.seats[name]
         if seat.member is not None and not seat.stopped:
-            seat.member.give(seat.now(self.time), id, command)
+            seat.member.submit(seat.now(self.time), id, command)
             self._carry(seat)
 
     def leader(self) -> str:
@@ -272,7 +279,7 @@
             (
                 seat.name
                 for seat in self.seats.values()
-                if seat.member is not None and seat.member.leads and not seat.stopped
+                if seat.member is not None and seat.member.is_leader and not seat.stopped
             ),
             "",
         )
@@ -285,8 +292,8 @@
             member = seat.member
             if member is None:
                 continue
-            self._check_group(member.group)
-            self._check_group(member.holder.group)
+            self._check_group(member.state_machine)
+            self._check_group(member.lease_holder.state_machine)
             if not seat.stopped:
                 self._note_acts(seat, acts)
         self._check_acts(acts)
@@ -299,8 +306,8 @@
                         seat.stopped,
                         seat.member.raft.role if seat.member.raft else "",
                         seat.member.raft.saved.term if seat.member.raft else 0,
-                        seat.member.holder.group.index,
-                        seat.member.holder.footing(seat.now(self.time)).value,
+                        seat.member.lease_holder.state_machine.index,
+                        seat.member.lease_holder.lease_status(seat.now(self.time)).value,
                     )
                     for seat in self.seats.values()
                 )
@@ -322,12 +329,12 @@
 
     def _note_acts(self, seat: Seat, acts: dict) -> None:
         """What it would let start now, of each class: by which settings."""
-        holder, now = seat.member.holder, seat.now(self.time)
+        holder, now = seat.member.lease_holder, seat.now(self.time)
         if holder.rules is None:
             return
         told = holder.rules.narrow.settings
         for n, cls in enumerate(told.classes):
-            if not holder.refusal(now, cls):
+            if not holder.refusal_reason(now, cls):
                 acts.setdefault(n, {})[seat.name] = (cls, told.max_attempts, holder)
 
     def _check_acts(self, acts: dict) -> None:
@@ -337,7 +344,7 @@
             for a, (cls, _, _) in by.items():
                 for b, (other, _, _) in by.items():
                     if a < b and cls != other:
-                        for change in compatibility._items(
+                        for change in compatibility.compare_items(
                             "classes", compatibility.CLASSES, (cls,), (other,), True
                         ):
                             if change.overlap is compatibility.Overlap.SWITCHES:
@@ -374,7 +381,11 @@
             id, tree = given[council.steps]
             for name in names[:1] if council.seats[names[0]].member else names[1:2]:
                 member = council.seats[name].member
-                base = member.holder.group.active.number if member and member.holder.group.active else 1
+                base = (
+                    member.lease_holder.state_machine.active.number
+                    if member and member.lease_holder.state_machine.active
+                    else 1
+                )
                 council.give(name, id, {"do": "propose", "base": base, "tree": tree, "why": id, "by": "x"})
     if check_end and not settled(council):
         raise Contradiction("it did not come to one state")
@@ -384,21 +395,21 @@
 def settled(council: Council) -> bool:
     """Everybody runs, has a lease, and holds the same: nobody that lost its store votes."""
     seats = list(council.seats.values())
-    digests = {seat.member.holder.group.digest for seat in seats if seat.member is not None}
+    digests = {seat.member.lease_holder.state_machine.digest for seat in seats if seat.member is not None}
     newest = max(council.active, default=0)
     return (
         len(digests) == 1
         and all(
             seat.member is not None
-            and seat.member.holder.group.active is not None
-            and seat.member.holder.group.active.number == newest
+            and seat.member.lease_holder.state_machine.active is not None
+            and seat.member.lease_holder.state_machine.active.number == newest
             for seat in seats
         )
         and all(
             seat.member is not None
             and not seat.stopped
-            and seat.member.holder.footing(seat.now(council.time)).value == "lease"
-            and seat.member.holder.group.prepared is None
+            and seat.member.lease_holder.lease_status(seat.now(council.time)).value == "lease"
+            and seat.member.lease_holder.state_machine.prepared is None
             for seat in seats
         )
     )
