--- a/tests/test_failover_leader.py
+++ b/tests/test_failover_leader.py
@@ -5,10 +5,10 @@
 import unittest
 from dataclasses import replace
 
-from weldhatch.coordination.leader import Coordinator, Spans
-from weldhatch.coordination.messages import Ask
-from weldhatch.coordination.state_machine import Group
-from weldhatch.coordination.zone_leader import Zoning
+from weldhatch.coordination.leader import Leader, LeaseTiming
+from weldhatch.coordination.messages import LeaseRequest
+from weldhatch.coordination.state_machine import StateMachine
+from weldhatch.coordination.zone_leader import ZoneLeader
 from weldhatch.scheduling import types as i
 from weldhatch.testbed.simulated_zones import settings as zone_settings
 from weldhatch.zones.failover_leader import FailoverLeader
@@ -72,7 +72,7 @@
     }
 
 
-class Leader(unittest.TestCase):
+class Verdicts(unittest.TestCase):
     """Eight dispatchers: d0, d3, d6 in z0, d1, d4, d7 in z1, d2, d5 in z2."""
 
     def setUp(self):
@@ -295,13 +295,13 @@
 
 class InTheGroup(unittest.TestCase):
     def setUp(self):
-        self.group = Group()
-        self.zoning = Zoning(
+        self.group = StateMachine()
+        self.zoning = ZoneLeader(
             0.0,
             "l",
             1,
             FailoverTiming(),
-            Coordinator(Spans(), 0.0, lambda tree: SETTINGS),
+            Leader(LeaseTiming(), 0.0, lambda tree: SETTINGS),
             lambda tree: SETTINGS,
         )
 
@@ -317,7 +317,7 @@
             self.assertIn("ok", self.group.apply(index, json.dumps({**command, "id": str(index)})))
 
     def ask(self, name, sight):
-        return Ask(0, name, 1, "t", 0.0, 0, "", sight=sight)
+        return LeaseRequest(0, name, 1, "t", 0.0, 0, "", sight=sight)
 
     def test_reports_that_can_not_be_read_harm_nobody(self):
         self.activate()
@@ -348,6 +348,6 @@
         self.activate()
         state = json.loads(self.group.state())
         del state["zones"]
-        again = Group()
+        again = StateMachine()
         again.load(json.dumps(state))
         self.assertEqual((again.index, again.zones.entries), (self.group.index, {}))
--- a/tests/test_zone_evidence.py
+++ b/tests/test_zone_evidence.py
@@ -4,7 +4,6 @@
 import unittest
 from random import Random
 
-
 from weldhatch.scheduling import types as i
 from weldhatch.testbed.simulated_zones import settings as zone_settings
 from weldhatch.zones.failover_member import FailoverMember
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -40,7 +40,7 @@
         self.rev = 0
 
     def heard(self, topology: Mapping[str, Any], machines: tuple[Machine, ...]) -> None:
-        """Take one event of the list, as the policy was told of it; also before `begin` (`server.Roll`)."""
+        """Take one event of the list, as the policy got it; also before `begin` (`server.ListObserver`)."""
         if topology.get("all"):
             for machine_id in self._overlay.entries.keys() - {one.id for one in machines}:
                 self._overlay.machine_removed(machine_id)
