--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -8,15 +8,15 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from weldhatch import interface
 from weldhatch.core import ports
-from weldhatch.core.driver import unix_us
-from weldhatch.core.life import HEARD_OUT_TURNS
-from weldhatch.net.budget import NoDescriptor
+from weldhatch.core.policy_driver import unix_us
+from weldhatch.core.request_lifecycle import HEARD_OUT_TURNS
 from weldhatch.net.connection import Connection, Malformed
-from weldhatch.platform import binary
-from weldhatch.platform.fleet import Server
+from weldhatch.net.descriptor_budget import NoDescriptor
+from weldhatch.platform import server_codec
+from weldhatch.platform.endpoint_list import Server
 from weldhatch.platform.health_check import SUSPECT_QUIET_S
+from weldhatch.scheduling import types
 
 SILENT_S = 0.5  # a server that leaves a message unanswered, and says nothing, for so long is tried
 HALF_S = 0.4  # one that stops within a message for so long has lost its step
@@ -28,11 +28,11 @@
 IN_USE_S = 0.05  # a connection that was in use so lately is not closed for another
 LATE_ANSWER_S = 5.0  # so long after it was given up, a set-up may still be answered
 OUTCOMES_BEFORE_ANSWER = {  # of a release by its cause; any other cause is a reset
-    34: interface.Outcome.FULL,
-    47: interface.Outcome.ERROR,
-    102: interface.Outcome.NOT_SENT,
+    34: types.Outcome.FULL,
+    47: types.Outcome.ERROR,
+    102: types.Outcome.NOT_SENT,
 }
-OUTCOMES_AFTER_ANSWER = {16: interface.Outcome.OK, 31: interface.Outcome.CANCELLED}
+OUTCOMES_AFTER_ANSWER = {16: types.Outcome.OK, 31: types.Outcome.CANCELLED}
 TOPICS = {"runs": 1, "cores": 2, "memory": 3, "served": 4, "pressure": 5}
 REASONS = {
     "no_cores": 1,
@@ -75,7 +75,7 @@
 
     def unclaimed(self, tag: bytes, ended: ports.Ended) -> None: ...
 
-    def report(self, message: binary.Message) -> tuple[float, ...]: ...
+    def report(self, message: server_codec.Message) -> tuple[float, ...]: ...
 
 
 class ServerLink:
@@ -117,7 +117,10 @@
             del self._given_up[next(iter(self._given_up))]
         self._given_up.pop(tag, None)
         self._given_up[tag] = (now, teller)
-        self.send((tag, "up"), binary.encode(binary.RELEASE, tag, {binary.CAUSE: bytes((ports.GIVEN_UP,))}))
+        self.send(
+            (tag, "up"),
+            server_codec.encode(server_codec.RELEASE, tag, {server_codec.CAUSE: bytes((ports.GIVEN_UP,))}),
+        )
 
     def may_answer_late(self, tag: bytes, teller: ports.Teller) -> bool:
         """Whether an earlier attempt of that request here was given up, and has not been heard of since."""
@@ -178,7 +181,7 @@
                 try:
                     self._up = await self._come_up()
                 except NoDescriptor:
-                    self._not_sent(interface.Outcome.FULL)
+                    self._not_sent(types.Outcome.FULL)
                 except (OSError, TimeoutError) as error:
                     failing_since = failing_since or time.monotonic()
                     self._never_up()
@@ -187,7 +190,7 @@
                     failing_since, pause = 0.0, RECONNECT_S
                     self._send_what_waited(self._up)
                     try:
-                        await self._up.pump(binary.parse, self._handle)
+                        await self._up.pump(server_codec.parse, self._handle)
                     finally:
                         self._broken()
                 if not (self.standing or self._pending):
@@ -243,7 +246,7 @@
             held = self.out[tag]
             if held.start_by_us and now > held.start_by_us:
                 del self.out[tag], self._pending[tag]
-                held.teller.tell(ports.Ended(held.attempt, interface.Outcome.NOT_SENT))
+                held.teller.tell(ports.Ended(held.attempt, types.Outcome.NOT_SENT))
         pending, self._pending = self._pending, {}
         data = b"".join((*last_words, *pending.values()))
         self._asked = time.monotonic() if data else 0.0
@@ -259,12 +262,12 @@
     def _never_up(self) -> None:
         """No connection: what waited for it never ran."""
         self._pending.clear()
-        self._end_open(interface.Outcome.CONNECT_FAILED)
+        self._end_open(types.Outcome.CONNECT_FAILED)
 
-    def _not_sent(self, probed: interface.Outcome) -> None:
+    def _not_sent(self, probed: types.Outcome) -> None:
         """Nothing that waited has left, and that tells nothing of the machine."""
         self._pending.clear()
-        self._end_open(interface.Outcome.NOT_SENT, probed)
+        self._end_open(types.Outcome.NOT_SENT, probed)
 
     def _broken(self) -> None:
         """The connection ended: what was out on it may have run."""
@@ -272,9 +275,9 @@
         if not self._makes_room:
             self._servers.broke(self.server.machine)
         self._makes_room = False
-        self._end_open(interface.Outcome.RESET)
+        self._end_open(types.Outcome.RESET)
 
-    def _end_open(self, outcome: interface.Outcome, probed: interface.Outcome | None = None) -> None:
+    def _end_open(self, outcome: types.Outcome, probed: types.Outcome | None = None) -> None:
         """End all but what was asked for since the connection closed: that still waits for the next one.
 
         Guards against a set-up that is told as ended here and goes out there all the same.
@@ -291,14 +294,14 @@
         """Another server has the address now: all that was meant for this one is over."""
         self.replaced = True
         self.lose("has lost its address")
-        self._end_open(interface.Outcome.RESET)
+        self._end_open(types.Outcome.RESET)
         self._never_up()
         self.close()
 
     @property
     def over(self) -> bool:
         """Whether the machine is gone and nothing is left to hear of it."""
-        return self.server.state == interface.MachineState.GONE and self._settled
+        return self.server.state == types.MachineState.GONE and self._settled
 
     def lose(self, why: str, before: float = float("inf")) -> None:
         """The tasks that stood there are cut: those that stood before that moment."""
@@ -307,7 +310,7 @@
             self._servers.log(f"server {self.server.uid}: {why}; {len(cut)} tasks are lost")
         for tag, held in cut.items():
             del self.standing[tag]
-            held.teller.tell(ports.Ended(held.attempt, interface.Outcome.RESET, cause=ports.CUT))
+            held.teller.tell(ports.Ended(held.attempt, types.Outcome.RESET, cause=ports.CUT))
 
     def excuse(self, now: float) -> None:
         """Guards against our own stalls: what a server said during one is not read yet."""
@@ -346,7 +349,7 @@
                     if self._spare is None or self._spare.closed:
                         self._spare = await self._dial()
                         self._reading = asyncio.get_running_loop().create_task(
-                            self._spare.pump(binary.parse, self._handle)
+                            self._spare.pump(server_codec.parse, self._handle)
                         )
                     else:  # a machine that has vanished leaves this open too: it must say something
                         heard = self._spare.heard
@@ -390,9 +393,9 @@
 
     # ---- what a server says --------------------------------------------------------------------------------
 
-    def _handle(self, message: binary.Message) -> None:
+    def _handle(self, message: server_codec.Message) -> None:
         match message.type:
-            case binary.ANSWER:
+            case server_codec.ANSWER:
                 # All of a message is read before anything is taken from it: what can't be read ends the
                 # connection, and then each set-up open on it must still be there to get its end.
                 description = message.description
@@ -401,44 +404,47 @@
                     self.standing[message.tag] = held
                     held.since = time.time()
                     held.teller.tell(ports.Answered(held.attempt, description))
-            case binary.RELEASE:
+            case server_codec.RELEASE:
                 self._release(message)
-            case binary.NOTE:
+            case server_codec.NOTE:
                 held = self.standing.get(message.tag) or self.out.get(message.tag)
-                topic = TOPICS.get(message.text(binary.TOPIC))
+                topic = TOPICS.get(message.text(server_codec.TOPIC))
                 if held is not None and topic is not None:
                     held.teller.tell(
-                        ports.Noted(held.attempt, topic, binary.number(message.text(binary.FIGURE)))
+                        ports.Noted(
+                            held.attempt, topic, server_codec.number(message.text(server_codec.FIGURE))
+                        )
                     )
-            case binary.TESTED:
+            case server_codec.TESTED:
                 report, passed = self._servers.report(message), message.cause == 1
                 if probe := self.probes.pop(message.tag, None):
                     done, timer = probe
                     timer.cancel()
-                    done(interface.Outcome.OK if passed else interface.Outcome.FULL, report)
+                    done(types.Outcome.OK if passed else types.Outcome.FULL, report)
                 elif passed and report:
                     self._servers.reported(self.server.machine, report)
-            case binary.TEST:
-                self.send(message.tag, binary.encode(binary.TESTED, message.tag, {binary.CAUSE: b"\1"}))
-            case binary.PROGRESS | binary.RELEASE_HEARD:
+            case server_codec.TEST:
+                self.send(
+                    message.tag,
+                    server_codec.encode(server_codec.TESTED, message.tag, {server_codec.CAUSE: b"\1"}),
+                )
+            case server_codec.PROGRESS | server_codec.RELEASE_HEARD:
                 pass
             case _:
                 raise Malformed(f"a message of type {message.type}, which no server sends")
 
-    def _release(self, message: binary.Message) -> None:
-        cause, reason = message.cause, REASONS.get(message.text(binary.TOPIC), 0)
+    def _release(self, message: server_codec.Message) -> None:
+        cause, reason = message.cause, REASONS.get(message.text(server_codec.TOPIC), 0)
         report = self._servers.report(message)
         self._given_up.pop(message.tag, None)
         if held := self.out.pop(message.tag, None):
-            outcome = OUTCOMES_BEFORE_ANSWER.get(cause, interface.Outcome.RESET)
+            outcome = OUTCOMES_BEFORE_ANSWER.get(cause, types.Outcome.RESET)
             held.teller.tell(ports.Ended(held.attempt, outcome, reason, report, cause))
         elif held := self.standing.pop(message.tag, None):
-            outcome = OUTCOMES_AFTER_ANSWER.get(cause, interface.Outcome.RESET)
+            outcome = OUTCOMES_AFTER_ANSWER.get(cause, types.Outcome.RESET)
             held.teller.tell(ports.Ended(held.attempt, outcome, reason, report, cause))
         else:
             self._servers.unclaimed(
                 message.tag,
-                ports.Ended(
-                    0, OUTCOMES_AFTER_ANSWER.get(cause, interface.Outcome.RESET), reason, report, cause
-                ),
+                ports.Ended(0, OUTCOMES_AFTER_ANSWER.get(cause, types.Outcome.RESET), reason, report, cause),
             )
--- a/weldhatch/pullqueue/abroad.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -12,23 +12,23 @@
 
 import msgspec
 
-from weldhatch import interface as i
 from weldhatch.config import ConfigError, PullQueueFile
 from weldhatch.core import ports
-from weldhatch.core.driver import Driver
-from weldhatch.core.life import Core
-from weldhatch.net.budget import Budget, Share
-from weldhatch.pullqueue import durable
-from weldhatch.pullqueue.book import Book, NoBook
+from weldhatch.core.policy_driver import Driver
+from weldhatch.core.request_lifecycle import Core
+from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.placement_request import Setup
+from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.pullqueue.machines import Passed
-from weldhatch.setups import Setup
-from weldhatch.sites.book import SitesBook
-from weldhatch.sites.crossing import Sites
-from weldhatch.sites.home import Front
+from weldhatch.pullqueue.storage import Book, NoBook
+from weldhatch.scheduling import types as i
+from weldhatch.sites.forwarding import Sites
 from weldhatch.sites.link import Door
+from weldhatch.sites.local_site import Front
+from weldhatch.sites.messages import Id, Work
 from weldhatch.sites.routing import Router
-from weldhatch.sites.words import Id, Work
+from weldhatch.sites.storage import SitesBook
 
 SETTLE_SPARE_S = 0.5
 SOCKETS_A_SITE = 4
@@ -75,7 +75,7 @@
             and self._names[work.class_name].effect is i.Effect.UNSAFE
             and self._ledger.spend(work.key)
         ):
-            self._book.must(durable.encode("spent", [work.key]))
+            self._book.must(durable_state.encode("spent", [work.key]))
 
 
 def link_contexts(keys: str, name: str, key: str) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
--- a/weldhatch/serving.py
+++ b/weldhatch/server.py
@@ -16,22 +16,22 @@
 from typing import TYPE_CHECKING, Protocol
 
 from weldhatch import config
-from weldhatch import interface as i
-from weldhatch.core.driver import Driver
-from weldhatch.core.life import Core
+from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
-from weldhatch.net.budget import RESERVED, Budget, Share
+from weldhatch.core.request_lifecycle import Core
+from weldhatch.net.descriptor_budget import RESERVED, Budget, Share
 from weldhatch.net.listener import Listener
-from weldhatch.platform.bus import Bus
-from weldhatch.platform.fleet import Fleet
-from weldhatch.platform.owners import Owners
+from weldhatch.platform.client_front import Owners
+from weldhatch.platform.endpoint_list import Fleet
+from weldhatch.platform.event_bus import Bus
 from weldhatch.platform.servers import Servers
-from weldhatch.policy import Policy
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
+from weldhatch.scheduling import types as i
+from weldhatch.scheduling.policy import Policy
 
 if TYPE_CHECKING:
-    from weldhatch.alone import Alone
+    from weldhatch.standalone_zones import Alone
 
 LISTEN_ON_S = 0.7  # after SIGTERM requests keep coming for so long, and are served
 LAST_READ_S = 0.05  # what had been written to us when we ceased to listen is read and answered
@@ -190,11 +190,11 @@
         if "PROXY_CONFIG" in os.environ or pull is None or not pull.enabled:
             told, roll, alone = config.platform(os.environ), None, None
             if pull is not None and pull.agreement is not None:
-                from weldhatch.agreement.roll import Roll as OwnRoll
+                from weldhatch.cluster.endpoint_list import Roll as OwnRoll
 
                 roll = OwnRoll()
             elif pull is not None and pull.zones is not None:
-                from weldhatch.alone import Alone
+                from weldhatch.standalone_zones import Alone
 
                 roll = alone = Alone(pull.zones.times, log)
             self._gateway = Gateway(told, log, roll, alone)
@@ -209,7 +209,7 @@
                 self.fronts.append(control)
         self.governor = None
         if pull is not None and pull.agreement is not None:
-            from weldhatch.agreement.governor import Governor  # imported only where dispatchers agree
+            from weldhatch.cluster.front_controller import Governor  # imported only where dispatchers agree
 
             settings = (
                 config.json_file(os.environ["PROXY_CONFIG"])["settings"]
--- a/weldhatch/standins/region.py
+++ b/weldhatch/testbed/multi_site.py
@@ -15,19 +15,19 @@
 from pathlib import Path
 from random import Random
 
-from weldhatch import interface as i
 from weldhatch.core import ports
-from weldhatch.core.driver import Driver, unix_us
-from weldhatch.core.life import Core
-from weldhatch.net.budget import Budget, Share
-from weldhatch.policy import Policy
-from weldhatch.sites.book import SitesBook
-from weldhatch.sites.crossing import Sites
+from weldhatch.core.policy_driver import Driver, unix_us
+from weldhatch.core.request_lifecycle import Core
+from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.scheduling import types as i
+from weldhatch.scheduling.policy import Policy
+from weldhatch.sites.forwarding import Sites
 from weldhatch.sites.link import Door
+from weldhatch.sites.messages import Id, Work
 from weldhatch.sites.routing import Router
-from weldhatch.sites.words import Id, Work
-from weldhatch.standins.hall import Hall, Tally
-from weldhatch.standins.wire import Wire
+from weldhatch.sites.storage import SitesBook
+from weldhatch.testbed.fault_proxy import Wire
+from weldhatch.testbed.in_memory_machines import Hall, Tally
 
 
 def settings(cores: float = 8.0, deadline_s: float = 3.0, owner_wait_s: float = 0.1) -> i.Settings:
