--- a/tests/test_pins_config.py
+++ b/tests/test_pins_config.py
@@ -12,9 +12,9 @@
 from dataclasses import replace
 from pathlib import Path
 
+import pins
 import pytest
 
-import pins
 from weldhatch.config import (
     ConfigError,
     agreement,
--- a/tests/test_pins_policy.py
+++ b/tests/test_pins_policy.py
@@ -11,9 +11,9 @@
 from dataclasses import fields, replace
 from random import Random
 
+import pins
 import pytest
 
-import pins
 from weldhatch import (
     AttemptEnded,
     Cancel,
@@ -36,8 +36,8 @@
     RequestClass,
     RequestGone,
     Scope,
-    Settings,
     SetTimer,
+    Settings,
     Subscribe,
     TaskAdopted,
     TimerFired,
--- a/tests/test_pins_wire.py
+++ b/tests/test_pins_wire.py
@@ -8,7 +8,7 @@
 from random import Random
 
 import pins
-from weldhatch import benchlink, wire
+
 from weldhatch import (
     Cancel,
     Fail,
@@ -21,6 +21,7 @@
     SetTimer,
     Subscribe,
 )
+from weldhatch.simulator_link import adapter, codec
 
 RECORD = "pins_wire.json"
 EVENT_SIZE, ENTRY_SIZE = 56, 32
@@ -157,12 +158,12 @@
     """
     found = []
     try:
-        for instance, event in wire.Decoder().events(body, count):
-            if isinstance(event, wire.Spawn):
+        for instance, event in codec.Decoder().events(body, count):
+            if isinstance(event, codec.Spawn):
                 found.append(f"{instance} {pins.recorded_class(event)} {event.seed}")
                 continue
             found += [f"{instance} {line}" for line in pins.lines(event)]
-    except wire.WireError as error:
+    except codec.WireError as error:
         found.append(f"fault at {error.record}: {error}")
     return found
 
@@ -171,7 +172,7 @@
     """The bytes answered to frames, the exit code and what was printed."""
     sink, printed = io.BytesIO(), io.StringIO()
     with contextlib.redirect_stderr(printed):
-        code = benchlink.serve(io.BytesIO(b"".join(frames)), sink)
+        code = adapter.serve(io.BytesIO(b"".join(frames)), sink)
     return {"answered": sink.getvalue().hex(), "code": code, "printed": printed.getvalue()}
 
 
@@ -245,11 +246,11 @@
 def observed():
     """All that this file pins."""
     return {
-        "settings": pins.lines(wire.parse_settings(SETTINGS)),
+        "settings": pins.lines(codec.parse_settings(SETTINGS)),
         "read": {name: read(*batch) for name, batch in batches().items()},
-        "written": {name: wire.encode_reply([(9, [action])]).hex() for name, action in ACTIONS.items()},
-        "together": wire.encode_reply([(3, list(ACTIONS.values())), (4, []), (5, [Log("x")])]).hex(),
-        "fault": wire.encode_fault("a plain fault").hex(),
+        "written": {name: codec.encode_reply([(9, [action])]).hex() for name, action in ACTIONS.items()},
+        "together": codec.encode_reply([(3, list(ACTIONS.values())), (4, []), (5, [Log("x")])]).hex(),
+        "fault": codec.encode_fault("a plain fault").hex(),
         "sessions": {name: session(*frames) for name, frames in sessions().items()},
     }
 
