--- a/tests/checker.py
+++ b/tests/checker.py
@@ -8,9 +8,20 @@
 
 import random
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.actions import Cancel, Fail, Offer, Probe, Refuse, SetTimer, Subscribe
+from weldhatch.scheduling.events import (
+    AttemptEnded,
+    MachinesChanged,
+    Placed,
+    ProbeAnswered,
+    RequestArrived,
+    RequestGone,
+    TaskAdopted,
+    TimerFired,
+)
+from weldhatch.scheduling.types import Effect, ListForm, Machine, MachineState, Outcome, Scope
 
-PROOFS = {i.Outcome.FULL, i.Outcome.CONNECT_FAILED, i.Outcome.NOT_SENT}
+PROOFS = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 
 
 class Broken(AssertionError):
@@ -24,28 +35,28 @@
         self.requests, self.attempts, self.held = {}, {}, {}
 
     def event(self, now, e):
-        if isinstance(e, i.MachinesChanged) and e.form is not i.ListForm.FAILED:
+        if isinstance(e, MachinesChanged) and e.form is not ListForm.FAILED:
             named = {m.id for m in e.machines}
-            if e.form is not i.ListForm.DELTA:
+            if e.form is not ListForm.DELTA:
                 for old in self.machines.keys() - named:
                     self.told_leaving.setdefault(old, now)
             for m in e.machines:
                 self.machines[m.id] = m
-                if m.state == i.MachineState.READY:
+                if m.state == MachineState.READY:
                     self.told_leaving.pop(m.id, None)
                 else:
                     self.told_leaving.setdefault(m.id, now)
-        elif isinstance(e, i.RequestArrived):
+        elif isinstance(e, RequestArrived):
             self.requests[e.request] = {"e": e, "answers": 0, "over": False, "placed": False}
-        elif isinstance(e, i.TaskAdopted):
+        elif isinstance(e, TaskAdopted):
             self.requests[e.request] = {"e": e, "answers": 1, "over": False, "placed": True}
             self.held[e.request, 0] = (e.service, e.machine)
             self.attempts[e.request] = [(e.machine, now, None)]
-        elif isinstance(e, i.Placed):
+        elif isinstance(e, Placed):
             r = self.requests[e.request]
             r["answers"] += 1
             r["placed"] = True
-        elif isinstance(e, i.AttemptEnded):
+        elif isinstance(e, AttemptEnded):
             machine, at, _ = self.attempts[e.request][e.attempt]
             self.attempts[e.request][e.attempt] = (machine, at, e.outcome)
             self.held.pop((e.request, e.attempt), None)
@@ -53,19 +64,19 @@
                 r = self.requests[e.request]
                 r["answers"] += not r["placed"] and not r["over"]
                 r["over"] = True
-        elif isinstance(e, i.RequestGone):
+        elif isinstance(e, RequestGone):
             self.requests[e.request]["over"] = True
 
     def actions(self, now, actions):
         for a in actions:
-            if isinstance(a, i.Offer):
+            if isinstance(a, Offer):
                 self.offer(now, a)
-            elif isinstance(a, i.Refuse | i.Fail):
+            elif isinstance(a, Refuse | Fail):
                 self.final(a)
-            elif isinstance(a, i.Cancel):
+            elif isinstance(a, Cancel):
                 self.need(self.s.may_cancel, "cancel where it is not allowed")
                 self.need(a.attempt < len(self.attempts.get(a.request, ())), "cancel of no attempt")
-            elif isinstance(a, i.Probe):
+            elif isinstance(a, Probe):
                 self.need(self.s.may_probe, "probe where it is not allowed")
                 self.need(a.machine in self.machines, "probe of a machine never listed")
 
@@ -84,14 +95,14 @@
         self.need(len(tries) < self.s.max_attempts, "more attempts than allowed")
         self.need(all(x[2] is not None for x in tries), "rule 2: two attempts out")
         maybe = self.maybe(a.request)
-        if maybe and cls.effect is i.Effect.UNSAFE:
+        if maybe and cls.effect is Effect.UNSAFE:
             raise Broken("rule 2: an unsafe request that may have run is sent again")
-        if maybe and cls.effect is i.Effect.KEYED:
+        if maybe and cls.effect is Effect.KEYED:
             first, new = self.machines[maybe[0][0]], self.machines[a.machine]
             same = {
-                i.Scope.ALL: True,
-                i.Scope.ZONE: first.zone == new.zone,
-                i.Scope.CELL: first.cell == new.cell,
+                Scope.ALL: True,
+                Scope.ZONE: first.zone == new.zone,
+                Scope.CELL: first.cell == new.cell,
             }[cls.group]
             self.need(same, "rule 2: a keyed request leaves its group")
             self.need(now <= maybe[0][1] + cls.window_us, "rule 2: a keyed request after its window")
@@ -109,7 +120,7 @@
             self.need(recent <= share, "rule 4: a cold machine pushed over")
         tries.append((a.machine, now, None))
         self.held[a.request, len(tries) - 1] = (r["e"].service, a.machine)
-        if cls.spread_over is not i.Scope.NONE:
+        if cls.spread_over is not Scope.NONE:
             here = self.machines[a.machine]
             there = [
                 m
@@ -120,8 +131,8 @@
                     or (
                         m in self.machines
                         and (
-                            (cls.spread_over is i.Scope.CELL and self.machines[m].cell == here.cell)
-                            or (cls.spread_over is i.Scope.ZONE and self.machines[m].zone == here.zone)
+                            (cls.spread_over is Scope.CELL and self.machines[m].cell == here.cell)
+                            or (cls.spread_over is Scope.ZONE and self.machines[m].zone == here.zone)
                         )
                     )
                 )
@@ -133,8 +144,8 @@
         self.need(not r["over"] and not r["answers"], "rule 1: two final answers")
         r["answers"], r["over"] = 1, True
         cls = self.s.classes[r["e"].class_index]
-        if isinstance(a, i.Refuse) and self.maybe(a.request):
-            ok = cls.effect is i.Effect.SAFE or (cls.effect is i.Effect.KEYED and cls.group is i.Scope.ALL)
+        if isinstance(a, Refuse) and self.maybe(a.request):
+            ok = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Scope.ALL)
             self.need(ok, "rule 2: a refusal where trying again can harm")
 
     def overdue(self, now):
@@ -149,9 +160,7 @@
     def __init__(self, policy, settings, seed, zones=2, count=7):
         self.p, self.s, self.random, self.check = policy, settings, random.Random(seed), Checker(settings)
         self.now, self.due, self.serial, self.ids = 50_000_000, [], 0, 0
-        self.fleet = {
-            n: i.Machine(n, n % zones, n % len(settings.kinds), n // 3) for n in range(1, count + 1)
-        }
+        self.fleet = {n: Machine(n, n % zones, n % len(settings.kinds), n // 3) for n in range(1, count + 1)}
         self.alive, self.trace = {}, []
 
     def at(self, wait, event):
@@ -159,7 +168,7 @@
         self.due.append((self.now + max(1, int(wait)), self.serial, event))
 
     def room(self, m):
-        return i.Machine(
+        return Machine(
             m.id,
             m.zone,
             m.kind,
@@ -174,7 +183,7 @@
         )
 
     def run(self, steps):
-        self.play(i.MachinesChanged(i.ListForm.CACHED, tuple(self.room(m) for m in self.fleet.values())))
+        self.play(MachinesChanged(ListForm.CACHED, tuple(self.room(m) for m in self.fleet.values())))
         for _ in range(steps):
             self.disturb()
             self.until(self.now + self.random.choice((2000, 30_000, 300_000)))
@@ -194,25 +203,25 @@
                 self.play(first[2])
 
     def legal(self, e):
-        if isinstance(e, i.Placed):
+        if isinstance(e, Placed):
             return (
                 self.alive.get((e.request, e.attempt)) == "open"
                 and not self.check.requests[e.request]["over"]
             )
-        if isinstance(e, i.AttemptEnded):
+        if isinstance(e, AttemptEnded):
             return (e.request, e.attempt) in self.alive
-        if isinstance(e, i.RequestGone):
+        if isinstance(e, RequestGone):
             return not self.check.requests[e.request]["over"]
         return True
 
     def play(self, e):
-        if isinstance(e, i.Placed):
+        if isinstance(e, Placed):
             self.alive[e.request, e.attempt] = "placed"
-        elif isinstance(e, i.AttemptEnded):
+        elif isinstance(e, AttemptEnded):
             placed = self.alive.pop((e.request, e.attempt)) == "placed"
-            over = placed or self.check.requests[e.request]["over"] or (e.outcome is i.Outcome.OK)
-            outcome = i.Outcome.RESET if placed and e.outcome in PROOFS else e.outcome
-            e = i.AttemptEnded(e.request, e.attempt, e.machine, outcome, e.took_us, e.reason, over, e.report)
+            over = placed or self.check.requests[e.request]["over"] or (e.outcome is Outcome.OK)
+            outcome = Outcome.RESET if placed and e.outcome in PROOFS else e.outcome
+            e = AttemptEnded(e.request, e.attempt, e.machine, outcome, e.took_us, e.reason, over, e.report)
         self.check.event(self.now, e)
         actions = self.p.handle(self.now, [e])
         self.trace += actions
@@ -230,31 +239,31 @@
 
     def answer(self, a):
         r, rnd = self.random.random(), self.random
-        if isinstance(a, i.SetTimer):
-            self.at(a.after_us, i.TimerFired(a.timer))
-        elif isinstance(a, i.Probe):
-            outcome = rnd.choice((i.Outcome.OK,) * 5 + (i.Outcome.TIMEOUT, i.Outcome.FULL))
+        if isinstance(a, SetTimer):
+            self.at(a.after_us, TimerFired(a.timer))
+        elif isinstance(a, Probe):
+            outcome = rnd.choice((Outcome.OK,) * 5 + (Outcome.TIMEOUT, Outcome.FULL))
             self.at(
                 rnd.uniform(300, 300_000),
-                i.ProbeAnswered(a.machine, outcome, 500, self.report() if outcome is i.Outcome.OK else ()),
+                ProbeAnswered(a.machine, outcome, 500, self.report() if outcome is Outcome.OK else ()),
             )
-        elif isinstance(a, i.Subscribe):
-            form = i.ListForm.FAILED if r < 0.3 else i.ListForm.DELTA
-            self.at(rnd.uniform(1000, 500_000), i.MachinesChanged(form))
-        elif isinstance(a, i.Offer):
+        elif isinstance(a, Subscribe):
+            form = ListForm.FAILED if r < 0.3 else ListForm.DELTA
+            self.at(rnd.uniform(1000, 500_000), MachinesChanged(form))
+        elif isinstance(a, Offer):
             attempt = len(self.check.attempts[a.request]) - 1
             self.alive[a.request, attempt] = "open"
             deadline = self.check.requests[a.request]["e"].deadline_us - self.now
             wait = rnd.uniform(1000, 3_000_000)
             if r < 0.45:
-                self.at(wait, i.Placed(a.request, attempt, a.machine, int(wait)))
+                self.at(wait, Placed(a.request, attempt, a.machine, int(wait)))
                 self.at(
                     wait + rnd.uniform(1000, 8_000_000),
-                    i.AttemptEnded(
+                    AttemptEnded(
                         a.request,
                         attempt,
                         a.machine,
-                        rnd.choice((i.Outcome.OK, i.Outcome.RESET)),
+                        rnd.choice((Outcome.OK, Outcome.RESET)),
                         0,
                         rnd.choice((0, 5, 6, 7)),
                     ),
@@ -262,19 +271,19 @@
             elif r < 0.9:
                 outcome = rnd.choice(
                     (
-                        i.Outcome.ERROR,
-                        i.Outcome.FULL,
-                        i.Outcome.FULL,
-                        i.Outcome.CONNECT_FAILED,
-                        i.Outcome.RESET,
-                        i.Outcome.NOT_SENT,
+                        Outcome.ERROR,
+                        Outcome.FULL,
+                        Outcome.FULL,
+                        Outcome.CONNECT_FAILED,
+                        Outcome.RESET,
+                        Outcome.NOT_SENT,
                     )
                 )
-                self.at(wait / 6, i.AttemptEnded(a.request, attempt, a.machine, outcome, 0, rnd.randrange(5)))
-            self.at(deadline, i.AttemptEnded(a.request, attempt, a.machine, i.Outcome.TIMEOUT))
-        elif isinstance(a, i.Cancel):
+                self.at(wait / 6, AttemptEnded(a.request, attempt, a.machine, outcome, 0, rnd.randrange(5)))
+            self.at(deadline, AttemptEnded(a.request, attempt, a.machine, Outcome.TIMEOUT))
+        elif isinstance(a, Cancel):
             machine = self.check.attempts[a.request][a.attempt][0]
-            self.at(1000, i.AttemptEnded(a.request, a.attempt, machine, i.Outcome.CANCELLED))
+            self.at(1000, AttemptEnded(a.request, a.attempt, machine, Outcome.CANCELLED))
 
     def disturb(self):
         rnd = self.random
@@ -284,7 +293,7 @@
                 self.ids += 1
                 index = rnd.randrange(len(self.s.classes))
                 self.play(
-                    i.RequestArrived(
+                    RequestArrived(
                         self.ids,
                         index,
                         self.now + self.s.classes[index].deadline_us,
@@ -300,29 +309,25 @@
             self.ids += 1
             index, machine = rnd.randrange(len(self.s.classes)), rnd.choice(sorted(self.fleet))
             self.alive[self.ids, 0] = "placed"
-            self.play(i.TaskAdopted(self.ids, index, rnd.randrange(3) * 10 + index, 1.0, 1.0, machine))
-            self.at(rnd.uniform(1000, 9_000_000), i.AttemptEnded(self.ids, 0, machine, i.Outcome.OK))
+            self.play(TaskAdopted(self.ids, index, rnd.randrange(3) * 10 + index, 1.0, 1.0, machine))
+            self.at(rnd.uniform(1000, 9_000_000), AttemptEnded(self.ids, 0, machine, Outcome.OK))
         elif r < 0.75 and self.ids:
-            gone = i.RequestGone(rnd.randint(1, self.ids))
+            gone = RequestGone(rnd.randint(1, self.ids))
             if self.legal(gone):
                 self.play(gone)
         else:
             m = rnd.choice(list(self.fleet.values()))
-            state = rnd.choice(list(i.MachineState))
+            state = rnd.choice(list(MachineState))
             born = (
-                self.now
-                if state is i.MachineState.READY and m.state is not i.MachineState.READY
-                else m.born_us
+                self.now if state is MachineState.READY and m.state is not MachineState.READY else m.born_us
             )
-            self.fleet[m.id] = i.Machine(m.id, m.zone, m.kind, m.cell, state, born)
+            self.fleet[m.id] = Machine(m.id, m.zone, m.kind, m.cell, state, born)
             if rnd.random() < 0.7:
-                self.play(i.MachinesChanged(i.ListForm.DELTA, (self.room(self.fleet[m.id]),)))
+                self.play(MachinesChanged(ListForm.DELTA, (self.room(self.fleet[m.id]),)))
             else:
                 self.play(
-                    i.MachinesChanged(
-                        i.ListForm.FULL,
-                        tuple(
-                            self.room(x) for x in self.fleet.values() if x.state is not i.MachineState.GONE
-                        ),
+                    MachinesChanged(
+                        ListForm.FULL,
+                        tuple(self.room(x) for x in self.fleet.values() if x.state is not MachineState.GONE),
                     )
                 )
--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -23,15 +23,15 @@
 from weldhatch.coordination.messages import Ask, Learn
 from weldhatch.coordination.state_machine import Group
 from weldhatch.pullqueue.operator_states import STATES
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, MachineKind, RequestClass, Scope, Settings
 from weldhatch.sites.session import Faulty
 from weldhatch.store.log import LogError
 from weldhatch.testbed.process_cluster import settings, until
 
 BASE = make_settings(
     classes=(
-        make_class(name="a", spread_over=i.Scope.CELL, spread_most=3),
-        make_class(name="b", effect=i.Effect.KEYED, window_us=8),
+        make_class(name="a", spread_over=Scope.CELL, spread_most=3),
+        make_class(name="b", effect=Effect.KEYED, window_us=8),
     )
 )
 
@@ -57,12 +57,12 @@
         (replace(BASE, zones=("", "new")), Overlap.WIDENS),
         (of_class(spread_most=2), Overlap.TIGHTENS),
         (of_class(spread_most=0), Overlap.WIDENS),  # 0 is no bound
-        (of_class(spread_over=i.Scope.MACHINE), Overlap.SWITCHES),
-        (of_class(effect=i.Effect.UNSAFE), Overlap.SWITCHES),
+        (of_class(spread_over=Scope.MACHINE), Overlap.SWITCHES),
+        (of_class(effect=Effect.UNSAFE), Overlap.SWITCHES),
         (of_class(kind=0), Overlap.TIGHTENS),
         (of_class(worth=7.0), Overlap.FREE),
         (replace(BASE, classes=(*BASE.classes, make_class(name="c"))), Overlap.WIDENS),
-        (replace(BASE, kinds=(i.MachineKind("k", 16.0, 64.0),)), Overlap.TIGHTENS),
+        (replace(BASE, kinds=(MachineKind("k", 16.0, 64.0),)), Overlap.TIGHTENS),
     ],
 )
 def test_the_difference_of_two_values_says_how_they_may_overlap(new, overlap):
@@ -83,7 +83,7 @@
 
 
 def test_a_switch_blocks_its_class_and_one_of_all_blocks_all():
-    narrow = compatibility.meet(BASE, of_class(effect=i.Effect.UNSAFE))
+    narrow = compatibility.meet(BASE, of_class(effect=Effect.UNSAFE))
     assert (narrow.allows("a"), narrow.allows("b")) == (False, True)
     assert not compatibility.meet(BASE, replace(BASE, confirms_running=False)).allows("b")
 
@@ -106,7 +106,7 @@
         (replace(BASE, classes=BASE.classes[:1]), "classes"),
         (replace(BASE, classes=(*BASE.classes, BASE.classes[0])), "classes"),
         (replace(BASE, zones=("other",)), "zones"),
-        (replace(BASE, kinds=(i.MachineKind("other", 1.0, 1.0),)), "kinds"),
+        (replace(BASE, kinds=(MachineKind("other", 1.0, 1.0),)), "kinds"),
     ],
 )
 def test_what_no_running_dispatcher_can_move_to_names_its_key(new, key):
@@ -117,12 +117,12 @@
 
 def test_a_setting_that_nobody_said_anything_of_is_an_error():
     @dataclass(frozen=True)
-    class More(i.RequestClass):
+    class More(RequestClass):
         bold: bool = False
 
     with pytest.raises(AssertionError, match="bold"):
         compatibility._check(More, compatibility.CLASSES)
-    assert {one.name for one in fields(i.Settings)} == compatibility.SETTINGS.keys() | compatibility.LISTS
+    assert {one.name for one in fields(Settings)} == compatibility.SETTINGS.keys() | compatibility.LISTS
 
 
 # ---- the group's state -----------------------------------------------------------------------------------
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -14,7 +14,8 @@
 from scenario import LONG, SETTINGS, Owner, Scenario
 
 from weldhatch import config
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, MachineState, Outcome
 from weldhatch.server import Gateway
 from weldhatch.standalone_zones import Alone
 from weldhatch.testbed.process_cluster import until
@@ -34,12 +35,12 @@
             machine = n % 30
             if solitary.keeper.state(now, machine) == "ready" and not solitary.keeper.stops(now, machine, 0):
                 self.starts.append((now, machine))
-                outcome = i.Outcome.TIMEOUT if machine % 3 in down else i.Outcome.OK
-                solitary.keeper.heard(now, i.ProbeAnswered(machine, outcome))
+                outcome = Outcome.TIMEOUT if machine % 3 in down else Outcome.OK
+                solitary.keeper.heard(now, ProbeAnswered(machine, outcome))
             probes, _ = solitary.tick(now)
             for machine in probes:
-                outcome = i.Outcome.TIMEOUT if machine % 3 in down else i.Outcome.OK
-                solitary.keeper.heard(now, i.ProbeAnswered(machine, outcome))
+                outcome = Outcome.TIMEOUT if machine % 3 in down else Outcome.OK
+                solitary.keeper.heard(now, ProbeAnswered(machine, outcome))
         return now
 
     def test_it_leaves_by_its_own_word_and_takes_its_part_of_a_return(self):
@@ -47,9 +48,7 @@
         solitary = Solitary(realm_settings(3, 6, 12.0), Times(), Random(1), 0.0)
         solitary.keeper.heard(
             0.0,
-            i.MachinesChanged(
-                i.ListForm.FULL, tuple(i.Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))
-            ),
+            MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))),
         )
         now = self.play(solitary, 0.0, 3.0)
         now = self.play(solitary, now, 6.0, down=(1,))
@@ -121,7 +120,7 @@
             await until(lambda: any("west is leaving" in text for text in self.logged), LONG, "it is left")
             await until(
                 lambda: all(
-                    node.entry.state is not i.MachineState.READY  # in the module's next batch
+                    node.entry.state is not MachineState.READY  # in the module's next batch
                     for node in self.gateway.driver._policy._nodes.values()
                     if node.entry.zone == 1
                 ),
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,7 +7,9 @@
 from weldhatch.core.policy_driver import Driver, unix_us
 from weldhatch.core.ports import Ended, LetGo, Task
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.actions import Fail, Offer, Refuse
+from weldhatch.scheduling.events import AttemptEnded, RequestArrived
+from weldhatch.scheduling.types import Outcome
 
 
 class Offers:
@@ -16,11 +18,11 @@
     def handle(self, now, events):
         out = []
         for e in events:
-            if isinstance(e, i.RequestArrived):
-                out.append(i.Offer(e.request, 1))
-            elif isinstance(e, i.AttemptEnded):
-                proof = e.outcome is i.Outcome.CONNECT_FAILED
-                out.append(i.Refuse(e.request, 0) if proof else i.Fail(e.request))
+            if isinstance(e, RequestArrived):
+                out.append(Offer(e.request, 1))
+            elif isinstance(e, AttemptEnded):
+                proof = e.outcome is Outcome.CONNECT_FAILED
+                out.append(Refuse(e.request, 0) if proof else Fail(e.request))
         return out
 
 
@@ -39,7 +41,7 @@
 
     def offer(self, machine, task, attempt, wait_us, teller, start_by_us=0):
         asyncio.get_running_loop().call_later(
-            wait_us / 1e6, teller.tell, Ended(attempt, i.Outcome.CONNECT_FAILED)
+            wait_us / 1e6, teller.tell, Ended(attempt, Outcome.CONNECT_FAILED)
         )
 
     def give_up(self, machine, task):
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -22,7 +22,8 @@
 from weldhatch import config
 from weldhatch.net.connection import Connection
 from weldhatch.platform import client_front, server_codec
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.actions import Action
+from weldhatch.scheduling.events import AttemptEnded, Event, RequestArrived
 
 ALLOWED_S = 0.1  # the term: what begins later after its client has gone is a break
 BUSY_S = 0.2  # how long the event loop is held up where a close has to be read late
@@ -155,11 +156,11 @@
         self.assertEqual([], late, "set-ups that arrived so long after their clients had gone")
 
     @contextlib.contextmanager
-    def held_up(self, kind: type[i.Event], during: Callable[[], None]) -> Iterator[None]:
+    def held_up(self, kind: type[Event], during: Callable[[], None]) -> Iterator[None]:
         """Hold the loop up in the first batch with such an event; `during` comes right after its decision."""
         policy, handle, done = self.gateway.driver._policy, self.gateway.driver._policy.handle, []
 
-        def slow(now: int, events: list[i.Event]) -> list[i.Action]:
+        def slow(now: int, events: list[Event]) -> list[Action]:
             actions = handle(now, events)
             if not done and any(isinstance(event, kind) for event in events):
                 done.append(True)
@@ -297,7 +298,7 @@
         for n, how in enumerate(LEAVES):
             with self.subTest(how):
                 client = self.client()
-                with self.held_up(i.RequestArrived, lambda client=client, how=how: client.leave(how)):
+                with self.held_up(RequestArrived, lambda client=client, how=how: client.leave(how)):
                     client.ask(f"a{n}")
                     await self.until(lambda client=client: client.left, "it left")
                     await self.judge()
@@ -310,7 +311,7 @@
                 client = self.client()
                 client.ask(f"a{n}")
                 await self.play(f"s1 expect SET_UP a{n}")
-                with self.held_up(i.AttemptEnded, lambda client=client, how=how: client.leave(how)):
+                with self.held_up(AttemptEnded, lambda client=client, how=how: client.leave(how)):
                     await self.play(f"s1 send RELEASE a{n} cause=41")
                     await self.until(lambda client=client: client.left, "it left")
                     await self.judge()
@@ -389,7 +390,7 @@
         await self.ask_all()  # a connection is there before anything is timed
         client = self.client()
         chatter = client.line("p1", "NOTICE")
-        with self.held_up(i.RequestArrived, lambda: client.socket.sendall(chatter)):
+        with self.held_up(RequestArrived, lambda: client.socket.sendall(chatter)):
             client.ask("a1")
             await self.play("s1 expect SET_UP a1\ns1 send ANSWER a1")
         client.socket.settimeout(20.0)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -152,6 +152,9 @@
     assert not any("simulation" in needs for name, needs in found.items() if name != "cli")
 
 
+VOCABULARY = {f"weldhatch.scheduling.{name}" for name in ("actions", "events", "types")}  # no decisions
+
+
 def test_the_packages_know_the_types_of_decisions_and_not_the_decisions():
     """Only what puts a whole program together may import more of `scheduling` than its types."""
     assemblers = (
@@ -164,7 +167,7 @@
     for name, needs in GRAPH.items():
         if not name.startswith("weldhatch.scheduling") and name not in assemblers:
             known = {need for need in needs if need.startswith("weldhatch.scheduling")}
-            assert known <= {"weldhatch.scheduling.types"}, name
+            assert known <= VOCABULARY, name
 
 
 @pytest.mark.parametrize("prefix", PURE)
@@ -174,7 +177,7 @@
 
 def test_the_core_knows_no_wire_and_the_sockets_no_protocol():
     allowed = {
-        "core": {"weldhatch", "weldhatch.scheduling.types", "weldhatch.core"},
+        "core": {"weldhatch", "weldhatch.core", *VOCABULARY},
         "net": {"weldhatch.net"},
     }
     for part, known in allowed.items():
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -33,12 +33,32 @@
 from weldhatch.coordination.messages import Ask, Learn
 from weldhatch.coordination.state_machine import Group
 from weldhatch.coordination.zone_leader import Zoning
-from weldhatch.scheduling import types as events
+from weldhatch.scheduling.events import (
+    AttemptEnded,
+    MachinesChanged,
+    Note,
+    Placed,
+    ProbeAnswered,
+    RequestArrived,
+    RequestGone,
+    TaskAdopted,
+)
+from weldhatch.scheduling.types import (
+    Effect,
+    ListForm,
+    Machine,
+    MachineKind,
+    MachineState,
+    Outcome,
+    Reason,
+    RequestClass,
+    Scope,
+    Tenant,
+)
 from weldhatch.simulation.scenario_runner import SCENARIOS, play
 from weldhatch.testbed.simulated_zones import Realm
 from weldhatch.testbed.simulated_zones import settings as realm_settings
-from weldhatch.zones import capacity
-from weldhatch.zones import load_shedding
+from weldhatch.zones import capacity, load_shedding
 from weldhatch.zones.endpoint_overlay import Narrowed
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.failover_member import Keeper
@@ -111,26 +131,24 @@
 def settings_of(zone=0):
     """All effects, three tenants, and more than one kind."""
     classes = (
-        events.RequestClass("lookup", 700_000, 1_500_000),
-        events.RequestClass(
-            "import", 700_000, 1_500_000, events.Effect.KEYED, events.Scope.ALL, 3_000_000, 2.0
-        ),
-        events.RequestClass("writer", 700_000, 1_500_000, events.Effect.UNSAFE, events.Scope.ALL, 0, 5.0),
+        RequestClass("lookup", 700_000, 1_500_000),
+        RequestClass("import", 700_000, 1_500_000, Effect.KEYED, Scope.ALL, 3_000_000, 2.0),
+        RequestClass("writer", 700_000, 1_500_000, Effect.UNSAFE, Scope.ALL, 0, 5.0),
     )
     base = realm_settings(3, 8, 9.0)
     return replace(
         base,
         classes=classes,
         zone=zone,
-        kinds=(events.MachineKind("std", 40.0, 40.0), events.MachineKind("big", 80.0, 80.0)),
+        kinds=(MachineKind("std", 40.0, 40.0), MachineKind("big", 80.0, 80.0)),
         tenants=tuple(
-            events.Tenant(name, 0.0, 0.0, part) for name, part in zip(TENANTS, (2.0, 1.0, 1.0), strict=True)
+            Tenant(name, 0.0, 0.0, part) for name, part in zip(TENANTS, (2.0, 1.0, 1.0), strict=True)
         ),
     )
 
 
-def machine_of(n, state=events.MachineState.READY):
-    return events.Machine(n, n % 3, n % 2, n // 3 % 3, state)
+def machine_of(n, state=MachineState.READY):
+    return Machine(n, n % 3, n % 2, n // 3 % 3, state)
 
 
 # ---- the parts ------------------------------------------------------------------------------------------
@@ -266,7 +284,7 @@
                 rates.of(now, place),
             )
             tally.arrived(
-                now, events.RequestArrived(step, step % 3, 0, 1, random.random() * 3, 1.0, step + 7, step % 2)
+                now, RequestArrived(step, step % 3, 0, 1, random.random() * 3, 1.0, step + 7, step % 2)
             )
             if random.random() < 0.7:
                 tally.placed(step - random.randrange(9), random.randrange(12))
@@ -359,27 +377,27 @@
 
 def member(record):
     """Every kind of event, with all outcomes, at one dispatcher; what it answers to every question."""
-    outcomes = list(events.Outcome)
+    outcomes = list(Outcome)
     for seed in range(6):
         random, now = Random(seed), 0.0
         settings = settings_of(seed % 3)
         one = Keeper(settings, 0.02, Random(seed + 50), lambda machine: f"m{machine}", fences=seed != 5)
         heard = one.heard
-        heard(now, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(n) for n in range(36))))
+        heard(now, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(36))))
         zones, index, serial = Zones(), 0, 0
         for step in range(1500):
             now += random.expovariate(40.0)
             n = random.randrange(38)
             bad = int(now / 4.0) % 4 == n % 3
             outcome = random.choice(outcomes) if bad or random.random() < 0.05 else outcomes[0]
-            reason = random.choice(list(events.Reason)) if random.random() < 0.1 else 0
+            reason = random.choice(list(Reason)) if random.random() < 0.1 else 0
             request = serial - random.randrange(40)
             draw = random.random()
             if draw < 0.3:
                 serial += 1
                 heard(
                     now,
-                    events.RequestArrived(
+                    RequestArrived(
                         serial,
                         serial % 3,
                         0,
@@ -391,33 +409,33 @@
                     ),
                 )
             elif draw < 0.4:
-                heard(now, events.Placed(request, 0, n, 0))
+                heard(now, Placed(request, 0, n, 0))
             elif draw < 0.43:
                 serial += 1
-                heard(now, events.TaskAdopted(serial, serial % 3, 1, 1.0, 1.0, n, serial))
+                heard(now, TaskAdopted(serial, serial % 3, 1, 1.0, 1.0, n, serial))
             elif draw < 0.46:
-                heard(now, events.Note(request, 0, n, 1, 0.5))
+                heard(now, Note(request, 0, n, 1, 0.5))
             elif draw < 0.6:
-                heard(now, events.ProbeAnswered(n, outcome))
+                heard(now, ProbeAnswered(n, outcome))
             elif draw < 0.8:
-                heard(now, events.AttemptEnded(request, 0, n, outcome, 0, reason, random.random() < 0.6))
+                heard(now, AttemptEnded(request, 0, n, outcome, 0, reason, random.random() < 0.6))
             elif draw < 0.82:
-                heard(now, events.RequestGone(request))
+                heard(now, RequestGone(request))
             elif draw < 0.83:
-                form = random.choice(list(events.ListForm))
-                states = [random.choice(list(events.MachineState)) for _ in range(36)]
+                form = random.choice(list(ListForm))
+                states = [random.choice(list(MachineState)) for _ in range(36)]
                 few = random.sample(range(36), 4)
                 for k in range(36):  # one that is gone while it owes an answer is another matter
-                    if states[k] is events.MachineState.GONE or k not in few:
-                        heard(now, events.AttemptEnded(0, 0, k, events.Outcome.CANCELLED))
+                    if states[k] is MachineState.GONE or k not in few:
+                        heard(now, AttemptEnded(0, 0, k, Outcome.CANCELLED))
                 heard(
                     now,
-                    events.MachinesChanged(
+                    MachinesChanged(
                         form,
                         tuple(
                             machine_of(k, states[k])
                             for k in range(36)
-                            if form is not events.ListForm.DELTA or k in few
+                            if form is not ListForm.DELTA or k in few
                         ),
                     ),
                 )
@@ -584,9 +602,7 @@
 def standalone(record):
     for seed in range(2):
         one = Solitary(realm_settings(3, 6, 12.0), Times(), Random(seed), 0.0)
-        one.keeper.heard(
-            0.0, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(n) for n in range(30)))
-        )
+        one.keeper.heard(0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(30))))
         overlay = Narrowed()
         for n in range(30):
             overlay.heard(machine_of(n))
@@ -600,8 +616,8 @@
             asked = [machine] if state == "ready" and not stopped else []
             probes, changed = one.tick(now)
             for n in [*asked, *probes]:
-                outcome = events.Outcome.TIMEOUT if n % 3 in down else events.Outcome.OK
-                one.keeper.heard(now, events.ProbeAnswered(n, outcome))
+                outcome = Outcome.TIMEOUT if n % 3 in down else Outcome.OK
+                one.keeper.heard(now, ProbeAnswered(n, outcome))
             record.add(
                 "tick",
                 probes,
@@ -636,7 +652,7 @@
     members = []
     for n in range(6):
         one = Keeper(settings_of(n % 3), 0.02, Random(n), str)
-        one.heard(0.0, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(k) for k in range(36))))
+        one.heard(0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(k) for k in range(36))))
         members.append(one)
     serial = 0
     for step in range(260):
@@ -646,22 +662,20 @@
                 serial += 1
                 machine = (serial * 7) % 36
                 gone = machine % 3 == 1 and 1.0 < now < 4.0
-                one.heard(now, events.RequestArrived(serial, serial % 3, 0, 1, 1.0, 1.0, serial, serial % 3))
+                one.heard(now, RequestArrived(serial, serial % 3, 0, 1, 1.0, 1.0, serial, serial % 3))
                 if not one.stops(now, machine, 0):
                     if gone:
                         one.heard(
                             now,
-                            events.AttemptEnded(
-                                serial, 0, machine, events.Outcome.CONNECT_FAILED, closed=True
-                            ),
+                            AttemptEnded(serial, 0, machine, Outcome.CONNECT_FAILED, closed=True),
                         )
                     else:
-                        one.heard(now, events.Placed(serial, 0, machine, 0))
+                        one.heard(now, Placed(serial, 0, machine, 0))
                 for probed in one.tick(now):
                     silent = probed % 3 == 1 and 1.0 < now < 4.0
                     one.heard(
                         now,
-                        events.ProbeAnswered(probed, events.Outcome.TIMEOUT if silent else events.Outcome.OK),
+                        ProbeAnswered(probed, Outcome.TIMEOUT if silent else Outcome.OK),
                     )
             if step % 4 == n % 4:
                 ask = Ask(7, f"d{n}", 1, "t", now, group.index, "x", sight=report_text(one, now))
@@ -721,22 +735,22 @@
 def samples() -> dict:
     """One of each form that leaves the package, with the names that are written."""
     one = Keeper(settings_of(), 0.02, Random(1), str)
-    one.heard(0.0, events.MachinesChanged(events.ListForm.FULL, tuple(machine_of(n) for n in range(36))))
+    one.heard(0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(36))))
     for serial in range(1, 37):
         n = serial - 1
-        one.heard(1.0, events.RequestArrived(serial, n % 3, 0, 1, 2.0, 1.0, serial, n % 3))
+        one.heard(1.0, RequestArrived(serial, n % 3, 0, 1, 2.0, 1.0, serial, n % 3))
         if n % 3 == 1:
-            one.heard(1.0, events.AttemptEnded(serial, 0, n, events.Outcome.TIMEOUT, closed=True))
+            one.heard(1.0, AttemptEnded(serial, 0, n, Outcome.TIMEOUT, closed=True))
         else:
-            one.heard(1.0, events.Placed(serial, 0, n, 0))
+            one.heard(1.0, Placed(serial, 0, n, 0))
     zones = Zones()
     for index, phase in enumerate(("suspected", "leaving", "left", "returning"), 1):
         zones.take(index, {"place": "z0", "phase": phase, "number": index - 1, "step": 1}, ZONES)
     one.agreed(1.0, zones)
     one.take([Share("z0", "g0.3.0", 0, 0, 1, 30, 0.5)], 1.0)
     one.stops(1.1, 0, 0)
-    one.heard(1.1, events.Placed(99, 0, 0, 0))
-    one.heard(1.1, events.AttemptEnded(98, 0, 3, events.Outcome.ERROR, closed=True))
+    one.heard(1.1, Placed(99, 0, 0, 0))
+    one.heard(1.1, AttemptEnded(98, 0, 3, Outcome.ERROR, closed=True))
     leader = Marshal(0.0, "g0.3", Times(), 1.0, 0.5, 0.02)
     report = report_text(one, 1.2)
     for n in range(3):
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -20,7 +20,7 @@
 from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.platform import client_front
 from weldhatch.platform.server_link import EXCUSES_MOST, ServerLink
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.actions import Cancel
 
 PLACE = """
     owner send START a1 class=keyed idem=5c | v=0
@@ -102,7 +102,7 @@
             self.assertEqual(("RELEASE", tag("a1")), server.heard.get_nowait()[:2])
 
     async def test_an_attempt_that_is_cancelled_as_its_answer_comes_is_not_made_twice(self):
-        await self.crossed(i.Cancel(1, 0))
+        await self.crossed(Cancel(1, 0))
 
     async def test_an_attempt_whose_time_is_up_as_its_answer_comes_is_not_made_twice(self):
         await self.crossed(ports.TimeUp(0))
@@ -119,7 +119,7 @@
         """Attempts of one request at one server have the same id on the wire."""
         await self.play("owner send START a1\ns1 expect SET_UP a1")
         [life] = self.gateway.core.lives
-        life.tell(i.Cancel(life.id, 0))
+        life.tell(Cancel(life.id, 0))
         await self.play("s1 expect RELEASE a1 cause=16")
         server, owner = self.parties["s1"], self.parties["owner"]
         await self.first(server.heard, owner.heard)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,20 @@
 
 import pytest
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.actions import (
+    Cancel,
+    Fail,
+    FetchList,
+    Log,
+    Move,
+    Offer,
+    Probe,
+    Refuse,
+    SetTimer,
+    Subscribe,
+)
+from weldhatch.scheduling.events import AttemptEnded, Note, RequestArrived, RequestGone, TimerFired
+from weldhatch.scheduling.types import Effect, ListForm, MachineKind, Outcome, Scope
 from weldhatch.simulator_link import adapter, codec
 
 SETTINGS = b"""classes.count=1
@@ -55,7 +68,7 @@
     assert decode(SWITCH, TO_PLACE) == [
         (
             3,
-            i.RequestArrived(
+            RequestArrived(
                 0x5D3A91C4, 0, 0x8405DA, 0x2B8E6401D9F37C10, 2.0, 1.5, 0x91F03B7C55D20A64, 0, 12000, False
             ),
         )
@@ -80,15 +93,15 @@
         event("1e 5d3a91c4 0a124a07 1f93 01 0000 3f000000"),
     )
     assert events == [
-        (3, i.TimerFired(0x4D)),
-        (5, i.RequestGone(0x0E6F2B19)),
-        (5, i.Note(0x5D3A91C4, 0, 0x0A124A071F93, 1, 0.5)),
+        (3, TimerFired(0x4D)),
+        (5, RequestGone(0x0E6F2B19)),
+        (5, Note(0x5D3A91C4, 0, 0x0A124A071F93, 1, 0.5)),
     ]
 
 
 def test_report_back():
     [(_, ended)] = decode(SWITCH, event("8c 5d3a91c4 00004844 00000000 0000 00 0a124a07 1f93 01 00"))
-    assert ended == i.AttemptEnded(0x5D3A91C4, 0, 0x0A124A071F93, i.Outcome.OK, 0x4844, 0, True, ())
+    assert ended == AttemptEnded(0x5D3A91C4, 0, 0x0A124A071F93, Outcome.OK, 0x4844, 0, True, ())
 
 
 def test_list_of_hosts():
@@ -97,7 +110,7 @@
     ) + record("0a9011f2 1fbc 00 40900000 0000 0000 41400000 01 3fc00000 00000000005d1420", 32)
     records = (SWITCH, SPAWN, event(f"78 0000 {len(SETTINGS):08x} 00000002"), event(f"46 02 0000 {41:016x}"))
     [_, (who, changed)] = decode(*records, tail=SETTINGS + entries)
-    assert (who, changed.form, changed.version) == (3, i.ListForm.CACHED, 41)
+    assert (who, changed.form, changed.version) == (3, ListForm.CACHED, 41)
     assert [m.id for m in changed.machines] == [0x0A124A071F93, 0x0A9011F21FBC]
     assert (changed.machines[0].free_cores, changed.machines[0].free_memory) == (3.5, 12.0)
     assert changed.machines[1].born_us == 0x5D1420
@@ -106,9 +119,9 @@
 def test_reply_frame():
     frame = codec.encode_reply(
         [
-            (3, [i.Offer(0x5D3A91C4, 0x0A124A071F93, 80000), i.SetTimer(500000, 0x4D)]),
+            (3, [Offer(0x5D3A91C4, 0x0A124A071F93, 80000), SetTimer(500000, 0x4D)]),
             (4, []),
-            (5, [i.Log("x")]),
+            (5, [Log("x")]),
         ]
     )
     count, length = struct.unpack(">II", frame[:8])
@@ -123,14 +136,14 @@
 @pytest.mark.parametrize(
     "action, text",
     [
-        (i.Cancel(7, 1), "1e 00000007 0001"),
-        (i.Refuse(7, 9), "50 00000007 00000009"),
-        (i.Fail(7), "78 00000007"),
-        (i.Move(7), "0a 00000007"),
-        (i.Probe(0x0A124A071F93), "5a 0a124a07 1f93"),
-        (i.Subscribe(True), "28 01"),
-        (i.Subscribe(False), "28 00"),
-        (i.FetchList(), "32"),
+        (Cancel(7, 1), "1e 00000007 0001"),
+        (Refuse(7, 9), "50 00000007 00000009"),
+        (Fail(7), "78 00000007"),
+        (Move(7), "0a 00000007"),
+        (Probe(0x0A124A071F93), "5a 0a124a07 1f93"),
+        (Subscribe(True), "28 01"),
+        (Subscribe(False), "28 00"),
+        (FetchList(), "32"),
     ],
 )
 def test_actions(action, text):
@@ -165,8 +178,8 @@
 
 def test_settings_that_start_an_instance():
     settings = codec.parse_settings(SETTINGS)
-    assert settings.classes[0].effect is i.Effect.KEYED and settings.classes[0].group is i.Scope.CELL
-    assert settings.kinds[1] == i.MachineKind("node-big", 61.0, 179.0)
+    assert settings.classes[0].effect is Effect.KEYED and settings.classes[0].group is Scope.CELL
+    assert settings.kinds[1] == MachineKind("node-big", 61.0, 179.0)
     assert settings.classes[0].spread_most == 3 and not settings.reports_asked
     assert settings.may_cancel is False and settings.tenants == ()
 
--- a/tests/test_zone_verdicts.py
+++ b/tests/test_zone_verdicts.py
@@ -9,7 +9,7 @@
 from weldhatch.coordination.messages import Ask
 from weldhatch.coordination.state_machine import Group
 from weldhatch.coordination.zone_leader import Zoning
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Tenant
 from weldhatch.testbed.simulated_zones import settings as realm_settings
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.state import Phase, Zones
@@ -146,7 +146,7 @@
     def test_what_tenants_ask_over_their_shares_is_turned_away_first(self):
         portions = {"acme": 0.5, "bolt": 0.25, "cogs": 0.25}
         settings = replace(
-            SETTINGS, tenants=tuple(i.Tenant(name, portion=one) for name, one in portions.items())
+            SETTINGS, tenants=tuple(Tenant(name, portion=one) for name, one in portions.items())
         )
         marshal, zones = Marshal(0.0, "l", Times(), 1.0, 0.5, 0.02), Zones()
         now = 0.0
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,7 +10,25 @@
 from hypothesis import strategies as st
 
 from weldhatch import config
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import (
+    AttemptEnded,
+    MachinesChanged,
+    Placed,
+    ProbeAnswered,
+    RequestArrived,
+    RequestGone,
+)
+from weldhatch.scheduling.types import (
+    Effect,
+    ListForm,
+    Machine,
+    Outcome,
+    Reason,
+    RequestClass,
+    Scope,
+    Settings,
+    Tenant,
+)
 from weldhatch.testbed.simulated_zones import settings as realm_settings
 from weldhatch.zones import capacity, load_shedding
 from weldhatch.zones.failover_member import Keeper
@@ -50,11 +68,11 @@
 
     def test_full_is_no_failure_and_one_in_eight_is_gray(self):
         keeper = Keeper(SETTINGS, 0.02, Random(1), str)
-        keeper.heard(0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, 1) for n in range(8))))
+        keeper.heard(0.0, MachinesChanged(ListForm.FULL, tuple(Machine(n, 1) for n in range(8))))
         for n in range(8):
-            keeper.heard(1.0, i.AttemptEnded(n, 0, n, i.Outcome.FULL, reason=i.Reason.NO_CORES))
+            keeper.heard(1.0, AttemptEnded(n, 0, n, Outcome.FULL, reason=Reason.NO_CORES))
         self.assertIs(keeper.sight.counts(1.0)["z1"].look(), Look.FINE)
-        keeper.heard(1.1, i.AttemptEnded(9, 0, 3, i.Outcome.TIMEOUT))
+        keeper.heard(1.1, AttemptEnded(9, 0, 3, Outcome.TIMEOUT))
         self.assertIs(keeper.sight.counts(1.1)["z1"].look(), Look.GRAY)
 
     def test_a_place_of_two_machines_is_nothing_that_evidence_moves(self):
@@ -115,11 +133,9 @@
             self.assertAlmostEqual(one, 1 - kept[name] / rates[name], delta=0.006)
 
     def test_shares_are_what_the_settings_give_all_tenants(self):
-        some = (i.Tenant("a", 5.0, 0.4, 8.0), i.Tenant("b", 5.0, 0.6, 0.0))
+        some = (Tenant("a", 5.0, 0.4, 8.0), Tenant("b", 5.0, 0.6, 0.0))
         self.assertEqual(load_shedding.weights(some), {"a": 5.0, "b": 5.0})
-        self.assertEqual(
-            load_shedding.weights((i.Tenant("a"), i.Tenant("b", portion=1.0))), {"a": 1.0, "b": 1.0}
-        )
+        self.assertEqual(load_shedding.weights((Tenant("a"), Tenant("b", portion=1.0))), {"a": 1.0, "b": 1.0})
         self.assertEqual(load_shedding.of_shed({"lookup": 0.5}, [], some), {})
         told = [{"tenants": {"lookup": {"a": 4.0, "nobody": 50.0}}}, {"tenants": {"lookup": {"b": 4.0}}}]
         self.assertEqual(
@@ -189,23 +205,21 @@
         keeper = Keeper(SETTINGS, 0.02, Random(1), str)
         keeper.heard(
             0.0,
-            i.MachinesChanged(
-                i.ListForm.FULL, tuple(i.Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))
-            ),
+            MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))),
         )
         for n in range(30):
             self.assertEqual(keeper.stops(1.0, n, 0), "")
             if n % 3 != 1:
-                keeper.heard(1.0, i.ProbeAnswered(n, i.Outcome.OK))
+                keeper.heard(1.0, ProbeAnswered(n, Outcome.OK))
         self.assertEqual(keeper.tick(1.3), [])
-        keeper.heard(1.6, i.ProbeAnswered(0, i.Outcome.OK))
+        keeper.heard(1.6, ProbeAnswered(0, Outcome.OK))
         self.assertEqual(keeper.stops(1.6, 4, 0), "its zone says nothing")
         asked = keeper.tick(1.6)
         self.assertEqual((len(asked), {machine % 3 for machine in asked}), (3, {1}))
         self.assertEqual({keeper.state(1.6, n) for n in range(30) if n % 3 == 1}, {"draining"})
         self.assertEqual(keeper.state(1.6, 0), "ready")
         self.assertEqual(len(keeper.tick(1.7)), 0)
-        keeper.heard(1.8, i.ProbeAnswered(4, i.Outcome.FULL))
+        keeper.heard(1.8, ProbeAnswered(4, Outcome.FULL))
         self.assertEqual((keeper.stops(1.8, 4, 0), keeper.state(1.8, 4)), ("", "ready"))
 
 
@@ -263,9 +277,9 @@
 
 class Room(unittest.TestCase):
     classes = (
-        i.RequestClass("lookup", 1, 1, worth=1.0),
-        i.RequestClass("import", 1, 1, worth=2.0),
-        i.RequestClass("writer", 1, 1, worth=5.0),
+        RequestClass("lookup", 1, 1, worth=1.0),
+        RequestClass("import", 1, 1, worth=2.0),
+        RequestClass("writer", 1, 1, worth=5.0),
     )
 
     def test_what_the_rest_can_bear_is_not_turned_away(self):
@@ -330,9 +344,7 @@
         self.keeper = Keeper(SETTINGS, 0.02, Random(1), lambda machine: f"m{machine}")
         self.keeper.heard(
             0.0,
-            i.MachinesChanged(
-                i.ListForm.FULL, tuple(i.Machine(n, n % 3, cell=n // 3 % 2) for n in range(12))
-            ),
+            MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3, cell=n // 3 % 2) for n in range(12))),
         )
         self.zones = Zones()
 
@@ -342,8 +354,8 @@
         self.keeper.agreed(now, Zones.of(json.loads(json.dumps(self.zones.state()))))
 
     def place(self, now, request, machine, class_index=0, key=0):
-        self.keeper.heard(now, i.RequestArrived(request, class_index, 0, 1, 1.0, 1.0, key))
-        self.keeper.heard(now, i.Placed(request, 0, machine, 0))
+        self.keeper.heard(now, RequestArrived(request, class_index, 0, 1, 1.0, 1.0, key))
+        self.keeper.heard(now, Placed(request, 0, machine, 0))
 
     def test_a_left_zone_gets_nothing_and_is_looked_at(self):
         self.agree(1.0, "leaving")
@@ -373,11 +385,11 @@
         self.place(1.0, 2, 7, 1, 0xBB)
         self.place(1.0, 3, 3, 1, 0xCC)
         for request, machine in ((4, 10), (5, 9)):  # no answer: one there may run
-            self.keeper.heard(1.2, i.RequestArrived(request, 1, 0, 1, 1.0, 1.0, 0xD0 + request))
-            self.keeper.heard(1.4, i.AttemptEnded(request, 0, machine, i.Outcome.TIMEOUT))
+            self.keeper.heard(1.2, RequestArrived(request, 1, 0, 1, 1.0, 1.0, 0xD0 + request))
+            self.keeper.heard(1.4, AttemptEnded(request, 0, machine, Outcome.TIMEOUT))
         self.place(1.0, 6, 1, 1, 0xEE)
-        self.keeper.heard(1.4, i.AttemptEnded(6, 0, 1, i.Outcome.RESET, closed=True))  # given up as lost
-        self.keeper.heard(1.5, i.ProbeAnswered(7, i.Outcome.CONNECT_FAILED))
+        self.keeper.heard(1.4, AttemptEnded(6, 0, 1, Outcome.RESET, closed=True))  # given up as lost
+        self.keeper.heard(1.5, ProbeAnswered(7, Outcome.CONNECT_FAILED))
         self.agree(2.0, "leaving")
         self.assertEqual(self.keeper.fences(), ("z1", ["aa", "d4", "ee"]))
         self.zones.fence("z1", ["aa", "d4", "ee"], "d0")
@@ -388,9 +400,9 @@
 
     def test_keyed_work_waits_out_its_window(self):
         settings = realm_settings(3, 8)
-        keyed = i.RequestClass("import", 1, 1, i.Effect.KEYED, i.Scope.ZONE, 4_000_000)
+        keyed = RequestClass("import", 1, 1, Effect.KEYED, Scope.ZONE, 4_000_000)
         keeper = self.keeper = Keeper(
-            i.Settings(
+            Settings(
                 **{
                     **{name: getattr(settings, name) for name in ("kinds", "zones", "group_size")},
                     "classes": (settings.classes[0], keyed),
@@ -400,7 +412,7 @@
             Random(1),
             str,
         )
-        keeper.heard(0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, n % 3) for n in range(6))))
+        keeper.heard(0.0, MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3) for n in range(6))))
         self.place(1.0, 1, 4, 1, 0xAA)
         self.agree(2.0, "leaving")
         self.assertIsNotNone(keeper.away(5.9, 1, 0xAA))
@@ -408,12 +420,12 @@
 
     def test_dispatchers_inside_go_on_where_that_was_agreed_and_end_where_not(self):
         inside = Keeper(
-            i.Settings(**{name: getattr(SETTINGS, name) for name in ("kinds", "zones", "classes")}, zone=1),
+            Settings(**{name: getattr(SETTINGS, name) for name in ("kinds", "zones", "classes")}, zone=1),
             0.02,
             Random(1),
             str,
         )
-        inside.heard(0.0, i.MachinesChanged(i.ListForm.FULL, (i.Machine(4, 1),)))
+        inside.heard(0.0, MachinesChanged(ListForm.FULL, (Machine(4, 1),)))
         self.agree(1.0, "leaving", inside=True)
         inside.agreed(1.0, self.zones)
         self.assertEqual((inside.state(1.0, 4), inside.away(1.0, 0, 0)), ("ready", None))
@@ -421,9 +433,9 @@
         change(self.zones, "z1", "left", inside=False)
         inside.agreed(1.1, self.zones)
         self.assertIsNone(inside.away(1.1, 0, 0))  # it still reaches the others, or does not know better
-        inside.heard(1.1, i.MachinesChanged(i.ListForm.DELTA, (i.Machine(3, 0), i.Machine(5, 2))))
+        inside.heard(1.1, MachinesChanged(ListForm.DELTA, (Machine(3, 0), Machine(5, 2))))
         for machine in (3, 5):
-            inside.heard(1.2, i.ProbeAnswered(machine, i.Outcome.TIMEOUT))
+            inside.heard(1.2, ProbeAnswered(machine, Outcome.TIMEOUT))
         inside.tick(1.2)
         self.assertIn("z1 is left", inside.away(1.2, 0, 0).why)
 
@@ -434,7 +446,7 @@
         self.assertIsNone(self.keeper.away(5.0, 1, 0))
 
     def test_a_tenant_in_its_share_is_not_turned_away_and_one_over_it_is_counted_whole(self):
-        tenants = (i.Tenant("acme"), i.Tenant("bolt"))
+        tenants = (Tenant("acme"), Tenant("bolt"))
         self.keeper.settle(replace(SETTINGS, tenants=tenants))
         self.agree(1.0, "leaving", shed={"lookup": 0.5}, tenants={"lookup": {"acme": 0.0, "bolt": 1.0}})
         self.assertEqual([self.keeper.away(5.0 + n / 100, 0, 0, 0, 1.0) for n in range(20)], [None] * 20)
@@ -445,14 +457,14 @@
 
     def test_inside_a_left_place_only_machines_known_to_be_warm_are_started_on_without_shares(self):
         inside = Keeper(replace(SETTINGS, zone=1), 0.02, Random(1), str)
-        inside.heard(0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, n % 3) for n in range(12))))
+        inside.heard(0.0, MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3) for n in range(12))))
         for machine in (3, 4, 7, 10):
-            inside.heard(1.0, i.ProbeAnswered(machine, i.Outcome.OK))
+            inside.heard(1.0, ProbeAnswered(machine, Outcome.OK))
         self.agree(9.0, "leaving", "left", inside=True)
         inside.agreed(9.0, self.zones)
         inside.broke(4)  # no list says that its process is a new one
-        inside.heard(9.0, i.ProbeAnswered(4, i.Outcome.OK))
-        inside.heard(9.0, i.ProbeAnswered(10, i.Outcome.CONNECT_FAILED))
+        inside.heard(9.0, ProbeAnswered(4, Outcome.OK))
+        inside.heard(9.0, ProbeAnswered(10, Outcome.CONNECT_FAILED))
         self.assertEqual(
             [inside.state(9.1, machine) for machine in (1, 4, 7, 10)],  # 1 was never heard of
             ["draining", "draining", "ready", "draining"],
@@ -476,8 +488,8 @@
         more = replace(SETTINGS, zones=(*ZONES, "z3"), classes=(*SETTINGS.classes, SETTINGS.classes[0]))
         self.keeper.settle(more)
         self.assertIsNone(self.keeper.away(1.0, 2, 0xAA))
-        self.keeper.heard(1.0, i.MachinesChanged(i.ListForm.DELTA, (i.Machine(99, 3),)))
-        self.keeper.heard(1.0, i.ProbeAnswered(99, i.Outcome.OK))
+        self.keeper.heard(1.0, MachinesChanged(ListForm.DELTA, (Machine(99, 3),)))
+        self.keeper.heard(1.0, ProbeAnswered(99, Outcome.OK))
         self.assertEqual(self.keeper.report(1.1)["looks"]["z3"][0], "fine")
 
     @hypothesis_settings(max_examples=50)
@@ -488,22 +500,22 @@
     )
     def test_the_tally_is_what_stands(self, events):
         keeper, standing, arrived = Keeper(SETTINGS, 0.02, Random(1), str), {}, set()
-        keeper.heard(0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, n % 3) for n in range(3))))
+        keeper.heard(0.0, MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3) for n in range(3))))
         for n, (what, request) in enumerate(events):
             match what:
                 case "arrive" if request not in standing:
                     arrived.add(request)
-                    keeper.heard(n, i.RequestArrived(request, 0, 0, 1, 1.0, 1.0))
+                    keeper.heard(n, RequestArrived(request, 0, 0, 1, 1.0, 1.0))
                 case "place" if request in arrived:
                     arrived.discard(request)
                     standing[request] = request % 3
-                    keeper.heard(n, i.Placed(request, 0, request % 3, 0))
+                    keeper.heard(n, Placed(request, 0, request % 3, 0))
                 case "end" if request in standing:
                     del standing[request]
-                    keeper.heard(n, i.AttemptEnded(request, 0, request % 3, i.Outcome.OK, closed=True))
+                    keeper.heard(n, AttemptEnded(request, 0, request % 3, Outcome.OK, closed=True))
                 case "gone" if request in arrived:
                     arrived.discard(request)
-                    keeper.heard(n, i.RequestGone(request))
+                    keeper.heard(n, RequestGone(request))
         cores = {}
         for machine in standing.values():
             cores[machine] = cores.get(machine, 0.0) + 1.0
--- a/weldhatch/cluster/admission.py
+++ b/weldhatch/cluster/admission.py
@@ -6,7 +6,7 @@
 
 from weldhatch.coordination.lease_holder import Holder
 from weldhatch.core.ports import Task
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones.failover_member import Keeper
 
 WAIT_US = 1_000_000  # for an owner that is turned away; settings may bound it
@@ -44,7 +44,7 @@
                 return None
             wait = max(1, int(1e6 * away.wait_s))
         self.refused += 1
-        told: i.Settings | None = self._holder.rules and self._holder.rules.narrow.settings
+        told: Settings | None = self._holder.rules and self._holder.rules.narrow.settings
         most = told.max_retry_after_us if told is not None and told.retry_after else WAIT_US
         return min(wait, most)
 
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from weldhatch.coordination.lease_holder import Holder
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Machine, MachineState
 from weldhatch.zones.endpoint_overlay import Narrowed
 
 GONE_MOST = 5000  # machines that went, and that the group may not know of yet
@@ -22,7 +22,7 @@
         self._told = Narrowed()
         self.changed: Callable[[], None] = lambda: None
 
-    def heard(self, topology: dict, machines: tuple[i.Machine, ...]) -> None:
+    def heard(self, topology: dict, machines: tuple[Machine, ...]) -> None:
         """One event of the bus, with its targets as the module was told of them."""
         self.rev = max(self.rev, int(topology.get("rev") or 0))
         uids = [str(target["uid"]) for target in topology.get("targets") or ()]
@@ -35,7 +35,7 @@
             self.states[uid] = machine.state.name.lower()
             self._ids[uid], self._uids[machine.id] = machine.id, uid
             self._told.heard(machine)
-            if machine.state is i.MachineState.GONE:
+            if machine.state is MachineState.GONE:
                 self._forget(uid)
         gone = [uid for uid, state in self.states.items() if state == "gone"]
         for uid in gone[: max(0, len(gone) - GONE_MOST)]:
@@ -46,7 +46,7 @@
         del self._uids[self._ids.pop(uid)]
 
     @property
-    def machines(self) -> tuple[i.Machine, ...]:
+    def machines(self) -> tuple[Machine, ...]:
         """All that our own list names and that are not gone."""
         return tuple(self._told.entries.values())
 
@@ -54,7 +54,7 @@
         """What the group should hear of our list."""
         return holder.group.lists.news(self.rev, self.states)
 
-    def narrow(self, holder: Holder, zoned: Callable[[int], str] | None = None) -> tuple[i.Machine, ...]:
+    def narrow(self, holder: Holder, zoned: Callable[[int], str] | None = None) -> tuple[Machine, ...]:
         """Machines of which the module should hear another state than it was told last.
 
         `zoned`: what a machine counts as by its zone, where any zone may count for less.
@@ -67,7 +67,7 @@
                 self._ids[uid] for uid in group.lists.entries.keys() | group.words.keys() if uid in self._ids
             ]
 
-        def acts(machine: i.Machine) -> str:
+        def acts(machine: Machine) -> str:
             state = holder.acts(self._uids[machine.id], self.rev)
             return zoned(machine.id) if state == "ready" and zoned is not None else state
 
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -24,21 +24,22 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.remote_sites import link_contexts
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import Event, MachinesChanged
+from weldhatch.scheduling.types import ListForm, Machine, Settings
 from weldhatch.zones.endpoint_overlay import Narrowed
 
 
 class Front(Protocol):
     """What a governor needs of a front."""
 
-    settings: i.Settings
+    settings: Settings
     driver: Driver
     roll: Roll | None  # of a front whose machines come by lists
 
-    def listed(self, machines: tuple[i.Machine, ...]) -> None:
+    def listed(self, machines: tuple[Machine, ...]) -> None:
         """Machines that count for less, or for more again, than the front's own list said last."""
 
-    def rule(self, settings: i.Settings, rules: Rules) -> None:
+    def rule(self, settings: Settings, rules: Rules) -> None:
         """Decide by these settings from now on, as far as `rules` lets anything start."""
 
     def name_of(self, machine: int) -> str:
@@ -79,11 +80,11 @@
         where the group leaves zones that fail."""
         self._front, self._log, own = front, log, front.settings
 
-        def read(tree: dict) -> i.Settings:
+        def read(tree: dict) -> Settings:
             settings = config.settings_of_json(tree)
             return replace(settings, zone=own.zone, me=own.me, tick_us=own.tick_us)
 
-        def fits(settings: i.Settings) -> str:
+        def fits(settings: Settings) -> str:
             try:
                 compatibility.changes(front.settings, settings)
             except compatibility.Unfit as unfit:
@@ -161,11 +162,11 @@
             if machines := known.news(
                 known.entries if zoned else (), lambda machine: zoned(machine.id) if zoned else "ready"
             ):
-                self._front.driver.tell(i.MachinesChanged(i.ListForm.DELTA, machines))
+                self._front.driver.tell(MachinesChanged(ListForm.DELTA, machines))
 
-    def _listed(self, event: i.Event) -> None:
+    def _listed(self, event: Event) -> None:
         """What the module hears of machines that make themselves known."""
-        if isinstance(event, i.MachinesChanged):
+        if isinstance(event, MachinesChanged):
             for machine in event.machines:
                 self._known.heard(machine)
 
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -15,7 +15,7 @@
 from weldhatch.coordination import node
 from weldhatch.coordination.leader import Spans
 from weldhatch.coordination.messages import Word
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones.failover_leader import Times
 
 TICK = 0.0375  # of the stated time: half of the beat of voters
@@ -38,8 +38,8 @@
     def __init__(
         self,
         told: AgreementFile,
-        read: Callable[[dict], i.Settings],
-        fits: Callable[[i.Settings], str],
+        read: Callable[[dict], Settings],
+        fits: Callable[[Settings], str],
         first: dict,
         changed: Callable[[], None],
         log: Callable[[str], None],
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -9,7 +9,8 @@
 
 from weldhatch.cluster.node import Agreement, Unreached
 from weldhatch.core.policy_driver import Driver
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, Settings
 from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.start_quota import Share
 from weldhatch.zones.state import Phase
@@ -24,7 +25,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         drift: float,
         stated: float,
         driver: Driver,
@@ -45,9 +46,9 @@
         driver.watches.append(lambda event: self.keeper.heard(now(), event))
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
-    def join(self, agreement: Agreement, machines: tuple[i.Machine, ...]) -> None:
+    def join(self, agreement: Agreement, machines: tuple[Machine, ...]) -> None:
         """`machines`: those that the module heard of before we listened to what it hears."""
-        self.keeper.heard(self._now(), i.MachinesChanged(i.ListForm.DELTA, machines))
+        self.keeper.heard(self._now(), MachinesChanged(ListForm.DELTA, machines))
         self._agreement = agreement
         agreement.member.sight = self.sight
 
@@ -71,7 +72,7 @@
             self._driver.site.probe(
                 machine,
                 lambda outcome, report, machine=machine: self.keeper.heard(
-                    self._now(), i.ProbeAnswered(machine, outcome, 0, report)
+                    self._now(), ProbeAnswered(machine, outcome, 0, report)
                 ),
             )
         if self._agreement is None:
--- a/weldhatch/config.py
+++ b/weldhatch/config.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.settings import ConfigError, flat, settings_of_json, settings_of_text
 
 __all__ = ["ConfigError", "settings_of_json", "settings_of_text"]  # of `weldhatch.settings`, for all others
@@ -34,7 +34,7 @@
     sockets: int
     bus: tuple[str, int]
     known: tuple[dict, ...]
-    settings: i.Settings
+    settings: Settings
     dial_s: float
     probe_s: float
 
@@ -177,7 +177,7 @@
     sockets: int
     remember: int
     timing: Timing
-    settings: i.Settings
+    settings: Settings
     security: SecurityFile
     sites: SitesFile | None = None
     agreement: AgreementFile | None = None
--- a/weldhatch/coordination/compatibility.py
+++ b/weldhatch/coordination/compatibility.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, fields, replace
 from enum import Enum
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, MachineKind, RequestClass, Scope, Settings, Tenant
 
 MANY = 8  # dispatchers from which on a service starts at its first home, as the module has it
 
@@ -141,10 +141,10 @@
         raise AssertionError(f"rules.table: {kind.__name__}: {sorted(known ^ (rows.keys() | besides))}")
 
 
-_check(i.Settings, SETTINGS, LISTS)
-_check(i.RequestClass, CLASSES)
-_check(i.MachineKind, KINDS)
-_check(i.Tenant, TENANTS)
+_check(Settings, SETTINGS, LISTS)
+_check(RequestClass, CLASSES)
+_check(MachineKind, KINDS)
+_check(Tenant, TENANTS)
 
 
 @dataclass(slots=True, frozen=True)
@@ -166,7 +166,7 @@
         self.key, self.reason = key, reason
 
 
-def changes(old: i.Settings, new: i.Settings) -> list[Change]:
+def changes(old: Settings, new: Settings) -> list[Change]:
     """All values that differ. Raises Unfit where the change takes a restart of the whole group."""
     out = [
         change
@@ -188,7 +188,7 @@
 
 
 def _told(value: object) -> object:
-    return value.value if isinstance(value, i.Effect | i.Scope) else value
+    return value.value if isinstance(value, Effect | Scope) else value
 
 
 def _items(list_key: str, rows: dict, old: tuple, new: tuple, of_class: bool = False) -> Iterator[Change]:
@@ -220,7 +220,7 @@
     `blocked`: classes of which nothing new starts; `all_blocked`: of none of them.
     """
 
-    settings: i.Settings
+    settings: Settings
     blocked: frozenset[str] = frozenset()
     all_blocked: bool = False
 
@@ -228,7 +228,7 @@
         return not self.all_blocked and name not in self.blocked
 
 
-def meet(old: i.Settings, new: i.Settings) -> Narrow:
+def meet(old: Settings, new: Settings) -> Narrow:
     """The narrower of two versions, value by value. It has the places of `old`: what is added waits."""
     blocked, everything = set(), False
     for change in changes(old, new):
@@ -275,9 +275,9 @@
     return any(change.overlap in (Overlap.WIDENS, Overlap.SWITCHES) for change in found)
 
 
-def touches_safe(found: list[Change], old: i.Settings, new: i.Settings) -> bool:
+def touches_safe(found: list[Change], old: Settings, new: Settings) -> bool:
     """Whether a dispatcher without a lease, which goes on with safe work, could contradict them."""
-    safe = {cls.name for one in (old, new) for cls in one.classes if cls.effect is i.Effect.SAFE}
+    safe = {cls.name for one in (old, new) for cls in one.classes if cls.effect is Effect.SAFE}
     return any(
         change.overlap is not Overlap.FREE and (not change.of or change.of in safe) for change in found
     )
--- a/weldhatch/coordination/leader.py
+++ b/weldhatch/coordination/leader.py
@@ -13,7 +13,7 @@
 from weldhatch.coordination import compatibility
 from weldhatch.coordination.messages import Ask, Learn
 from weldhatch.coordination.state_machine import Group
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 
 COMMANDS_MOST = 200  # that are sent as a difference; more, and the whole state goes
 
@@ -72,7 +72,7 @@
 
     spans: Spans
     began: float
-    read: Callable[[dict], i.Settings]  # a version's settings; ConfigError for what is none
+    read: Callable[[dict], Settings]  # a version's settings; ConfigError for what is none
     lives: dict[tuple[str, int, str], Life] = field(default_factory=dict)
     log: dict[int, str] = field(default_factory=dict)  # the last commands by index
     _changes: dict[tuple[int, int], tuple[list[compatibility.Change], bool]] = field(default_factory=dict)
--- a/weldhatch/coordination/lease_holder.py
+++ b/weldhatch/coordination/lease_holder.py
@@ -16,7 +16,7 @@
 from weldhatch.coordination.leader import Spans
 from weldhatch.coordination.messages import Ask, Learn
 from weldhatch.coordination.state_machine import Group
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, RequestClass, Settings
 
 
 class Footing(Enum):
@@ -45,8 +45,8 @@
         epoch: int,
         token: str,
         spans: Spans,
-        read: Callable[[dict], i.Settings],
-        fits: Callable[[i.Settings], str] = lambda settings: "",
+        read: Callable[[dict], Settings],
+        fits: Callable[[Settings], str] = lambda settings: "",
     ) -> None:
         """`fits`: '' where this dispatcher can act on such settings, or the key and the reason."""
         self.name, self._epoch, self._token, self.spans = name, epoch, token, spans
@@ -163,7 +163,7 @@
             return Footing.LEASE
         return Footing.GROUND if now < self.ground_ends else Footing.NOTHING
 
-    def refusal(self, now: float, cls: i.RequestClass, machine: str = "", rev: int = 0) -> str:
+    def refusal(self, now: float, cls: RequestClass, machine: str = "", rev: int = 0) -> str:
         """Why nothing of this class may start now, on that machine; '' where it may.
 
         `rev`: the revision of this dispatcher's own list of machines, 0 for none.
@@ -179,7 +179,7 @@
         narrow = self.rules.narrow
         if not narrow.allows(cls.name):
             return f"version {self.rules.prepared} switches it: neither the old nor the new rules act yet"
-        if footing is Footing.GROUND and cls.effect is not i.Effect.SAFE:
+        if footing is Footing.GROUND and cls.effect is not Effect.SAFE:
             return "no lease: only safe work goes on"
         if machine and (state := self.acts(machine, rev)) != "ready":
             return f"{machine} is {state}"
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -19,7 +19,7 @@
 from weldhatch.coordination.messages import Ask, Learn, Result, Submit, Word
 from weldhatch.coordination.state_machine import Group
 from weldhatch.coordination.zone_leader import Zoning
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones.failover_leader import Times
 
 SNAPSHOT_EVERY = 400  # entries
@@ -52,8 +52,8 @@
         epoch: int,
         token: str,
         spans: Spans,
-        read: Callable[[dict], i.Settings],
-        fits: Callable[[i.Settings], str],
+        read: Callable[[dict], Settings],
+        fits: Callable[[Settings], str],
         first: dict,
         random: Random,
         now: float,
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -9,7 +9,7 @@
 from weldhatch.coordination.leader import Coordinator
 from weldhatch.coordination.messages import Ask
 from weldhatch.coordination.state_machine import Group
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.start_quota import Share
 
@@ -29,15 +29,15 @@
         term: int,
         times: Times,
         coordinator: Coordinator,
-        read: Callable[[dict], i.Settings],
+        read: Callable[[dict], Settings],
     ) -> None:
         self._now, self._name, self._times, self._coordinator = now, f"{name}.{term}", times, coordinator
         self._read = read
         self._marshal: Marshal | None = None
-        self._settings: tuple[int, i.Settings | None] = (0, None)
+        self._settings: tuple[int, Settings | None] = (0, None)
         self._looked = float("-inf")
 
-    def _current(self, group: Group) -> tuple[Marshal, i.Settings] | None:
+    def _current(self, group: Group) -> tuple[Marshal, Settings] | None:
         """Nothing before a version is in force: only that names the zones."""
         if group.active is None:
             return None
--- a/weldhatch/core/policy_driver.py
+++ b/weldhatch/core/policy_driver.py
@@ -8,7 +8,9 @@
 from collections.abc import Callable
 
 from weldhatch.core.ports import Decider, Directory, Site
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.actions import Action, FetchList, Log, Probe, SetTimer, Subscribe
+from weldhatch.scheduling.events import Event, ProbeAnswered, TimerFired
+from weldhatch.scheduling.types import Settings
 
 
 def unix_us() -> int:
@@ -20,41 +22,41 @@
 
     def __init__(self, policy: Decider, log: Callable[[str], None]) -> None:
         self._policy, self._log = policy, log
-        self._inbox: list[i.Event] = []
+        self._inbox: list[Event] = []
         self._waiting: list[asyncio.Future] = []
         self._loop = asyncio.get_running_loop()
-        self._lives: dict[int, Callable[[i.Action], None]] = {}
+        self._lives: dict[int, Callable[[Action], None]] = {}
         self._last = 0
-        self.watches: list[Callable[[i.Event], None]] = []  # each hears every event that the module gets
+        self.watches: list[Callable[[Event], None]] = []  # each hears every event that the module gets
         self.site: Site | None = None
         self.directory: Directory | None = None
 
-    def register(self, decided: Callable[[i.Action], None]) -> int:
+    def register(self, decided: Callable[[Action], None]) -> int:
         """A number for a new request, whose actions go to `decided` until it is forgotten."""
         self._last += 1
         self._lives[self._last] = decided
         return self._last
 
-    def rule(self, settings: i.Settings) -> None:
+    def rule(self, settings: Settings) -> None:
         """Other settings are in force from the next batch on."""
         self._policy.settle(settings)
 
     def forget(self, request: int) -> None:
         self._lives.pop(request, None)
 
-    def post(self, *events: i.Event) -> None:
+    def post(self, *events: Event) -> None:
         self.tell(*events)
         for watch in self.watches:
             for event in events:
                 watch(event)
 
-    def tell(self, *events: i.Event) -> None:
+    def tell(self, *events: Event) -> None:
         """As `post`, for what those who watch have worked out themselves."""
         if not self._inbox:
             self._loop.call_soon(self._run)
         self._inbox += events
 
-    def settled(self, *events: i.Event) -> asyncio.Future:
+    def settled(self, *events: Event) -> asyncio.Future:
         """Post the events; done once all posted so far is decided and its actions have been routed."""
         self.post(*events)
         done = self._loop.create_future()
@@ -69,7 +71,7 @@
             if not done.done():
                 done.set_result(None)
 
-    def _decide(self, events: list[i.Event]) -> None:
+    def _decide(self, events: list[Event]) -> None:
         try:
             actions = self._policy.handle(unix_us(), events)
         except Exception:
@@ -80,23 +82,23 @@
         for action in actions:
             self._route(action)
 
-    def _route(self, action: i.Action) -> None:
+    def _route(self, action: Action) -> None:
         match action:
-            case i.SetTimer(after, timer):
-                self._loop.call_later(after / 1e6, self.post, i.TimerFired(timer))
-            case i.Probe(machine):
+            case SetTimer(after, timer):
+                self._loop.call_later(after / 1e6, self.post, TimerFired(timer))
+            case Probe(machine):
                 sent = unix_us()
                 self.site.probe(
                     machine,
                     lambda outcome, report: self.post(
-                        i.ProbeAnswered(machine, outcome, max(0, unix_us() - sent), report)
+                        ProbeAnswered(machine, outcome, max(0, unix_us() - sent), report)
                     ),
                 )
-            case i.Subscribe(on):
+            case Subscribe(on):
                 self.directory.subscribe(on)
-            case i.FetchList():
+            case FetchList():
                 self.directory.subscribe(True)  # a subscription has told all there is to tell
-            case i.Log(text):
+            case Log(text):
                 self._log(text)
             case _:
                 if decided := self._lives.get(action.request):
--- a/weldhatch/core/ports.py
+++ b/weldhatch/core/ports.py
@@ -7,7 +7,9 @@
 from enum import Enum
 from typing import Protocol
 
-from weldhatch.scheduling.types import Action, Event, Outcome, Settings
+from weldhatch.scheduling.actions import Action
+from weldhatch.scheduling.events import Event
+from weldhatch.scheduling.types import Outcome, Settings
 
 GIVEN_UP = 16  # the cause of a set-up that is given up, and of a task that came to its end
 CUT = 41  # the cause of a task that was cut, or lost with its machine
--- a/weldhatch/core/request_lifecycle.py
+++ b/weldhatch/core/request_lifecycle.py
@@ -24,7 +24,9 @@
     Task,
     TimeUp,
 )
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.actions import Cancel, Fail, Move, Offer, Refuse
+from weldhatch.scheduling.events import AttemptEnded, Note, Placed, RequestArrived, RequestGone, TaskAdopted
+from weldhatch.scheduling.types import Outcome
 
 HEARD_OUT_TURNS = 4  # turns of the event loop in which what has come from an owner is read and told
 OVERDUE_US = 20_000  # the module answers before the deadline; so long after it, the core does
@@ -94,7 +96,7 @@
             self._core.log(f"request {self.id}: " + traceback.format_exc().replace("\n", " | "))
             if not self._answered:
                 self._owner.failed()
-            self._driver.post(i.RequestGone(self.id))
+            self._driver.post(RequestGone(self.id))
         finally:
             self._driver.forget(self.id)
             self._core.lives.discard(self)
@@ -114,7 +116,7 @@
             self._owner.refused(away)
             return None
         self._driver.post(
-            i.RequestArrived(
+            RequestArrived(
                 self.id,
                 task.class_index,
                 task.deadline_us,
@@ -134,18 +136,18 @@
         try:
             while True:
                 match await self._next():
-                    case i.Offer() as offer:
+                    case Offer() as offer:
                         if await self._given_up_by_now():
                             self._words.append(offer)  # `_withdraw` ends it: it never left
                             continue
                         over, placed = await self._attempt(offer)
                         if over:
                             return placed
-                    case i.Refuse(_, wait):
+                    case Refuse(_, wait):
                         self._answered = True
                         self._owner.refused(wait)
                         return None
-                    case i.Fail():
+                    case Fail():
                         self._answered = True
                         self._owner.failed()
                         return None
@@ -188,13 +190,13 @@
         Guards against an offer decided in the batch that also told of the end: unless it gets its end
         too, the module counts it as out for ever.
         """
-        await self._driver.settled(i.RequestGone(self.id))
+        await self._driver.settled(RequestGone(self.id))
         for word in self._words:
-            if isinstance(word, i.Offer):
-                self._ended(word.machine, self._attempts, unix_us(), i.Outcome.NOT_SENT, closed=True)
+            if isinstance(word, Offer):
+                self._ended(word.machine, self._attempts, unix_us(), Outcome.NOT_SENT, closed=True)
                 self._attempts += 1
 
-    async def _attempt(self, offer: i.Offer) -> tuple[bool, tuple[int, int, int] | None]:
+    async def _attempt(self, offer: Offer) -> tuple[bool, tuple[int, int, int] | None]:
         """One attempt from its offer to its one end; whether the request is over, and where it stands."""
         machine, number, sent = offer.machine, self._attempts, unix_us()
         self._attempts += 1
@@ -203,7 +205,7 @@
             wait = min(wait, offer.give_up_us)
         if (rules := self._core.rules) and rules.stops(self.task.class_index, machine, number):
             # Guards against rules that moved on between the decision and the send.
-            self._ended(machine, number, sent, i.Outcome.NOT_SENT)
+            self._ended(machine, number, sent, Outcome.NOT_SENT)
             return False, None
         timer = self._loop.call_later(wait / 1e6, self.tell, TimeUp(number))
         self._site.offer(machine, self.task, number, wait, self, offer.start_by_us)
@@ -213,26 +215,26 @@
                     case Answered(attempt, description) if attempt == number:
                         self._answered = True
                         self._owner.placed(description)
-                        self._driver.post(i.Placed(self.id, number, machine, unix_us() - sent))
+                        self._driver.post(Placed(self.id, number, machine, unix_us() - sent))
                         return True, (machine, number, sent)
                     case Ended(attempt, outcome, reason, report) if attempt == number:
                         self._ended(machine, number, sent, outcome, reason, report)
                         return False, None
-                    case TimeUp() | i.Cancel() if self._told(number):
+                    case TimeUp() | Cancel() if self._told(number):
                         pass  # its answer or its end was told in the same moment, and says more
                     case TimeUp(attempt) if attempt == number:
-                        if self._let_go(machine, number, sent, i.Outcome.TIMEOUT):
+                        if self._let_go(machine, number, sent, Outcome.TIMEOUT):
                             return False, None
-                    case i.Cancel(_, attempt) if attempt == number:
-                        if self._let_go(machine, number, sent, i.Outcome.CANCELLED):
+                    case Cancel(_, attempt) if attempt == number:
+                        if self._let_go(machine, number, sent, Outcome.CANCELLED):
                             return False, None
                     case GivenUp():
                         self._answered = True
-                        self._driver.post(i.RequestGone(self.id))
-                        self._let_go(machine, number, sent, i.Outcome.CANCELLED, closed=True)
+                        self._driver.post(RequestGone(self.id))
+                        self._let_go(machine, number, sent, Outcome.CANCELLED, closed=True)
                         return True, None
                     case Noted(attempt, topic, value) if attempt == number:
-                        self._driver.post(i.Note(self.id, number, machine, topic, value))
+                        self._driver.post(Note(self.id, number, machine, topic, value))
         finally:
             timer.cancel()
 
@@ -244,7 +246,7 @@
         """
         return any(isinstance(word, Ended | Answered) and word.attempt == number for word in self._words)
 
-    def _let_go(self, machine: int, number: int, sent: int, outcome: i.Outcome, closed: bool = False) -> bool:
+    def _let_go(self, machine: int, number: int, sent: int, outcome: Outcome, closed: bool = False) -> bool:
         """Give the attempt up; whether that ends it.
 
         One that stays out at its machine still ends here at the owner's deadline, since the owner is owed
@@ -254,7 +256,7 @@
         if let_go is LetGo.STILL_OUT and not closed and unix_us() < self.task.deadline_us:
             return False
         if let_go is LetGo.WITHDRAWN:
-            outcome = i.Outcome.CONNECT_FAILED
+            outcome = Outcome.CONNECT_FAILED
         self._ended(machine, number, sent, outcome, closed=closed)
         return True
 
@@ -263,15 +265,13 @@
         machine: int,
         number: int,
         sent: int,
-        outcome: i.Outcome,
+        outcome: Outcome,
         reason: int = 0,
         report: tuple[float, ...] = (),
         closed: bool = False,
     ) -> None:
         self._driver.post(
-            i.AttemptEnded(
-                self.id, number, machine, outcome, max(0, unix_us() - sent), reason, closed, report
-            )
+            AttemptEnded(self.id, number, machine, outcome, max(0, unix_us() - sent), reason, closed, report)
         )
 
     # ---- while the task stands -----------------------------------------------------------------------------
@@ -279,7 +279,7 @@
     def _adopted(self, machine: int) -> tuple[int, int, int]:
         task = self.task
         self._driver.post(
-            i.TaskAdopted(
+            TaskAdopted(
                 self.id,
                 task.class_index,
                 task.service,
@@ -312,7 +312,7 @@
                     owner_knows = True
                     self._site.release(machine, self.task, CALLED_OFF)
                 case Noted(attempt, topic, value) if attempt == number:
-                    self._driver.post(i.Note(self.id, number, machine, topic, value))
+                    self._driver.post(Note(self.id, number, machine, topic, value))
                 case GivenUp() if not owner_knows:
                     # The answer crossed the end of its owner's interest: nobody else would end the task.
                     owner_knows = True
@@ -320,7 +320,7 @@
                 case Released(cause) if not owner_knows:
                     owner_knows = True
                     self._site.release(machine, self.task, cause)
-                case i.Move() if not owner_knows:
+                case Move() if not owner_knows:
                     owner_knows = True
                     self._owner.moved()
                     self._site.move(machine, self.task)
@@ -328,7 +328,7 @@
                     self._ended(machine, number, sent, outcome, reason, report, closed=True)
                     if not self._answered:
                         self._answer(overdue)
-                        never_ran = outcome in (i.Outcome.FULL, i.Outcome.NOT_SENT, i.Outcome.CONNECT_FAILED)
+                        never_ran = outcome in (Outcome.FULL, Outcome.NOT_SENT, Outcome.CONNECT_FAILED)
                         self._owner.refused(0) if never_ran else self._owner.failed()
                     elif not owner_knows and cause != CALLED_OFF:
                         self._owner.released(cause or GIVEN_UP)
--- a/weldhatch/placement_request.py
+++ b/weldhatch/placement_request.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, Settings
 
 LEFT_MOST = 10  # an owner that waits for more than so many times its class's limit is not believed
 _HEX = re.compile(r"[0-9a-fA-F]{1,32}")
@@ -41,7 +41,7 @@
 class Form:
     """Reads set-ups under one deployment's classes and tenants."""
 
-    def __init__(self, settings: i.Settings, strict: bool = False) -> None:
+    def __init__(self, settings: Settings, strict: bool = False) -> None:
         """Strict: all machines are of the told kinds, and no set-up may leave out what they need."""
         self._settings, self._strict = settings, strict
         # Guards against figures that no machine can bear: servers answer those with an error.
@@ -73,7 +73,7 @@
         if tenant and self._tenants and tenant not in self._tenants:
             raise FieldError("tenant", f"no tenant is named {tenant!r}")
         cls = self._settings.classes[index]
-        keyed = cls.effect is i.Effect.KEYED
+        keyed = cls.effect is Effect.KEYED
         if not at and left * 1000 > LEFT_MOST * cls.deadline_us:
             raise FieldError("left", f"the unusable value {left:.0f}")
         key, idem = _text(fields, "key"), _text(fields, "idem")
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -19,7 +19,7 @@
 from weldhatch.platform import client_codec
 from weldhatch.platform.endpoint_list import number_of
 from weldhatch.platform.servers import Names
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 
 REFUSED, FAILED = 42, 47  # the causes of the two final answers that are not 'placed'
 ENDING_WAIT_US = 1_000_000  # when to come back, for what reaches a dispatcher that ends
@@ -189,7 +189,7 @@
 class Owners:
     """All owners' connections, and the set-ups by tag: a task that stands belongs to no connection."""
 
-    def __init__(self, settings: i.Settings, core: Core, share: Share, log: Callable[[str], None]) -> None:
+    def __init__(self, settings: Settings, core: Core, share: Share, log: Callable[[str], None]) -> None:
         self._core, self._share, self._log = core, share, Sparing(log)
         self._form = Form(settings, strict=True)
         self.links: set[OwnerLink] = set()
@@ -200,7 +200,7 @@
         self._sweeping = asyncio.get_running_loop().create_task(self._sweep())
         self.ending = False  # the planned end: what comes now is refused at once
 
-    def rule(self, settings: i.Settings) -> None:
+    def rule(self, settings: Settings) -> None:
         """Other settings are in force from now on; classes keep their places."""
         self._form = Form(settings, strict=True)
 
--- a/weldhatch/platform/endpoint_list.py
+++ b/weldhatch/platform/endpoint_list.py
@@ -6,9 +6,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import MachinesChanged
+from weldhatch.scheduling.types import ListForm, Machine, MachineState, Settings
 
-_STATES = {"ready": i.MachineState.READY, "draining": i.MachineState.DRAINING, "gone": i.MachineState.GONE}
+_STATES = {"ready": MachineState.READY, "draining": MachineState.DRAINING, "gone": MachineState.GONE}
 
 
 @dataclass(slots=True, frozen=True)
@@ -18,7 +19,7 @@
     machine: int
     uid: str
     endpoint: tuple[str, int]
-    state: i.MachineState
+    state: MachineState
     boot_ms: int
     zone: int = 0
     cell: int = 0
@@ -33,7 +34,7 @@
     """Turns bus events into list events for the policy, and knows the newest address of each machine."""
 
     def __init__(
-        self, settings: i.Settings, changed: Callable[[list[Server]], None], log: Callable[[str], None]
+        self, settings: Settings, changed: Callable[[list[Server]], None], log: Callable[[str], None]
     ) -> None:
         self._zones = {name: n for n, name in enumerate(settings.zones)}
         self._kinds = {kind.name: n for n, kind in enumerate(settings.kinds)}
@@ -42,7 +43,7 @@
         self.servers: dict[int, Server] = {}
         self.offset = 0
 
-    def take(self, event: dict) -> i.MachinesChanged | None:
+    def take(self, event: dict) -> MachinesChanged | None:
         """One event of the bus; None where it is old. Raises ValueError where it can't be read."""
         try:
             offset = int(event["offset"])
@@ -59,22 +60,22 @@
         if whole:
             named = {server.machine for server in servers}
             servers += [
-                replace(old, state=i.MachineState.GONE)
+                replace(old, state=MachineState.GONE)
                 for old in self.servers.values()
                 if old.machine not in named
             ]
         self.servers.update((server.machine, server) for server in servers)
         self._changed(servers)
         for server in servers:  # what has gone is told of as new if it ever comes back
-            if server.state == i.MachineState.GONE:
+            if server.state == MachineState.GONE:
                 self.servers.pop(server.machine, None)
         self.offset = offset
         names = ", ".join(f"{server.uid} {server.state.name.lower()}" for server in servers)
         self._log(f"event bus: event {offset}: {names}")
-        form = i.ListForm.CACHED if first and whole else i.ListForm.FULL if whole else i.ListForm.DELTA
-        return i.MachinesChanged(form, tuple(machine for _, machine in entries), version)
+        form = ListForm.CACHED if first and whole else ListForm.FULL if whole else ListForm.DELTA
+        return MachinesChanged(form, tuple(machine for _, machine in entries), version)
 
-    def _entry(self, target: dict) -> tuple[Server, i.Machine]:
+    def _entry(self, target: dict) -> tuple[Server, Machine]:
         uid, state, boot = str(target["uid"]), _STATES[target["state"]], int(target.get("boot_ms") or 0)
         number = number_of(uid)
         host, _, port = str(target.get("endpoint") or ":0").rpartition(":")
@@ -84,7 +85,7 @@
         kind = self._kinds.get(target.get("model"), 0)
         if target.get("az") not in self._zones or target.get("model") not in self._kinds:
             self._log(f"event bus: {uid} is in an unknown zone or of an unknown kind")
-        machine = i.Machine(
+        machine = Machine(
             number, zone, kind, cell, state, boot * 1000, weight=float(target.get("capacity_hint") or 1)
         )
         return Server(number, uid, (host, int(port)), state, boot, zone, cell), machine
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -16,7 +16,7 @@
 from weldhatch.platform import server_codec
 from weldhatch.platform.endpoint_list import Server
 from weldhatch.platform.health_check import SUSPECT_QUIET_S
-from weldhatch.scheduling import types
+from weldhatch.scheduling.types import MachineState, Outcome
 
 SILENT_S = 0.5  # a server that leaves a message unanswered, and says nothing, for so long is tried
 HALF_S = 0.4  # one that stops within a message for so long has lost its step
@@ -28,11 +28,11 @@
 IN_USE_S = 0.05  # a connection that was in use so lately is not closed for another
 LATE_ANSWER_S = 5.0  # so long after it was given up, a set-up may still be answered
 OUTCOMES_BEFORE_ANSWER = {  # of a release by its cause; any other cause is a reset
-    34: types.Outcome.FULL,
-    47: types.Outcome.ERROR,
-    102: types.Outcome.NOT_SENT,
+    34: Outcome.FULL,
+    47: Outcome.ERROR,
+    102: Outcome.NOT_SENT,
 }
-OUTCOMES_AFTER_ANSWER = {16: types.Outcome.OK, 31: types.Outcome.CANCELLED}
+OUTCOMES_AFTER_ANSWER = {16: Outcome.OK, 31: Outcome.CANCELLED}
 TOPICS = {"runs": 1, "cores": 2, "memory": 3, "served": 4, "pressure": 5}
 REASONS = {
     "no_cores": 1,
@@ -181,7 +181,7 @@
                 try:
                     self._up = await self._come_up()
                 except NoDescriptor:
-                    self._not_sent(types.Outcome.FULL)
+                    self._not_sent(Outcome.FULL)
                 except (OSError, TimeoutError) as error:
                     failing_since = failing_since or time.monotonic()
                     self._never_up()
@@ -246,7 +246,7 @@
             held = self.out[tag]
             if held.start_by_us and now > held.start_by_us:
                 del self.out[tag], self._pending[tag]
-                held.teller.tell(ports.Ended(held.attempt, types.Outcome.NOT_SENT))
+                held.teller.tell(ports.Ended(held.attempt, Outcome.NOT_SENT))
         pending, self._pending = self._pending, {}
         data = b"".join((*last_words, *pending.values()))
         self._asked = time.monotonic() if data else 0.0
@@ -262,12 +262,12 @@
     def _never_up(self) -> None:
         """No connection: what waited for it never ran."""
         self._pending.clear()
-        self._end_open(types.Outcome.CONNECT_FAILED)
+        self._end_open(Outcome.CONNECT_FAILED)
 
-    def _not_sent(self, probed: types.Outcome) -> None:
+    def _not_sent(self, probed: Outcome) -> None:
         """Nothing that waited has left, and that tells nothing of the machine."""
         self._pending.clear()
-        self._end_open(types.Outcome.NOT_SENT, probed)
+        self._end_open(Outcome.NOT_SENT, probed)
 
     def _broken(self) -> None:
         """The connection ended: what was out on it may have run."""
@@ -275,9 +275,9 @@
         if not self._makes_room:
             self._servers.broke(self.server.machine)
         self._makes_room = False
-        self._end_open(types.Outcome.RESET)
+        self._end_open(Outcome.RESET)
 
-    def _end_open(self, outcome: types.Outcome, probed: types.Outcome | None = None) -> None:
+    def _end_open(self, outcome: Outcome, probed: Outcome | None = None) -> None:
         """End all but what was asked for since the connection closed: that still waits for the next one.
 
         Guards against a set-up that is told as ended here and goes out there all the same.
@@ -294,14 +294,14 @@
         """Another server has the address now: all that was meant for this one is over."""
         self.replaced = True
         self.lose("has lost its address")
-        self._end_open(types.Outcome.RESET)
+        self._end_open(Outcome.RESET)
         self._never_up()
         self.close()
 
     @property
     def over(self) -> bool:
         """Whether the machine is gone and nothing is left to hear of it."""
-        return self.server.state == types.MachineState.GONE and self._settled
+        return self.server.state == MachineState.GONE and self._settled
 
     def lose(self, why: str, before: float = float("inf")) -> None:
         """The tasks that stood there are cut: those that stood before that moment."""
@@ -310,7 +310,7 @@
             self._servers.log(f"server {self.server.uid}: {why}; {len(cut)} tasks are lost")
         for tag, held in cut.items():
             del self.standing[tag]
-            held.teller.tell(ports.Ended(held.attempt, types.Outcome.RESET, cause=ports.CUT))
+            held.teller.tell(ports.Ended(held.attempt, Outcome.RESET, cause=ports.CUT))
 
     def excuse(self, now: float) -> None:
         """Guards against our own stalls: what a server said during one is not read yet."""
@@ -420,7 +420,7 @@
                 if probe := self.probes.pop(message.tag, None):
                     done, timer = probe
                     timer.cancel()
-                    done(types.Outcome.OK if passed else types.Outcome.FULL, report)
+                    done(Outcome.OK if passed else Outcome.FULL, report)
                 elif passed and report:
                     self._servers.reported(self.server.machine, report)
             case server_codec.TEST:
@@ -438,13 +438,13 @@
         report = self._servers.report(message)
         self._given_up.pop(message.tag, None)
         if held := self.out.pop(message.tag, None):
-            outcome = OUTCOMES_BEFORE_ANSWER.get(cause, types.Outcome.RESET)
+            outcome = OUTCOMES_BEFORE_ANSWER.get(cause, Outcome.RESET)
             held.teller.tell(ports.Ended(held.attempt, outcome, reason, report, cause))
         elif held := self.standing.pop(message.tag, None):
-            outcome = OUTCOMES_AFTER_ANSWER.get(cause, types.Outcome.RESET)
+            outcome = OUTCOMES_AFTER_ANSWER.get(cause, Outcome.RESET)
             held.teller.tell(ports.Ended(held.attempt, outcome, reason, report, cause))
         else:
             self._servers.unclaimed(
                 message.tag,
-                ports.Ended(0, OUTCOMES_AFTER_ANSWER.get(cause, types.Outcome.RESET), reason, report, cause),
+                ports.Ended(0, OUTCOMES_AFTER_ANSWER.get(cause, Outcome.RESET), reason, report, cause),
             )
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -15,7 +15,7 @@
 from weldhatch.platform.endpoint_list import Server
 from weldhatch.platform.health_check import HealthCheckSchedule
 from weldhatch.platform.server_link import Held, ServerLink
-from weldhatch.scheduling import types
+from weldhatch.scheduling.types import MachineState, Outcome, Settings
 
 WATCH_S = 0.1
 STALL_S = 0.3  # a watch that comes so late tells of us, not of the servers
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        settings: types.Settings,
+        settings: Settings,
         share: Share,
         dial_s: float,
         probe_s: float,
@@ -71,7 +71,7 @@
         for server in servers:
             link = self._links.get(server.machine)
             if link is None:
-                if server.state != types.MachineState.GONE:
+                if server.state != MachineState.GONE:
                     self._links[server.machine] = link = ServerLink(self, server)
                     self._passed_on(server)
                     if unlisted := self._unlisted.pop(server.machine, None):
@@ -79,18 +79,18 @@
                         link.open()
                 continue
             old, link.server = link.server, server
-            link.replaced = link.replaced and server.state == types.MachineState.GONE
+            link.replaced = link.replaced and server.state == MachineState.GONE
             self._passed_on(server)
-            if server.endpoint != old.endpoint and server.state != types.MachineState.GONE:
+            if server.endpoint != old.endpoint and server.state != MachineState.GONE:
                 link.drop("has a new address")
             if server.boot_ms > old.boot_ms:
                 link.lose("has started anew", server.boot_ms / 1000)
-            if server.state == types.MachineState.GONE and link.standing:
+            if server.state == MachineState.GONE and link.standing:
                 self._ask_whether_alive(link)
 
     def _passed_on(self, server: Server) -> None:
         """Guards against a new server taken for the one that had its address: those tasks are over."""
-        if server.state == types.MachineState.GONE:
+        if server.state == MachineState.GONE:
             return
         for link in self._links.values():
             if link.server.endpoint == server.endpoint and link.server.machine != server.machine:
@@ -139,7 +139,7 @@
                 if now - held.since > UNLISTED_S:
                     del unlisted[tag]
                     self.log(f"a task on machine {machine}, which no list has named")
-                    held.teller.tell(ports.Ended(0, types.Outcome.RESET))
+                    held.teller.tell(ports.Ended(0, Outcome.RESET))
             if not unlisted:
                 del self._unlisted[machine]
 
@@ -162,7 +162,7 @@
         link, names = self._links.get(machine), task.passed_on
         # Guards against the late answer to an attempt that was given up there: it has the same tag as ours.
         if link is None or link.replaced or link.may_answer_late(names.tag, teller):
-            teller.tell(ports.Ended(attempt, types.Outcome.NOT_SENT))
+            teller.tell(ports.Ended(attempt, Outcome.NOT_SENT))
             return
         link.out[names.tag] = Held(attempt, teller, 0.0, start_by_us)
         parameters = {
@@ -184,7 +184,7 @@
             # Guards against tasks told as cut at a start: owners name them before the list is up to date.
             self._unlisted.setdefault(machine, {})[tag] = Held(0, teller, time.time())
         elif link.replaced:
-            teller.tell(ports.Ended(0, types.Outcome.RESET))
+            teller.tell(ports.Ended(0, Outcome.RESET))
         else:
             link.standing[tag] = Held(0, teller, time.time())
             link.open()
@@ -225,10 +225,10 @@
         elif tag in (unlisted := self._unlisted.get(machine, {})):
             unlisted[tag].last_word = last_word
 
-    def probe(self, machine: int, done: Callable[[types.Outcome, tuple[float, ...]], None]) -> None:
+    def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
         link = self._links.get(machine)
         if link is None or link.replaced:
-            done(types.Outcome.CONNECT_FAILED, ())
+            done(Outcome.CONNECT_FAILED, ())
             return
         tag = self._test_tag()
         timer = asyncio.get_running_loop().call_later(self._probe_s, self._probe_late, link, tag)
@@ -238,7 +238,7 @@
     def _probe_late(self, link: ServerLink, tag: bytes) -> None:
         done, _ = link.probes.pop(tag)
         link.unsent(tag)
-        done(types.Outcome.TIMEOUT, ())
+        done(Outcome.TIMEOUT, ())
 
     def _ask_whether_alive(self, link: ServerLink) -> None:
         """Find out by a connect or a write whether the process of a server gone from the list still runs.
@@ -268,7 +268,7 @@
 
     def quiet_limit(self, server: Server, now: float) -> float:
         """Seconds for which a server with tasks of ours may be quiet."""
-        if server.state != types.MachineState.READY:
+        if server.state != MachineState.READY:
             return min(LEAVING_QUIET_S, self._schedule.quiet_limit(now, server.zone, server.cell))
         return self._schedule.quiet_limit(now, server.zone, server.cell)
 
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -24,11 +24,12 @@
 from weldhatch.pullqueue.reports import Listed, masked, read_listed, read_status
 from weldhatch.pullqueue.storage import Book, NoBook
 from weldhatch.pullqueue.workers import Worker, read_worker
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import MachinesChanged
+from weldhatch.scheduling.types import ListForm, Machine, MachineState, Outcome, Reason, Settings
 
 SWEEP_S = 0.05
 # What a puller that declines a lease before it runs says of it, by google.rpc.Code: proof that nothing ran.
-DECLINED = {8: i.Reason.NOT_TOLD, 9: i.Reason.NOT_HERE}
+DECLINED = {8: Reason.NOT_TOLD, 9: Reason.NOT_HERE}
 RAN_WELL = 0
 
 
@@ -37,12 +38,12 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         timing: Timing,
         ledger: Ledger,
         operators: Operators,
         book: Book | NoBook,
-        changed: Callable[[i.MachinesChanged], None],
+        changed: Callable[[MachinesChanged], None],
         log: Callable[[str], None],
         now: Callable[[], float],
     ) -> None:
@@ -106,7 +107,7 @@
         bot.session = self._name("botSessions")
         self._sessions[bot.session] = bot
         self._log(f"bot {bot_id}: session {bot.session} opened, {len(listed)} leases listed")
-        bot.state = i.MachineState.GONE  # tells the module of the machine anew
+        bot.state = MachineState.GONE  # tells the module of the machine anew
         return await self._update(bot, state, listed, request)
 
     async def update(self, name: str, request: Request) -> dict:
@@ -150,7 +151,7 @@
         if self.stale:
             raise HttpError(503, f"store: {self.stale}", "store", 30.0)
 
-    async def _update(self, bot: Bot, state: i.MachineState, listed: list[Listed], request: Request) -> dict:
+    async def _update(self, bot: Bot, state: MachineState, listed: list[Listed], request: Request) -> dict:
         """Take the report, wait for something to say, and say it."""
         wait = request.seconds("x-server-timeout", self.timing.poll)
         bot.heard, bot.poll = self.now(), bot.poll + 1
@@ -163,7 +164,7 @@
             bot.state = state
             self._tell(bot)
         to_end = self._report(bot, listed)
-        if state != i.MachineState.READY or to_end:
+        if state != MachineState.READY or to_end:
             wait = 0.0
         end = time.monotonic() + wait
         known = {one.id for one in listed}
@@ -184,12 +185,7 @@
             for lease in bot.leases.values()
             if lease.id in known and lease.phase in (Phase.PENDING, Phase.ACTIVE, Phase.CANCELLED)
         ]
-        if (
-            not to_end
-            and not self.stale
-            and self._stands(bot) is i.MachineState.READY
-            and not request.closed()
-        ):
+        if not to_end and not self.stale and self._stands(bot) is MachineState.READY and not request.closed():
             leases += await self._outgoing.hand_out(bot, session, poll, request)
         return {
             "name": bot.session,
@@ -208,7 +204,7 @@
         lease.expires = self.now() + self.timing.lease
         self._due.set(("lease", lease.id), lease.expires + self.timing.grace)
 
-    def rule(self, settings: i.Settings, rules: ports.Rules) -> None:
+    def rule(self, settings: Settings, rules: ports.Rules) -> None:
         """Other settings are in force from now on; halls and classes keep their places."""
         self._settings = self._outgoing.settings = settings
         self._outgoing.rules = rules
@@ -247,21 +243,21 @@
         """The puller holds it no longer."""
         lease.task.passed_on.told(one.result, one.message)
         if lease.phase is Phase.CANCELLED:
-            self._end(lease, i.Outcome.CANCELLED, cause=ports.CALLED_OFF)
+            self._end(lease, Outcome.CANCELLED, cause=ports.CALLED_OFF)
         elif lease.phase is Phase.ACTIVE:
             well = one.state == "COMPLETED" and one.code == RAN_WELL
             self._end(
-                lease, i.Outcome.OK if well else i.Outcome.RESET, cause=ports.GIVEN_UP if well else ports.CUT
+                lease, Outcome.OK if well else Outcome.RESET, cause=ports.GIVEN_UP if well else ports.CUT
             )
         elif one.state == "COMPLETED" and one.code == RAN_WELL:  # a short task: begun and ended in one report
             lease.teller.tell(ports.Answered(lease.attempt, self._machines[lease.machine].id))
-            self._end(lease, i.Outcome.OK, cause=ports.GIVEN_UP)
+            self._end(lease, Outcome.OK, cause=ports.GIVEN_UP)
         elif one.state == "COMPLETED" and one.code in DECLINED:
-            self._end(lease, i.Outcome.FULL, DECLINED[one.code])
+            self._end(lease, Outcome.FULL, DECLINED[one.code])
         else:
-            self._end(lease, i.Outcome.ERROR)
+            self._end(lease, Outcome.ERROR)
 
-    def _end(self, lease: Lease, outcome: i.Outcome, reason: int = 0, cause: int = ports.CUT) -> None:
+    def _end(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = ports.CUT) -> None:
         """The one end of an attempt."""
         lease.phase = Phase.OVER
         self._machines[lease.machine].remove(lease)
@@ -287,12 +283,12 @@
         bot = self._machines[lease.machine]
         if lease.phase is Phase.WAITING:
             if now >= lease.expires:
-                self._end(lease, i.Outcome.CONNECT_FAILED)
+                self._end(lease, Outcome.CONNECT_FAILED)
             else:
                 self._due.set(("lease", lease.id), lease.expires)
         elif now >= lease.expires + self.timing.grace:
             self._log(f"bot {bot.id}: lease {lease.id} has run out, {lease.phase.value}")
-            self._end(lease, i.Outcome.RESET)
+            self._end(lease, Outcome.RESET)
         else:
             self._due.set(("lease", lease.id), lease.expires + self.timing.grace)
         self._forget(bot)
@@ -301,7 +297,7 @@
         if bot.session and now >= bot.expires:
             self._log(f"bot {bot.id}: session {bot.session} has run out")
             self._sessions.pop(bot.session, None)
-            bot.session, bot.state = "", i.MachineState.GONE
+            bot.session, bot.state = "", MachineState.GONE
             self._tell(bot)
         elif bot.session:
             self._due.set(("session", bot.id), bot.expires)
@@ -316,10 +312,10 @@
 
     def _tell(self, bot: Bot) -> None:
         self._changed(
-            i.MachinesChanged(
-                i.ListForm.DELTA,
+            MachinesChanged(
+                ListForm.DELTA,
                 (
-                    i.Machine(
+                    Machine(
                         bot.machine,
                         bot.hall,
                         0,
@@ -332,7 +328,7 @@
             )
         )
 
-    def _stands(self, bot: Bot) -> i.MachineState:
+    def _stands(self, bot: Bot) -> MachineState:
         """A machine's own word and the operator's together; it gets new work only where both say ready."""
         return self._operators.merged(bot.id, bot.state)
 
@@ -343,9 +339,9 @@
         if bot is None:
             return
         self._tell(bot)
-        if self._stands(bot) is not i.MachineState.READY:
+        if self._stands(bot) is not MachineState.READY:
             for lease in list(bot.waiting.values()):
-                self._end(lease, i.Outcome.NOT_SENT)
+                self._end(lease, Outcome.NOT_SENT)
 
     def name_of(self, machine: int) -> str:
         bot = self._machines.get(machine)
@@ -369,8 +365,8 @@
         start_by_us: int = 0,
     ) -> None:
         bot = self._machines.get(machine)
-        if bot is None or not bot.session or self._stands(bot) is not i.MachineState.READY:
-            teller.tell(ports.Ended(attempt, i.Outcome.NOT_SENT))
+        if bot is None or not bot.session or self._stands(bot) is not MachineState.READY:
+            teller.tell(ports.Ended(attempt, Outcome.NOT_SENT))
             return
         lease = Lease(self._name("leases"), machine, task, attempt, teller)
         self._leases[lease.id] = lease
@@ -383,7 +379,7 @@
         """A lease that a former gateway handed out, and the store kept: this life hears of it from now on."""
         lease = self._lease(machine, task)
         if lease is None:  # no submitter names a machine
-            teller.tell(ports.Ended(0, i.Outcome.RESET))
+            teller.tell(ports.Ended(0, Outcome.RESET))
         else:
             lease.teller = teller
 
@@ -437,16 +433,16 @@
     def move(self, machine: int, task: ports.Task) -> None:
         self.release(machine, task, ports.CALLED_OFF)
 
-    def probe(self, machine: int, done: Callable[[i.Outcome, tuple[float, ...]], None]) -> None:
+    def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
         """Answered from the machine's last update; one that owes an update is silent."""
         bot = self._machines.get(machine)
         if bot is None or not bot.session:
-            done(i.Outcome.CONNECT_FAILED, ())
+            done(Outcome.CONNECT_FAILED, ())
         elif self.now() - bot.heard > self.timing.poll + self.timing.pickup:
-            done(i.Outcome.TIMEOUT, ())
+            done(Outcome.TIMEOUT, ())
         else:
             free = {"x0": bot.cores - bot.asked[0], "x1": bot.memory - bot.asked[1]}
-            done(i.Outcome.OK, tuple(free.get(name, 0.0) for name in self._settings.report_fields))
+            done(Outcome.OK, tuple(free.get(name, 0.0) for name in self._settings.report_fields))
 
     def _lease(self, machine: int, task: ports.Task) -> Lease | None:
         bot = self._machines.get(machine)
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -27,7 +27,7 @@
 from weldhatch.pullqueue.security import Security
 from weldhatch.pullqueue.storage import Book, NoBook
 from weldhatch.pullqueue.tasks import Tasks
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.store.log import Log
 
 PREFIX = "/v1test2/"
@@ -105,7 +105,7 @@
             raise ConfigError(f"states: {fault}") from None
         return words
 
-    def rule(self, settings: i.Settings, rules: Rules) -> None:
+    def rule(self, settings: Settings, rules: Rules) -> None:
         """Decide by settings that a group of gateways has agreed on, as far as `rules` lets anything
         start."""
         self.settings = settings
--- a/weldhatch/pullqueue/lease_dispatch.py
+++ b/weldhatch/pullqueue/lease_dispatch.py
@@ -14,7 +14,7 @@
 from weldhatch.pullqueue.leases import Lease, Ledger, Phase
 from weldhatch.pullqueue.machines import Bot, Passed
 from weldhatch.pullqueue.storage import Book, NoBook
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Outcome, Settings
 from weldhatch.store.log import LogError
 
 REPLY_MOST = 48 * 1024  # what one answer hands out at the most; the rest waits for the next
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         ledger: Ledger,
         book: Book | NoBook,
         due: Deadlines,
@@ -81,7 +81,7 @@
             for lease in out:
                 if lease.phase is not Phase.OVER:
                     self._ledger.taken_back(lease, lease.id in spent)
-                    self._end(lease, i.Outcome.NOT_SENT)
+                    self._end(lease, Outcome.NOT_SENT)
             return []
         except asyncio.CancelledError:  # the connection of this update has ended meanwhile
             self._wait_again(bot, out, spent)
@@ -109,7 +109,7 @@
             self._log(f"lease {lease.id} stays: {why}")
             if lease.phase is Phase.PENDING:
                 self._ledger.taken_back(lease, lease.id in spent)
-            self._end(lease, i.Outcome.NOT_SENT)
+            self._end(lease, Outcome.NOT_SENT)
         return may
 
     def _wait_again(self, bot: Bot, leases: list[Lease], spent: set[str]) -> None:
@@ -123,7 +123,7 @@
                 self._ledger.taken_back(lease, lease.id in spent)
                 self._book.must(durable_state.encode("back", lease.id))
                 if lease.phase is Phase.CANCELLED:
-                    self._end(lease, i.Outcome.NOT_SENT, cause=ports.CALLED_OFF)
+                    self._end(lease, Outcome.NOT_SENT, cause=ports.CALLED_OFF)
                     continue
                 lease.phase = Phase.WAITING
                 lease.expires = self._now() + self._pickup()
--- a/weldhatch/pullqueue/machines.py
+++ b/weldhatch/pullqueue/machines.py
@@ -10,7 +10,7 @@
 from weldhatch.placement_request import Setup
 from weldhatch.pullqueue.leases import Lease, Phase
 from weldhatch.pullqueue.workers import NOTHING, Worker
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import MachineState
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     session: str = ""
     expires: float = 0.0
     heard: float = 0.0
-    state: i.MachineState = i.MachineState.GONE
+    state: MachineState = MachineState.GONE
     status: str = "OK"
     worker: Worker = NOTHING
     leases: dict[str, Lease] = field(default_factory=dict)
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -22,7 +22,7 @@
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.pullqueue.machines import Passed
 from weldhatch.pullqueue.storage import Book, NoBook
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, Settings
 from weldhatch.sites.forwarding import Sites
 from weldhatch.sites.link import Door
 from weldhatch.sites.local_site import Front
@@ -37,7 +37,7 @@
 class Abroad(Front):
     """What the sites need of this front."""
 
-    def __init__(self, settings: i.Settings, ledger: Ledger, book: Book | NoBook) -> None:
+    def __init__(self, settings: Settings, ledger: Ledger, book: Book | NoBook) -> None:
         self._settings, self._ledger, self._book = settings, ledger, book
         self._names = {cls.name: cls for cls in settings.classes}
 
@@ -70,11 +70,7 @@
 
     def ran(self, work: Work) -> None:
         """It was handed out at another site: what may not start twice never goes out again here either."""
-        if (
-            work.key
-            and self._names[work.class_name].effect is i.Effect.UNSAFE
-            and self._ledger.spend(work.key)
-        ):
+        if work.key and self._names[work.class_name].effect is Effect.UNSAFE and self._ledger.spend(work.key):
             self._book.must(durable_state.encode("spent", [work.key]))
 
 
@@ -93,7 +89,7 @@
 
 def build(
     told: PullQueueFile,
-    settings: i.Settings,
+    settings: Settings,
     driver: Driver,
     core: Core,
     ledger: Ledger,
--- a/weldhatch/pullqueue/reports.py
+++ b/weldhatch/pullqueue/reports.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 
 from weldhatch.pullqueue.errors import HttpError
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import MachineState
 
 LEASES_MOST = 1000  # listed in one update
 RESULT_MOST = 8 * 1024  # of what a machine says its task has come to
 STATUSES = {
-    "OK": i.MachineState.READY,
-    "INITIALIZING": i.MachineState.DRAINING,
-    "UNHEALTHY": i.MachineState.DRAINING,
-    "HOST_REBOOTING": i.MachineState.DRAINING,
-    "BOT_TERMINATING": i.MachineState.DRAINING,
-    "MAINTENANCE": i.MachineState.DRAINING,
+    "OK": MachineState.READY,
+    "INITIALIZING": MachineState.DRAINING,
+    "UNHEALTHY": MachineState.DRAINING,
+    "HOST_REBOOTING": MachineState.DRAINING,
+    "BOT_TERMINATING": MachineState.DRAINING,
+    "MAINTENANCE": MachineState.DRAINING,
 }
 STATES = ("PENDING", "ACTIVE", "COMPLETED", "CANCELLED")
 
@@ -44,7 +44,7 @@
     return out
 
 
-def read_status(tree: dict) -> i.MachineState:
+def read_status(tree: dict) -> MachineState:
     status = tree.get("status", "OK")
     if not isinstance(status, str) or status not in STATUSES:
         raise HttpError(400, f"status: the unusable value {status!r}", "status")
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -30,7 +30,7 @@
 from weldhatch.pullqueue.storage import Book, NoBook
 from weldhatch.pullqueue.submission import Nobody, Submitted
 from weldhatch.pullqueue.workers import NOTHING, Matching, Worker, read_worker
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, RequestClass, Settings
 from weldhatch.store.log import LogError
 
 BLOB_MOST = 8 * 1024
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         core: Core,
         bots: Bots,
         ledger: Ledger,
@@ -103,7 +103,7 @@
             raise
         return answer, self._headers(answer)
 
-    def rule(self, settings: i.Settings) -> None:
+    def rule(self, settings: Settings) -> None:
         """Other settings are in force from now on; classes keep their places."""
         self._settings, self._form = settings, Form(settings)
 
@@ -193,7 +193,7 @@
             )
         if setup.at:
             raise HttpError(400, "extras.at: a pull queue knows who holds a task", "extras.at")
-        if not setup.key and cls.effect is not i.Effect.SAFE:
+        if not setup.key and cls.effect is not Effect.SAFE:
             raise HttpError(400, "key: tasks of this class need one", "key")
         if setup.left_us < 1000:
             raise HttpError(400, "left: at least 1 millisecond is needed", "left")
@@ -281,7 +281,7 @@
         most = self._settings.max_retry_after_us or 30_000_000
         return int(min(wait_us * (0.75 + 0.5 * self._random.random()), most))
 
-    def _barred(self, key: int, cls: i.RequestClass) -> dict | None:
+    def _barred(self, key: int, cls: RequestClass) -> dict | None:
         """The answer to a key that can't go out now, whatever the module would say."""
         if self._bots.stale:
             raise HttpError(503, f"store: {self._bots.stale}", "store", 30.0)
--- /dev/null
+++ b/weldhatch/scheduling/actions.py
@@ -0,0 +1,73 @@
+"""What a policy wants done: `Policy.handle` returns these, to be carried out at once and in order."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True, frozen=True)
+class Offer:
+    """Offer a request to a machine; attempts count from 0. No time-out (0) means until the deadline.
+
+    An offer that has not left by `start_by_us` must not leave any more; 0 where it may at any time.
+    """
+
+    request: int
+    machine: int
+    give_up_us: int = 0
+    start_by_us: int = 0
+
+
+@dataclass(slots=True, frozen=True)
+class Cancel:
+    request: int
+    attempt: int
+
+
+@dataclass(slots=True, frozen=True)
+class Refuse:
+    """Final answer: not placed, and trying again is harmless."""
+
+    request: int
+    retry_after_us: int = 0
+
+
+@dataclass(slots=True, frozen=True)
+class Fail:
+    """Final answer: not placed, with no promise about its effect."""
+
+    request: int
+
+
+@dataclass(slots=True, frozen=True)
+class Move:
+    request: int
+
+
+@dataclass(slots=True, frozen=True)
+class Probe:
+    machine: int
+
+
+@dataclass(slots=True, frozen=True)
+class SetTimer:
+    after_us: int
+    timer: int
+
+
+@dataclass(slots=True, frozen=True)
+class Subscribe:
+    on: bool = True
+
+
+@dataclass(slots=True, frozen=True)
+class FetchList:
+    pass
+
+
+@dataclass(slots=True, frozen=True)
+class Log:
+    text: str
+
+
+Action = Offer | Cancel | Refuse | Fail | Move | Probe | SetTimer | Subscribe | FetchList | Log
--- a/weldhatch/scheduling/cluster_state.py
+++ b/weldhatch/scheduling/cluster_state.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterable, Iterator
 from random import Random
 
-from weldhatch.scheduling.types import Machine, RequestArrived, Settings, TaskAdopted
+from weldhatch.scheduling.events import RequestArrived, TaskAdopted
+from weldhatch.scheduling.types import Machine, Settings
 
 NEVER = -(1 << 62)
 
--- a/weldhatch/scheduling/policy.py
+++ b/weldhatch/scheduling/policy.py
@@ -12,35 +12,29 @@
 from dataclasses import replace
 from itertools import islice
 
+from weldhatch.scheduling.actions import Action, Cancel, Fail, Log, Offer, Probe, Refuse, SetTimer, Subscribe
 from weldhatch.scheduling.cluster_state import Holdings, Node, Request, shuffled
-from weldhatch.scheduling.types import (
-    Action,
+from weldhatch.scheduling.events import (
     AttemptEnded,
-    Cancel,
-    Effect,
     Event,
-    Fail,
-    ListForm,
-    Log,
-    Machine,
     MachinesChanged,
-    MachineState,
     Note,
-    Offer,
-    Outcome,
     Placed,
-    Probe,
     ProbeAnswered,
-    Reason,
-    Refuse,
     RequestArrived,
     RequestGone,
-    Scope,
-    SetTimer,
-    Settings,
-    Subscribe,
     TaskAdopted,
     TimerFired,
+)
+from weldhatch.scheduling.types import (
+    Effect,
+    ListForm,
+    Machine,
+    MachineState,
+    Outcome,
+    Reason,
+    Scope,
+    Settings,
     Topic,
 )
 
--- a/weldhatch/scheduling/types.py
+++ b/weldhatch/scheduling/types.py
@@ -1,4 +1,4 @@
-"""The interface of weldhatch: settings, events and actions. Types only, no decisions.
+"""The settings of a policy and the terms that its events and actions share. Types only, no decisions.
 
 Times are integer microseconds on the host program's clock. Machines, requests and services are
 opaque integers: the policy hands them back unchanged and reads nothing into them.
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Container
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 
@@ -169,9 +168,6 @@
     prices: Prices = field(default_factory=Prices)
 
 
-# ---- events ---------------------------------------------------------------------------------------------
-
-
 @dataclass(slots=True, frozen=True)
 class Machine:
     """One entry of a list of machines; the free room is None where lists do not tell it."""
@@ -187,178 +183,3 @@
     weight: float = 1.0
     cores: float = 0.0  # its own size, where it is not that of its kind
     memory: float = 0.0
-
-
-@dataclass(slots=True, frozen=True)
-class MachinesChanged:
-    form: ListForm
-    machines: tuple[Machine, ...] = ()
-    version: int = 0
-
-
-@dataclass(slots=True, frozen=True)
-class RequestArrived:
-    """A task to place. It is owed exactly one final answer before its deadline."""
-
-    request: int
-    class_index: int
-    deadline_us: int
-    service: int
-    cores: float
-    memory: float
-    key: int = 0
-    tenant: int = 0
-    run_us: int | None = None
-    again: bool = False
-    only: Container[int] | None = None  # the machines that it may go to; None for all
-
-
-@dataclass(slots=True, frozen=True)
-class TaskAdopted:
-    """A task that already runs on a machine and is in this instance's care from now on."""
-
-    request: int
-    class_index: int
-    service: int
-    cores: float
-    memory: float
-    machine: int
-    key: int = 0
-    tenant: int = 0
-    run_us: int | None = None
-
-
-@dataclass(slots=True, frozen=True)
-class Placed:
-    request: int
-    attempt: int
-    machine: int
-    took_us: int
-
-
-@dataclass(slots=True, frozen=True)
-class Note:
-    request: int
-    attempt: int
-    machine: int
-    topic: int
-    value: float
-
-
-@dataclass(slots=True, frozen=True)
-class AttemptEnded:
-    """The one outcome of an attempt; `closed` tells that the request is over with it."""
-
-    request: int
-    attempt: int
-    machine: int
-    outcome: Outcome
-    took_us: int = 0
-    reason: int = 0
-    closed: bool = False
-    report: tuple[float, ...] = ()
-
-
-@dataclass(slots=True, frozen=True)
-class RequestGone:
-    request: int
-
-
-@dataclass(slots=True, frozen=True)
-class ProbeAnswered:
-    """The result of one probe; the report holds the values of `Settings.report_fields`, or nothing.
-
-    A report that a machine gave when the module asked for none comes as this too.
-    """
-
-    machine: int
-    outcome: Outcome
-    took_us: int = 0
-    report: tuple[float, ...] = ()
-
-
-@dataclass(slots=True, frozen=True)
-class TimerFired:
-    timer: int
-
-
-# ---- actions --------------------------------------------------------------------------------------------
-
-
-@dataclass(slots=True, frozen=True)
-class Offer:
-    """Offer a request to a machine; attempts count from 0. No time-out (0) means until the deadline.
-
-    An offer that has not left by `start_by_us` must not leave any more; 0 where it may at any time.
-    """
-
-    request: int
-    machine: int
-    give_up_us: int = 0
-    start_by_us: int = 0
-
-
-@dataclass(slots=True, frozen=True)
-class Cancel:
-    request: int
-    attempt: int
-
-
-@dataclass(slots=True, frozen=True)
-class Refuse:
-    """Final answer: not placed, and trying again is harmless."""
-
-    request: int
-    retry_after_us: int = 0
-
-
-@dataclass(slots=True, frozen=True)
-class Fail:
-    """Final answer: not placed, with no promise about its effect."""
-
-    request: int
-
-
-@dataclass(slots=True, frozen=True)
-class Move:
-    request: int
-
-
-@dataclass(slots=True, frozen=True)
-class Probe:
-    machine: int
-
-
-@dataclass(slots=True, frozen=True)
-class SetTimer:
-    after_us: int
-    timer: int
-
-
-@dataclass(slots=True, frozen=True)
-class Subscribe:
-    on: bool = True
-
-
-@dataclass(slots=True, frozen=True)
-class FetchList:
-    pass
-
-
-@dataclass(slots=True, frozen=True)
-class Log:
-    text: str
-
-
-Event = (
-    MachinesChanged
-    | RequestArrived
-    | TaskAdopted
-    | Placed
-    | Note
-    | AttemptEnded
-    | RequestGone
-    | ProbeAnswered
-    | TimerFired
-)
-Action = Offer | Cancel | Refuse | Fail | Move | Probe | SetTimer | Subscribe | FetchList | Log
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -27,8 +27,9 @@
 from weldhatch.platform.servers import Servers
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import MachinesChanged, ProbeAnswered
 from weldhatch.scheduling.policy import Policy
+from weldhatch.scheduling.types import ListForm, Machine, Outcome, Settings
 
 if TYPE_CHECKING:
     from weldhatch.standalone_zones import Alone
@@ -52,7 +53,7 @@
 
     rev: int
 
-    def heard(self, topology: dict, machines: tuple[i.Machine, ...]) -> None: ...
+    def heard(self, topology: dict, machines: tuple[Machine, ...]) -> None: ...
 
 
 class Gateway:
@@ -103,7 +104,7 @@
             self.owners.make_room()
 
     def _reported(self, machine: int, report: tuple[float, ...]) -> None:
-        self.driver.post(i.ProbeAnswered(machine, i.Outcome.OK, 0, report))
+        self.driver.post(ProbeAnswered(machine, Outcome.OK, 0, report))
 
     def _told(self, event: dict) -> None:
         if changed := self.fleet.take(event):
@@ -111,7 +112,7 @@
             if self.roll is not None:
                 self.roll.heard(event["topology"], changed.machines)
 
-    def rule(self, settings: i.Settings, rules: Rules) -> None:
+    def rule(self, settings: Settings, rules: Rules) -> None:
         """Decide by settings that a group has agreed on, as far as `rules` lets anything start."""
         self.settings, self.core.rules = settings, rules
         self.driver.rule(settings)
@@ -127,9 +128,9 @@
     def agreed(self, machine: str, state: str, fence: int, op: str) -> None:
         """Words reach the module with the list of machines, by `listed`."""
 
-    def listed(self, machines: tuple[i.Machine, ...]) -> None:
+    def listed(self, machines: tuple[Machine, ...]) -> None:
         """Machines that count for less, or for more again, than our own list said last."""
-        self.driver.tell(i.MachinesChanged(i.ListForm.DELTA, machines, self.roll.rev))
+        self.driver.tell(MachinesChanged(ListForm.DELTA, machines, self.roll.rev))
 
     def reconfigure(self, told: config.Platform) -> None:
         """Take over what can change while it runs: the address of the event bus, and events we missed."""
--- a/weldhatch/settings.py
+++ b/weldhatch/settings.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Callable, Iterator, Mapping
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, MachineKind, Prices, RequestClass, Scope, Settings, Tenant
 
-_EFFECTS = {"read_like": i.Effect.SAFE, "idempotency_key": i.Effect.KEYED, "non_idempotent": i.Effect.UNSAFE}
+_EFFECTS = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
 _SCOPES = {
-    "silent": i.Scope.NONE,
-    "machine": i.Scope.MACHINE,
-    "cell": i.Scope.CELL,
-    "zone": i.Scope.ZONE,
-    "all": i.Scope.ALL,
+    "silent": Scope.NONE,
+    "machine": Scope.MACHINE,
+    "cell": Scope.CELL,
+    "zone": Scope.ZONE,
+    "all": Scope.ALL,
 }
 _BOOLS = {"true": True, "false": False, "1": True, "0": False}
 
@@ -73,7 +73,7 @@
     return value
 
 
-def settings_of_text(data: bytes) -> i.Settings:
+def settings_of_text(data: bytes) -> Settings:
     """The settings of the simulator's start message: path=value lines."""
     try:
         text = data.decode()
@@ -89,7 +89,7 @@
     return settings_of(pairs)
 
 
-def settings_of_json(tree: object) -> i.Settings:
+def settings_of_json(tree: object) -> Settings:
     """The same settings as nested JSON, as a real dispatcher gets them."""
     if not isinstance(tree, dict):
         raise ConfigError("settings: not an object")
@@ -117,7 +117,7 @@
     return str(value).replace(",", "_")
 
 
-def settings_of(pairs: Mapping[str, str]) -> i.Settings:
+def settings_of(pairs: Mapping[str, str]) -> Settings:
     """Settings by path. Unknown keys are ignored; a fault is a ConfigError naming the key."""
     values = _Values(pairs)
     get = values.get
@@ -133,7 +133,7 @@
         raise ConfigError("settings: classes.count has the unusable value '0'")
     quota = values.list("extra.shareCores", _number, [])
     tenants = tuple(
-        i.Tenant(
+        Tenant(
             get(f"tenants.{n}.name", str, ""),
             get(f"tenants.{n}.quotaPerS", _number, 0.0),
             get(f"tenants.{n}.portion", _number, 0.0),
@@ -141,9 +141,9 @@
         )
         for n in range(get("tenants.count", _count, 0))
     )
-    return i.Settings(
+    return Settings(
         classes=classes,
-        kinds=tuple(map(i.MachineKind, kinds, cores, memory)),
+        kinds=tuple(map(MachineKind, kinds, cores, memory)),
         zone=get("locality", _count, 0),
         zones=tuple(values.list("zones", str, [""])),
         me=get("me", _count, 0),
@@ -181,7 +181,7 @@
         usual_memory=get("extra.usualMemory", _positive, 1.0),
         over_share_worth=get("overShareWorth", _number, 1.0),
         tenants=tenants,
-        prices=i.Prices(
+        prices=Prices(
             cross_zone=get("prices.crossZone", _number, 0.0),
             fleet=get("prices.fleet", _number, 0.0),
             moves=get("prices.moves", _number, 0.0),
@@ -193,15 +193,15 @@
     )
 
 
-def _class(values: _Values, index: int) -> i.RequestClass:
+def _class(values: _Values, index: int) -> RequestClass:
     at = f"classes.{index}."
     get, item = values.get, values.item
-    return i.RequestClass(
+    return RequestClass(
         name=get(at + "name", str, ""),
         aim_us=get(at + "aimUs", _count),
         deadline_us=get(at + "hardLimitUs", _count),
         effect=get(at + "effect", _EFFECTS.__getitem__),
-        group=get(at + "group", _SCOPES.__getitem__, i.Scope.ALL),
+        group=get(at + "group", _SCOPES.__getitem__, Scope.ALL),
         window_us=get(at + "dedupWindowUs", _count, 0),
         worth=get(at + "worth", _number, 1.0),
         late_worth=get(at + "lateWorth", _number, 0.0),
@@ -210,6 +210,6 @@
         fade=item("extra.fadeSpan", index, _number, 1.0),
         kind=item("extra.kindByClass", index, int, -1),
         priority=item("extra.priorityByClass", index, int, 0),
-        spread_over=item("extra.spreadOver", index, _SCOPES.__getitem__, i.Scope.NONE),
+        spread_over=item("extra.spreadOver", index, _SCOPES.__getitem__, Scope.NONE),
         spread_most=item("extra.spreadMost", index, _count, 0),
     )
--- a/weldhatch/simulator_link/codec.py
+++ b/weldhatch/simulator_link/codec.py
@@ -10,7 +10,31 @@
 from dataclasses import dataclass
 
 from weldhatch.config import settings_of_text as parse_settings
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.actions import (
+    Action,
+    Cancel,
+    Fail,
+    FetchList,
+    Log,
+    Move,
+    Offer,
+    Probe,
+    Refuse,
+    SetTimer,
+    Subscribe,
+)
+from weldhatch.scheduling.events import (
+    AttemptEnded,
+    MachinesChanged,
+    Note,
+    Placed,
+    ProbeAnswered,
+    RequestArrived,
+    RequestGone,
+    TaskAdopted,
+    TimerFired,
+)
+from weldhatch.scheduling.types import ListForm, Machine, MachineState, Outcome, Settings
 
 BATCH_HEADER = struct.Struct(">QII")
 REPLY_HEADER = struct.Struct(">II")
@@ -55,7 +79,7 @@
     """An instance starts: the seed and the settings of its policy."""
 
     seed: int
-    settings: i.Settings
+    settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
@@ -110,16 +134,16 @@
             except ValueError as error:
                 raise WireError(str(error), number) from error
 
-    def _changed(self, body: bytes, at: int, who: int) -> i.MachinesChanged:
+    def _changed(self, body: bytes, at: int, who: int) -> MachinesChanged:
         form, name, version = _CHANGED.unpack_from(body, at)
-        if form > i.ListForm.FAILED:
+        if form > ListForm.FAILED:
             raise WireError(f"unknown form {form} of a list")
-        if form == i.ListForm.FAILED:
-            return i.MachinesChanged(i.ListForm(form), (), version)
+        if form == ListForm.FAILED:
+            return MachinesChanged(ListForm(form), (), version)
         if name not in self._lists:
             raise WireError(f"list number {name} was never defined")
         free = self._lists_free.get(who, False)
-        return i.MachinesChanged(i.ListForm(form), tuple(_entries(self._lists[name], free)), version)
+        return MachinesChanged(ListForm(form), tuple(_entries(self._lists[name], free)), version)
 
 
 def _slice(tail: memoryview, offset: int, length: int) -> bytes:
@@ -128,16 +152,16 @@
     return bytes(tail[offset : offset + length])
 
 
-def _entries(data: bytes, free: bool) -> Iterator[i.Machine]:
+def _entries(data: bytes, free: bool) -> Iterator[Machine]:
     for address, port, zone, cores, kind, cell, memory, state, weight, born in _ENTRY.iter_unpack(data):
         if state > 2:
             raise WireError(f"unknown state {state} of a host")
-        yield i.Machine(
+        yield Machine(
             address << 16 | port,
             zone,
             kind,
             cell,
-            i.MachineState(state),
+            MachineState(state),
             born,
             cores if free else None,
             memory if free else None,
@@ -145,9 +169,9 @@
         )
 
 
-def _outcome(code: int) -> i.Outcome:
+def _outcome(code: int) -> Outcome:
     try:
-        return i.Outcome(code)
+        return Outcome(code)
     except ValueError:
         raise WireError(f"unknown outcome {code}") from None
 
@@ -158,9 +182,9 @@
     return values[:n]
 
 
-def _to_place(body: bytes, at: int) -> i.RequestArrived:
+def _to_place(body: bytes, at: int) -> RequestArrived:
     request, kind, tenant, key, deadline, run, service, cores, memory, marks = _TASK.unpack_from(body, at)
-    return i.RequestArrived(
+    return RequestArrived(
         request,
         kind,
         deadline,
@@ -174,11 +198,11 @@
     )
 
 
-def _resident(body: bytes, at: int) -> i.TaskAdopted:
+def _resident(body: bytes, at: int) -> TaskAdopted:
     (request, kind, tenant, key, _, run, service, cores, memory, marks, address, port) = (
         _RESIDENT.unpack_from(body, at)
     )
-    return i.TaskAdopted(
+    return TaskAdopted(
         request,
         kind,
         service,
@@ -191,19 +215,19 @@
     )
 
 
-def _admitted(body: bytes, at: int) -> i.Placed:
+def _admitted(body: bytes, at: int) -> Placed:
     request, n, address, port, took = _ADMITTED.unpack_from(body, at)
-    return i.Placed(request, n, address << 16 | port, took)
+    return Placed(request, n, address << 16 | port, took)
 
 
-def _change(body: bytes, at: int) -> i.Note:
+def _change(body: bytes, at: int) -> Note:
     request, address, port, topic, n, value = _CHANGE.unpack_from(body, at)
-    return i.Note(request, n, address << 16 | port, topic, value)
+    return Note(request, n, address << 16 | port, topic, value)
 
 
-def _report_back(body: bytes, at: int) -> i.AttemptEnded:
+def _report_back(body: bytes, at: int) -> AttemptEnded:
     request, took, detail, n, how, address, port, ended, size, *values = _REPORT_BACK.unpack_from(body, at)
-    return i.AttemptEnded(
+    return AttemptEnded(
         request,
         n,
         address << 16 | port,
@@ -215,9 +239,9 @@
     )
 
 
-def _health(body: bytes, at: int) -> i.ProbeAnswered:
+def _health(body: bytes, at: int) -> ProbeAnswered:
     how, took, address, port, size, *values = _HEALTH.unpack_from(body, at)
-    return i.ProbeAnswered(address << 16 | port, _outcome(how), took, _report(size, tuple(values)))
+    return ProbeAnswered(address << 16 | port, _outcome(how), took, _report(size, tuple(values)))
 
 
 _READERS: dict[int, Callable[[bytes, int], object]] = {
@@ -226,14 +250,14 @@
     30: _change,
     40: _resident,
     50: _to_place,
-    60: lambda body, at: i.RequestGone(*_ONE.unpack_from(body, at)),
+    60: lambda body, at: RequestGone(*_ONE.unpack_from(body, at)),
     90: _admitted,
-    130: lambda body, at: i.TimerFired(*_ONE.unpack_from(body, at)),
+    130: lambda body, at: TimerFired(*_ONE.unpack_from(body, at)),
     140: _report_back,
 }
 
 
-def encode_reply(replies: Iterable[tuple[int, list[i.Action]]]) -> bytes:
+def encode_reply(replies: Iterable[tuple[int, list[Action]]]) -> bytes:
     """One frame with the actions of each instance, in order."""
     records: list[bytes] = []
     tail = bytearray()
@@ -251,27 +275,27 @@
     return REPLY_HEADER.pack(1, ACTION_SIZE + len(tail)) + _A_TWO_INTS.pack(20, 0, len(tail)) + tail
 
 
-def _action(action: i.Action, tail: bytearray) -> bytes:
+def _action(action: Action, tail: bytearray) -> bytes:
     match action:
-        case i.SetTimer(after, timer):
+        case SetTimer(after, timer):
             return _A_TWO_INTS.pack(100, after, timer)
-        case i.Probe(machine):
+        case Probe(machine):
             return _A_HOST.pack(90, machine >> 16, machine & 0xFFFF)
-        case i.Offer(request, machine, give_up):
+        case Offer(request, machine, give_up):
             return _A_TRY.pack(60, request, machine >> 16, machine & 0xFFFF, give_up)
-        case i.Cancel(request, attempt):
+        case Cancel(request, attempt):
             return _A_ID_N.pack(30, request, attempt)
-        case i.Refuse(request, retry_after):
+        case Refuse(request, retry_after):
             return _A_TWO_INTS.pack(80, request, retry_after)
-        case i.Fail(request):
+        case Fail(request):
             return _A_ID.pack(120, request)
-        case i.Move(request):
+        case Move(request):
             return _A_ID.pack(10, request)
-        case i.Subscribe(on):
+        case Subscribe(on):
             return _A_FLAG.pack(40, on)
-        case i.FetchList():
+        case FetchList():
             return _A_BARE.pack(50)
-        case i.Log(text):
+        case Log(text):
             data = text.encode()
             offset = len(tail)
             tail += data
--- a/weldhatch/sites/capacity.py
+++ b/weldhatch/sites/capacity.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import AttemptEnded, Event, MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, MachineKind, MachineState, Settings
 from weldhatch.sites.routing import Summary
 
 HEARD_S = 10.0  # an older report of a machine counts as the average of the others
@@ -13,7 +14,7 @@
 
 @dataclass(slots=True)
 class Seen:
-    entry: i.Machine
+    entry: Machine
     free: tuple[float, float] | None = None  # cores and memory that nobody has asked for
     at: float = 0.0
     open: float = 0.0  # cores placed there since
@@ -23,23 +24,23 @@
 class Room:
     """Watches the events that the module gets, and adds up. Times in seconds."""
 
-    settings: i.Settings
+    settings: Settings
     machines: dict[int, Seen] = field(default_factory=dict)
 
-    def watch(self, now: float, event: i.Event) -> None:
+    def watch(self, now: float, event: Event) -> None:
         match event:
-            case i.MachinesChanged(form, entries):
-                if form in (i.ListForm.FULL, i.ListForm.CACHED):
+            case MachinesChanged(form, entries):
+                if form in (ListForm.FULL, ListForm.CACHED):
                     named = {entry.id for entry in entries}
                     self.machines = {id: one for id, one in self.machines.items() if id in named}
                 for entry in entries:
-                    if entry.state == i.MachineState.GONE:
+                    if entry.state == MachineState.GONE:
                         self.machines.pop(entry.id, None)
                     else:
                         self.machines.setdefault(entry.id, Seen(entry)).entry = entry
                     if entry.free_cores is not None and entry.id in self.machines:
                         self._hear(now, entry.id, (entry.free_cores, entry.free_memory or 0.0))
-            case i.ProbeAnswered(machine, _, _, report) | i.AttemptEnded(machine=machine, report=report):
+            case ProbeAnswered(machine, _, _, report) | AttemptEnded(machine=machine, report=report):
                 values = dict(zip(self.settings.report_fields, report, strict=False))
                 if "x0" in values and "x1" in values and machine in self.machines:
                     self._hear(now, machine, (values["x0"], values["x1"]))
@@ -58,7 +59,7 @@
         cores_each, memory_each = max(LEAST, s.usual_cores), max(LEAST, s.usual_memory)
         size = free = unheard = heard = 0
         for seen in self.machines.values():
-            if seen.entry.state != i.MachineState.READY:
+            if seen.entry.state != MachineState.READY:
                 continue
             cores, memory = self._whole(seen.entry)
             most = int(min(cores * s.cores_booking / cores_each, memory * s.memory_booking / memory_each))
@@ -77,7 +78,7 @@
         left = max(0, free - waiting)
         return Summary({cls.name: left for cls in s.classes}, size, waiting, draining)
 
-    def _whole(self, entry: i.Machine) -> tuple[float, float]:
+    def _whole(self, entry: Machine) -> tuple[float, float]:
         kinds = self.settings.kinds
-        kind = kinds[entry.kind] if 0 <= entry.kind < len(kinds) else i.MachineKind("", 1.0, 1.0)
+        kind = kinds[entry.kind] if 0 <= entry.kind < len(kinds) else MachineKind("", 1.0, 1.0)
         return entry.cores or kind.cores, entry.memory or kind.memory
--- a/weldhatch/sites/forwarding.py
+++ b/weldhatch/sites/forwarding.py
@@ -17,7 +17,7 @@
 from weldhatch.core.mailbox import Mailbox
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core, Life
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.sites import frames, handoff_source, handoff_target, messages
 from weldhatch.sites import storage as records
 from weldhatch.sites.capacity import Room
@@ -259,7 +259,7 @@
         self,
         name: str,
         names: list[str],
-        settings: i.Settings,
+        settings: Settings,
         core: Core,
         book: SitesBook,
         router: Router,
@@ -285,7 +285,7 @@
         self._restore()
         self.spawn(self._tick())
 
-    def rule(self, settings: i.Settings) -> None:
+    def rule(self, settings: Settings) -> None:
         """Other settings are in force from now on; classes keep their places."""
         self.settings = self.room.settings = settings
         self._indexes = {cls.name: n for n, cls in enumerate(settings.classes)}
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -12,7 +12,8 @@
 
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Task
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import Event, MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, Settings
 from weldhatch.zones.endpoint_overlay import Narrowed
 from weldhatch.zones.failover_leader import Times
 from weldhatch.zones.standalone import Solitary
@@ -27,7 +28,7 @@
         self._times, self._log = times, log
         self._told, self.rev = Narrowed(), 0
 
-    def heard(self, topology: dict, machines: tuple[i.Machine, ...]) -> None:
+    def heard(self, topology: dict, machines: tuple[Machine, ...]) -> None:
         """One event of the list, as the module is told of it; also before `begin` (`serving.Roll`)."""
         if topology.get("all"):
             for machine in self._told.entries.keys() - {one.id for one in machines}:
@@ -35,15 +36,15 @@
         for machine in machines:
             self._told.heard(machine)
 
-    def begin(self, settings: i.Settings, driver: Driver, seed: int) -> None:
+    def begin(self, settings: Settings, driver: Driver, seed: int) -> None:
         """Hear what the module hears, from now on."""
         self._settings, self._driver = settings, driver
         self._solitary = Solitary(settings, self._times, Random(seed), time.monotonic())
-        self._heard(i.MachinesChanged(i.ListForm.DELTA, tuple(self._told.entries.values())))
+        self._heard(MachinesChanged(ListForm.DELTA, tuple(self._told.entries.values())))
         driver.watches.append(self._heard)
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
-    def _heard(self, event: i.Event) -> None:
+    def _heard(self, event: Event) -> None:
         self._solitary.keeper.heard(time.monotonic(), event)
 
     def _tick(self) -> None:
@@ -54,7 +55,7 @@
             self._driver.site.probe(
                 machine,
                 lambda outcome, report, machine=machine: self._driver.post(
-                    i.ProbeAnswered(machine, outcome, 0, report)
+                    ProbeAnswered(machine, outcome, 0, report)
                 ),
             )
         for one in self._solitary.changes:
@@ -69,7 +70,7 @@
         machines = self._told.news(self._told.entries, lambda machine: keeper.state(now, machine.id))
         if machines:
             # Not through `post`, which would have us hear it as our own list's word.
-            self._driver.tell(i.MachinesChanged(i.ListForm.DELTA, machines))
+            self._driver.tell(MachinesChanged(ListForm.DELTA, machines))
 
     # ---- what the core asks ----------------------------------------------------------------------------
 
--- a/weldhatch/testbed/in_memory_machines.py
+++ b/weldhatch/testbed/in_memory_machines.py
@@ -13,7 +13,7 @@
 
 from weldhatch.core import ports
 from weldhatch.core.ports import LetGo
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Machine, Outcome, Reason
 
 
 @dataclass(slots=True)
@@ -56,8 +56,8 @@
         self._stands: dict[int, Running] = {}
         self.dead = False
 
-    def entries(self) -> tuple[i.Machine, ...]:
-        return tuple(i.Machine(n, cell=n // 4) for n in self.free)
+    def entries(self) -> tuple[Machine, ...]:
+        return tuple(Machine(n, cell=n // 4) for n in self.free)
 
     @property
     def busy(self) -> int:
@@ -67,7 +67,7 @@
     def end_all(self) -> None:
         """All that runs comes to its end."""
         for one in list(self._stands.values()):
-            self._end(one, i.Outcome.OK, ports.GIVEN_UP)
+            self._end(one, Outcome.OK, ports.GIVEN_UP)
 
     def die(self) -> None:
         """The gateway is gone, and the machines stop what they ran for it, as leases run out."""
@@ -99,16 +99,16 @@
     def _look(self, one: Running) -> None:
         del self._out[id(one.task)]
         if self.free[one.machine] < one.task.cores:
-            one.teller.tell(ports.Ended(one.attempt, i.Outcome.FULL, i.Reason.NO_CORES))
+            one.teller.tell(ports.Ended(one.attempt, Outcome.FULL, Reason.NO_CORES))
             return
         self.free[one.machine] -= one.task.cores
         self._stands[id(one.task)] = one
         self._tally.begin(one.task.key)
         one.teller.tell(ports.Answered(one.attempt, f"m{one.machine}"))
         life = self.life_s * (0.5 + self._random.random())
-        one.timer = asyncio.get_running_loop().call_later(life, self._end, one, i.Outcome.OK, ports.GIVEN_UP)
+        one.timer = asyncio.get_running_loop().call_later(life, self._end, one, Outcome.OK, ports.GIVEN_UP)
 
-    def _end(self, one: Running, outcome: i.Outcome, cause: int) -> None:
+    def _end(self, one: Running, outcome: Outcome, cause: int) -> None:
         if self._stands.pop(id(one.task), None) is None:
             return
         one.timer.cancel()
@@ -117,7 +117,7 @@
         one.teller.tell(ports.Ended(one.attempt, outcome, cause=cause))
 
     def adopt(self, machine: int, task: ports.Task, teller: ports.Teller) -> None:
-        teller.tell(ports.Ended(0, i.Outcome.RESET))
+        teller.tell(ports.Ended(0, Outcome.RESET))
 
     def give_up(self, machine: int, task: ports.Task) -> LetGo:
         if one := self._out.pop(id(task), None):
@@ -127,10 +127,10 @@
 
     def release(self, machine: int, task: ports.Task, cause: int) -> None:
         if one := self._stands.get(id(task)):
-            self._end(one, i.Outcome.CANCELLED, cause)
+            self._end(one, Outcome.CANCELLED, cause)
 
     def move(self, machine: int, task: ports.Task) -> None:
         self.release(machine, task, ports.CALLED_OFF)
 
-    def probe(self, machine: int, done: Callable[[i.Outcome, tuple[float, ...]], None]) -> None:
-        done(i.Outcome.OK, (self.free[machine], 2 * self.free[machine]))
+    def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
+        done(Outcome.OK, (self.free[machine], 2 * self.free[machine]))
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -19,8 +19,9 @@
 from weldhatch.core.policy_driver import Driver, unix_us
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.descriptor_budget import Budget, Share
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import MachinesChanged
 from weldhatch.scheduling.policy import Policy
+from weldhatch.scheduling.types import Effect, ListForm, MachineKind, RequestClass, Scope, Settings
 from weldhatch.sites.forwarding import Sites
 from weldhatch.sites.link import Door
 from weldhatch.sites.messages import Id, Work
@@ -30,16 +31,16 @@
 from weldhatch.testbed.in_memory_machines import Hall, Tally
 
 
-def settings(cores: float = 8.0, deadline_s: float = 3.0, owner_wait_s: float = 0.1) -> i.Settings:
+def settings(cores: float = 8.0, deadline_s: float = 3.0, owner_wait_s: float = 0.1) -> Settings:
     """Three classes, one of each effect; a machine bears what it has."""
     us = int(deadline_s * 1e6)
-    return i.Settings(
+    return Settings(
         classes=(
-            i.RequestClass("lookup", us // 5, us, i.Effect.SAFE),
-            i.RequestClass("import", us // 5, us, i.Effect.KEYED, group=i.Scope.ZONE, window_us=8_000_000),
-            i.RequestClass("writer", us // 5, us, i.Effect.UNSAFE),
+            RequestClass("lookup", us // 5, us, Effect.SAFE),
+            RequestClass("import", us // 5, us, Effect.KEYED, group=Scope.ZONE, window_us=8_000_000),
+            RequestClass("writer", us // 5, us, Effect.UNSAFE),
         ),
-        kinds=(i.MachineKind("std", cores, 2 * cores),),
+        kinds=(MachineKind("std", cores, 2 * cores),),
         max_attempts=4,
         report_fields=("x0", "x1"),
         cold_sends=8,
@@ -125,7 +126,7 @@
     machines: int = 4
     seed: int = 1
     life_s: float = 0.2
-    told: i.Settings = field(default_factory=settings)
+    told: Settings = field(default_factory=settings)
     log: Callable[[str], None] = lambda text: None
     settle_s: float = 0.1
 
@@ -164,7 +165,7 @@
             self.log,
         )
         driver.watches.append(lambda event: sites.room.watch(time.monotonic(), event))
-        driver.post(i.MachinesChanged(i.ListForm.CACHED, hall.entries()))
+        driver.post(MachinesChanged(ListForm.CACHED, hall.entries()))
         budget = Budget(400)
         door = Door(("127.0.0.1", 0), sites.links, Share(budget, 200), self.log)
         for pair, wire in self.wires.items():
@@ -225,12 +226,12 @@
         """A site without machines gets some."""
         one = self.now[site]
         one.hall.free = dict.fromkeys(range(1, count + 1), one.hall.cores)
-        one.driver.post(i.MachinesChanged(i.ListForm.FULL, one.hall.entries()))
+        one.driver.post(MachinesChanged(ListForm.FULL, one.hall.entries()))
 
     def guarded(self, key: int) -> bool:
         """Whether a key's task may not run twice."""
         return any(
-            owner.task.key == key and self.told.classes[owner.task.class_index].effect is not i.Effect.SAFE
+            owner.task.key == key and self.told.classes[owner.task.class_index].effect is not Effect.SAFE
             for owner in self.owners
         )
 
--- a/weldhatch/testbed/simulated_cluster.py
+++ b/weldhatch/testbed/simulated_cluster.py
@@ -18,7 +18,7 @@
 from weldhatch.coordination import compatibility
 from weldhatch.coordination.leader import Spans
 from weldhatch.coordination.node import Came, Hold, Member, Reach, Say, Write
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 
 STEP_S = 0.02
 KINDS = ("crash", "stop", "cut", "deaf", "lose", "double", "older", "cut_pair", "slow_disk")
@@ -124,7 +124,7 @@
                 saved.take_word(*word)
         own = config.settings_of_json(settings())
 
-        def read(tree: dict) -> i.Settings:
+        def read(tree: dict) -> Settings:
             return replace(config.settings_of_json(tree), zone=own.zone)
 
         seat.member = Member(
--- a/weldhatch/testbed/simulated_zones.py
+++ b/weldhatch/testbed/simulated_zones.py
@@ -13,7 +13,9 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import AttemptEnded, MachinesChanged, Placed, ProbeAnswered, RequestArrived
+from weldhatch.scheduling.types import Effect, ListForm, MachineKind, Outcome, RequestClass, Settings
+from weldhatch.scheduling.types import Machine as ListedMachine
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.start_quota import Share
@@ -23,13 +25,13 @@
 ASK_S, TICK_S = 0.2, 0.05
 
 
-def settings(zones: int, dispatchers: int, cold_sends: float = 6.0) -> i.Settings:
-    return i.Settings(
+def settings(zones: int, dispatchers: int, cold_sends: float = 6.0) -> Settings:
+    return Settings(
         classes=(
-            i.RequestClass("lookup", 700_000, 1_500_000),
-            i.RequestClass("writer", 700_000, 1_500_000, i.Effect.UNSAFE, worth=5.0),
+            RequestClass("lookup", 700_000, 1_500_000),
+            RequestClass("writer", 700_000, 1_500_000, Effect.UNSAFE, worth=5.0),
         ),
-        kinds=(i.MachineKind("std", 40.0, 40.0),),
+        kinds=(MachineKind("std", 40.0, 40.0),),
         zones=tuple(f"z{n}" for n in range(zones)),
         group_size=dispatchers,
         cold_sends=cold_sends,
@@ -77,7 +79,7 @@
         self.by_zone = [
             [n for n, one in enumerate(self.machines) if one.zone == zone] for zone in range(zones)
         ]
-        listed = tuple(i.Machine(n, one.zone, 0, one.cell) for n, one in enumerate(self.machines))
+        listed = tuple(ListedMachine(n, one.zone, 0, one.cell) for n, one in enumerate(self.machines))
         self.zones, self.changes = Zones(), []
         self.keepers: list[Keeper] = []
         self.alive = [True] * dispatchers
@@ -98,7 +100,7 @@
                 Random(seed * 1000 + n),
                 lambda machine: self.machines[machine].uid,
             )
-            keeper.heard(0.0, i.MachinesChanged(i.ListForm.FULL, listed))
+            keeper.heard(0.0, MachinesChanged(ListForm.FULL, listed))
             self.keepers.append(keeper)
             self._later(self.random.random() * ASK_S, lambda n=n: self._ask(n))
             self._later(self.random.random() * TICK_S, lambda n=n: self._tick(n))
@@ -184,7 +186,7 @@
             machine = self.random.randrange(len(self.machines))
             if keeper.state(self.now, machine) == "ready" and not keeper.stops(self.now, machine, 0):
                 self._serial += 1
-                keeper.heard(self.now, i.RequestArrived(self._serial, 0, 0, 1, 1.0, 1.0))
+                keeper.heard(self.now, RequestArrived(self._serial, 0, 0, 1, 1.0, 1.0))
                 self._exchange(n, machine, self._serial)
                 return
 
@@ -212,18 +214,16 @@
             return
         keeper = self.keepers[n]
         if not request:
-            outcome = i.Outcome.OK if reached else i.Outcome.TIMEOUT
-            keeper.heard(self.now, i.ProbeAnswered(machine, outcome))
+            outcome = Outcome.OK if reached else Outcome.TIMEOUT
+            keeper.heard(self.now, ProbeAnswered(machine, outcome))
         elif reached:
-            keeper.heard(self.now, i.Placed(request, 0, machine, 0))
+            keeper.heard(self.now, Placed(request, 0, machine, 0))
             self._later(
                 3.0,
-                lambda: keeper.heard(
-                    self.now, i.AttemptEnded(request, 0, machine, i.Outcome.OK, closed=True)
-                ),
+                lambda: keeper.heard(self.now, AttemptEnded(request, 0, machine, Outcome.OK, closed=True)),
             )
         else:
-            keeper.heard(self.now, i.AttemptEnded(request, 0, machine, i.Outcome.TIMEOUT, closed=True))
+            keeper.heard(self.now, AttemptEnded(request, 0, machine, Outcome.TIMEOUT, closed=True))
 
     # ---- the leader ------------------------------------------------------------------------------------
 
--- a/weldhatch/zones/capacity.py
+++ b/weldhatch/zones/capacity.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from statistics import median
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import RequestClass
 
 SPARE = 0.1  # the part of the free room that is not counted on: it is told late, and from a few machines
 SHED_LEAST = 0.02  # less is not worth turning anybody away for
@@ -66,12 +66,12 @@
 # ---- what is turned away --------------------------------------------------------------------------------
 
 
-def by_worth(classes: Iterable[i.RequestClass]) -> list[str]:
+def by_worth(classes: Iterable[RequestClass]) -> list[str]:
     """The least worth first: those go first where not all can be borne."""
     return [cls.name for cls in sorted(classes, key=lambda cls: (cls.worth, cls.priority))]
 
 
-def shed_of(level: float, classes: Iterable[i.RequestClass]) -> dict[str, float]:
+def shed_of(level: float, classes: Iterable[RequestClass]) -> dict[str, float]:
     """By class, the part of its new work to turn away. Level 1.3: all of the least worth, 30% of the next."""
     names = by_worth(classes)
     return {name: round(min(1.0, level - n), 2) for n, name in enumerate(names) if level - n >= LEVEL_LEAST}
@@ -81,7 +81,7 @@
     return sum(shed.values())
 
 
-def first_level(need: Need, rates: Mapping[str, float], classes: Iterable[i.RequestClass]) -> float:
+def first_level(need: Need, rates: Mapping[str, float], classes: Iterable[RequestClass]) -> float:
     """Where a zone is left: what the rest can't bear of what it carried, as a part of all new work."""
     over, level = need.short * sum(rates.values()), 0.0
     if need.short < SHED_LEAST:
--- a/weldhatch/zones/endpoint_overlay.py
+++ b/weldhatch/zones/endpoint_overlay.py
@@ -5,20 +5,20 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Machine, MachineState
 
 
 class Narrowed:
     """Machines of our own list, and those among them that count for less here."""
 
     def __init__(self) -> None:
-        self.entries: dict[int, i.Machine] = {}
+        self.entries: dict[int, Machine] = {}
         self._narrowed: set[int] = set()
 
-    def heard(self, machine: i.Machine) -> None:
+    def heard(self, machine: Machine) -> None:
         """The module has just been told what our own list says."""
         self._narrowed.discard(machine.id)
-        if machine.state is i.MachineState.GONE:
+        if machine.state is MachineState.GONE:
             self.entries.pop(machine.id, None)
         else:
             self.entries[machine.id] = machine
@@ -27,15 +27,15 @@
         self.entries.pop(machine, None)
         self._narrowed.discard(machine)
 
-    def news(self, machines: Iterable[int], acts: Callable[[i.Machine], str]) -> tuple[i.Machine, ...]:
+    def news(self, machines: Iterable[int], acts: Callable[[Machine], str]) -> tuple[Machine, ...]:
         """Those of which the module should hear another state than it was told last, with that state."""
         out = []
         for id in {*machines, *self._narrowed}:
             machine = self.entries.get(id)
-            if machine is None or machine.state is not i.MachineState.READY:
+            if machine is None or machine.state is not MachineState.READY:
                 continue
             narrow = acts(machine) != "ready"
             if narrow is not (id in self._narrowed):
                 self._narrowed.symmetric_difference_update({id})
-                out.append(replace(machine, state=i.MachineState.DRAINING) if narrow else machine)
+                out.append(replace(machine, state=MachineState.DRAINING) if narrow else machine)
         return tuple(out)
--- a/weldhatch/zones/failover_leader.py
+++ b/weldhatch/zones/failover_leader.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones import capacity, load_shedding
 from weldhatch.zones.observations import Cut, Look
 from weldhatch.zones.start_quota import Ledger, Share
@@ -143,7 +143,7 @@
 
     # ---- what is to be proposed ------------------------------------------------------------------------
 
-    def todo(self, now: float, zones: Zones, settings: i.Settings, held: Callable[[int], bool]) -> list[dict]:
+    def todo(self, now: float, zones: Zones, settings: Settings, held: Callable[[int], bool]) -> list[dict]:
         """Changes that are due, each a command. `held`: whether all hold the group's state at an index."""
         out = []
         names = dict.fromkeys([*settings.zones, *zones.entries])
@@ -227,7 +227,7 @@
         watched: Watched,
         seen: Seen,
         zones: Zones,
-        settings: i.Settings,
+        settings: Settings,
         held: Callable[[int], bool],
     ) -> dict | None:
         times, age = self.times, now - watched.since
@@ -305,7 +305,7 @@
                 return self._return(now, name, place, watched, zones, settings, down, up, inside, is_down)
         return None
 
-    def _may_leave(self, name: str, zones: Zones, settings: i.Settings) -> bool:
+    def _may_leave(self, name: str, zones: Zones, settings: Settings) -> bool:
         """The last zone that serves is kept, whatever is said of it."""
         zone = name.partition("/")[0]
         if "/" in name or zones.others(zone, settings.zones):
@@ -319,7 +319,7 @@
         now: float,
         name: str,
         zones: Zones,
-        settings: i.Settings,
+        settings: Settings,
         flaps: int,
         down: list[str],
         up: list[str],
@@ -350,7 +350,7 @@
         place: Place,
         watched: Watched,
         zones: Zones,
-        settings: i.Settings,
+        settings: Settings,
         down: list[str],
         up: list[str],
         inside: list[str],
@@ -398,18 +398,18 @@
 
     # ---- room ------------------------------------------------------------------------------------------
 
-    def need(self, now: float, name: str, zones: Zones, settings: i.Settings) -> capacity.Need:
+    def need(self, now: float, name: str, zones: Zones, settings: Settings) -> capacity.Need:
         """What a zone carries beside what the zones that still serve have free."""
         return capacity.Need(self._carried.most(now, name), self._free(now, name, zones, settings)[0])
 
-    def _free(self, now: float, name: str, zones: Zones, settings: i.Settings) -> tuple[float, float]:
+    def _free(self, now: float, name: str, zones: Zones, settings: Settings) -> tuple[float, float]:
         """Cores that are free in all zones that serve but this one, and how many they are in all."""
         rest = [zone for zone in settings.zones if zone != name and zones.at(zone).phase not in AWAY]
         return capacity.free_in(
             [one.told for one in self._fresh(now) if one.told.get("cut") != Cut.SELF.value], rest
         )
 
-    def shed(self, now: float, name: str, zones: Zones, settings: i.Settings) -> dict[str, float]:
+    def shed(self, now: float, name: str, zones: Zones, settings: Settings) -> dict[str, float]:
         rates: dict[str, float] = {}
         for one in self._fresh(now):
             for cls, rate in one.told.get("rates", {}).items():
@@ -419,10 +419,10 @@
             settings.classes,
         )
 
-    def _by_tenant(self, now: float, shed: Mapping[str, float], settings: i.Settings) -> dict:
+    def _by_tenant(self, now: float, shed: Mapping[str, float], settings: Settings) -> dict:
         return load_shedding.of_shed(shed, [one.told for one in self._fresh(now)], settings.tenants)
 
-    def operator(self, now: float, told: Mapping, zones: Zones, settings: i.Settings) -> dict:
+    def operator(self, now: float, told: Mapping, zones: Zones, settings: Settings) -> dict:
         """An operator's word as a command, or {"error": ...}: leave, return, hold, release."""
         name, word = told["place"], told["word"]
         place = zones.at(name)
@@ -469,7 +469,7 @@
 
     # ---- shares ----------------------------------------------------------------------------------------
 
-    def shares(self, now: float, life: str, zones: Zones, settings: i.Settings) -> list[Share]:
+    def shares(self, now: float, life: str, zones: Zones, settings: Settings) -> list[Share]:
         """What one dispatcher may start on machines that return, and for how long."""
         out = []
         present = {one.life: one.told.get("zone", "") for one in self._fresh(now)}
--- a/weldhatch/zones/failover_member.py
+++ b/weldhatch/zones/failover_member.py
@@ -9,7 +9,18 @@
 from dataclasses import dataclass
 from random import Random
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import (
+    AttemptEnded,
+    Event,
+    MachinesChanged,
+    Note,
+    Placed,
+    ProbeAnswered,
+    RequestArrived,
+    RequestGone,
+    TaskAdopted,
+)
+from weldhatch.scheduling.types import Effect, ListForm, Machine, MachineState, Outcome, Reason, Settings
 from weldhatch.zones import load_shedding
 from weldhatch.zones.load_accounting import Asked, Standing, Tally
 from weldhatch.zones.observations import Cut, Sight, Sign
@@ -25,17 +36,17 @@
 WAIT_S = 1.0  # for an owner that is turned away, where nothing tells more
 FENCE_MOST = 500  # keys that one command tells of
 SIGNS = {
-    i.Outcome.OK: Sign.ANSWER,
-    i.Outcome.FULL: Sign.ANSWER,
-    i.Outcome.ERROR: Sign.ERROR,
-    i.Outcome.TIMEOUT: Sign.SILENT,
-    i.Outcome.CONNECT_FAILED: Sign.REFUSED,
-    i.Outcome.RESET: Sign.RESET,
+    Outcome.OK: Sign.ANSWER,
+    Outcome.FULL: Sign.ANSWER,
+    Outcome.ERROR: Sign.ERROR,
+    Outcome.TIMEOUT: Sign.SILENT,
+    Outcome.CONNECT_FAILED: Sign.REFUSED,
+    Outcome.RESET: Sign.RESET,
 }
-MAYBE = (i.Outcome.TIMEOUT, i.Outcome.RESET, i.Outcome.CANCELLED)
+MAYBE = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 MAYBE_S, MAYBE_MOST = 10.0, 5000
-WRONG = (i.Outcome.ERROR, i.Outcome.TIMEOUT, i.Outcome.CONNECT_FAILED, i.Outcome.RESET)
-EVICTED = (i.Reason.EVICTED, i.Reason.LINE_FULL)
+WRONG = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
+EVICTED = (Reason.EVICTED, Reason.LINE_FULL)
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,7 +60,7 @@
 class Keeper:
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         drift: float,
         random: Random,
         uid_of: Callable[[int], str],
@@ -66,7 +77,7 @@
         self.hushed: frozenset[str] = frozenset()  # zones that we hold back from as of the last tick
         self.zones = Zones()
         self.refused = 0
-        self._machines: dict[int, i.Machine] = {}
+        self._machines: dict[int, Machine] = {}
         self._probed: dict[str, float] = {}
         self._sized: tuple[float, dict[str, float], int] = (float("-inf"), {}, 0)  # when, and of how many
         self._ticked, self._cut = float("-inf"), Cut.NO
@@ -78,27 +89,27 @@
 
     # ---- hearing ---------------------------------------------------------------------------------------
 
-    def heard(self, now: float, event: i.Event) -> None:
+    def heard(self, now: float, event: Event) -> None:
         """One event that the module gets."""
         match event:
-            case i.MachinesChanged():
+            case MachinesChanged():
                 self._listed(event)
-            case i.RequestArrived():
+            case RequestArrived():
                 self.tally.arrived(now, event)
                 self.attempts.first()
-            case i.TaskAdopted():
+            case TaskAdopted():
                 self.tally.adopted(event)
-            case i.Placed(request, _, machine):
+            case Placed(request, _, machine):
                 self.tally.placed(request, machine)
                 self._came(now, machine, Sign.ANSWER, False)
-            case i.Note(_, _, machine):
+            case Note(_, _, machine):
                 self._sign(now, machine, Sign.ANSWER)
-            case i.ProbeAnswered(machine, outcome):
+            case ProbeAnswered(machine, outcome):
                 if (sign := SIGNS.get(outcome)) is not None:
                     self._sign(now, machine, sign)
-            case i.AttemptEnded():
+            case AttemptEnded():
                 self._ended(now, event)
-            case i.RequestGone(request):
+            case RequestGone(request):
                 self.tally.over(request)
 
     def _sign(self, now: float, machine: int, sign: Sign) -> None:
@@ -117,15 +128,15 @@
         """A machine's connection has ended: it may be a new process, whatever lists say."""
         self._steady.pop(machine, None)
 
-    def _listed(self, event: i.MachinesChanged) -> None:
-        if event.form is i.ListForm.FAILED:
+    def _listed(self, event: MachinesChanged) -> None:
+        if event.form is ListForm.FAILED:
             return
         named = {machine.id for machine in event.machines}
-        if event.form is not i.ListForm.DELTA:
+        if event.form is not ListForm.DELTA:
             for machine in self._machines.keys() - named:
                 self._gone(machine)
         for machine in event.machines:
-            if machine.state is i.MachineState.GONE:
+            if machine.state is MachineState.GONE:
                 self._gone(machine.id)
                 continue
             self._machines[machine.id] = machine
@@ -137,26 +148,26 @@
         self._steady.pop(machine, None)
         self.sight.gone(machine)
 
-    def _zone(self, machine: i.Machine) -> str:
+    def _zone(self, machine: Machine) -> str:
         zones = self._settings.zones
         return zones[machine.zone] if 0 <= machine.zone < len(zones) else ""
 
-    def _ended(self, now: float, e: i.AttemptEnded) -> None:
+    def _ended(self, now: float, e: AttemptEnded) -> None:
         asked, stood = self.tally.asked(e.request), self.tally.ended(e.request)
-        if e.outcome in (MAYBE if stood is None else (i.Outcome.RESET,)) and not e.reason:
+        if e.outcome in (MAYBE if stood is None else (Outcome.RESET,)) and not e.reason:
             self._may_run(now, stood or asked, e.machine)
         if e.closed:
             self.tally.over(e.request)
         sign = SIGNS.get(e.outcome)
         if sign is None and (names := self._names(e.machine)):
             self.hush.ended(names[0], e.machine)  # called off, or never sent: no answer is owed
-        if sign is None or (stood is not None and e.outcome is i.Outcome.OK):
+        if sign is None or (stood is not None and e.outcome is Outcome.OK):
             return
         wrong = e.outcome in WRONG or e.reason in EVICTED
         if stood is None:
             self._came(now, e.machine, sign, wrong)
         else:
-            self._sign(now, e.machine, Sign.ANSWER if e.outcome is i.Outcome.FULL else sign)
+            self._sign(now, e.machine, Sign.ANSWER if e.outcome is Outcome.FULL else sign)
             if wrong and (place := self._returning(e.machine)):
                 self.tally.at(place).trouble += 1
 
@@ -164,7 +175,7 @@
         """An unsafe task that may run, as nothing proves it does not: its answer, or its machine, is lost."""
         if task is None or not task.key:
             return
-        if self._settings.classes[task.class_index].effect is i.Effect.UNSAFE:
+        if self._settings.classes[task.class_index].effect is Effect.UNSAFE:
             self._maybe[f"{task.key:x}"] = machine, now
             if len(self._maybe) > MAYBE_MOST:
                 del self._maybe[next(iter(self._maybe))]
@@ -181,7 +192,7 @@
         phase, place = self.phase(machine)
         return place if phase is Phase.RETURNING else ""
 
-    def settle(self, settings: i.Settings) -> None:
+    def settle(self, settings: Settings) -> None:
         """Other settings are in force: classes keep their places, and zones do."""
         self._settings = settings
         self.sight.extend(settings.zones)
@@ -217,9 +228,9 @@
             for request in requests:
                 one = self.tally.standing[request]
                 cls = self._settings.classes[one.class_index]
-                if one.key and cls.effect is i.Effect.UNSAFE:
+                if one.key and cls.effect is Effect.UNSAFE:
                     unsafe.add(f"{one.key:x}")
-                elif one.key and cls.effect is i.Effect.KEYED:
+                elif one.key and cls.effect is Effect.KEYED:
                     self._windows[f"{one.key:x}"] = now + cls.window_us / 1e6
         # Guards against a start whose answer was cut off on its way: its owner settles, and comes again.
         unsafe |= {
@@ -313,7 +324,7 @@
         if own.phase in AWAY and self._cut is not Cut.NO:
             # One in a left zone that still reaches the others' servers goes on for them.
             return Away(WAIT_S, f"{self.own} is left, and we are cut off: others take it")
-        if self._settings.classes[class_index].effect is not i.Effect.SAFE and key:
+        if self._settings.classes[class_index].effect is not Effect.SAFE and key:
             text = f"{key:x}"
             if text in self.zones.fenced:
                 return Away(WAIT_S, f"it may still run in {self.zones.fenced[text][0]}")
@@ -445,7 +456,7 @@
             return self._sized[1]
         size: dict[str, float] = {}
         for machine in self._machines.values():
-            if machine.state is not i.MachineState.READY or self.sight.machines[machine.id].fails(now):
+            if machine.state is not MachineState.READY or self.sight.machines[machine.id].fails(now):
                 continue
             kind = self._settings.kinds[machine.kind] if machine.kind < len(self._settings.kinds) else None
             zone, cores = self._zone(machine), machine.cores or (kind.cores if kind else 1.0)
--- a/weldhatch/zones/load_accounting.py
+++ b/weldhatch/zones/load_accounting.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import RequestArrived, TaskAdopted
 
 RATE_S = 4.0  # new work is counted over so long
 ARRIVED_MOST = 20_000  # requests remembered until they are placed; the oldest go first
@@ -48,7 +48,7 @@
         self.starts: dict[str, Starts] = {}  # by place
         self.cores_on: dict[int, float] = {}  # by machine, of our tasks
 
-    def arrived(self, now: float, e: i.RequestArrived) -> None:
+    def arrived(self, now: float, e: RequestArrived) -> None:
         self._arrived[e.request] = Asked(e.class_index, e.cores, e.key)
         if len(self._arrived) > ARRIVED_MOST:
             del self._arrived[next(iter(self._arrived))]
@@ -72,7 +72,7 @@
             self._prune(now, key)
         return {key: max(0.0, cores) / RATE_S for key, cores in self._sums.items()}
 
-    def adopted(self, e: i.TaskAdopted) -> None:
+    def adopted(self, e: TaskAdopted) -> None:
         self._stand(e.request, Standing(e.class_index, e.cores, e.key, e.machine))
 
     def placed(self, request: int, machine: int) -> None:
--- a/weldhatch/zones/load_shedding.py
+++ b/weldhatch/zones/load_shedding.py
@@ -8,13 +8,13 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Tenant
 
 TOLD_MOST = 8  # pairs of class and tenant that one report names: it stays under 1 KB
 MOVED = 0.1  # a tenant's part that has moved by less is not worth a change of the agreed state
 
 
-def weights(tenants: Iterable[i.Tenant]) -> dict[str, float]:
+def weights(tenants: Iterable[Tenant]) -> dict[str, float]:
     """Each tenant's share by the first of cores, rate and portion that the settings give all of them;
     equal ones where they give none."""
     told = list(tenants)
@@ -49,7 +49,7 @@
 def of_shed(
     shed: Mapping[str, float],
     reports: Iterable[Mapping],
-    tenants: Sequence[i.Tenant],
+    tenants: Sequence[Tenant],
 ) -> dict[str, dict[str, float]]:
     """By class that is turned away in part, each tenant's part of that. `reports`: `told` of `rates_told`."""
     if len(tenants) < 2:
--- a/weldhatch/zones/standalone.py
+++ b/weldhatch/zones/standalone.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from random import Random
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.state import Zones
@@ -21,7 +21,7 @@
 class Solitary:
     """`tick` it; ask its `keeper` what may start."""
 
-    def __init__(self, settings: i.Settings, times: Times, random: Random, now: float) -> None:
+    def __init__(self, settings: Settings, times: Times, random: Random, now: float) -> None:
         self._settings = settings
         self.keeper = Keeper(settings, 0.0, random, str, fences=False)
         self.zones = Zones()
