--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -35,20 +35,21 @@
 
 
 def _settings(types, group_size: int):
-    """Settings alike to those of the platform's site: three classes, probes, two zones, booking 2."""
+    """Settings alike to those of the platform's site: three classes, probes, two zones, booking 2.
+
+    Objective and deadline go by position: the baseline's fields had other names.
+    """
     classes = (
-        types.RequestClass("match-lookup", aim_us=1_000_000, deadline_us=5_000_000, priority=2),
+        types.RequestClass("match-lookup", 1_000_000, 5_000_000, priority=2),
         types.RequestClass(
             "import-job",
-            aim_us=3_000_000,
-            deadline_us=20_000_000,
+            3_000_000,
+            20_000_000,
             effect=types.Effect.KEYED,
             window_us=30_000_000,
             priority=1,
         ),
-        types.RequestClass(
-            "memory-writer", aim_us=2_000_000, deadline_us=10_000_000, effect=types.Effect.UNSAFE
-        ),
+        types.RequestClass("memory-writer", 2_000_000, 10_000_000, effect=types.Effect.UNSAFE),
     )
     return types.Settings(
         classes=classes,
@@ -135,7 +136,7 @@
                         tuple(room),
                     ),
                 )
-        elif isinstance(action, i.Refuse):
+        elif isinstance(action, getattr(i, "Reject", None) or i.Refuse):
             self.answers["refused"] += 1
         elif isinstance(action, i.Fail):
             self.answers["failed"] += 1
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -8,14 +8,14 @@
 
 import random
 
-from weldhatch.scheduling.actions import Cancel, Fail, Offer, Probe, Refuse, SetTimer, Subscribe
+from weldhatch.scheduling.actions import Cancel, Fail, Offer, Probe, Reject, SetTimer, Subscribe
 from weldhatch.scheduling.events import (
     AttemptEnded,
     MachinesChanged,
     Placed,
     ProbeAnswered,
+    RequestAbandoned,
     RequestArrived,
-    RequestGone,
     TaskAdopted,
     TimerFired,
 )
@@ -64,14 +64,14 @@
                 r = self.requests[e.request]
                 r["answers"] += not r["placed"] and not r["over"]
                 r["over"] = True
-        elif isinstance(e, RequestGone):
+        elif isinstance(e, RequestAbandoned):
             self.requests[e.request]["over"] = True
 
     def actions(self, now, actions):
         for a in actions:
             if isinstance(a, Offer):
                 self.offer(now, a)
-            elif isinstance(a, Refuse | Fail):
+            elif isinstance(a, Reject | Fail):
                 self.final(a)
             elif isinstance(a, Cancel):
                 self.need(self.s.may_cancel, "cancel where it is not allowed")
@@ -112,10 +112,10 @@
         born = self.machines[a.machine].born_us
         sent = self.offers_to.setdefault(a.machine, [])
         sent.append(now)
-        if born and now < born + self.s.cold_us:
+        if born and now < born + self.s.warm_up_us:
             recent = sum(1 for at in sent if at > now - self.s.fall_us)
-            share = self.s.cold_sends / self.s.group_size
-            if share < 1 and self.s.cold_sends >= 2:
+            share = self.s.warm_up_offers / self.s.group_size
+            if share < 1 and self.s.warm_up_offers >= 2:
                 share = 1  # by turns: the sum over all instances has a test of its own
             self.need(recent <= share, "rule 4: a cold machine pushed over")
         tries.append((a.machine, now, None))
@@ -144,7 +144,7 @@
         self.need(not r["over"] and not r["answers"], "rule 1: two final answers")
         r["answers"], r["over"] = 1, True
         cls = self.s.classes[r["e"].class_index]
-        if isinstance(a, Refuse) and self.maybe(a.request):
+        if isinstance(a, Reject) and self.maybe(a.request):
             ok = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Scope.ALL)
             self.need(ok, "rule 2: a refusal where trying again can harm")
 
@@ -210,7 +210,7 @@
             )
         if isinstance(e, AttemptEnded):
             return (e.request, e.attempt) in self.alive
-        if isinstance(e, RequestGone):
+        if isinstance(e, RequestAbandoned):
             return not self.check.requests[e.request]["over"]
         return True
 
@@ -312,7 +312,7 @@
             self.play(TaskAdopted(self.ids, index, rnd.randrange(3) * 10 + index, 1.0, 1.0, machine))
             self.at(rnd.uniform(1000, 9_000_000), AttemptEnded(self.ids, 0, machine, Outcome.OK))
         elif r < 0.75 and self.ids:
-            gone = RequestGone(rnd.randint(1, self.ids))
+            gone = RequestAbandoned(rnd.randint(1, self.ids))
             if self.legal(gone):
                 self.play(gone)
         else:
@@ -328,6 +328,8 @@
                 self.play(
                     MachinesChanged(
                         ListForm.FULL,
-                        tuple(self.room(x) for x in self.fleet.values() if x.state is not MachineState.GONE),
+                        tuple(
+                            self.room(x) for x in self.fleet.values() if x.state is not MachineState.REMOVED
+                        ),
                     )
                 )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -73,7 +73,7 @@
 
 
 def make_class(**changes):
-    values = {"name": "c", "aim_us": SECOND, "deadline_us": 5 * SECOND, "effect": Effect.SAFE}
+    values = {"name": "c", "latency_objective_us": SECOND, "deadline_us": 5 * SECOND, "effect": Effect.SAFE}
     return RequestClass(**{**values, **changes})
 
 
@@ -85,8 +85,8 @@
         "tick_us": 2000,
         "drain_grace_us": 250_000,
         "answer_slack_us": 8000,
-        "cold_us": 10 * SECOND,
-        "cold_sends": 8,
+        "warm_up_us": 10 * SECOND,
+        "warm_up_offers": 8,
         "fall_us": 2 * SECOND,
         "reports_asked": True,
         "report_fields": ("x0", "x1", "cpu"),
--- a/tests/pins.py
+++ b/tests/pins.py
@@ -18,7 +18,22 @@
 DATA = Path(__file__).parent / "data"
 
 # (class, field) or class of today: the name that the record uses for it.
-RECORDED_NAMES: dict[tuple[str, str] | str, str] = {}
+RECORDED_NAMES: dict[tuple[str, str] | str, str] = {
+    "RequestAbandoned": "RequestGone",
+    "Reject": "Refuse",
+    "Migrate": "Move",
+    ("RequestClass", "latency_objective_us"): "aim_us",
+    ("RequestClass", "priority_weight"): "worth",
+    ("RequestClass", "late_priority_weight"): "late_worth",
+    ("RequestClass", "start_priority_weight_s"): "start_worth_s",
+    ("Settings", "hedged_requests"): "second_copies",
+    ("Settings", "poll_within_us"): "must_ask_us",
+    ("Settings", "warm_up_us"): "cold_us",
+    ("Settings", "warm_up_offers"): "cold_sends",
+    ("Settings", "preempts_tasks"): "makes_room",
+    ("Settings", "reports_usage"): "tells_use",
+    ("Settings", "over_quota_priority_weight"): "over_share_worth",
+}
 
 
 def recorded_class(value: object) -> str:
--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -48,7 +48,7 @@
     [
         (replace(BASE, max_attempts=2), Overlap.TIGHTENS),
         (replace(BASE, max_attempts=4), Overlap.WIDENS),
-        (replace(BASE, cold_us=BASE.cold_us + 1), Overlap.TIGHTENS),
+        (replace(BASE, warm_up_us=BASE.warm_up_us + 1), Overlap.TIGHTENS),
         (replace(BASE, may_cancel=False), Overlap.TIGHTENS),
         (replace(BASE, may_probe=False), Overlap.FREE),
         (replace(BASE, by_service=True), Overlap.SWITCHES),
@@ -60,7 +60,7 @@
         (of_class(spread_over=Scope.MACHINE), Overlap.SWITCHES),
         (of_class(effect=Effect.UNSAFE), Overlap.SWITCHES),
         (of_class(kind=0), Overlap.TIGHTENS),
-        (of_class(worth=7.0), Overlap.FREE),
+        (of_class(priority_weight=7.0), Overlap.FREE),
         (replace(BASE, classes=(*BASE.classes, make_class(name="c"))), Overlap.WIDENS),
         (replace(BASE, kinds=(MachineKind("k", 16.0, 64.0),)), Overlap.TIGHTENS),
     ],
@@ -72,13 +72,17 @@
 
 
 def test_what_is_acted_on_meanwhile_is_the_narrower_of_both_whichever_is_newer():
-    new = replace(of_class(spread_most=5, worth=9.0), max_attempts=2, cold_sends=20.0)
+    new = replace(of_class(spread_most=5, priority_weight=9.0), max_attempts=2, warm_up_offers=20.0)
     for narrow in (compatibility.meet(BASE, new), compatibility.meet(new, BASE)):
         told = narrow.settings
-        assert (told.max_attempts, told.cold_sends, told.classes[0].spread_most) == (2, BASE.cold_sends, 3)
+        assert (told.max_attempts, told.warm_up_offers, told.classes[0].spread_most) == (
+            2,
+            BASE.warm_up_offers,
+            3,
+        )
         assert narrow.allows("a")
     assert (
-        compatibility.meet(BASE, new).settings.classes[0].worth == 1.0
+        compatibility.meet(BASE, new).settings.classes[0].priority_weight == 1.0
     )  # what is free waits for its version
 
 
@@ -96,7 +100,7 @@
     assert not touched(keyed)
     assert touched(of_class(spread_most=9))
     assert touched(replace(BASE, max_attempts=9))
-    assert not touched(of_class(worth=9.0))
+    assert not touched(of_class(priority_weight=9.0))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -29,8 +29,8 @@
 FULL, ENDED = 34, 16
 
 
-def allowed(cold_sends):
-    return cold_sends + 2 * cold_sends**0.5 + 2
+def allowed(warm_up_offers):
+    return warm_up_offers + 2 * warm_up_offers**0.5 + 2
 
 
 def most_within(times, span):
@@ -173,7 +173,7 @@
 class Fleet:
     """Dispatchers under load, two servers that are about to start and one that has run for long."""
 
-    def __init__(self, count, cold_sends, probes=True, every_s=EVERY_S):
+    def __init__(self, count, warm_up_offers, probes=True, every_s=EVERY_S):
         settings = {
             **SETTINGS,
             "groupSize": count,
@@ -181,12 +181,12 @@
                 **SETTINGS["extra"],
                 "sizeCores": [4000],
                 "memOfKind": [4000.0],
-                "coldSends": cold_sends,
+                "coldSends": warm_up_offers,
             },
             "limits": {**SETTINGS["limits"], "probes": probes},
             "rules": {**SETTINGS["rules"], "coldUs": int(COLD_S * 1e6), "fallUs": int(FALL_S * 1e6)},
         }
-        self.cold_sends = cold_sends
+        self.warm_up_offers = warm_up_offers
         self.dispatchers = [Dispatcher(me, settings, every_s) for me in range(count)]
         self.cold = [Machine("c1", True), Machine("c2", True)]
         self.warm = Machine("w1", False)
@@ -215,25 +215,26 @@
     def check(self):
         worst = max(machine.worst() for machine in self.cold)
         print(
-            f"{len(self.dispatchers)} dispatchers, budget {self.cold_sends}: at most {worst} within the span"
+            f"{len(self.dispatchers)} dispatchers, budget {self.warm_up_offers}: "
+            f"at most {worst} within the span"
         )
-        assert worst <= allowed(self.cold_sends)
+        assert worst <= allowed(self.warm_up_offers)
         return worst
 
 
 FLEETS = [(24, 24), (24, 60), (24, 11), (30, 30), (30, 16)]
-fleets = pytest.mark.parametrize("count, cold_sends", FLEETS)
+fleets = pytest.mark.parametrize("count, warm_up_offers", FLEETS)
 
 
 @fleets
-def test_all_are_told_of_the_start_at_once(count, cold_sends):
+def test_all_are_told_of_the_start_at_once(count, warm_up_offers):
     async def play():
-        async with Fleet(count, cold_sends) as fleet:
+        async with Fleet(count, warm_up_offers) as fleet:
             fleet.boot()
             for dispatcher in fleet.dispatchers:
                 dispatcher.told(fleet.cold)
             await asyncio.sleep(COLD_S)
-            assert fleet.check() >= cold_sends / 4  # the servers are not just left alone
+            assert fleet.check() >= warm_up_offers / 4  # the servers are not just left alone
 
     stepped.run(play())
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,7 +7,7 @@
 from weldhatch.core.policy_driver import Driver, unix_us
 from weldhatch.core.ports import Ended, LetGo, Task
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.scheduling.actions import Fail, Offer, Refuse
+from weldhatch.scheduling.actions import Fail, Offer, Reject
 from weldhatch.scheduling.events import AttemptEnded, RequestArrived
 from weldhatch.scheduling.types import Outcome
 
@@ -22,7 +22,7 @@
                 out.append(Offer(e.request, 1))
             elif isinstance(e, AttemptEnded):
                 proof = e.outcome is Outcome.CONNECT_FAILED
-                out.append(Refuse(e.request, 0) if proof else Fail(e.request))
+                out.append(Reject(e.request, 0) if proof else Fail(e.request))
         return out
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -23,16 +23,16 @@
 
 def test_the_less_of_both_words_counts():
     operators = Operators()
-    own = (MachineState.READY, MachineState.DRAINING, MachineState.GONE)
+    own = (MachineState.READY, MachineState.DRAINING, MachineState.REMOVED)
     assert [operators.merged("b1", state) for state in own] == list(own)
     operators.take(word())
     assert [operators.merged("b1", state) for state in own] == [
         MachineState.DRAINING,
         MachineState.DRAINING,
-        MachineState.GONE,
+        MachineState.REMOVED,
     ]
     operators.take(word(state="off"))
-    assert {operators.merged("b1", state) for state in own} == {MachineState.GONE}
+    assert {operators.merged("b1", state) for state in own} == {MachineState.REMOVED}
 
 
 def test_a_late_word_of_an_older_apply_is_refused_and_a_repeat_changes_nothing():
--- a/tests/test_pins_policy.py
+++ b/tests/test_pins_policy.py
@@ -32,9 +32,9 @@
     Probe,
     ProbeAnswered,
     Reason,
+    RequestAbandoned,
     RequestArrived,
     RequestClass,
-    RequestGone,
     Scope,
     SetTimer,
     Settings,
@@ -62,12 +62,12 @@
 def settings_of(**changes):
     """Settings with everything on, unless changed."""
     values = {
-        "classes": (RequestClass("only", aim_us=SECOND, deadline_us=5 * SECOND),),
+        "classes": (RequestClass("only", latency_objective_us=SECOND, deadline_us=5 * SECOND),),
         "kinds": (MachineKind("std", 32.0, 64.0),),
         "max_attempts": 3,
         "tick_us": 2000,
-        "cold_us": 10 * SECOND,
-        "cold_sends": 8.0,
+        "warm_up_us": 10 * SECOND,
+        "warm_up_offers": 8.0,
         "fall_us": 2 * SECOND,
         "report_fields": ("x0", "x1", "cpu"),
     }
@@ -76,11 +76,13 @@
 
 def three_classes(**changes):
     """A safe, a keyed and an unsafe class of different priority and worth."""
-    common = {"aim_us": SECOND, "deadline_us": 6 * SECOND, **changes}
+    common = {"latency_objective_us": SECOND, "deadline_us": 6 * SECOND, **changes}
     return (
-        RequestClass("safe", priority=2, worth=5.0, calm=0.8, **common),
-        RequestClass("keyed", effect=Effect.KEYED, window_us=4 * SECOND, priority=1, worth=2.0, **common),
-        RequestClass("unsafe", effect=Effect.UNSAFE, worth=1.0, calm=0.6, **common),
+        RequestClass("safe", priority=2, priority_weight=5.0, calm=0.8, **common),
+        RequestClass(
+            "keyed", effect=Effect.KEYED, window_us=4 * SECOND, priority=1, priority_weight=2.0, **common
+        ),
+        RequestClass("unsafe", effect=Effect.UNSAFE, priority_weight=1.0, calm=0.6, **common),
     )
 
 
@@ -127,7 +129,7 @@
         group_size=16,
         me=3,
         max_attempts=4,
-        cold_sends=40,
+        warm_up_offers=40,
         retry_after=True,
         max_retry_after_us=3 * SECOND,
         subscribe=True,
@@ -146,9 +148,9 @@
     )
     used = settings_of(classes=classes, reports_asked=False, lists_free=True, report_fields=("x1", "x0"))
     no_probes = settings_of(classes=classes, may_probe=False, may_cancel=False, subscribe=True)
-    turns = settings_of(group_size=50, me=7, cold_sends=8.0, max_attempts=2)
+    turns = settings_of(group_size=50, me=7, warm_up_offers=8.0, max_attempts=2)
     calm = settings_of(
-        classes=three_classes(aim_us=3 * SECOND, deadline_us=9 * SECOND),
+        classes=three_classes(latency_objective_us=3 * SECOND, deadline_us=9 * SECOND),
         by_service=True,
         confirms_running=False,
         cores_booking=1.5,
@@ -184,10 +186,10 @@
         ),
         "cold by turns": Scenario(turns, machines=10, churn=0.4, restarts=0.8),
         "cold without sends": Scenario(
-            replace(turns, cold_sends=1.0, group_size=4),
+            replace(turns, warm_up_offers=1.0, group_size=4),
             churn=0.3,
             restarts=0.8,
-            resettle=(replace(turns, cold_sends=3.0, group_size=2), replace(turns, cold_sends=30.0)),
+            resettle=(replace(turns, warm_up_offers=3.0, group_size=2), replace(turns, warm_up_offers=30.0)),
         ),
         "errors": Scenario(
             settings_of(classes=classes, max_attempts=5),
@@ -215,7 +217,9 @@
             many,
             resettle=(
                 replace(many, group_size=2, me=1),
-                replace(many, classes=tuple(replace(c, worth=1.0) for c in classes), cold_sends=0.0),
+                replace(
+                    many, classes=tuple(replace(c, priority_weight=1.0) for c in classes), warm_up_offers=0.0
+                ),
                 replace(many, by_service=True, subscribe=False),
                 many,
             ),
@@ -364,7 +368,7 @@
         chance = self.random.random()
         out = sum(pair == [offer.machine, "open"] for pairs in self.attempts.values() for pair in pairs)
         if out > self.scenario.line:
-            self.end(wait, offer.request, attempt, Outcome.FULL, Reason.LINE_FULL)
+            self.end(wait, offer.request, attempt, Outcome.FULL, Reason.QUEUE_FULL)
         elif health == "silent":
             self.end(self.random.randint(1, 3) * SECOND, offer.request, attempt, Outcome.TIMEOUT)
         elif health == "unconnectable" or chance < 0.01:
@@ -372,7 +376,7 @@
         elif chance < 0.02:
             self.end(wait, offer.request, attempt, Outcome.NOT_SENT)
         elif health == "line full":
-            self.end(wait, offer.request, attempt, Outcome.FULL, Reason.LINE_FULL)
+            self.end(wait, offer.request, attempt, Outcome.FULL, Reason.QUEUE_FULL)
         elif health == "broken":
             outcome = self.random.choice((Outcome.ERROR, Outcome.RESET))
             self.end(wait, offer.request, attempt, outcome)
@@ -382,7 +386,7 @@
         elif health == "mute" and chance < 0.5:
             self.end(wait, offer.request, attempt, Outcome.FULL)
         elif health == "leaving":
-            self.end(wait, offer.request, attempt, Outcome.FULL, Reason.NOT_HERE)
+            self.end(wait, offer.request, attempt, Outcome.FULL, Reason.NOT_ACCEPTING)
         elif chance < 0.1:
             outcome = self.random.choice(tuple(Outcome))
             reason = self.random.choice(tuple(Reason))
@@ -400,11 +404,11 @@
         if self.random.random() < 0.85:
             self.end(stay, offer.request, attempt, Outcome.OK, closed=True)
         else:
-            reason = self.random.choice((Reason.EVICTED, Reason.PUSHED_OUT, Reason.SENT_AWAY))
+            reason = self.random.choice((Reason.EVICTED, Reason.PREEMPTED, Reason.DRAINED))
             closed = self.random.random() < 0.5
             self.end(stay, offer.request, attempt, Outcome.RESET, reason, closed)
 
-    def end(self, wait, request, attempt, outcome, reason=Reason.NOT_TOLD, closed=False):
+    def end(self, wait, request, attempt, outcome, reason=Reason.UNSPECIFIED, closed=False):
         machine = self.attempts[request][attempt][0]
         report = self.report(machine) if self.random.random() < 0.5 else ()
         self.later(
@@ -422,7 +426,7 @@
         if rnd.random() < 0.05 and self.requests:
             gone = rnd.randint(1, self.requests)
             self.over.add(gone)
-            self.send(RequestGone(gone))
+            self.send(RequestAbandoned(gone))
         if rnd.random() < self.scenario.trouble:
             self.health[rnd.choice(sorted(self.fleet))] = rnd.choice(self.scenario.health)
         if rnd.random() < self.scenario.churn:
@@ -493,14 +497,14 @@
         if form is ListForm.DELTA:
             self.send(MachinesChanged(form, self.listed([number])))
         else:
-            here = [n for n, entry in self.fleet.items() if entry.state != MachineState.GONE]
+            here = [n for n, entry in self.fleet.items() if entry.state != MachineState.REMOVED]
             self.send(MachinesChanged(form, self.listed(here if rnd.random() < 0.9 else [])))
 
     def unhelpful(self):
         """What a policy has no use for must not move it."""
         some = self.random.randint(1, self.requests) if self.requests else 1
         self.send(
-            RequestGone(1 << 40),
+            RequestAbandoned(1 << 40),
             AttemptEnded(1 << 40, 0, 1, Outcome.OK),
             AttemptEnded(some, 17, 1, Outcome.OK),
             Placed(some, 18, 1, 5),
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -39,8 +39,8 @@
     Note,
     Placed,
     ProbeAnswered,
+    RequestAbandoned,
     RequestArrived,
-    RequestGone,
     TaskAdopted,
 )
 from weldhatch.scheduling.types import (
@@ -420,13 +420,13 @@
             elif draw < 0.8:
                 heard(now, AttemptEnded(request, 0, n, outcome, 0, reason, random.random() < 0.6))
             elif draw < 0.82:
-                heard(now, RequestGone(request))
+                heard(now, RequestAbandoned(request))
             elif draw < 0.83:
                 form = random.choice(list(ListForm))
                 states = [random.choice(list(MachineState)) for _ in range(36)]
                 few = random.sample(range(36), 4)
                 for k in range(36):  # one that is gone while it owes an answer is another matter
-                    if states[k] is MachineState.GONE or k not in few:
+                    if states[k] is MachineState.REMOVED or k not in few:
                         heard(now, AttemptEnded(0, 0, k, Outcome.CANCELLED))
                 heard(
                     now,
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -25,9 +25,9 @@
     Probe,
     ProbeAnswered,
     Reason,
-    Refuse,
+    Reject,
+    RequestAbandoned,
     RequestArrived,
-    RequestGone,
     Subscribe,
     TaskAdopted,
     Topic,
@@ -99,7 +99,7 @@
     first, second = of(driver.arrive(), Probe)
     driver.send(ProbeAnswered(first.machine, Outcome.TIMEOUT, 250_000))
     driver.send(ProbeAnswered(second.machine, Outcome.OK, 1, (1.0, 9.0, 0.1)))
-    assert not of(driver.log, Refuse) and len(of(driver.log, Offer)) <= 1
+    assert not of(driver.log, Reject) and len(of(driver.log, Offer)) <= 1
 
 
 def test_a_full_machine_is_drawn_again_once_its_report_is_stale():
@@ -113,8 +113,8 @@
 def test_a_blocked_request_is_held_and_refused_in_time():
     driver = Driver(make_settings(), [])
     driver.arrive()
-    assert of(driver.wait(4 * SECOND), Refuse) == []
-    assert of(driver.wait(SECOND), Refuse) == [Refuse(1)]
+    assert of(driver.wait(4 * SECOND), Reject) == []
+    assert of(driver.wait(SECOND), Reject) == [Reject(1)]
 
 
 def test_after_two_refusals_for_want_of_room_the_last_attempt_waits():
@@ -135,7 +135,7 @@
         driver.arrive(service=n)
     assert len(of(driver.log, Offer)) == 8
     for n in range(1, 5):
-        driver.send(ended(n, 1, Outcome.FULL, reason=Reason.LINE_FULL))
+        driver.send(ended(n, 1, Outcome.FULL, reason=Reason.QUEUE_FULL))
     before = len(of(driver.log, Offer))
     driver.wait(SECOND)
     assert len(of(driver.log, Offer)) == before  # four are open there, and the line has learnt less than that
@@ -152,7 +152,7 @@
 
 
 def test_the_cheapest_class_leaves_room_to_the_others():
-    settings = make_settings(classes=(make_class(worth=1.0), make_class(worth=5.0)))
+    settings = make_settings(classes=(make_class(priority_weight=1.0), make_class(priority_weight=5.0)))
     report = {1: (1.5, 10.0, 0.5)}
     driver = Driver(settings, machines(1))
     assert not of(driver.answer(driver.arrive(class_index=0), report), Offer)
@@ -358,7 +358,7 @@
     [second] = of(driver.answer(driver.send(ended(1, first.machine, Outcome.ERROR))), Offer)
     assert not any(n.suspects for n in driver.policy._nodes.values())
     # A second machine says the same: it is the request, and the others are spared it.
-    assert of(driver.send(ended(1, second.machine, Outcome.ERROR, attempt=1)), Refuse)
+    assert of(driver.send(ended(1, second.machine, Outcome.ERROR, attempt=1)), Reject)
     assert not any(n.faults for n in driver.policy._nodes.values())
 
 
@@ -429,7 +429,7 @@
     driver = Driver(make_settings(by_service=True), machines(4))
     [offer] = driver.place()
     driver.send(Placed(1, 0, offer.machine, 1000))
-    driver.send(ended(1, offer.machine, Outcome.RESET, reason=Reason.SENT_AWAY, closed=True))
+    driver.send(ended(1, offer.machine, Outcome.RESET, reason=Reason.DRAINED, closed=True))
     assert offer.machine not in {o.machine for n in range(2, 20) for o in driver.place(service=n)}
 
 
@@ -464,7 +464,7 @@
 
 def test_a_cold_machine_that_leaves_the_list_and_comes_back_takes_no_more():
     machine = Machine(1, born_us=100 * SECOND)
-    driver = Driver(make_settings(may_probe=False, cold_sends=2), [machine])
+    driver = Driver(make_settings(may_probe=False, warm_up_offers=2), [machine])
     for n in range(1, 20):
         driver.arrive(service=n)
         for offer in of(driver.log[-2:], Offer):
@@ -475,8 +475,8 @@
 
 
 def test_a_smaller_share_of_a_cold_machine_holds_for_machines_known_before():
-    driver = Driver(make_settings(may_probe=False, cold_sends=8), [Machine(1, born_us=100 * SECOND)])
-    driver.policy.settle(make_settings(may_probe=False, cold_sends=8, group_size=8))
+    driver = Driver(make_settings(may_probe=False, warm_up_offers=8), [Machine(1, born_us=100 * SECOND)])
+    driver.policy.settle(make_settings(may_probe=False, warm_up_offers=8, group_size=8))
     for n in range(1, 20):
         driver.arrive(service=n)
         for offer in of(driver.log[-2:], Offer):
@@ -488,9 +488,9 @@
     driver = Driver(make_settings(classes=(make_class(effect=Effect.UNSAFE),)), machines(3))
     [offer] = driver.place()
     actions = driver.send(ended(1, offer.machine, Outcome.ERROR))
-    assert of(actions, Fail) == [Fail(1)] and not of(actions, Refuse)
+    assert of(actions, Fail) == [Fail(1)] and not of(actions, Reject)
     [offer] = driver.place()
-    assert not of(driver.send(ended(2, offer.machine, Outcome.FULL)), Refuse)
+    assert not of(driver.send(ended(2, offer.machine, Outcome.FULL)), Reject)
     driver.answer(driver.wait(SECOND // 5))
     assert of(driver.log, Offer)[-1].request == 2
 
@@ -504,7 +504,7 @@
 
 def test_unhelpful_events_never_raise(driver):
     driver.send(
-        RequestGone(99),
+        RequestAbandoned(99),
         ended(99, 1, Outcome.OK),
         Placed(99, 0, 12345, 1),
         ProbeAnswered(777, Outcome.OK),
@@ -514,7 +514,7 @@
     driver.arrive()
     driver.send(RequestArrived(1, 0, driver.now + SECOND, 1, 1.0, 1.0))  # a duplicate id is ignored
     driver.wait(6 * SECOND)
-    assert of(driver.log, Refuse) == [Refuse(1)]
+    assert of(driver.log, Reject) == [Reject(1)]
 
 
 def test_a_clock_that_goes_backwards_stands_still(driver):
@@ -534,9 +534,9 @@
 
 def test_a_request_that_is_gone_is_not_answered(driver):
     driver.arrive()
-    driver.send(RequestGone(1))
+    driver.send(RequestAbandoned(1))
     driver.wait(10 * SECOND)
-    assert not of(driver.log, Offer) and not of(driver.log, Refuse)
+    assert not of(driver.log, Offer) and not of(driver.log, Reject)
 
 
 def test_no_allocators_zone_price_no_zone_preference_and_the_other_way_round():
@@ -598,4 +598,4 @@
         driver = Driver(make_settings(**settings), [])
         driver.arrive()
         driver.wait(6 * SECOND)
-        assert [refusal.retry_after_us for refusal in of(driver.log, Refuse)] == [wait]
+        assert [refusal.retry_after_us for refusal in of(driver.log, Reject)] == [wait]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,13 +21,13 @@
     Offer,
     Policy,
     Prices,
-    Refuse,
+    Reject,
     RequestArrived,
     Scope,
 )
 
 CLASSES = (
-    make_class(name="safe", spread_over=Scope.MACHINE, spread_most=1, worth=1.0),
+    make_class(name="safe", spread_over=Scope.MACHINE, spread_most=1, priority_weight=1.0),
     make_class(
         name="keyed",
         effect=Effect.KEYED,
@@ -36,9 +36,9 @@
         priority=1,
         spread_over=Scope.CELL,
         spread_most=3,
-        worth=5.0,
+        priority_weight=5.0,
     ),
-    make_class(name="unsafe", effect=Effect.UNSAFE, deadline_us=8 * SECOND, worth=2.0),
+    make_class(name="unsafe", effect=Effect.UNSAFE, deadline_us=8 * SECOND, priority_weight=2.0),
     make_class(name="keyed anywhere", effect=Effect.KEYED, group=Scope.ALL, window_us=4 * SECOND),
     make_class(
         name="zoned",
@@ -57,7 +57,7 @@
         "lists_free": st.booleans(),
         "reports_asked": st.booleans(),
         "max_attempts": st.sampled_from((1, 2, 3, 6)),
-        "cold_sends": st.sampled_from((2, 8, 30)),
+        "warm_up_offers": st.sampled_from((2, 8, 30)),
         "report_fields": st.sampled_from(((), ("x0", "x1", "cpu"), ("cpu",), ("active", "waiting"))),
         "group_size": st.sampled_from((1, 3, 200)),
         "prices": st.sampled_from((Prices(), Prices(cross_zone=0.1, fleet=0.1))),
@@ -72,12 +72,12 @@
 
 
 @pytest.mark.parametrize(
-    "cold_sends, group, early_s, seed",
+    "warm_up_offers, group, early_s, seed",
     [(0, 3, 0, 1), (1, 5, 0, 2), (2, 9, 5, 3), (5, 12, -5, 4), (20, 21, 0, 5), (21, 4, 9, 6), (30, 70, 0, 7)],
 )
-def test_all_allocators_together_never_push_a_cold_machine_over(cold_sends, group, early_s, seed):
+def test_all_allocators_together_never_push_a_cold_machine_over(warm_up_offers, group, early_s, seed):
     """All instances at once, each with more requests than it may send; some hear late of the start."""
-    base = make_settings(cold_sends=cold_sends, group_size=group, may_probe=False, max_attempts=1)
+    base = make_settings(warm_up_offers=warm_up_offers, group_size=group, may_probe=False, max_attempts=1)
     born, rnd, sent = 100 * SECOND, random.Random(seed), []
     for me in range(group):
         driver = Driver(dataclasses.replace(base, me=me), [], seed + me)
@@ -89,10 +89,10 @@
                 driver.arrive(service=step, life=SECOND // 4)
             new, driver.log = of(driver.log, Offer), []
             sent += [driver.now for _ in new]
-    sent = sorted(at for at in sent if at < born + base.cold_us)
-    for first, last in zip(sent, sent[cold_sends:], strict=False):
+    sent = sorted(at for at in sent if at < born + base.warm_up_us)
+    for first, last in zip(sent, sent[warm_up_offers:], strict=False):
         assert last - first > base.fall_us
-    assert cold_sends < 2 or sent  # the room of a cold machine is not left unused
+    assert warm_up_offers < 2 or sent  # the room of a cold machine is not left unused
 
 
 def test_the_same_events_give_the_same_actions_under_any_hash_seed():
@@ -131,7 +131,7 @@
 )
 def test_the_checker_sees_broken_rules(entry, now, offers, fault):
     spread = {"spread_over": Scope.MACHINE, "spread_most": 1} if fault == "rule 5" else {}
-    checker = Checker(make_settings(classes=(make_class(**spread),), cold_sends=4))
+    checker = Checker(make_settings(classes=(make_class(**spread),), warm_up_offers=4))
     told(checker, entry)
     with pytest.raises(Broken, match=fault):
         checker.actions(now, [Offer(n + 1, 1) for n in range(offers)])
@@ -140,9 +140,9 @@
 def test_the_checker_sees_lost_and_doubly_answered_requests():
     checker = Checker(make_settings())
     told(checker, Machine(1))
-    checker.actions(SECOND, [Refuse(1)])
+    checker.actions(SECOND, [Reject(1)])
     with pytest.raises(Broken, match="two final answers"):
-        checker.actions(SECOND, [Refuse(1)])
+        checker.actions(SECOND, [Reject(1)])
     with pytest.raises(Broken, match="an offer after the end"):
         checker.actions(SECOND, [Offer(1, 1)])
     with pytest.raises(Broken, match="no answer in time"):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,14 +10,14 @@
     Fail,
     FetchList,
     Log,
-    Move,
+    Migrate,
     Offer,
     Probe,
-    Refuse,
+    Reject,
     SetTimer,
     Subscribe,
 )
-from weldhatch.scheduling.events import AttemptEnded, Note, RequestArrived, RequestGone, TimerFired
+from weldhatch.scheduling.events import AttemptEnded, Note, RequestAbandoned, RequestArrived, TimerFired
 from weldhatch.scheduling.types import Effect, ListForm, MachineKind, Outcome, Scope
 from weldhatch.simulator_link import adapter, codec
 
@@ -94,7 +94,7 @@
     )
     assert events == [
         (3, TimerFired(0x4D)),
-        (5, RequestGone(0x0E6F2B19)),
+        (5, RequestAbandoned(0x0E6F2B19)),
         (5, Note(0x5D3A91C4, 0, 0x0A124A071F93, 1, 0.5)),
     ]
 
@@ -137,9 +137,9 @@
     "action, text",
     [
         (Cancel(7, 1), "1e 00000007 0001"),
-        (Refuse(7, 9), "50 00000007 00000009"),
+        (Reject(7, 9), "50 00000007 00000009"),
         (Fail(7), "78 00000007"),
-        (Move(7), "0a 00000007"),
+        (Migrate(7), "0a 00000007"),
         (Probe(0x0A124A071F93), "5a 0a124a07 1f93"),
         (Subscribe(True), "28 01"),
         (Subscribe(False), "28 00"),
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -15,8 +15,8 @@
     MachinesChanged,
     Placed,
     ProbeAnswered,
+    RequestAbandoned,
     RequestArrived,
-    RequestGone,
 )
 from weldhatch.scheduling.types import (
     Effect,
@@ -277,9 +277,9 @@
 
 class Room(unittest.TestCase):
     classes = (
-        RequestClass("lookup", 1, 1, worth=1.0),
-        RequestClass("import", 1, 1, worth=2.0),
-        RequestClass("writer", 1, 1, worth=5.0),
+        RequestClass("lookup", 1, 1, priority_weight=1.0),
+        RequestClass("import", 1, 1, priority_weight=2.0),
+        RequestClass("writer", 1, 1, priority_weight=5.0),
     )
 
     def test_what_the_rest_can_bear_is_not_turned_away(self):
@@ -474,7 +474,7 @@
         inside.take([Share("z1", "l.0", 0, 0, 1, 1, 0.5)], 9.1)
         inside.agreed(9.1, self.zones)  # news of something else: the share is kept
         self.assertEqual((inside.stops(9.2, 4, 0), inside.state(9.2, 4)), ("", "draining"))
-        self.assertEqual(inside.state(9.1 + SETTINGS.cold_us / 1e6, 4), "ready")  # it is warm by now
+        self.assertEqual(inside.state(9.1 + SETTINGS.warm_up_us / 1e6, 4), "ready")  # it is warm by now
         inside.broke(3)  # in a zone that serves, that is the module's to look after
         self.assertEqual(inside.state(9.2, 3), "ready")
 
@@ -515,7 +515,7 @@
                     keeper.heard(n, AttemptEnded(request, 0, request % 3, Outcome.OK, closed=True))
                 case "gone" if request in arrived:
                     arrived.discard(request)
-                    keeper.heard(n, RequestGone(request))
+                    keeper.heard(n, RequestAbandoned(request))
         cores = {}
         for machine in standing.values():
             cores[machine] = cores.get(machine, 0.0) + 1.0
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -32,10 +32,10 @@
                 self._told.gone(self._ids[uid])
                 self._forget(uid)
         for uid, machine in zip(uids, machines, strict=True):
-            self.states[uid] = machine.state.name.lower()
+            self.states[uid] = machine.state.label
             self._ids[uid], self._uids[machine.id] = machine.id, uid
             self._told.heard(machine)
-            if machine.state is MachineState.GONE:
+            if machine.state is MachineState.REMOVED:
                 self._forget(uid)
         gone = [uid for uid, state in self.states.items() if state == "gone"]
         for uid in gone[: max(0, len(gone) - GONE_MOST)]:
--- a/weldhatch/core/request_lifecycle.py
+++ b/weldhatch/core/request_lifecycle.py
@@ -24,8 +24,15 @@
     Task,
     TimeUp,
 )
-from weldhatch.scheduling.actions import Cancel, Fail, Move, Offer, Refuse
-from weldhatch.scheduling.events import AttemptEnded, Note, Placed, RequestArrived, RequestGone, TaskAdopted
+from weldhatch.scheduling.actions import Cancel, Fail, Migrate, Offer, Reject
+from weldhatch.scheduling.events import (
+    AttemptEnded,
+    Note,
+    Placed,
+    RequestAbandoned,
+    RequestArrived,
+    TaskAdopted,
+)
 from weldhatch.scheduling.types import Outcome
 
 HEARD_OUT_TURNS = 4  # turns of the event loop in which what has come from an owner is read and told
@@ -96,7 +103,7 @@
             self._core.log(f"request {self.id}: " + traceback.format_exc().replace("\n", " | "))
             if not self._answered:
                 self._owner.failed()
-            self._driver.post(RequestGone(self.id))
+            self._driver.post(RequestAbandoned(self.id))
         finally:
             self._driver.forget(self.id)
             self._core.lives.discard(self)
@@ -143,7 +150,7 @@
                         over, placed = await self._attempt(offer)
                         if over:
                             return placed
-                    case Refuse(_, wait):
+                    case Reject(_, wait):
                         self._answered = True
                         self._owner.refused(wait)
                         return None
@@ -190,7 +197,7 @@
         Guards against an offer decided in the batch that also told of the end: unless it gets its end
         too, the module counts it as out for ever.
         """
-        await self._driver.settled(RequestGone(self.id))
+        await self._driver.settled(RequestAbandoned(self.id))
         for word in self._words:
             if isinstance(word, Offer):
                 self._ended(word.machine, self._attempts, unix_us(), Outcome.NOT_SENT, closed=True)
@@ -230,7 +237,7 @@
                             return False, None
                     case GivenUp():
                         self._answered = True
-                        self._driver.post(RequestGone(self.id))
+                        self._driver.post(RequestAbandoned(self.id))
                         self._let_go(machine, number, sent, Outcome.CANCELLED, closed=True)
                         return True, None
                     case Noted(attempt, topic, value) if attempt == number:
@@ -320,7 +327,7 @@
                 case Released(cause) if not owner_knows:
                     owner_knows = True
                     self._site.release(machine, self.task, cause)
-                case Move() if not owner_knows:
+                case Migrate() if not owner_knows:
                     owner_knows = True
                     self._owner.moved()
                     self._site.move(machine, self.task)
--- a/weldhatch/platform/endpoint_list.py
+++ b/weldhatch/platform/endpoint_list.py
@@ -9,7 +9,7 @@
 from weldhatch.scheduling.events import MachinesChanged
 from weldhatch.scheduling.types import ListForm, Machine, MachineState, Settings
 
-_STATES = {"ready": MachineState.READY, "draining": MachineState.DRAINING, "gone": MachineState.GONE}
+_STATES = {"ready": MachineState.READY, "draining": MachineState.DRAINING, "gone": MachineState.REMOVED}
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,17 +60,17 @@
         if whole:
             named = {server.machine for server in servers}
             servers += [
-                replace(old, state=MachineState.GONE)
+                replace(old, state=MachineState.REMOVED)
                 for old in self.servers.values()
                 if old.machine not in named
             ]
         self.servers.update((server.machine, server) for server in servers)
         self._changed(servers)
         for server in servers:  # what has gone is told of as new if it ever comes back
-            if server.state == MachineState.GONE:
+            if server.state == MachineState.REMOVED:
                 self.servers.pop(server.machine, None)
         self.offset = offset
-        names = ", ".join(f"{server.uid} {server.state.name.lower()}" for server in servers)
+        names = ", ".join(f"{server.uid} {server.state.label}" for server in servers)
         self._log(f"event bus: event {offset}: {names}")
         form = ListForm.CACHED if first and whole else ListForm.FULL if whole else ListForm.DELTA
         return MachinesChanged(form, tuple(machine for _, machine in entries), version)
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -301,7 +301,7 @@
     @property
     def over(self) -> bool:
         """Whether the machine is gone and nothing is left to hear of it."""
-        return self.server.state == MachineState.GONE and self._settled
+        return self.server.state == MachineState.REMOVED and self._settled
 
     def lose(self, why: str, before: float = float("inf")) -> None:
         """The tasks that stood there are cut: those that stood before that moment."""
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -71,7 +71,7 @@
         for server in servers:
             link = self._links.get(server.machine)
             if link is None:
-                if server.state != MachineState.GONE:
+                if server.state != MachineState.REMOVED:
                     self._links[server.machine] = link = ServerLink(self, server)
                     self._passed_on(server)
                     if unlisted := self._unlisted.pop(server.machine, None):
@@ -79,18 +79,18 @@
                         link.open()
                 continue
             old, link.server = link.server, server
-            link.replaced = link.replaced and server.state == MachineState.GONE
+            link.replaced = link.replaced and server.state == MachineState.REMOVED
             self._passed_on(server)
-            if server.endpoint != old.endpoint and server.state != MachineState.GONE:
+            if server.endpoint != old.endpoint and server.state != MachineState.REMOVED:
                 link.drop("has a new address")
             if server.boot_ms > old.boot_ms:
                 link.lose("has started anew", server.boot_ms / 1000)
-            if server.state == MachineState.GONE and link.standing:
+            if server.state == MachineState.REMOVED and link.standing:
                 self._ask_whether_alive(link)
 
     def _passed_on(self, server: Server) -> None:
         """Guards against a new server taken for the one that had its address: those tasks are over."""
-        if server.state == MachineState.GONE:
+        if server.state == MachineState.REMOVED:
             return
         for link in self._links.values():
             if link.server.endpoint == server.endpoint and link.server.machine != server.machine:
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -29,7 +29,7 @@
 
 SWEEP_S = 0.05
 # What a puller that declines a lease before it runs says of it, by google.rpc.Code: proof that nothing ran.
-DECLINED = {8: Reason.NOT_TOLD, 9: Reason.NOT_HERE}
+DECLINED = {8: Reason.UNSPECIFIED, 9: Reason.NOT_ACCEPTING}
 RAN_WELL = 0
 
 
@@ -107,7 +107,7 @@
         bot.session = self._name("botSessions")
         self._sessions[bot.session] = bot
         self._log(f"bot {bot_id}: session {bot.session} opened, {len(listed)} leases listed")
-        bot.state = MachineState.GONE  # tells the module of the machine anew
+        bot.state = MachineState.REMOVED  # tells the module of the machine anew
         return await self._update(bot, state, listed, request)
 
     async def update(self, name: str, request: Request) -> dict:
@@ -297,7 +297,7 @@
         if bot.session and now >= bot.expires:
             self._log(f"bot {bot.id}: session {bot.session} has run out")
             self._sessions.pop(bot.session, None)
-            bot.session, bot.state = "", MachineState.GONE
+            bot.session, bot.state = "", MachineState.REMOVED
             self._tell(bot)
         elif bot.session:
             self._due.set(("session", bot.id), bot.expires)
@@ -349,9 +349,7 @@
 
     def machines(self) -> dict[str, dict]:
         """Each machine that is known, for the control address."""
-        return {
-            bot.id: {"own": bot.state.name.lower(), "leases": len(bot.leases)} for bot in self._bots.values()
-        }
+        return {bot.id: {"own": bot.state.label, "leases": len(bot.leases)} for bot in self._bots.values()}
 
     # ---- what the core asks for ----------------------------------------------------------------------------
 
--- a/weldhatch/pullqueue/machines.py
+++ b/weldhatch/pullqueue/machines.py
@@ -36,7 +36,7 @@
     session: str = ""
     expires: float = 0.0
     heard: float = 0.0
-    state: MachineState = MachineState.GONE
+    state: MachineState = MachineState.REMOVED
     status: str = "OK"
     worker: Worker = NOTHING
     leases: dict[str, Lease] = field(default_factory=dict)
--- a/weldhatch/pullqueue/operator_states.py
+++ b/weldhatch/pullqueue/operator_states.py
@@ -13,7 +13,7 @@
 
 from weldhatch.scheduling.types import MachineState
 
-STATES = {"ready": MachineState.READY, "draining": MachineState.DRAINING, "off": MachineState.GONE}
+STATES = {"ready": MachineState.READY, "draining": MachineState.DRAINING, "off": MachineState.REMOVED}
 WORDS_MOST = 20_000  # machines that words are kept of
 
 
@@ -86,6 +86,6 @@
         """What counts for new work: the less of what the machine says and what the operator says."""
         word = self.words.get(machine)
         told = STATES[word.state] if word is not None else MachineState.READY
-        if MachineState.GONE in (own, told):
-            return MachineState.GONE
+        if MachineState.REMOVED in (own, told):
+            return MachineState.REMOVED
         return MachineState.DRAINING if MachineState.DRAINING in (own, told) else MachineState.READY
--- a/weldhatch/scheduling/actions.py
+++ b/weldhatch/scheduling/actions.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
+class Reject:
     """Final answer: not placed, and trying again is harmless."""
 
     request: int
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Move:
+class Migrate:
     request: int
 
 
@@ -70,4 +70,4 @@
     text: str
 
 
-Action = Offer | Cancel | Refuse | Fail | Move | Probe | SetTimer | Subscribe | FetchList | Log
+Action = Offer | Cancel | Reject | Fail | Migrate | Probe | SetTimer | Subscribe | FetchList | Log
--- a/weldhatch/scheduling/events.py
+++ b/weldhatch/scheduling/events.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RequestGone:
+class RequestAbandoned:
     request: int
 
 
@@ -108,7 +108,7 @@
     | Placed
     | Note
     | AttemptEnded
-    | RequestGone
+    | RequestAbandoned
     | ProbeAnswered
     | TimerFired
 )
--- a/weldhatch/scheduling/policy.py
+++ b/weldhatch/scheduling/policy.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 from itertools import islice
 
-from weldhatch.scheduling.actions import Action, Cancel, Fail, Log, Offer, Probe, Refuse, SetTimer, Subscribe
+from weldhatch.scheduling.actions import Action, Cancel, Fail, Log, Offer, Probe, Reject, SetTimer, Subscribe
 from weldhatch.scheduling.cluster_state import Holdings, Node, Request, shuffled
 from weldhatch.scheduling.events import (
     AttemptEnded,
@@ -21,8 +21,8 @@
     Note,
     Placed,
     ProbeAnswered,
+    RequestAbandoned,
     RequestArrived,
-    RequestGone,
     TaskAdopted,
     TimerFired,
 )
@@ -94,7 +94,7 @@
             TaskAdopted: self._adopted,
             Placed: self._was_placed,
             AttemptEnded: self._ended,
-            RequestGone: self._gone,
+            RequestAbandoned: self._gone,
             ProbeAnswered: self._probed,
             TimerFired: self._timer_fired,
         }
@@ -108,16 +108,16 @@
         self._ranks.clear()
         self._early = EARLY_US + 2 * settings.tick_us
         self._span = settings.fall_us + 2 * self._early  # offers of one turn may arrive that much apart
-        self._cold_share, self._turns = int(settings.cold_sends / max(1, settings.group_size)), 1
-        if not self._cold_share and settings.cold_sends >= 2:  # more allocators than offers: by turns
-            self._cold_share, self._turns = 1, -(-settings.group_size // int(settings.cold_sends // 2))
+        self._cold_share, self._turns = int(settings.warm_up_offers / max(1, settings.group_size)), 1
+        if not self._cold_share and settings.warm_up_offers >= 2:  # more allocators than offers: by turns
+            self._cold_share, self._turns = 1, -(-settings.group_size // int(settings.warm_up_offers // 2))
         for n in self._nodes.values():
             n.keep_sends(max(1, self._cold_share))
         self._many = settings.group_size >= MANY
         # By how much a crowded machine is drawn later; with many allocators, before a cold start elsewhere.
         self._crowd = 16 if settings.by_service else 3 if self._many else 6
         self._top = max(c.priority for c in settings.classes)
-        worths = {c.worth for c in settings.classes}
+        worths = {c.priority_weight for c in settings.classes}
         self._cheapest = min(worths) if len(worths) > 1 else None
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
@@ -168,7 +168,7 @@
         return self._holds(r, n, cores, memory)
 
     def _holds(self, r: Request, n: Node, cores: float, memory: float) -> bool:
-        part = 1 - RESERVE if r.cls.worth == self._cheapest else 1.0
+        part = 1 - RESERVE if r.cls.priority_weight == self._cheapest else 1.0
         return (
             cores + (part * self._s.cores_booking - 1) * n.cores >= r.cores
             and memory + (part * self._s.memory_booking - 1) * n.memory >= r.memory
@@ -242,7 +242,7 @@
             or (r.maybe is not None and not self._may_repeat(r, entry))
         ):
             return False
-        if entry.born_us and now < entry.born_us + s.cold_us and not self._cold_turn(n):
+        if entry.born_us and now < entry.born_us + s.warm_up_us and not self._cold_turn(n):
             return False
         return cls.spread_over is Scope.NONE or cls.spread_most > sum(
             count
@@ -286,7 +286,7 @@
 
     def _blind(self) -> bool:  # where all machines are silent or leave, none is left out for that
         return all(
-            n.silent or self._now < n.leaving or n.entry.state == MachineState.GONE
+            n.silent or self._now < n.leaving or n.entry.state == MachineState.REMOVED
             for n in self._nodes.values()
         )
 
@@ -322,7 +322,7 @@
             n.waiters[r.id] = None
             self._probe(n)
         if unheard:
-            self._after(PATIENCE * r.cls.aim_us, self._choose, r, r.turn)
+            self._after(PATIENCE * r.cls.latency_objective_us, self._choose, r, r.turn)
         else:
             self._choose(r, r.turn)
 
@@ -379,12 +379,12 @@
         self._held.add(r.service, n)
         self._out.append(Offer(r.id, n.entry.id, 0, self._start_by(r, n)))
         if self._s.may_probe:
-            self._after(max(r.cls.aim_us, OVERDUE_US), self._overdue, n, r.id, r.open)
+            self._after(max(r.cls.latency_objective_us, OVERDUE_US), self._overdue, n, r.id, r.open)
         return True
 
     def _start_by(self, r: Request, n: Node) -> int:
         """Until when an offer may leave that waits for its connection; 0 where the rules set no time."""
-        limits = [self._now + 2 * self._early] if self._now < n.entry.born_us + self._s.cold_us else []
+        limits = [self._now + 2 * self._early] if self._now < n.entry.born_us + self._s.warm_up_us else []
         if r.maybe is not None and r.cls.effect is Effect.KEYED:
             limits.append(r.maybe[1] + r.cls.window_us - self._early)
         return min(limits, default=0)
@@ -402,7 +402,9 @@
             return
         r.turn += 1
         wait = min(HOLD_US << min(r.holds, 8), HOLD_MOST_US)
-        if r.refused >= (1 if r.cls.worth == self._cheapest else REFUSED_TWICE):  # little room anywhere
+        if r.refused >= (
+            1 if r.cls.priority_weight == self._cheapest else REFUSED_TWICE
+        ):  # little room anywhere
             wait = max(wait, (r.deadline - self._now) // (self._s.max_attempts - len(r.sent) + 1))
         self._after(self._jitter(wait), self._draw, r, r.turn)
         r.holds += 1
@@ -416,10 +418,10 @@
                 or (r.cls.effect is Effect.KEYED and r.cls.group is Scope.ALL)
             )
             wait = min(REFUSED_US, self._s.max_retry_after_us) if self._s.retry_after else 0
-            self._out.append(Refuse(r.id, wait) if harmless else Fail(r.id))
+            self._out.append(Reject(r.id, wait) if harmless else Fail(r.id))
             self._forget(r)
 
-    def _gone(self, e: RequestGone) -> None:
+    def _gone(self, e: RequestAbandoned) -> None:
         if r := self._requests.get(e.request):
             self._forget(r)
 
@@ -435,7 +437,7 @@
             r = self._requests[e.request] = Request(e, self._s, self._now)
             n = self._nodes.get(e.machine)
             if n is None:  # not listed yet: it counts in every place, and nothing is sent to it
-                n = self._new_node(Machine(e.machine, -1, -1, -1, MachineState.GONE))
+                n = self._new_node(Machine(e.machine, -1, -1, -1, MachineState.REMOVED))
             r.sent, r.placed, r.answered = [(n.entry, self._now)], 0, True
             self._held.add(r.service, n)
             n.run(r, 1, self._now, LIST_LAG_US)
@@ -460,7 +462,7 @@
         if r is None or n is None or e.attempt not in (r.open, r.placed):
             return
         self._hear(n, e.report)
-        if e.reason in (Reason.SENT_AWAY, Reason.NOT_HERE) and self._now >= n.leaving:
+        if e.reason in (Reason.DRAINED, Reason.NOT_ACCEPTING) and self._now >= n.leaving:
             n.leaving = self._now + LEAVING_US
             self._out.append(Log(f"machine {n.entry.id} sends tasks away: taken for draining"))
         if e.attempt == r.placed:
@@ -500,7 +502,7 @@
 
     def _judge(self, r: Request, n: Node, e: AttemptEnded) -> None:
         """What the end of an offer that was not placed tells of its machine."""
-        untold = e.outcome is Outcome.FULL and e.reason == Reason.NOT_TOLD
+        untold = e.outcome is Outcome.FULL and e.reason == Reason.UNSPECIFIED
         # Guards against requests that no machine can use, and answers spoilt on their way: one tells of
         # itself, not of the machine.
         fault = (
@@ -513,7 +515,7 @@
             self._suspect(n, kind)
         elif e.outcome in (Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
             self._no_sign(n)
-        elif e.outcome is Outcome.FULL and e.reason == Reason.LINE_FULL:
+        elif e.outcome is Outcome.FULL and e.reason == Reason.QUEUE_FULL:
             n.line = max(2.0, min(n.line, len(n.offers)) * LINE_CUT)
             n.refused = (self._now + HOLD_MOST_US, 0.0, 0.0)
         elif e.outcome is Outcome.FULL and not untold:
@@ -602,7 +604,7 @@
         if e.form is not ListForm.DELTA:
             for machine, n in self._nodes.items():
                 if machine not in named:
-                    n.entry = replace(n.entry, state=MachineState.GONE)
+                    n.entry = replace(n.entry, state=MachineState.REMOVED)
         for entry in e.machines:
             n = self._nodes.get(entry.id) or self._new_node(entry)
             if entry.born_us != n.entry.born_us:
@@ -619,8 +621,8 @@
             n
             for n in self._nodes.values()
             if not n.held
-            and n.entry.state == MachineState.GONE
-            and self._now >= n.entry.born_us + self._s.cold_us
+            and n.entry.state == MachineState.REMOVED
+            and self._now >= n.entry.born_us + self._s.warm_up_us
         ]:  # a cold one may be listed again
             self._held.forget(n)
             del self._nodes[n.entry.id]
--- a/weldhatch/scheduling/types.py
+++ b/weldhatch/scheduling/types.py
@@ -29,10 +29,17 @@
 
 
 class MachineState(IntEnum):
-    GONE = 0
+    """What the endpoint list says of a machine. A removed one is no longer in the list."""
+
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
+    @property
+    def label(self) -> str:
+        """The state's name in endpoint lists, in what the cluster has agreed on and in logs."""
+        return "gone" if self is MachineState.REMOVED else self.name.lower()
+
 
 class ListForm(IntEnum):
     """How a list of machines was come by; FAILED carries none."""
@@ -59,14 +66,14 @@
 class Reason(IntEnum):
     """Why an attempt ended so, where the machine tells."""
 
-    NOT_TOLD = 0
+    UNSPECIFIED = 0
     NO_CORES = 1
     NO_MEMORY = 2
-    LINE_FULL = 3
-    NOT_HERE = 4
+    QUEUE_FULL = 3
+    NOT_ACCEPTING = 4
     EVICTED = 5
-    PUSHED_OUT = 6
-    SENT_AWAY = 7
+    PREEMPTED = 6
+    DRAINED = 7
 
 
 class Topic(IntEnum):
@@ -82,14 +89,14 @@
 @dataclass(slots=True, frozen=True)
 class RequestClass:
     name: str
-    aim_us: int
+    latency_objective_us: int
     deadline_us: int
     effect: Effect = Effect.SAFE
     group: Scope = Scope.ALL
     window_us: int = 0
-    worth: float = 1.0
-    late_worth: float = 0.0
-    start_worth_s: float = 0.0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    start_priority_weight_s: float = 0.0
     calm: float = 1.0
     fade: float = 1.0
     kind: int = -1
@@ -137,16 +144,16 @@
     max_attempts: int = 1
     may_probe: bool = True
     may_cancel: bool = True
-    second_copies: bool = False
+    hedged_requests: bool = False
     retry_after: bool = False
     max_retry_after_us: int = 0
     subscribe: bool = False
     tick_us: int = 1000
     drain_grace_us: int = 0
     answer_slack_us: int = 0
-    must_ask_us: int = 0
-    cold_us: int = 0
-    cold_sends: float = 1.0
+    poll_within_us: int = 0
+    warm_up_us: int = 0
+    warm_up_offers: float = 1.0
     start_capacity: float = 1.0
     tip_multiple: float = 1.0
     fall_us: int = 1_000_000
@@ -157,13 +164,13 @@
     report_fields: tuple[str, ...] = ()
     by_service: bool = False
     confirms_running: bool = True
-    makes_room: bool = False
-    tells_use: bool = False
+    preempts_tasks: bool = False
+    reports_usage: bool = False
     pressure_notes: bool = False
     owner_wait_us: int = 0
     usual_cores: float = 1.0
     usual_memory: float = 1.0
-    over_share_worth: float = 1.0
+    over_quota_priority_weight: float = 1.0
     tenants: tuple[Tenant, ...] = ()
     prices: Prices = field(default_factory=Prices)
 
--- a/weldhatch/simulator_link/codec.py
+++ b/weldhatch/simulator_link/codec.py
@@ -16,10 +16,10 @@
     Fail,
     FetchList,
     Log,
-    Move,
+    Migrate,
     Offer,
     Probe,
-    Refuse,
+    Reject,
     SetTimer,
     Subscribe,
 )
@@ -29,8 +29,8 @@
     Note,
     Placed,
     ProbeAnswered,
+    RequestAbandoned,
     RequestArrived,
-    RequestGone,
     TaskAdopted,
     TimerFired,
 )
@@ -250,7 +250,7 @@
     30: _change,
     40: _resident,
     50: _to_place,
-    60: lambda body, at: RequestGone(*_ONE.unpack_from(body, at)),
+    60: lambda body, at: RequestAbandoned(*_ONE.unpack_from(body, at)),
     90: _admitted,
     130: lambda body, at: TimerFired(*_ONE.unpack_from(body, at)),
     140: _report_back,
@@ -285,11 +285,11 @@
             return _A_TRY.pack(60, request, machine >> 16, machine & 0xFFFF, give_up)
         case Cancel(request, attempt):
             return _A_ID_N.pack(30, request, attempt)
-        case Refuse(request, retry_after):
+        case Reject(request, retry_after):
             return _A_TWO_INTS.pack(80, request, retry_after)
         case Fail(request):
             return _A_ID.pack(120, request)
-        case Move(request):
+        case Migrate(request):
             return _A_ID.pack(10, request)
         case Subscribe(on):
             return _A_FLAG.pack(40, on)
--- a/weldhatch/sites/capacity.py
+++ b/weldhatch/sites/capacity.py
@@ -34,7 +34,7 @@
                     named = {entry.id for entry in entries}
                     self.machines = {id: one for id, one in self.machines.items() if id in named}
                 for entry in entries:
-                    if entry.state == MachineState.GONE:
+                    if entry.state == MachineState.REMOVED:
                         self.machines.pop(entry.id, None)
                     else:
                         self.machines.setdefault(entry.id, Seen(entry)).entry = entry
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -43,7 +43,7 @@
         kinds=(MachineKind("std", cores, 2 * cores),),
         max_attempts=4,
         report_fields=("x0", "x1"),
-        cold_sends=8,
+        warm_up_offers=8,
         owner_wait_us=int(owner_wait_s * 1e6),
         retry_after=True,
         max_retry_after_us=1_000_000,
--- a/weldhatch/testbed/simulated_zones.py
+++ b/weldhatch/testbed/simulated_zones.py
@@ -25,18 +25,18 @@
 ASK_S, TICK_S = 0.2, 0.05
 
 
-def settings(zones: int, dispatchers: int, cold_sends: float = 6.0) -> Settings:
+def settings(zones: int, dispatchers: int, warm_up_offers: float = 6.0) -> Settings:
     return Settings(
         classes=(
             RequestClass("lookup", 700_000, 1_500_000),
-            RequestClass("writer", 700_000, 1_500_000, Effect.UNSAFE, worth=5.0),
+            RequestClass("writer", 700_000, 1_500_000, Effect.UNSAFE, priority_weight=5.0),
         ),
         kinds=(MachineKind("std", 40.0, 40.0),),
         zones=tuple(f"z{n}" for n in range(zones)),
         group_size=dispatchers,
-        cold_sends=cold_sends,
+        warm_up_offers=warm_up_offers,
         fall_us=1_000_000,
-        cold_us=6_000_000,
+        warm_up_us=6_000_000,
     )
 
 
@@ -207,7 +207,7 @@
         one.starts.append(self.now)
         while self.now - one.starts[0] > 1.0:
             one.starts.popleft()
-        one.worst = max(one.worst, len(one.starts) / self.settings.cold_sends)
+        one.worst = max(one.worst, len(one.starts) / self.settings.warm_up_offers)
 
     def _told(self, n: int, machine: int, request: int, reached: bool) -> None:
         if not self.alive[n]:
--- a/weldhatch/zones/capacity.py
+++ b/weldhatch/zones/capacity.py
@@ -68,7 +68,7 @@
 
 def by_worth(classes: Iterable[RequestClass]) -> list[str]:
     """The least worth first: those go first where not all can be borne."""
-    return [cls.name for cls in sorted(classes, key=lambda cls: (cls.worth, cls.priority))]
+    return [cls.name for cls in sorted(classes, key=lambda cls: (cls.priority_weight, cls.priority))]
 
 
 def shed_of(level: float, classes: Iterable[RequestClass]) -> dict[str, float]:
--- a/weldhatch/zones/endpoint_overlay.py
+++ b/weldhatch/zones/endpoint_overlay.py
@@ -18,7 +18,7 @@
     def heard(self, machine: Machine) -> None:
         """The module has just been told what our own list says."""
         self._narrowed.discard(machine.id)
-        if machine.state is MachineState.GONE:
+        if machine.state is MachineState.REMOVED:
             self.entries.pop(machine.id, None)
         else:
             self.entries[machine.id] = machine
--- a/weldhatch/zones/failover_leader.py
+++ b/weldhatch/zones/failover_leader.py
@@ -358,7 +358,7 @@
     ) -> dict | None:
         age = now - watched.since
         # Guards against a return that is over before its servers are warm: after it nothing is counted.
-        step_s = max(self.times.step, settings.cold_us / 1e6 / STEPS)
+        step_s = max(self.times.step, settings.warm_up_us / 1e6 / STEPS)
         if is_down and self._may_leave(name, zones, settings):
             return self._leave(now, name, zones, settings, place.flaps + 1, down, up, inside)
         sent, ran, trouble = self._since(now, name, watched)
@@ -482,7 +482,7 @@
                 continue
             # Only those inside have shares of a left place; in a return, also one of whom no report is fresh.
             if place.phase is Phase.RETURNING or life in lives:
-                share = self.ledger.ask(now, name, life, settings.cold_sends * step / STEPS, lives)
+                share = self.ledger.ask(now, name, life, settings.warm_up_offers * step / STEPS, lives)
                 if share is not None:
                     out.append(share)
         return out
--- a/weldhatch/zones/failover_member.py
+++ b/weldhatch/zones/failover_member.py
@@ -16,8 +16,8 @@
     Note,
     Placed,
     ProbeAnswered,
+    RequestAbandoned,
     RequestArrived,
-    RequestGone,
     TaskAdopted,
 )
 from weldhatch.scheduling.types import Effect, ListForm, Machine, MachineState, Outcome, Reason, Settings
@@ -46,7 +46,7 @@
 MAYBE = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 MAYBE_S, MAYBE_MOST = 10.0, 5000
 WRONG = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
-EVICTED = (Reason.EVICTED, Reason.LINE_FULL)
+EVICTED = (Reason.EVICTED, Reason.QUEUE_FULL)
 
 
 @dataclass(slots=True, frozen=True)
@@ -109,7 +109,7 @@
                     self._sign(now, machine, sign)
             case AttemptEnded():
                 self._ended(now, event)
-            case RequestGone(request):
+            case RequestAbandoned(request):
                 self.tally.over(request)
 
     def _sign(self, now: float, machine: int, sign: Sign) -> None:
@@ -136,7 +136,7 @@
             for machine in self._machines.keys() - named:
                 self._gone(machine)
         for machine in event.machines:
-            if machine.state is MachineState.GONE:
+            if machine.state is MachineState.REMOVED:
                 self._gone(machine.id)
                 continue
             self._machines[machine.id] = machine
@@ -299,7 +299,7 @@
         return (
             entry.phase in AWAY
             and self._inside(entry, place)
-            and now - self._steady.get(machine, now) < self._settings.cold_us / 1e6
+            and now - self._steady.get(machine, now) < self._settings.warm_up_us / 1e6
         )
 
     def away(
