--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -23,15 +23,15 @@
 from weldhatch.coordination.messages import LeaseRequest, LeaseResponse
 from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.pullqueue.operator_states import STATES
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, MachineKind, RequestClass, Scope, Settings
 from weldhatch.sites.session import Faulty
 from weldhatch.store.log import LogError
 from weldhatch.testbed.process_cluster import settings, until
 
 BASE = make_settings(
     classes=(
-        make_class(name="a", spread_over=i.Scope.CELL, spread_most=3),
-        make_class(name="b", effect=i.Effect.KEYED, window_us=8),
+        make_class(name="a", spread_over=Scope.CELL, spread_most=3),
+        make_class(name="b", effect=Effect.KEYED, window_us=8),
     )
 )
 
@@ -48,7 +48,7 @@
     [
         (replace(BASE, max_attempts=2), Overlap.TIGHTENS),
         (replace(BASE, max_attempts=4), Overlap.WIDENS),
-        (replace(BASE, cold_us=BASE.cold_us + 1), Overlap.TIGHTENS),
+        (replace(BASE, warm_up_us=BASE.warm_up_us + 1), Overlap.TIGHTENS),
         (replace(BASE, may_cancel=False), Overlap.TIGHTENS),
         (replace(BASE, may_probe=False), Overlap.FREE),
         (replace(BASE, by_service=True), Overlap.SWITCHES),
@@ -57,12 +57,12 @@
         (replace(BASE, zones=("", "new")), Overlap.WIDENS),
         (of_class(spread_most=2), Overlap.TIGHTENS),
         (of_class(spread_most=0), Overlap.WIDENS),  # 0 is no bound
-        (of_class(spread_over=i.Scope.MACHINE), Overlap.SWITCHES),
-        (of_class(effect=i.Effect.UNSAFE), Overlap.SWITCHES),
+        (of_class(spread_over=Scope.MACHINE), Overlap.SWITCHES),
+        (of_class(effect=Effect.UNSAFE), Overlap.SWITCHES),
         (of_class(kind=0), Overlap.TIGHTENS),
-        (of_class(worth=7.0), Overlap.FREE),
+        (of_class(priority_weight=7.0), Overlap.FREE),
         (replace(BASE, classes=(*BASE.classes, make_class(name="c"))), Overlap.WIDENS),
-        (replace(BASE, kinds=(i.MachineKind("k", 16.0, 64.0),)), Overlap.TIGHTENS),
+        (replace(BASE, kinds=(MachineKind("k", 16.0, 64.0),)), Overlap.TIGHTENS),
     ],
 )
 def test_the_difference_of_two_values_says_how_they_may_overlap(new, overlap):
@@ -72,18 +72,22 @@
 
 
 def test_what_is_acted_on_meanwhile_is_the_narrower_of_both_whichever_is_newer():
-    new = replace(of_class(spread_most=5, worth=9.0), max_attempts=2, cold_sends=20.0)
+    new = replace(of_class(spread_most=5, priority_weight=9.0), max_attempts=2, warm_up_offers=20.0)
     for narrow in (compatibility.intersect(BASE, new), compatibility.intersect(new, BASE)):
         told = narrow.settings
-        assert (told.max_attempts, told.cold_sends, told.classes[0].spread_most) == (2, BASE.cold_sends, 3)
+        assert (told.max_attempts, told.warm_up_offers, told.classes[0].spread_most) == (
+            2,
+            BASE.warm_up_offers,
+            3,
+        )
         assert narrow.allows("a")
     assert (
-        compatibility.intersect(BASE, new).settings.classes[0].worth == 1.0
+        compatibility.intersect(BASE, new).settings.classes[0].priority_weight == 1.0
     )  # what is free waits for its version
 
 
 def test_a_switch_blocks_its_class_and_one_of_all_blocks_all():
-    narrow = compatibility.intersect(BASE, of_class(effect=i.Effect.UNSAFE))
+    narrow = compatibility.intersect(BASE, of_class(effect=Effect.UNSAFE))
     assert (narrow.allows("a"), narrow.allows("b")) == (False, True)
     assert not compatibility.intersect(BASE, replace(BASE, confirms_running=False)).allows("b")
 
@@ -96,7 +100,7 @@
     assert not touched(keyed)
     assert touched(of_class(spread_most=9))
     assert touched(replace(BASE, max_attempts=9))
-    assert not touched(of_class(worth=9.0))
+    assert not touched(of_class(priority_weight=9.0))
 
 
 @pytest.mark.parametrize(
@@ -106,7 +110,7 @@
         (replace(BASE, classes=BASE.classes[:1]), "classes"),
         (replace(BASE, classes=(*BASE.classes, BASE.classes[0])), "classes"),
         (replace(BASE, zones=("other",)), "zones"),
-        (replace(BASE, kinds=(i.MachineKind("other", 1.0, 1.0),)), "kinds"),
+        (replace(BASE, kinds=(MachineKind("other", 1.0, 1.0),)), "kinds"),
     ],
 )
 def test_what_no_running_dispatcher_can_move_to_names_its_key(new, key):
@@ -117,12 +121,12 @@
 
 def test_a_setting_that_nobody_said_anything_of_is_an_error():
     @dataclass(frozen=True)
-    class More(i.RequestClass):
+    class More(RequestClass):
         bold: bool = False
 
     with pytest.raises(AssertionError, match="bold"):
         compatibility.check_complete(More, compatibility.CLASSES)
-    assert {one.name for one in fields(i.Settings)} == compatibility.SETTINGS.keys() | compatibility.LISTS
+    assert {one.name for one in fields(Settings)} == compatibility.SETTINGS.keys() | compatibility.LISTS
 
 
 # ---- the group's state -----------------------------------------------------------------------------------
--- a/tests/test_failover_leader.py
+++ b/tests/test_failover_leader.py
@@ -9,7 +9,7 @@
 from weldhatch.coordination.messages import LeaseRequest
 from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.coordination.zone_leader import ZoneLeader
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Tenant
 from weldhatch.testbed.simulated_zones import settings as zone_settings
 from weldhatch.zones.failover_leader import FailoverLeader
 from weldhatch.zones.failover_rules import FailoverTiming
@@ -156,7 +156,7 @@
     def test_what_tenants_ask_over_their_shares_is_shed_first(self):
         portions = {"acme": 0.5, "bolt": 0.25, "cogs": 0.25}
         settings = replace(
-            SETTINGS, tenants=tuple(i.Tenant(name, portion=one) for name, one in portions.items())
+            SETTINGS, tenants=tuple(Tenant(name, portion=one) for name, one in portions.items())
         )
         leader, zones = FailoverLeader(0.0, "l", FailoverTiming(), 1.0, 0.5, 0.02), ZoneStates()
         now = 0.0
--- a/tests/test_failover_member.py
+++ b/tests/test_failover_member.py
@@ -10,7 +10,16 @@
 from hypothesis import strategies as st
 
 from weldhatch import config
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import (
+    AttemptEnded,
+    MachinesChanged,
+    Placed,
+    ProbeAnswered,
+    RequestAbandoned,
+    RequestArrived,
+)
+from weldhatch.scheduling.types import Effect, ListForm, Machine, Outcome, RequestClass, Scope, Tenant
+from weldhatch.scheduling.types import Settings as ListedSettings
 from weldhatch.testbed.simulated_zones import settings as zone_settings
 from weldhatch.zones.failover_member import FailoverMember
 from weldhatch.zones.reports import PlaceHealth
@@ -30,9 +39,7 @@
         self.member = FailoverMember(SETTINGS, 0.02, Random(1), lambda machine: f"m{machine}")
         self.member.handle_event(
             0.0,
-            i.MachinesChanged(
-                i.ListForm.FULL, tuple(i.Machine(n, n % 3, cell=n // 3 % 2) for n in range(12))
-            ),
+            MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3, cell=n // 3 % 2) for n in range(12))),
         )
         self.zones = ZoneStates()
 
@@ -44,8 +51,8 @@
         )
 
     def place(self, now, request, machine, class_index=0, key=0):
-        self.member.handle_event(now, i.RequestArrived(request, class_index, 0, 1, 1.0, 1.0, key))
-        self.member.handle_event(now, i.Placed(request, 0, machine, 0))
+        self.member.handle_event(now, RequestArrived(request, class_index, 0, 1, 1.0, 1.0, key))
+        self.member.handle_event(now, Placed(request, 0, machine, 0))
 
     def test_a_left_zone_gets_nothing_but_health_checks(self):
         self.agree(1.0, "leaving")
@@ -77,13 +84,11 @@
         self.place(1.0, 2, 7, 1, 0xBB)
         self.place(1.0, 3, 3, 1, 0xCC)
         for request, machine in ((4, 10), (5, 9)):  # no answer: one there may run
-            self.member.handle_event(1.2, i.RequestArrived(request, 1, 0, 1, 1.0, 1.0, 0xD0 + request))
-            self.member.handle_event(1.4, i.AttemptEnded(request, 0, machine, i.Outcome.TIMEOUT))
+            self.member.handle_event(1.2, RequestArrived(request, 1, 0, 1, 1.0, 1.0, 0xD0 + request))
+            self.member.handle_event(1.4, AttemptEnded(request, 0, machine, Outcome.TIMEOUT))
         self.place(1.0, 6, 1, 1, 0xEE)
-        self.member.handle_event(
-            1.4, i.AttemptEnded(6, 0, 1, i.Outcome.RESET, closed=True)
-        )  # given up as lost
-        self.member.handle_event(1.5, i.ProbeAnswered(7, i.Outcome.CONNECT_FAILED))
+        self.member.handle_event(1.4, AttemptEnded(6, 0, 1, Outcome.RESET, closed=True))  # given up as lost
+        self.member.handle_event(1.5, ProbeAnswered(7, Outcome.CONNECT_FAILED))
         self.agree(2.0, "leaving")
         self.assertEqual(self.member.unreported_fences(), ("z1", ["aa", "d4", "ee"]))
         self.zones.apply_fence("z1", ["aa", "d4", "ee"], "d0")
@@ -94,9 +99,9 @@
 
     def test_idempotent_work_waits_out_its_window(self):
         settings = zone_settings(3, 8)
-        keyed = i.RequestClass("import", 1, 1, i.Effect.KEYED, i.Scope.ZONE, 4_000_000)
+        keyed = RequestClass("import", 1, 1, Effect.KEYED, Scope.ZONE, 4_000_000)
         member = self.member = FailoverMember(
-            i.Settings(
+            ListedSettings(
                 **{
                     **{name: getattr(settings, name) for name in ("kinds", "zones", "group_size")},
                     "classes": (settings.classes[0], keyed),
@@ -106,9 +111,7 @@
             Random(1),
             str,
         )
-        member.handle_event(
-            0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, n % 3) for n in range(6)))
-        )
+        member.handle_event(0.0, MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3) for n in range(6))))
         self.place(1.0, 1, 4, 1, 0xAA)
         self.agree(2.0, "leaving")
         self.assertIsNotNone(member.rejection(5.9, 1, 0xAA))
@@ -116,12 +119,14 @@
 
     def test_dispatchers_inside_go_on_where_that_was_agreed_and_end_where_not(self):
         inside = FailoverMember(
-            i.Settings(**{name: getattr(SETTINGS, name) for name in ("kinds", "zones", "classes")}, zone=1),
+            ListedSettings(
+                **{name: getattr(SETTINGS, name) for name in ("kinds", "zones", "classes")}, zone=1
+            ),
             0.02,
             Random(1),
             str,
         )
-        inside.handle_event(0.0, i.MachinesChanged(i.ListForm.FULL, (i.Machine(4, 1),)))
+        inside.handle_event(0.0, MachinesChanged(ListForm.FULL, (Machine(4, 1),)))
         self.agree(1.0, "leaving", inside=True)
         inside.apply_agreed_state(1.0, self.zones)
         self.assertEqual((inside.effective_state(1.0, 4), inside.rejection(1.0, 0, 0)), ("ready", None))
@@ -129,9 +134,9 @@
         change(self.zones, "z1", "left", inside=False)
         inside.apply_agreed_state(1.1, self.zones)
         self.assertIsNone(inside.rejection(1.1, 0, 0))  # it still reaches the others, or does not know better
-        inside.handle_event(1.1, i.MachinesChanged(i.ListForm.DELTA, (i.Machine(3, 0), i.Machine(5, 2))))
+        inside.handle_event(1.1, MachinesChanged(ListForm.DELTA, (Machine(3, 0), Machine(5, 2))))
         for machine in (3, 5):
-            inside.handle_event(1.2, i.ProbeAnswered(machine, i.Outcome.TIMEOUT))
+            inside.handle_event(1.2, ProbeAnswered(machine, Outcome.TIMEOUT))
         inside.tick(1.2)
         self.assertIn("z1 is left", inside.rejection(1.2, 0, 0).reason)
 
@@ -142,7 +147,7 @@
         self.assertIsNone(self.member.rejection(5.0, 1, 0))
 
     def test_a_tenant_within_its_share_is_not_shed_and_one_over_it_counts_completely(self):
-        tenants = (i.Tenant("acme"), i.Tenant("bolt"))
+        tenants = (Tenant("acme"), Tenant("bolt"))
         self.member.update_settings(replace(SETTINGS, tenants=tenants))
         self.agree(1.0, "leaving", shed={"lookup": 0.5}, tenants={"lookup": {"acme": 0.0, "bolt": 1.0}})
         self.assertEqual([self.member.rejection(5.0 + n / 100, 0, 0, 0, 1.0) for n in range(20)], [None] * 20)
@@ -153,16 +158,14 @@
 
     def test_inside_a_left_place_only_machines_known_to_be_warm_need_no_quota(self):
         inside = FailoverMember(replace(SETTINGS, zone=1), 0.02, Random(1), str)
-        inside.handle_event(
-            0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, n % 3) for n in range(12)))
-        )
+        inside.handle_event(0.0, MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3) for n in range(12))))
         for machine in (3, 4, 7, 10):
-            inside.handle_event(1.0, i.ProbeAnswered(machine, i.Outcome.OK))
+            inside.handle_event(1.0, ProbeAnswered(machine, Outcome.OK))
         self.agree(9.0, "leaving", "left", inside=True)
         inside.apply_agreed_state(9.0, self.zones)
         inside.connection_lost(4)  # no list says that its process is a new one
-        inside.handle_event(9.0, i.ProbeAnswered(4, i.Outcome.OK))
-        inside.handle_event(9.0, i.ProbeAnswered(10, i.Outcome.CONNECT_FAILED))
+        inside.handle_event(9.0, ProbeAnswered(4, Outcome.OK))
+        inside.handle_event(9.0, ProbeAnswered(10, Outcome.CONNECT_FAILED))
         self.assertEqual(
             [inside.effective_state(9.1, machine) for machine in (1, 4, 7, 10)],  # 1 was never heard of
             ["draining", "draining", "ready", "draining"],
@@ -173,7 +176,7 @@
         inside.apply_agreed_state(9.1, self.zones)  # news of something else: the share is kept
         self.assertEqual((inside.start_refusal(9.2, 4, 0), inside.effective_state(9.2, 4)), ("", "draining"))
         self.assertEqual(
-            inside.effective_state(9.1 + SETTINGS.cold_us / 1e6, 4), "ready"
+            inside.effective_state(9.1 + SETTINGS.warm_up_us / 1e6, 4), "ready"
         )  # it is warm by now
         inside.connection_lost(3)  # in a zone that serves, that is the module's to look after
         self.assertEqual(inside.effective_state(9.2, 3), "ready")
@@ -188,8 +191,8 @@
         more = replace(SETTINGS, zones=(*ZONES, "z3"), classes=(*SETTINGS.classes, SETTINGS.classes[0]))
         self.member.update_settings(more)
         self.assertIsNone(self.member.rejection(1.0, 2, 0xAA))
-        self.member.handle_event(1.0, i.MachinesChanged(i.ListForm.DELTA, (i.Machine(99, 3),)))
-        self.member.handle_event(1.0, i.ProbeAnswered(99, i.Outcome.OK))
+        self.member.handle_event(1.0, MachinesChanged(ListForm.DELTA, (Machine(99, 3),)))
+        self.member.handle_event(1.0, ProbeAnswered(99, Outcome.OK))
         self.assertIs(self.member.report(1.1).health("z3"), PlaceHealth.HEALTHY)
 
     @hypothesis_settings(max_examples=50)
@@ -200,24 +203,22 @@
     )
     def test_accounted_cores_are_those_of_running_tasks(self, events):
         member, standing, arrived = FailoverMember(SETTINGS, 0.02, Random(1), str), {}, set()
-        member.handle_event(
-            0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, n % 3) for n in range(3)))
-        )
+        member.handle_event(0.0, MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3) for n in range(3))))
         for n, (what, request) in enumerate(events):
             match what:
                 case "arrive" if request not in standing:
                     arrived.add(request)
-                    member.handle_event(n, i.RequestArrived(request, 0, 0, 1, 1.0, 1.0))
+                    member.handle_event(n, RequestArrived(request, 0, 0, 1, 1.0, 1.0))
                 case "place" if request in arrived:
                     arrived.discard(request)
                     standing[request] = request % 3
-                    member.handle_event(n, i.Placed(request, 0, request % 3, 0))
+                    member.handle_event(n, Placed(request, 0, request % 3, 0))
                 case "end" if request in standing:
                     del standing[request]
-                    member.handle_event(n, i.AttemptEnded(request, 0, request % 3, i.Outcome.OK, closed=True))
+                    member.handle_event(n, AttemptEnded(request, 0, request % 3, Outcome.OK, closed=True))
                 case "gone" if request in arrived:
                     arrived.discard(request)
-                    member.handle_event(n, i.RequestGone(request))
+                    member.handle_event(n, RequestAbandoned(request))
         cores = {}
         for machine in standing.values():
             cores[machine] = cores.get(machine, 0.0) + 1.0
--- a/tests/test_standalone_zones.py
+++ b/tests/test_standalone_zones.py
@@ -14,7 +14,8 @@
 from scenario import LONG, SETTINGS, Owner, Scenario
 
 from weldhatch import config
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, MachineState, Outcome
 from weldhatch.server import Gateway
 from weldhatch.standalone_zones import StandaloneZones
 from weldhatch.testbed.process_cluster import until
@@ -37,12 +38,12 @@
                 now, machine
             ) == "ready" and not standalone.member.start_refusal(now, machine, 0):
                 self.starts.append((now, machine))
-                outcome = i.Outcome.TIMEOUT if machine % 3 in down else i.Outcome.OK
-                member.handle_event(now, i.ProbeAnswered(machine, outcome))
+                outcome = Outcome.TIMEOUT if machine % 3 in down else Outcome.OK
+                member.handle_event(now, ProbeAnswered(machine, outcome))
             probes, _ = standalone.tick(now)
             for machine in probes:
-                outcome = i.Outcome.TIMEOUT if machine % 3 in down else i.Outcome.OK
-                member.handle_event(now, i.ProbeAnswered(machine, outcome))
+                outcome = Outcome.TIMEOUT if machine % 3 in down else Outcome.OK
+                member.handle_event(now, ProbeAnswered(machine, outcome))
         return now
 
     def test_it_leaves_by_its_own_evidence_and_takes_its_part_of_a_return(self):
@@ -50,9 +51,7 @@
         standalone = StandaloneFailover(zone_settings(3, 6, 12.0), FailoverTiming(), Random(1), 0.0)
         standalone.member.handle_event(
             0.0,
-            i.MachinesChanged(
-                i.ListForm.FULL, tuple(i.Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))
-            ),
+            MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))),
         )
         now = self.run_until(standalone, 0.0, 3.0)
         now = self.run_until(standalone, now, 6.0, down=(1,))
@@ -124,7 +123,7 @@
             await until(lambda: any("west is leaving" in text for text in self.logged), LONG, "it is left")
             await until(
                 lambda: all(
-                    node.entry.state is not i.MachineState.READY  # in the module's next batch
+                    node.entry.state is not MachineState.READY  # in the module's next batch
                     for node in self.gateway.driver._policy._nodes.values()
                     if node.entry.zone == 1
                 ),
--- a/tests/test_zone_capacity.py
+++ b/tests/test_zone_capacity.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import RequestClass, Tenant
 from weldhatch.zones import capacity, load_shedding
 from weldhatch.zones.reports import Isolation, ZoneReport
 from weldhatch.zones.retry_budget import MigrationRamp, RetryBudget
@@ -37,10 +37,10 @@
             self.assertAlmostEqual(one, 1 - kept[name] / rates[name], delta=0.006)
 
     def test_weights_are_what_the_settings_give_all_tenants(self):
-        some = (i.Tenant("a", 5.0, 0.4, 8.0), i.Tenant("b", 5.0, 0.6, 0.0))
+        some = (Tenant("a", 5.0, 0.4, 8.0), Tenant("b", 5.0, 0.6, 0.0))
         self.assertEqual(load_shedding.tenant_weights(some), {"a": 5.0, "b": 5.0})
         self.assertEqual(
-            load_shedding.tenant_weights((i.Tenant("a"), i.Tenant("b", portion=1.0))), {"a": 1.0, "b": 1.0}
+            load_shedding.tenant_weights((Tenant("a"), Tenant("b", portion=1.0))), {"a": 1.0, "b": 1.0}
         )
         self.assertEqual(load_shedding.tenant_parts({"lookup": 0.5}, [], some), {})
         told = [
@@ -61,9 +61,9 @@
 
 class Capacity(unittest.TestCase):
     classes = (
-        i.RequestClass("lookup", 1, 1, worth=1.0),
-        i.RequestClass("import", 1, 1, worth=2.0),
-        i.RequestClass("writer", 1, 1, worth=5.0),
+        RequestClass("lookup", 1, 1, priority_weight=1.0),
+        RequestClass("import", 1, 1, priority_weight=2.0),
+        RequestClass("writer", 1, 1, priority_weight=5.0),
     )
 
     def test_what_the_other_zones_can_take_is_not_shed(self):
--- a/tests/test_zone_evidence.py
+++ b/tests/test_zone_evidence.py
@@ -4,7 +4,8 @@
 import unittest
 from random import Random
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import AttemptEnded, MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, Outcome, Reason
 from weldhatch.testbed.simulated_zones import settings as zone_settings
 from weldhatch.zones.failover_member import FailoverMember
 from weldhatch.zones.observations import ExchangeResult, Observations
@@ -45,11 +46,11 @@
 
     def test_full_is_no_failure_and_one_in_eight_is_degraded(self):
         member = FailoverMember(SETTINGS, 0.02, Random(1), str)
-        member.handle_event(0.0, i.MachinesChanged(i.ListForm.FULL, tuple(i.Machine(n, 1) for n in range(8))))
+        member.handle_event(0.0, MachinesChanged(ListForm.FULL, tuple(Machine(n, 1) for n in range(8))))
         for n in range(8):
-            member.handle_event(1.0, i.AttemptEnded(n, 0, n, i.Outcome.FULL, reason=i.Reason.NO_CORES))
+            member.handle_event(1.0, AttemptEnded(n, 0, n, Outcome.FULL, reason=Reason.NO_CORES))
         self.assertIs(member.observations.counts(1.0)["z1"].health(), PlaceHealth.HEALTHY)
-        member.handle_event(1.1, i.AttemptEnded(9, 0, 3, i.Outcome.TIMEOUT))
+        member.handle_event(1.1, AttemptEnded(9, 0, 3, Outcome.TIMEOUT))
         self.assertIs(member.observations.counts(1.1)["z1"].health(), PlaceHealth.DEGRADED)
 
     def test_a_place_of_two_machines_is_not_moved_by_evidence(self):
@@ -146,21 +147,19 @@
         member = FailoverMember(SETTINGS, 0.02, Random(1), str)
         member.handle_event(
             0.0,
-            i.MachinesChanged(
-                i.ListForm.FULL, tuple(i.Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))
-            ),
+            MachinesChanged(ListForm.FULL, tuple(Machine(n, n % 3, cell=n // 3 % 2) for n in range(30))),
         )
         for n in range(30):
             self.assertEqual(member.start_refusal(1.0, n, 0), "")
             if n % 3 != 1:
-                member.handle_event(1.0, i.ProbeAnswered(n, i.Outcome.OK))
+                member.handle_event(1.0, ProbeAnswered(n, Outcome.OK))
         self.assertEqual(member.tick(1.3), [])
-        member.handle_event(1.6, i.ProbeAnswered(0, i.Outcome.OK))
+        member.handle_event(1.6, ProbeAnswered(0, Outcome.OK))
         self.assertEqual(member.start_refusal(1.6, 4, 0), "its zone says nothing")
         asked = member.tick(1.6)
         self.assertEqual((len(asked), {machine % 3 for machine in asked}), (3, {1}))
         self.assertEqual({member.effective_state(1.6, n) for n in range(30) if n % 3 == 1}, {"draining"})
         self.assertEqual(member.effective_state(1.6, 0), "ready")
         self.assertEqual(len(member.tick(1.7)), 0)
-        member.handle_event(1.8, i.ProbeAnswered(4, i.Outcome.FULL))
+        member.handle_event(1.8, ProbeAnswered(4, Outcome.FULL))
         self.assertEqual((member.start_refusal(1.8, 4, 0), member.effective_state(1.8, 4)), ("", "ready"))
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -24,21 +24,22 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.remote_sites import link_contexts
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import Event, MachinesChanged
+from weldhatch.scheduling.types import ListForm, Machine, Settings
 from weldhatch.zones.endpoint_overlay import EndpointOverlay
 
 
 class Front(Protocol):
     """What a governor needs of a front."""
 
-    settings: i.Settings
+    settings: Settings
     driver: Driver
     endpoint_list: LocalEndpointList | None  # of a front whose machines come by lists
 
-    def update_machines(self, machines: tuple[i.Machine, ...]) -> None:
+    def update_machines(self, machines: tuple[Machine, ...]) -> None:
         """Machines that count for less, or for more again, than the front's own list said last."""
 
-    def apply_rules(self, settings: i.Settings, rules: Rules) -> None:
+    def apply_rules(self, settings: Settings, rules: Rules) -> None:
         """Decide by these settings from now on, as far as `rules` lets anything start."""
 
     def name_of(self, machine: int) -> str:
@@ -79,11 +80,11 @@
         where the group leaves zones that fail."""
         self._front, self._log, own = front, log, front.settings
 
-        def read(tree: dict) -> i.Settings:
+        def read(tree: dict) -> Settings:
             settings = config.settings_of_json(tree)
             return replace(settings, zone=own.zone, me=own.me, tick_us=own.tick_us)
 
-        def fits(settings: i.Settings) -> str:
+        def fits(settings: Settings) -> str:
             try:
                 compatibility.find_changes(front.settings, settings)
             except compatibility.IncompatibleChangeError as unfit:
@@ -165,11 +166,11 @@
             if machines := known.changes(
                 known.entries if zoned else (), lambda machine: zoned(machine.id) if zoned else "ready"
             ):
-                self._front.driver.tell(i.MachinesChanged(i.ListForm.DELTA, machines))
+                self._front.driver.tell(MachinesChanged(ListForm.DELTA, machines))
 
-    def _listed(self, event: i.Event) -> None:
+    def _listed(self, event: Event) -> None:
         """What the module hears of machines that make themselves known."""
-        if isinstance(event, i.MachinesChanged):
+        if isinstance(event, MachinesChanged):
             for machine in event.machines:
                 self._known.machine_listed(machine)
 
--- a/weldhatch/coordination/compatibility.py
+++ b/weldhatch/coordination/compatibility.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, fields, replace
 from enum import Enum
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, MachineKind, RequestClass, Scope, Settings, Tenant
 
 MANY = 8  # dispatchers from which on a service starts at its first home, as the module has it
 
@@ -75,15 +75,15 @@
     "max_attempts": ("limits.mostTries", _less),
     "may_probe": ("limits.probes", _free),
     "may_cancel": ("limits.mayCancel", _less),
-    "second_copies": ("limits.secondCopies", _less),
+    "hedged_requests": ("limits.secondCopies", _less),
     "retry_after": ("limits.retryAfter", _free),
     "max_retry_after_us": ("limits.maxRetryAfterUs", _free),
     "subscribe": ("registryMode", _free),
     "drain_grace_us": ("rules.drainGraceUs", _less),
     "answer_slack_us": ("rules.answerSlackUs", _free),
-    "must_ask_us": ("rules.mustAskInUs", _free),
-    "cold_us": ("rules.coldUs", _more),
-    "cold_sends": ("extra.coldSends", _less),
+    "poll_within_us": ("rules.mustAskInUs", _free),
+    "warm_up_us": ("rules.coldUs", _more),
+    "warm_up_offers": ("extra.coldSends", _less),
     "start_capacity": ("rules.startCapacity", _less),
     "tip_multiple": ("rules.tipMultiple", _less),
     "fall_us": ("rules.fallUs", _more),
@@ -94,25 +94,25 @@
     "report_fields": ("stats.fields", _free),
     "by_service": ("extra.byService", _switch),
     "confirms_running": ("extra.confirms", _switch),
-    "makes_room": ("extra.makesRoom", _free),
-    "tells_use": ("extra.tellsUse", _free),
+    "preempts_tasks": ("extra.makesRoom", _free),
+    "reports_usage": ("extra.tellsUse", _free),
     "pressure_notes": ("extra.pressureNotes", _free),
     "owner_wait_us": ("extra.ownerWaitUs", _free),
     "usual_cores": ("extra.usualCores", _free),
     "usual_memory": ("extra.usualMemory", _free),
-    "over_share_worth": ("overShareWorth", _free),
+    "over_quota_priority_weight": ("overShareWorth", _free),
     "prices": ("prices", _free),
 }
 CLASSES: dict[str, tuple[str, OverlapRule]] = {
     "name": ("name", _switch),
-    "aim_us": ("aimUs", _free),
+    "latency_objective_us": ("aimUs", _free),
     "deadline_us": ("hardLimitUs", _less),
     "effect": ("effect", _switch),
     "group": ("group", _switch),
     "window_us": ("dedupWindowUs", _switch),
-    "worth": ("worth", _free),
-    "late_worth": ("lateWorth", _free),
-    "start_worth_s": ("extra.promptStartS", _free),
+    "priority_weight": ("worth", _free),
+    "late_priority_weight": ("lateWorth", _free),
+    "start_priority_weight_s": ("extra.promptStartS", _free),
     "calm": ("extra.calmLevel", _free),
     "fade": ("extra.fadeSpan", _free),
     "kind": ("extra.kindByClass", _one_kind),
@@ -141,10 +141,10 @@
         raise AssertionError(f"rules.table: {kind.__name__}: {sorted(known ^ (rows.keys() | besides))}")
 
 
-check_complete(i.Settings, SETTINGS, LISTS)
-check_complete(i.RequestClass, CLASSES)
-check_complete(i.MachineKind, KINDS)
-check_complete(i.Tenant, TENANTS)
+check_complete(Settings, SETTINGS, LISTS)
+check_complete(RequestClass, CLASSES)
+check_complete(MachineKind, KINDS)
+check_complete(Tenant, TENANTS)
 
 
 @dataclass(slots=True, frozen=True)
@@ -166,7 +166,7 @@
         self.key, self.reason = key, reason
 
 
-def find_changes(old: i.Settings, new: i.Settings) -> list[Change]:
+def find_changes(old: Settings, new: Settings) -> list[Change]:
     """All values that differ.
 
     Raises IncompatibleChangeError where the change takes a restart of the whole group.
@@ -193,7 +193,7 @@
 
 
 def _told(value: object) -> object:
-    return value.value if isinstance(value, i.Effect | i.Scope) else value
+    return value.value if isinstance(value, Effect | Scope) else value
 
 
 def compare_items(
@@ -229,7 +229,7 @@
     `blocked`: classes of which nothing new starts; `all_blocked`: of none of them.
     """
 
-    settings: i.Settings
+    settings: Settings
     blocked: frozenset[str] = frozenset()
     all_blocked: bool = False
 
@@ -237,7 +237,7 @@
         return not self.all_blocked and name not in self.blocked
 
 
-def intersect(old: i.Settings, new: i.Settings) -> RestrictedSettings:
+def intersect(old: Settings, new: Settings) -> RestrictedSettings:
     """The narrower of two versions, value by value. It has the places of `old`: what is added waits."""
     blocked, everything = set(), False
     for change in find_changes(old, new):
@@ -284,9 +284,9 @@
     return any(change.overlap in (Overlap.WIDENS, Overlap.SWITCHES) for change in found)
 
 
-def affects_safe_work(found: list[Change], old: i.Settings, new: i.Settings) -> bool:
+def affects_safe_work(found: list[Change], old: Settings, new: Settings) -> bool:
     """Whether a dispatcher without a lease, which goes on with safe work, could contradict them."""
-    safe = {cls.name for one in (old, new) for cls in one.classes if cls.effect is i.Effect.SAFE}
+    safe = {cls.name for one in (old, new) for cls in one.classes if cls.effect is Effect.SAFE}
     return any(
         change.overlap is not Overlap.FREE and (not change.of or change.of in safe) for change in found
     )
--- a/weldhatch/coordination/lease_holder.py
+++ b/weldhatch/coordination/lease_holder.py
@@ -16,7 +16,7 @@
 from weldhatch.coordination.leader import LeaseTiming
 from weldhatch.coordination.messages import LeaseRequest, LeaseResponse
 from weldhatch.coordination.state_machine import StateMachine
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Effect, RequestClass, Settings
 
 
 class LeaseStatus(Enum):
@@ -45,8 +45,8 @@
         epoch: int,
         token: str,
         spans: LeaseTiming,
-        read: Callable[[dict], i.Settings],
-        fits: Callable[[i.Settings], str] = lambda settings: "",
+        read: Callable[[dict], Settings],
+        fits: Callable[[Settings], str] = lambda settings: "",
     ) -> None:
         """`fits`: '' where this dispatcher can act on such settings, or the key and the reason."""
         self.name, self._epoch, self._token, self.spans = name, epoch, token, spans
@@ -163,7 +163,7 @@
             return LeaseStatus.VALID
         return LeaseStatus.GRACE if now < self.ground_ends else LeaseStatus.EXPIRED
 
-    def refusal_reason(self, now: float, cls: i.RequestClass, machine: str = "", rev: int = 0) -> str:
+    def refusal_reason(self, now: float, cls: RequestClass, machine: str = "", rev: int = 0) -> str:
         """Why nothing of this class may start now, on that machine; '' where it may.
 
         `rev`: the revision of this dispatcher's own list of machines, 0 for none.
@@ -179,7 +179,7 @@
         narrow = self.rules.narrow
         if not narrow.allows(cls.name):
             return f"version {self.rules.prepared} switches it: neither the old nor the new rules act yet"
-        if footing is LeaseStatus.GRACE and cls.effect is not i.Effect.SAFE:
+        if footing is LeaseStatus.GRACE and cls.effect is not Effect.SAFE:
             return "no lease: only safe work goes on"
         if machine and (state := self.machine_state(machine, rev)) != "ready":
             return f"{machine} is {state}"
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -34,7 +34,7 @@
 )
 from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.coordination.zone_leader import ZoneLeader
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones.failover_rules import FailoverTiming
 
 SNAPSHOT_EVERY = 400  # entries
@@ -67,8 +67,8 @@
         epoch: int,
         token: str,
         spans: LeaseTiming,
-        read: Callable[[dict], i.Settings],
-        fits: Callable[[i.Settings], str],
+        read: Callable[[dict], Settings],
+        fits: Callable[[Settings], str],
         first: dict,
         random: Random,
         now: float,
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -8,7 +8,7 @@
 from weldhatch.coordination.leader import Leader
 from weldhatch.coordination.messages import LeaseRequest
 from weldhatch.coordination.state_machine import StateMachine
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones.failover_leader import FailoverLeader
 from weldhatch.zones.failover_rules import FailoverTiming
 from weldhatch.zones.reports import InvalidReportError, ZoneReport
@@ -28,15 +28,15 @@
         term: int,
         times: FailoverTiming,
         coordinator: Leader,
-        read: Callable[[dict], i.Settings],
+        read: Callable[[dict], Settings],
     ) -> None:
         self._now, self._name, self._times, self._coordinator = now, f"{name}.{term}", times, coordinator
         self._read = read
         self._marshal: FailoverLeader | None = None
-        self._settings: tuple[int, i.Settings | None] = (0, None)
+        self._settings: tuple[int, Settings | None] = (0, None)
         self._looked = float("-inf")
 
-    def _current(self, group: StateMachine) -> tuple[FailoverLeader, i.Settings] | None:
+    def _current(self, group: StateMachine) -> tuple[FailoverLeader, Settings] | None:
         """Nothing before a version is in force: only that names the zones."""
         if group.active is None:
             return None
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -13,15 +13,8 @@
 
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Task
-from weldhatch.scheduling.types import (
-    Event,
-    ListForm,
-    Machine,
-    MachinesChanged,
-    Outcome,
-    ProbeAnswered,
-    Settings,
-)
+from weldhatch.scheduling.events import Event, MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, Outcome, Settings
 from weldhatch.zones.endpoint_overlay import EndpointOverlay
 from weldhatch.zones.failover_rules import FailoverTiming
 from weldhatch.zones.standalone import StandaloneFailover
--- a/weldhatch/testbed/simulated_cluster.py
+++ b/weldhatch/testbed/simulated_cluster.py
@@ -25,7 +25,7 @@
     Send,
     WriteRecords,
 )
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 
 STEP_S = 0.02
 KINDS = ("crash", "stop", "cut", "deaf", "lose", "double", "older", "cut_pair", "slow_disk")
@@ -131,7 +131,7 @@
                 saved.apply(*word)
         own = config.settings_of_json(settings())
 
-        def read(tree: dict) -> i.Settings:
+        def read(tree: dict) -> Settings:
             return replace(config.settings_of_json(tree), zone=own.zone)
 
         seat.member = CoordinationNode(
--- a/weldhatch/zones/capacity.py
+++ b/weldhatch/zones/capacity.py
@@ -78,7 +78,7 @@
 
 def by_priority_weight(classes: Iterable[RequestClass]) -> list[str]:
     """Return class names, the least weight first: those are shed first."""
-    return [cls.name for cls in sorted(classes, key=lambda cls: (cls.worth, cls.priority))]
+    return [cls.name for cls in sorted(classes, key=lambda cls: (cls.priority_weight, cls.priority))]
 
 
 def shed_by_class(level: float, classes: Iterable[RequestClass]) -> dict[str, float]:
--- a/weldhatch/zones/endpoint_overlay.py
+++ b/weldhatch/zones/endpoint_overlay.py
@@ -21,7 +21,7 @@
     def machine_listed(self, machine: Machine) -> None:
         """Note what the policy has just been told, as our own list says it."""
         self._draining.discard(machine.id)
-        if machine.state is MachineState.GONE:
+        if machine.state is MachineState.REMOVED:
             self.entries.pop(machine.id, None)
         else:
             self.entries[machine.id] = machine
--- a/weldhatch/zones/exchange_tracker.py
+++ b/weldhatch/zones/exchange_tracker.py
@@ -2,21 +2,18 @@
 
 from __future__ import annotations
 
-from weldhatch.scheduling.types import (
+from weldhatch.scheduling.events import (
     AttemptEnded,
     Event,
-    ListForm,
     MachinesChanged,
-    MachineState,
     Note,
-    Outcome,
     Placed,
     ProbeAnswered,
-    Reason,
+    RequestAbandoned,
     RequestArrived,
-    RequestGone,
     TaskAdopted,
 )
+from weldhatch.scheduling.types import ListForm, MachineState, Outcome, Reason
 from weldhatch.zones.load_accounting import LoadAccounting
 from weldhatch.zones.local_view import LocalView
 from weldhatch.zones.observations import ExchangeResult, Observations
@@ -35,7 +32,7 @@
 LOST_OFFER = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # it may run all the same
 LOST_TASK = (Outcome.RESET,)
 FAILED = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
-EVICTED = (Reason.EVICTED, Reason.LINE_FULL)
+EVICTED = (Reason.EVICTED, Reason.QUEUE_FULL)
 
 
 class ExchangeTracker:
@@ -78,7 +75,7 @@
                     self._exchange_ended(now, machine, result)
             case AttemptEnded():
                 self._attempt_ended(now, event)
-            case RequestGone(request):
+            case RequestAbandoned(request):
                 self._load.request_closed(request)
 
     # ---- machines ----------------------------------------------------------------------------------------
@@ -91,7 +88,7 @@
             for machine_id in self._view.machines.keys() - listed:
                 self._machine_removed(machine_id)
         for machine in event.machines:
-            if machine.state is MachineState.GONE:
+            if machine.state is MachineState.REMOVED:
                 self._machine_removed(machine.id)
                 continue
             self._view.machines[machine.id] = machine
--- a/weldhatch/zones/failover_leader.py
+++ b/weldhatch/zones/failover_leader.py
@@ -123,7 +123,7 @@
                 continue
             # Only those inside have quotas of a left place; in a return, also one without a fresh report.
             if place.phase is Phase.RETURNING or incarnation in holders:
-                pace = settings.cold_sends * step / RETURN_STEPS
+                pace = settings.warm_up_offers * step / RETURN_STEPS
                 quota = self.quota_ledger.allocate(now, name, incarnation, pace, holders)
                 if quota is not None:
                     quotas.append(quota)
--- a/weldhatch/zones/failover_member.py
+++ b/weldhatch/zones/failover_member.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from weldhatch.scheduling.types import Event, Settings
+from weldhatch.scheduling.events import Event
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones.exchange_tracker import ExchangeTracker
 from weldhatch.zones.load_accounting import LoadAccounting
 from weldhatch.zones.local_view import LocalView
--- a/weldhatch/zones/failover_rules.py
+++ b/weldhatch/zones/failover_rules.py
@@ -272,7 +272,7 @@
         watch = situation.watch
         age_s = situation.age_s
         # Guards against a return that is over before its servers are warm: after it nothing is counted.
-        step_s = max(self._timing.step, situation.settings.cold_us / 1e6 / RETURN_STEPS)
+        step_s = max(self._timing.step, situation.settings.warm_up_us / 1e6 / RETURN_STEPS)
         if self._is_down(situation, self._timing.confirm) and self._may_leave(situation):
             return self._leave(situation, place.flaps + 1)
         sent, succeeded, failed = self._watches.starts_in_step(situation.now, situation.name, watch)
