--- a/weldhatch/standins/realm.py
+++ b/weldhatch/testbed/simulated_zones.py
@@ -1,7 +1,7 @@
 """Many dispatchers and servers on a virtual clock: real keepers and marshal, with delays and losses by seed.
 
-For sizes that sockets don't reach. Agreement itself is taken as given here (`standins/council.py` tries it):
-a change that the leader makes is held by each dispatcher once a message of it has arrived.
+For sizes that sockets don't reach. Agreement itself is taken as given here (`testbed/simulated_cluster.py`
+tries it): a change that the leader makes is held by each dispatcher once a message of it has arrived.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from weldhatch import interface as i
-from weldhatch.zones.keeper import Keeper
-from weldhatch.zones.marshal import Marshal, Times
-from weldhatch.zones.shares import Share
+from weldhatch.scheduling import types as i
+from weldhatch.zones.failover_leader import Marshal, Times
+from weldhatch.zones.failover_member import Keeper
+from weldhatch.zones.start_quota import Share
 from weldhatch.zones.state import Phase, Zones
 
 STATED, DRIFT = 2.0, 0.02
