--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -22,26 +22,25 @@
 from test_pullqueue import lease, task
 from test_recovery import Kept
 
-from weldhatch import plans
 from weldhatch.applying.journal import Journal, story
 from weldhatch.cli.sites import sites as sites_command
-from weldhatch.net.ring import Ring
+from weldhatch.net.ring_buffer import Ring
 from weldhatch.planning import records as apply_records
-from weldhatch.pullqueue import durable
-from weldhatch.pullqueue.book import Book
-from weldhatch.sites import book as sites_records
-from weldhatch.sites import frames, lending, taking, words
-from weldhatch.sites.book import Fold, SitesBook
-from weldhatch.sites.lending import Busy, Lender
+from weldhatch.pullqueue import durable_state, reconfiguration
+from weldhatch.pullqueue.storage import Book
+from weldhatch.sites import frames, handoff_source, handoff_target, messages
+from weldhatch.sites import storage as sites_records
+from weldhatch.sites.handoff_source import Busy, Lender
+from weldhatch.sites.handoff_target import Taker
+from weldhatch.sites.messages import Work
 from weldhatch.sites.routing import Summary
 from weldhatch.sites.session import Ack, Beat, Hello, Message, Session
-from weldhatch.sites.taking import Taker
-from weldhatch.sites.words import Work
-from weldhatch.standins.region import Region
-from weldhatch.standins.trial import CHANGE, make_plan
-from weldhatch.standins.world import small_fleet
+from weldhatch.sites.storage import Fold, SitesBook
 from weldhatch.store import commit, log
 from weldhatch.store.lock import Lock, holder
+from weldhatch.testbed.crash_points import CHANGE, make_plan
+from weldhatch.testbed.fleet import small_fleet
+from weldhatch.testbed.multi_site import Region
 
 DATA = Path(__file__).parent / "data"
 PINS = DATA / "pins_sites.json"
@@ -55,18 +54,18 @@
 ID = (7, 300)
 
 MESSAGES = {
-    "offered": words.Offered(ID, FULL, 1_500_000),
-    "offered, plain": words.Offered((1, 1), PLAIN, 0),
-    "withdrawn": words.Withdrawn(ID),
-    "freed": words.Freed(ID, 16),
-    "closed": words.Closed(ID),
-    "floor": words.Floor(ID),
-    "taken": words.Taken(ID),
-    "stood": words.Stood(ID, "host:1;v=0"),
-    "returned": words.Returned(ID, 250_000),
-    "returned at once": words.Returned(ID),
-    "ended": words.Ended(ID, 41, True, '[{"files": 3},""]'),
-    "ended, not stood": words.Ended(ID, 47, False),
+    "offered": messages.Offered(ID, FULL, 1_500_000),
+    "offered, plain": messages.Offered((1, 1), PLAIN, 0),
+    "withdrawn": messages.Withdrawn(ID),
+    "freed": messages.Freed(ID, 16),
+    "closed": messages.Closed(ID),
+    "floor": messages.Floor(ID),
+    "taken": messages.Taken(ID),
+    "stood": messages.Stood(ID, "host:1;v=0"),
+    "returned": messages.Returned(ID, 250_000),
+    "returned at once": messages.Returned(ID),
+    "ended": messages.Ended(ID, 41, True, '[{"files": 3},""]'),
+    "ended, not stood": messages.Ended(ID, 47, False),
 }
 FRAMES = {
     "hello": Hello(1, "a", 3, "t0ken", (2, "other"), "a.3.t0ken.1", 70_000, False),
@@ -82,12 +81,12 @@
     "summary, plain": Summary({}, 0),
 }
 EFFECTS = {
-    lending.Answer: "answer",
-    lending.TakeBack: "take back",
-    lending.Over: "over",
-    taking.Try: "try",
-    taking.GiveUp: "give up",
-    taking.Free: "free",
+    handoff_source.Answer: "answer",
+    handoff_source.TakeBack: "take back",
+    handoff_source.Over: "over",
+    handoff_target.Try: "try",
+    handoff_target.GiveUp: "give up",
+    handoff_target.Free: "free",
 }
 
 
@@ -130,13 +129,13 @@
 def line_of(effect, site):
     """One effect of the hand-over as a line, and the record that it writes, if it does."""
     match effect:
-        case lending.Write(record):
+        case handoff_source.Write(record):
             data = sites_records.lent(record)
             return f"write {data.decode()}", data
-        case taking.Write(record):
+        case handoff_target.Write(record):
             data = sites_records.taken(site, record)
             return f"write {data.decode()}", data
-        case lending.Say(to, word) | taking.Say(to, word):
+        case handoff_source.Say(to, word) | handoff_target.Say(to, word):
             return f"say {to} {frames.encode_word(word).hex()}", None
     return f"{EFFECTS[type(effect)]} {json.dumps(astuple(effect))}", None
 
@@ -154,7 +153,7 @@
         return id
 
     def offer(id, work, **more):
-        add(taker.hear(words.Offered(id, work, 900_000), **more))
+        add(taker.hear(messages.Offered(id, work, 900_000), **more))
 
     def hear(word, site="b"):
         add(lender.hear(site, word))
@@ -163,66 +162,66 @@
     one = lend(FULL)
     offer(one, FULL)
     offer(one, FULL)
-    hear(words.Taken(one))
+    hear(messages.Taken(one))
     add(taker.stands(one, "host:1"))
-    hear(words.Stood(one, "host:1"))
+    hear(messages.Stood(one, "host:1"))
     add(taker.ended(one, 16, "result"))
-    hear(words.Ended(one, 16, True, "result"))
-    hear(words.Ended(one, 16, True, "result"))
-    add(taker.hear(words.Closed(one)))
+    hear(messages.Ended(one, 16, True, "result"))
+    hear(messages.Ended(one, 16, True, "result"))
+    add(taker.hear(messages.Closed(one)))
     # refused there, and taken back
     two = lend(KEYED)
     offer(two, KEYED)
     add(taker.given_back(two, 5000))
-    hear(words.Returned(two, 5000))
+    hear(messages.Returned(two, 5000))
     # ended by its owner
     three = lend(KEYED)
     offer(three, KEYED)
     add(taker.stands(three, "d"))
-    hear(words.Stood(three, "d"))
+    hear(messages.Stood(three, "d"))
     add(lender.freed(three, 16))
-    hear(words.Stood(three, "d"))
-    add(taker.hear(words.Freed(three, 16)))
+    hear(messages.Stood(three, "d"))
+    add(taker.hear(messages.Freed(three, 16)))
     add(lender.repeat("b", {}))
     add(taker.ended(three, 16))
-    hear(words.Ended(three, 16, True))
+    hear(messages.Ended(three, 16, True))
     # the owner's time is over before anything is heard; its call-back comes first
     four = lend(FULL)
     add(lender.time_up(four))
-    add(taker.hear(words.Withdrawn(four)))
+    add(taker.hear(messages.Withdrawn(four)))
     offer(four, FULL)
-    hear(words.Returned(four))
+    hear(messages.Returned(four))
     five = lend(PLAIN)
     offer(five, PLAIN)
     add(lender.silent(five))
-    add(taker.hear(words.Withdrawn(five)))
+    add(taker.hear(messages.Withdrawn(five)))
     add(taker.ended(five, 47))
-    hear(words.Ended(five, 47, False))
+    hear(messages.Ended(five, 47, False))
     # failed there, and known to have run
     six = lend(PLAIN)
     offer(six, PLAIN)
     add(taker.ended(six, 47))
-    hear(words.Ended(six, 47, False))
+    hear(messages.Ended(six, 47, False))
     # called back while it is tried, and placed all the same
     seven = lend(FULL)
     offer(seven, FULL)
     add(lender.given_up(seven))
-    add(taker.hear(words.Withdrawn(seven)))
+    add(taker.hear(messages.Withdrawn(seven)))
     add(taker.stands(seven, "late"))
-    hear(words.Stood(seven, "late"))
+    hear(messages.Stood(seven, "late"))
     add(taker.repeat())
     # left open, in each phase
     eight, nine, ten, eleven = (lend(replaced(n)) for n in range(4))
     for id, n in ((eight, 0), (nine, 1), (ten, 2)):
         offer(id, replaced(n))
         add(taker.stands(id, f"d{n}"))
-        hear(words.Stood(id, f"d{n}"))
+        hear(messages.Stood(id, f"d{n}"))
     add(lender.freed(nine, 16))
     twelve = lend(PLAIN, "c")
-    hear(words.Taken(twelve), "c")
+    hear(messages.Taken(twelve), "c")
     offer((1, 1), PLAIN, draining=True)
     offer((9, 9), Work("c", "SAFE", 0, 0, 0.0, 0.0, hops=2))
-    add(taker.hear(words.Floor(seven)))
+    add(taker.hear(messages.Floor(seven)))
     add(lender.repeat("b", {eleven: 700}))
     add(lender.repeat("c", {}))
     add(lender.forget("c"))
@@ -327,7 +326,7 @@
     """The first run of a pull queue's store: each kind of record, as the queue writes it."""
     with tokens("0badcafe"):
         book = Book(str(folder), 1000.0, print)
-    encode = durable.encode
+    encode = durable_state.encode
     for n in range(1, 6):
         name = f"tasks/1.0badcafe-{n}"
         await book.may(
@@ -369,10 +368,10 @@
         "spent": list(book.state.spent),
         "size": book.state.size,
         "records": [record.decode() for record in book.state.records()],
-        "later": durable.from_later(["leases/2.12345678-1", "leases/3.x-1"], 2, "12345678"),
+        "later": durable_state.from_later(["leases/2.12345678-1", "leases/3.x-1"], 2, "12345678"),
     }
-    await book.may(durable.encode("seen", "leases/1.0badcafe-1"))
-    await book.must(durable.encode("over", "leases/1.0badcafe-4"))
+    await book.may(durable_state.encode("seen", "leases/1.0badcafe-1"))
+    await book.must(durable_state.encode("over", "leases/1.0badcafe-4"))
     book.close()
     return {**told, "log": logged(folder / "queue.log")}
 
@@ -646,14 +645,14 @@
     after = {"enabled": True, "listen": "127.0.0.1:1", "control": "127.0.0.1:3", "timing": {"lease": 4}}
     for tree in (before, after):
         tree["settings"] = json.loads(json.dumps(Kept.settings))
-    made = plans.make(before, after)
+    made = reconfiguration.make(before, after)
     return {
         "keys": list(made),
         "changes": made["changes"],
         "base": made["base"],
         "checksum": made["checksum"],
-        "rendered": plans.render(made).splitlines(),
-        "moved": [list(one) for one in plans.moved(made, after)],
+        "rendered": reconfiguration.render(made).splitlines(),
+        "moved": [list(one) for one in reconfiguration.moved(made, after)],
     }
 
 
