--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -29,7 +29,7 @@
 
 from weldhatch.sites import frames, messages
 from weldhatch.sites.messages import Work
-from weldhatch.sites.routing import Stays
+from weldhatch.sites.routing import KeepLocal
 from weldhatch.testbed.handoff_model_checker import Faults, explore
 from weldhatch.testbed.multi_site import Region, settings
 
@@ -58,7 +58,7 @@
                         wire.deaf = {rnd.choice(("to", "from"))}
                     case 3:
                         site = rnd.choice("ab")
-                        crossed += world.now[site].sites.lender.serial
+                        crossed += world.now[site].sites.source.serial
                         world.kill(site)
                         world.begin(site, machines[site])
                 heal_at = n + every // 3
@@ -73,8 +73,8 @@
         healed = time.monotonic()
         await world.settled(60.0)
         counts = world.counts()
-        crossed += sum(one.sites.lender.serial for one in world.now.values())
-        doubled = [key for key in world.tally.doubled if world.guarded(key)]
+        crossed += sum(one.sites.source.serial for one in world.now.values())
+        doubled = [key for key in world.tally.doubled if world.runs_once(key)]
         ended = sum(owner.ends == 1 for owner in world.owners if owner.answers == ["placed"])
         out = {
             "tasks": tasks,
@@ -140,7 +140,7 @@
             await world.up()
         if way == "halves":  # a rule without eyes: every second task goes over, and what is refused stays so
             for one in world.now.values():
-                one.sites.choose = lambda *_: Stays("halves")
+                one.sites.choose = lambda *_: KeepLocal("halves")
         rnd = Random(7)
         for n in range(tasks):
             world.ask("b" if way == "halves" and n % 2 else "a", rnd.choice(KINDS), left_s=0.6)
@@ -164,18 +164,18 @@
         ("s" * 200, "b" * 400),
         1,
     )
-    offer = messages.Offered((12, 34567), work, 4_000_000)
+    offer = messages.Offer((12, 34567), work, 4_000_000)
     out = {}
-    kind = messages.Offered
+    kind = messages.Offer
 
-    def as_cbor(word: messages.Offered) -> bytes:
+    def as_cbor(word: messages.Offer) -> bytes:
         return cbor2.dumps(msgspec.to_builtins(word))
 
-    def read_cbor(data: bytes) -> messages.Offered:
+    def read_cbor(data: bytes) -> messages.Offer:
         return msgspec.convert(cbor2.loads(data), kind)
 
     for name, write, read in (
-        ("msgpack", frames.encode_word, frames.decode_word),
+        ("msgpack", frames.encode_message, frames.decode_message),
         ("json", msgspec.json.encode, msgspec.json.Decoder(kind).decode),
         ("cbor", as_cbor, read_cbor),
     ):
--- a/tests/test_abroad.py
+++ b/tests/test_abroad.py
@@ -25,7 +25,7 @@
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.scheduling.policy import Policy
 from weldhatch.sites import frames
-from weldhatch.sites.handoff_source import Lending
+from weldhatch.sites.handoff_source import OutgoingPhase
 from weldhatch.sites.link import Link
 from weldhatch.sites.session import Hello
 
@@ -82,7 +82,7 @@
         """Placed at b for a submitter at a."""
         await self.at(self.b, f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.until(
-            lambda: (told := self.a.sites.router.sites["b"].told) and told.free["safe"],
+            lambda: (told := self.a.sites.router.sites["b"].summary) and told.free["safe"],
             "a has heard of b's room",
         )
         await self.at(self.b, "p1 send PATCH $session X-Server-Timeout=9 | {}")
@@ -135,15 +135,17 @@
         """The word is the one that a fleet's apply sends to the gateway before it drains a node."""
         await self.at(self.b, f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.until(
-            lambda: (told := self.a.sites.router.sites["b"].told) and told.free["safe"],
+            lambda: (told := self.a.sites.router.sites["b"].summary) and told.free["safe"],
             "a has heard of b's room",
         )
         await self.at(self.a, f"c1 send POST tasks | {task(left=1500)}")
-        await self.until(lambda: self.b.sites.guests, "it is on its way to b's machine")
+        await self.until(lambda: self.b.sites.incoming, "it is on its way to b's machine")
         self.b.operate(word("b1"))
         await self.at(self.b, "p1 send PATCH $session X-Server-Timeout=1 | {}\np1 expect 200 leases=[]")
         await self.at(self.a, "c1 expect 200 answer=refused")
-        await self.until(lambda: not self.a.sites.lender.lent and not self.b.sites.guests, "all is settled")
+        await self.until(
+            lambda: not self.a.sites.source.transfers and not self.b.sites.incoming, "all is settled"
+        )
 
     async def weldhatch(self, *words):
         """A command against a's control address, as its own process would run it."""
@@ -166,8 +168,8 @@
         await self.crosses()
         self.b.abort()
         await self.until(lambda: not self.a.sites.links["b"].up, "the link is down")
-        (one,) = self.a.sites.lender.lent.values()
-        self.a.sites.lender.lent[one.id] = replace(one, phase=Lending.CALLED_BACK)
+        (one,) = self.a.sites.source.transfers.values()
+        self.a.sites.source.transfers[one.id] = replace(one, phase=OutgoingPhase.RECALLED)
         result = await self.weldhatch("status")
         self.assertEqual(1, result.exit_code)
         self.assertIn("in doubt at b: 1-1, unsafe key a1: its link is down", result.output.replace("\n", " "))
@@ -179,9 +181,9 @@
         await self.weldhatch("drain", "--undo")
         self.assertFalse(self.a.sites.draining)
         self.assertEqual(2, (await self.weldhatch("forget", "b")).exit_code)
-        self.assertEqual(1, len(self.a.sites.lender.lent))
+        self.assertEqual(1, len(self.a.sites.source.transfers))
         self.assertIn("1 transfers to b are over", (await self.weldhatch("forget", "b", "--yes")).output)
-        self.assertFalse(self.a.sites.lender.lent)
+        self.assertFalse(self.a.sites.source.transfers)
         result = await self.weldhatch("forget", "nowhere", "--yes")
         self.assertIn("no site is named 'nowhere'", str(result.exception))
 
@@ -206,7 +208,7 @@
         link = self.a.sites.links["b"]
         link.close()
         share = Share(Budget(64), 8)
-        other = Link("a", "b", self.a._sites_book, link._ears, self.logged.append)
+        other = Link("a", "b", self.a._sites_book, link._handlers, self.logged.append)
         other.dial(self.b._door.listener.address, share, folder.client_context("c"))
         await self.until(lambda: "shows the certificate of 'c'" in " ".join(self.logged), "it is turned away")
         self.assertFalse(self.b.sites.links["a"].up)
--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -24,7 +24,7 @@
 from weldhatch.coordination.state_machine import Group
 from weldhatch.pullqueue.operator_states import STATES
 from weldhatch.scheduling import types as i
-from weldhatch.sites.session import Faulty
+from weldhatch.sites.session import ProtocolError
 from weldhatch.store.log import LogError
 from weldhatch.testbed.process_cluster import settings, until
 
@@ -244,10 +244,10 @@
             held.add(stream, part)
         assert codec.decode(stream, held.add(stream, parts[-1])) == word
     for bad in (b"", b"\xc1", b"\x92\x00", b"\x92\x63\xc0", b"\x92\x00\xa1x"):
-        with pytest.raises(Faulty):
+        with pytest.raises(ProtocolError):
             codec.decode(codec.WORDS, bad)
     for bad in (b"", b"\2x"):
-        with pytest.raises(Faulty):
+        with pytest.raises(ProtocolError):
             codec.Parts().add(0, bad)
 
 
@@ -259,10 +259,10 @@
         ["held", 1, "{}"],
         ["raft", "vote", 0, 4, "g2"],
     ):
-        fold.take(json.dumps(record).encode())
+        fold.apply(json.dumps(record).encode())
     again = Fold()
-    for record in fold.records():
-        again.take(record)
+    for record in fold.snapshot_records():
+        again.apply(record)
     assert (again.epoch, again.met, again.state, again.saved.term, again.saved.writes) == (
         3,
         {"g2": (5, "u")},
@@ -272,7 +272,7 @@
     )
     for bad in (b"x", b'["what"]', b'["begins"]', b'["raft", "entry", 9, 9, "", ""]'):
         with pytest.raises(ValueError):
-            again.take(bad)
+            again.apply(bad)
     (tmp_path / "lock").mkdir()
     with pytest.raises(config.ConfigError, match=r"agreement\.store: "):
         AgreementBook(str(tmp_path), 0.0, print)
--- a/tests/test_applies.py
+++ b/tests/test_applies.py
@@ -14,7 +14,7 @@
 from weldhatch.planning.plan import Kind
 from weldhatch.planning.records import Begin, Stand
 from weldhatch.planning.undo import drift
-from weldhatch.store.lock import LockHeld
+from weldhatch.store.lock import LockHeldError
 from weldhatch.testbed.crash_points import Points, make_plan, trial
 from weldhatch.testbed.fleet import Faults, StandInWorld, small_fleet
 from weldhatch.testbed.virtual import VirtualLoop, run
@@ -286,7 +286,7 @@
 def test_a_second_apply_at_once_is_refused_and_told_who_holds_the_lock(tmp_path):
     stage = Stage(tmp_path)
     journal = stage.journal("the apply of spring")
-    with pytest.raises(LockHeld, match="the apply of spring"):
+    with pytest.raises(LockHeldError, match="the apply of spring"):
         stage.journal("another")
     journal.close()
     stage.loop.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -5,8 +5,8 @@
 import pytest
 
 from weldhatch.sites import handoff_source, handoff_target, messages
-from weldhatch.sites.handoff_source import Busy, Lender, Lending
-from weldhatch.sites.handoff_target import Taker, Taking
+from weldhatch.sites.handoff_source import HandoffSource, OutgoingPhase, TaskBusyError
+from weldhatch.sites.handoff_target import HandoffTarget, IncomingPhase
 from weldhatch.sites.messages import Work
 from weldhatch.testbed.handoff_model_checker import Broken, Faults, explore
 
@@ -33,45 +33,45 @@
     assert explore(asks, faults) > least
 
 
-def taker(name, do):
-    return mock.patch.object(Taker, name, do)
+def target(name, do):
+    return mock.patch.object(HandoffTarget, name, do)
 
 
-def offered_twice(self, word, draining=False, hear=Taker.hear):
-    if isinstance(word, messages.Offered) and self.taken.get(word.id):
-        self.taken[word.id] = handoff_target.Borrowed(word.id, word.work)
-        return [handoff_target.Try(self.site, word.id, word.work, word.left_us)]
+def offered_twice(self, word, draining=False, hear=HandoffTarget.receive):
+    if isinstance(word, messages.Offer) and self.transfers.get(word.id):
+        self.transfers[word.id] = handoff_target.IncomingTransfer(word.id, word.work)
+        return [handoff_target.StartTask(self.site, word.id, word.work, word.left_us)]
     return hear(self, word, draining)
 
 
 def buried_without_a_tomb(self, id):
-    del self.taken[id]
+    del self.transfers[id]
 
 
-def returned_and_forgotten(self, one, wait_us, give_back=Taker._give_back):
+def returned_and_forgotten(self, one, wait_us, give_back=HandoffTarget._return_task):
     effects = give_back(self, one, wait_us)
     if one.work is None:
-        del self.taken[one.id]
+        del self.transfers[one.id]
     return effects
 
 
 def returned_after_a_restart(self, ids=None):
     effects = []
-    for one in [one for one in self.taken.values() if one.phase is Taking.TRIED]:
-        effects += self._give_back(one, 0)
+    for one in [one for one in self.transfers.values() if one.phase is IncomingPhase.PLACING]:
+        effects += self._return_task(one, 0)
     return effects
 
 
-def said_before_written(self, site, work, left_us, lend=Lender.lend):
+def said_before_written(self, site, work, left_us, lend=HandoffSource.offer):
     id, (write, say) = lend(self, site, work, left_us)
     return id, [say, write]
 
 
-def dropped_at_a_time_out(self, id, time_up=Lender.time_up):
+def dropped_at_a_time_out(self, id, time_up=HandoffSource.deadline_passed):
     effects = time_up(self, id)
-    if id in self.lent:
-        self._remove(self.lent[id])
-        effects.insert(0, handoff_source.Write(("over", id)))
+    if id in self.transfers:
+        self._remove(self.transfers[id])
+        effects.insert(0, handoff_source.WriteRecord(("over", id)))
     return effects
 
 
@@ -90,13 +90,19 @@
 )
 def test_without_its_guard_a_promise_is_broken(guard, asks, faults):
     out = {
-        "an offer is tried once": taker("hear", offered_twice),
-        "a closed id leaves a tombstone": taker("_bury", buried_without_a_tomb),
-        "a call-back that overtakes its offer is kept": taker("_give_back", returned_and_forgotten),
-        "what was tried before a crash is not returned": taker("restarted", returned_after_a_restart),
-        "what is lent is written before it is said": mock.patch.object(Lender, "lend", said_before_written),
-        "a time-out brings no right back": mock.patch.object(Lender, "time_up", dropped_at_a_time_out),
-        "a key that is lent is not free": mock.patch.object(Lender, "_check", lambda self, key: None),
+        "an offer is tried once": target("receive", offered_twice),
+        "a closed id leaves a tombstone": target("_close", buried_without_a_tomb),
+        "a call-back that overtakes its offer is kept": target("_return_task", returned_and_forgotten),
+        "what was tried before a crash is not returned": target("recover", returned_after_a_restart),
+        "what is lent is written before it is said": mock.patch.object(
+            HandoffSource, "offer", said_before_written
+        ),
+        "a time-out brings no right back": mock.patch.object(
+            HandoffSource, "deadline_passed", dropped_at_a_time_out
+        ),
+        "a key that is lent is not free": mock.patch.object(
+            HandoffSource, "_check_key_free", lambda self, key: None
+        ),
     }[guard]
     with out, pytest.raises(Broken):
         explore(asks, faults, 60_000)
@@ -106,96 +112,108 @@
 
 
 def hand_over(to="b"):
-    lender, taker = Lender(3), Taker("a")
-    id, (_, say) = lender.lend(to, UNSAFE, 500_000)
-    return lender, taker, id, say.word
+    source, target = HandoffSource(3), HandoffTarget("a")
+    id, (_, say) = source.offer(to, UNSAFE, 500_000)
+    return source, target, id, say.word
 
 
 def said(effects):
-    return [effect.word for effect in effects if isinstance(effect, handoff_source.Say | handoff_target.Say)]
+    return [
+        effect.word
+        for effect in effects
+        if isinstance(effect, handoff_source.SendMessage | handoff_target.SendMessage)
+    ]
 
 
 def test_a_task_that_crossed_too_many_sites_is_returned_and_never_passed_on():
-    taker = Taker("a")
-    effects = taker.hear(messages.Offered((1, 1), work(hops=handoff_target.HOPS_MOST), 500_000))
+    target = HandoffTarget("a")
+    effects = target.receive(messages.Offer((1, 1), work(hops=handoff_target.MAX_HOPS), 500_000))
     assert said(effects) == [messages.Returned((1, 1))]
 
 
 def test_a_draining_site_takes_nothing_new_and_still_answers_for_what_it_took():
-    _, taker, id, offer = hand_over()
-    taker.hear(offer)
-    assert said(taker.hear(messages.Offered((3, 9), UNSAFE, 500_000), draining=True)) == [
+    _, target, id, offer = hand_over()
+    target.receive(offer)
+    assert said(target.receive(messages.Offer((3, 9), UNSAFE, 500_000), draining=True)) == [
         messages.Returned((3, 9))
     ]
-    assert said(taker.hear(offer, draining=True)) == [messages.Taken(id)]
+    assert said(target.receive(offer, draining=True)) == [messages.Accepted(id)]
 
 
 def test_an_offer_without_time_is_returned():
-    assert said(Taker("a").hear(messages.Offered((1, 1), UNSAFE, 0))) == [messages.Returned((1, 1))]
+    assert said(HandoffTarget("a").receive(messages.Offer((1, 1), UNSAFE, 0))) == [messages.Returned((1, 1))]
 
 
 def test_words_of_a_site_that_it_was_not_lent_to_change_nothing():
-    lender, _, id, _ = hand_over(to="b")
-    assert lender.hear("c", messages.Returned(id)) == []
-    assert lender.lent[id].phase is Lending.OUT
+    source, _, id, _ = hand_over(to="b")
+    assert source.receive("c", messages.Returned(id)) == []
+    assert source.transfers[id].phase is OutgoingPhase.OFFERED
 
 
 def test_a_word_that_it_never_started_after_it_stood_changes_nothing():
-    lender, _, id, _ = hand_over()
-    lender.hear("b", messages.Stood(id, "d"))
-    assert lender.hear("b", messages.Returned(id)) == []
-    assert lender.lent[id].phase is Lending.STANDS
+    source, _, id, _ = hand_over()
+    source.receive("b", messages.Placed(id, "d"))
+    assert source.receive("b", messages.Returned(id)) == []
+    assert source.transfers[id].phase is OutgoingPhase.PLACED
 
 
 def test_the_floor_forgets_what_is_over_and_calls_back_what_is_not():
-    _, taker, id, offer = hand_over()
-    taker.hear(offer)
-    taker.stands(id, "d")
-    effects = taker.hear(messages.Floor((3, 2)))
-    assert handoff_target.Free("a", id, handoff_target.CALLED_OFF) in effects
-    taker.ended(id, 31)
-    taker.hear(messages.Closed(id))
-    assert not taker.taken and not taker.tombs
-    assert taker.hear(offer) == []  # a copy that was long under way
+    _, target, id, offer = hand_over()
+    target.receive(offer)
+    target.placed(id, "d")
+    effects = target.receive(messages.LowWatermark((3, 2)))
+    assert handoff_target.ReleaseTask("a", id, handoff_target.CALLED_OFF) in effects
+    target.ended(id, 31)
+    target.receive(messages.Close(id))
+    assert not target.transfers and not target.tombstones
+    assert target.receive(offer) == []  # a copy that was long under way
 
 
 def test_an_operators_word_ends_what_is_in_doubt_and_frees_its_key():
-    lender, _, id, _ = hand_over()
-    with pytest.raises(Busy):
-        lender.begin(UNSAFE)
-    assert handoff_source.Answer(id, "failed") in lender.forget("b")
-    lender.begin(UNSAFE)
-    with pytest.raises(Busy, match="under way here"):
-        lender.lend("b", UNSAFE, 1)
+    source, _, id, _ = hand_over()
+    with pytest.raises(TaskBusyError):
+        source.reserve_key(UNSAFE)
+    assert handoff_source.AnswerOwner(id, "failed") in source.forget_site("b")
+    source.reserve_key(UNSAFE)
+    with pytest.raises(TaskBusyError, match="under way here"):
+        source.offer("b", UNSAFE, 1)
 
 
 def test_records_fold_to_the_same_and_a_record_of_no_kind_is_refused():
-    lender, taker, id, offer = hand_over()
-    lender.hear("b", messages.Stood(id, "d"))
-    lender.freed(id, 16)
-    other, _ = lender.lend("b", work(key=8), 1)
-    fresh = Lender(0)
-    for record in lender.records():
-        fresh.take(record)
-    assert fresh.lent == lender.lent and fresh.keys == lender.keys and fresh.floor == lender.floor
-    taker.hear(offer)
-    taker.stands(id, "d")
-    taker.hear(messages.Withdrawn(other))
-    taker.hear(messages.Withdrawn((3, 7)))
-    taker.hear(messages.Closed((3, 7)))
-    again = Taker("a")
-    for record in taker.records():
-        again.take(record)
-    assert (again.taken, again.tombs, again.floor) == (taker.taken, taker.tombs, taker.floor)
-    for one in (lender, taker):
+    source, target, id, offer = hand_over()
+    source.receive("b", messages.Placed(id, "d"))
+    source.released(id, 16)
+    other, _ = source.offer("b", work(key=8), 1)
+    fresh = HandoffSource(0)
+    for record in source.snapshot_records():
+        fresh.apply(record)
+    assert (
+        fresh.transfers == source.transfers
+        and fresh.remote_keys == source.remote_keys
+        and fresh.low_watermark == source.low_watermark
+    )
+    target.receive(offer)
+    target.placed(id, "d")
+    target.receive(messages.Withdraw(other))
+    target.receive(messages.Withdraw((3, 7)))
+    target.receive(messages.Close((3, 7)))
+    again = HandoffTarget("a")
+    for record in target.snapshot_records():
+        again.apply(record)
+    assert (again.transfers, again.tombstones, again.low_watermark) == (
+        target.transfers,
+        target.tombstones,
+        target.low_watermark,
+    )
+    for one in (source, target):
         with pytest.raises(ValueError, match="can't be read"):
-            one.take(("nonsense", id))
+            one.apply(("nonsense", id))
 
 
 def test_too_many_transfers_after_an_open_one_are_refused():
-    lender, _, _, _ = hand_over()
-    with mock.patch.object(handoff_source, "SPAN_MOST", 5):
+    source, _, _, _ = hand_over()
+    with mock.patch.object(handoff_source, "MAX_ID_SPAN", 5):
         for n in range(100, 104):
-            lender.lend("b", work(key=n), 1)
-        with pytest.raises(Busy, match="still open"):
-            lender.lend("b", work(key=200), 1)
+            source.offer("b", work(key=n), 1)
+        with pytest.raises(TaskBusyError, match="still open"):
+            source.offer("b", work(key=200), 1)
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -27,17 +27,17 @@
 from weldhatch.net.ring_buffer import Ring
 from weldhatch.planning import records as apply_records
 from weldhatch.pullqueue import durable_state, reconfiguration
-from weldhatch.pullqueue.storage import Book
+from weldhatch.pullqueue.storage import QueueStorage
 from weldhatch.sites import frames, handoff_source, handoff_target, messages
 from weldhatch.sites import storage as sites_records
-from weldhatch.sites.handoff_source import Busy, Lender
-from weldhatch.sites.handoff_target import Taker
+from weldhatch.sites.handoff_source import HandoffSource, TaskBusyError
+from weldhatch.sites.handoff_target import HandoffTarget
 from weldhatch.sites.messages import Work
-from weldhatch.sites.routing import Summary
-from weldhatch.sites.session import Ack, Beat, Hello, Message, Session
-from weldhatch.sites.storage import Fold, SitesBook
+from weldhatch.sites.routing import CapacitySummary
+from weldhatch.sites.session import Ack, Heartbeat, Hello, Message, Session
+from weldhatch.sites.storage import SiteState, SiteStorage
 from weldhatch.store import commit, log
-from weldhatch.store.lock import Lock, holder
+from weldhatch.store.lock import Lock, lock_owner
 from weldhatch.testbed.crash_points import CHANGE, make_plan
 from weldhatch.testbed.fleet import small_fleet
 from weldhatch.testbed.multi_site import Region
@@ -54,14 +54,14 @@
 ID = (7, 300)
 
 MESSAGES = {
-    "offered": messages.Offered(ID, FULL, 1_500_000),
-    "offered, plain": messages.Offered((1, 1), PLAIN, 0),
-    "withdrawn": messages.Withdrawn(ID),
-    "freed": messages.Freed(ID, 16),
-    "closed": messages.Closed(ID),
-    "floor": messages.Floor(ID),
-    "taken": messages.Taken(ID),
-    "stood": messages.Stood(ID, "host:1;v=0"),
+    "offered": messages.Offer(ID, FULL, 1_500_000),
+    "offered, plain": messages.Offer((1, 1), PLAIN, 0),
+    "withdrawn": messages.Withdraw(ID),
+    "freed": messages.Release(ID, 16),
+    "closed": messages.Close(ID),
+    "floor": messages.LowWatermark(ID),
+    "taken": messages.Accepted(ID),
+    "stood": messages.Placed(ID, "host:1;v=0"),
     "returned": messages.Returned(ID, 250_000),
     "returned at once": messages.Returned(ID),
     "ended": messages.Ended(ID, 41, True, '[{"files": 3},""]'),
@@ -73,26 +73,26 @@
     "message": Message(70_001, 1, b"\0\xffpayload"),
     "ack": Ack(70_000, ((0, 512), (1, 300))),
     "ack, no credit": Ack(4),
-    "beat": Beat(1_234_567, 89),
-    "beat, no echo": Beat(5),
+    "beat": Heartbeat(1_234_567, 89),
+    "beat, no echo": Heartbeat(5),
 }
 SUMMARIES = {
-    "summary": Summary({"lookup": 9, "writer": 70_000}, 12, 3, True),
-    "summary, plain": Summary({}, 0),
+    "summary": CapacitySummary({"lookup": 9, "writer": 70_000}, 12, 3, True),
+    "summary, plain": CapacitySummary({}, 0),
 }
 EFFECTS = {
-    handoff_source.Answer: "answer",
-    handoff_source.TakeBack: "take back",
-    handoff_source.Over: "over",
-    handoff_target.Try: "try",
-    handoff_target.GiveUp: "give up",
-    handoff_target.Free: "free",
+    handoff_source.AnswerOwner: "answer",
+    handoff_source.ReclaimTask: "take back",
+    handoff_source.ReportEnd: "over",
+    handoff_target.StartTask: "try",
+    handoff_target.AbandonTask: "give up",
+    handoff_target.ReleaseTask: "free",
 }
 
 
 def pinned_link():
     return {
-        "messages": {name: frames.encode_word(one).hex() for name, one in MESSAGES.items()},
+        "messages": {name: frames.encode_message(one).hex() for name, one in MESSAGES.items()},
         "frames": {name: frames.encode(one).hex() for name, one in FRAMES.items()},
         "summaries": {name: frames.encode_summary(one).hex() for name, one in SUMMARIES.items()},
         "session": session_trace(),
@@ -106,21 +106,21 @@
 
     def cross(now):
         for side, other in ((here, there), (there, here)):
-            for frame in side.frames(now):
+            for frame in side.outgoing_frames(now):
                 out.append(frames.encode(frame).hex())
-                other.hear(now, frame)
+                other.receive(now, frame)
 
-    here.begin(0.0, 0)
-    there.begin(0.0, 0)
+    here.resume(0.0, 0)
+    there.resume(0.0, 0)
     for n in range(20):
         here.send(n % 2, b"m%d" % n)
     there.send(0, b"back")
     for now in (0.01, 0.05, 1.1, 1.2, 1.3):
         cross(now)
     here.send(1, b"lost")
-    out += [frames.encode(frame).hex() for frame in here.frames(1.4)]
-    for side, heard in ((here, there.heard), (there, here.heard)):
-        side.begin(2.0, heard)
+    out += [frames.encode(frame).hex() for frame in here.outgoing_frames(1.4)]
+    for side, heard in ((here, there.received), (there, here.received)):
+        side.resume(2.0, heard)
     for now in (2.0, 2.1, 3.2):
         cross(now)
     return [*out, f"delay {here.delay_s:.3f} {there.delay_s:.3f}"]
@@ -129,107 +129,107 @@
 def line_of(effect, site):
     """One effect of the hand-over as a line, and the record that it writes, if it does."""
     match effect:
-        case handoff_source.Write(record):
-            data = sites_records.lent(record)
+        case handoff_source.WriteRecord(record):
+            data = sites_records.encode_source_record(record)
             return f"write {data.decode()}", data
-        case handoff_target.Write(record):
-            data = sites_records.taken(site, record)
+        case handoff_target.WriteRecord(record):
+            data = sites_records.encode_target_record(site, record)
             return f"write {data.decode()}", data
-        case handoff_source.Say(to, word) | handoff_target.Say(to, word):
-            return f"say {to} {frames.encode_word(word).hex()}", None
+        case handoff_source.SendMessage(to, word) | handoff_target.SendMessage(to, word):
+            return f"say {to} {frames.encode_message(word).hex()}", None
     return f"{EFFECTS[type(effect)]} {json.dumps(astuple(effect))}", None
 
 
-def handoff_trace(lender=None, taker=None):
+def handoff_trace(source=None, target=None):
     """Each way that a transfer can go, at both sides: effects as lines, in order, with their records."""
-    lender, taker, out = lender or Lender(3), taker or Taker("a"), []
+    source, target, out = source or HandoffSource(3), target or HandoffTarget("a"), []
 
     def add(effects):
         out.extend(line_of(effect, "a") for effect in effects)
 
     def lend(work, site="b"):
-        id, effects = lender.lend(site, work, 900_000)
+        id, effects = source.offer(site, work, 900_000)
         add(effects)
         return id
 
     def offer(id, work, **more):
-        add(taker.hear(messages.Offered(id, work, 900_000), **more))
+        add(target.receive(messages.Offer(id, work, 900_000), **more))
 
     def hear(word, site="b"):
-        add(lender.hear(site, word))
+        add(source.receive(site, word))
 
     # placed there, ended there, closed
     one = lend(FULL)
     offer(one, FULL)
     offer(one, FULL)
-    hear(messages.Taken(one))
-    add(taker.stands(one, "host:1"))
-    hear(messages.Stood(one, "host:1"))
-    add(taker.ended(one, 16, "result"))
+    hear(messages.Accepted(one))
+    add(target.placed(one, "host:1"))
+    hear(messages.Placed(one, "host:1"))
+    add(target.ended(one, 16, "result"))
     hear(messages.Ended(one, 16, True, "result"))
     hear(messages.Ended(one, 16, True, "result"))
-    add(taker.hear(messages.Closed(one)))
+    add(target.receive(messages.Close(one)))
     # refused there, and taken back
     two = lend(KEYED)
     offer(two, KEYED)
-    add(taker.given_back(two, 5000))
+    add(target.returned(two, 5000))
     hear(messages.Returned(two, 5000))
     # ended by its owner
     three = lend(KEYED)
     offer(three, KEYED)
-    add(taker.stands(three, "d"))
-    hear(messages.Stood(three, "d"))
-    add(lender.freed(three, 16))
-    hear(messages.Stood(three, "d"))
-    add(taker.hear(messages.Freed(three, 16)))
-    add(lender.repeat("b", {}))
-    add(taker.ended(three, 16))
+    add(target.placed(three, "d"))
+    hear(messages.Placed(three, "d"))
+    add(source.released(three, 16))
+    hear(messages.Placed(three, "d"))
+    add(target.receive(messages.Release(three, 16)))
+    add(source.unconfirmed_messages("b", {}))
+    add(target.ended(three, 16))
     hear(messages.Ended(three, 16, True))
     # the owner's time is over before anything is heard; its call-back comes first
     four = lend(FULL)
-    add(lender.time_up(four))
-    add(taker.hear(messages.Withdrawn(four)))
+    add(source.deadline_passed(four))
+    add(target.receive(messages.Withdraw(four)))
     offer(four, FULL)
     hear(messages.Returned(four))
     five = lend(PLAIN)
     offer(five, PLAIN)
-    add(lender.silent(five))
-    add(taker.hear(messages.Withdrawn(five)))
-    add(taker.ended(five, 47))
+    add(source.link_silent(five))
+    add(target.receive(messages.Withdraw(five)))
+    add(target.ended(five, 47))
     hear(messages.Ended(five, 47, False))
     # failed there, and known to have run
     six = lend(PLAIN)
     offer(six, PLAIN)
-    add(taker.ended(six, 47))
+    add(target.ended(six, 47))
     hear(messages.Ended(six, 47, False))
     # called back while it is tried, and placed all the same
     seven = lend(FULL)
     offer(seven, FULL)
-    add(lender.given_up(seven))
-    add(taker.hear(messages.Withdrawn(seven)))
-    add(taker.stands(seven, "late"))
-    hear(messages.Stood(seven, "late"))
-    add(taker.repeat())
+    add(source.abandoned(seven))
+    add(target.receive(messages.Withdraw(seven)))
+    add(target.placed(seven, "late"))
+    hear(messages.Placed(seven, "late"))
+    add(target.unconfirmed_messages())
     # left open, in each phase
     eight, nine, ten, eleven = (lend(replaced(n)) for n in range(4))
     for id, n in ((eight, 0), (nine, 1), (ten, 2)):
         offer(id, replaced(n))
-        add(taker.stands(id, f"d{n}"))
-        hear(messages.Stood(id, f"d{n}"))
-    add(lender.freed(nine, 16))
+        add(target.placed(id, f"d{n}"))
+        hear(messages.Placed(id, f"d{n}"))
+    add(source.released(nine, 16))
     twelve = lend(PLAIN, "c")
-    hear(messages.Taken(twelve), "c")
+    hear(messages.Accepted(twelve), "c")
     offer((1, 1), PLAIN, draining=True)
     offer((9, 9), Work("c", "SAFE", 0, 0, 0.0, 0.0, hops=2))
-    add(taker.hear(messages.Floor(seven)))
-    add(lender.repeat("b", {eleven: 700}))
-    add(lender.repeat("c", {}))
-    add(lender.forget("c"))
-    add(lender.restarted())
-    add(taker.restarted([ten]))
+    add(target.receive(messages.LowWatermark(seven)))
+    add(source.unconfirmed_messages("b", {eleven: 700}))
+    add(source.unconfirmed_messages("c", {}))
+    add(source.forget_site("c"))
+    add(source.recover())
+    add(target.recover([ten]))
     for n in range(2):
-        with pytest.raises(Busy):
-            lender.lend("b", replaced(n), 5)
+        with pytest.raises(TaskBusyError):
+            source.offer("b", replaced(n), 5)
     return out
 
 
@@ -249,7 +249,7 @@
 
 def test_recorded_bytes_of_the_link_come_back_as_what_they_were(pins):
     assert {
-        name: frames.decode_word(bytes.fromhex(one)) for name, one in pins["messages"].items()
+        name: frames.decode_message(bytes.fromhex(one)) for name, one in pins["messages"].items()
     } == MESSAGES
     assert {
         name: frames.decode_summary(bytes.fromhex(one)) for name, one in pins["summaries"].items()
@@ -261,17 +261,20 @@
 
 
 def test_the_folds_of_the_recorded_hand_off_give_the_recorded_records(pins):
-    fold = Fold()
+    fold = SiteState()
     for _, record in handoff_trace():
         if record is not None:
-            fold.take(record)
-    assert [record.decode() for record in fold.records()] == pins["hand-off, folded"]
-    again = Fold()
+            fold.apply(record)
+    assert [record.decode() for record in fold.snapshot_records()] == pins["hand-off, folded"]
+    again = SiteState()
     for record in pins["hand-off, folded"]:
-        again.take(record.encode())
-    assert list(again.records()) == list(fold.records())
-    assert again.lender.lent == fold.lender.lent and again.lender.keys == fold.lender.keys
-    assert again.takers == fold.takers
+        again.apply(record.encode())
+    assert list(again.snapshot_records()) == list(fold.snapshot_records())
+    assert (
+        again.source.transfers == fold.source.transfers
+        and again.source.remote_keys == fold.source.remote_keys
+    )
+    assert again.targets == fold.targets
 
 
 # ---- stores -----------------------------------------------------------------------------------------------
@@ -286,11 +289,13 @@
 async def write_sites(folder):
     """The first run of a site's store."""
     with tokens("0badcafe"):
-        book = SitesBook(str(folder), 1000.0, print)
-    await book.met("b", 5, "feed")
-    await book.met("b", 6, "beef")
-    await book.met("c", 1, "c0de")
-    await book.must([record for _, record in handoff_trace(book.lender, book.taker("a")) if record])
+        book = SiteStorage(str(folder), 1000.0, print)
+    await book.record_epoch("b", 5, "feed")
+    await book.record_epoch("b", 6, "beef")
+    await book.record_epoch("c", 1, "c0de")
+    await book.append_with_retry(
+        [record for _, record in handoff_trace(book.source, book.target("a")) if record]
+    )
     await book.flush()
     book.close()
 
@@ -298,21 +303,21 @@
 async def go_on_with_sites(folder):
     """The second run: what it says of the first, and the log that it leaves."""
     with tokens("12345678"):
-        book = SitesBook(str(folder), 2000.0, print)
+        book = SiteStorage(str(folder), 2000.0, print)
     told = {
-        "ours": list(book.ours),
-        "known": [list(book.known(name)) for name in "abc"],
-        "records": [record.decode() for record in book.disk.records()],
+        "ours": list(book.own_epoch),
+        "known": [list(book.known_epoch(name)) for name in "abc"],
+        "records": [record.decode() for record in book.disk.snapshot_records()],
     }
-    effects = [*book.lender.restarted(), *book.lender.lend("c", KEYED, 5)[1], *book.taker("a").restarted()]
+    effects = [*book.source.recover(), *book.source.offer("c", KEYED, 5)[1], *book.target("a").recover()]
     lines = [line_of(effect, "a") for effect in effects]
-    await book.may([record for _, record in lines if record])
+    await book.append([record for _, record in lines if record])
     book.close()
     return {**told, "effects": [line for line, _ in lines], "log": logged(folder / "sites.log")}
 
 
 def logged(path):
-    return [record.decode() for record in log.read(path)]
+    return [record.decode() for record in log.read_records(path)]
 
 
 ASKED = {"class": "unsafe", "key": "a1", "tenant": 0, "requestId": "r-1"}
@@ -325,21 +330,21 @@
 async def write_queue(folder):
     """The first run of a pull queue's store: each kind of record, as the queue writes it."""
     with tokens("0badcafe"):
-        book = Book(str(folder), 1000.0, print)
+        book = QueueStorage(str(folder), 1000.0, print)
     encode = durable_state.encode
     for n in range(1, 6):
         name = f"tasks/1.0badcafe-{n}"
-        await book.may(
+        await book.append(
             encode("asked", name, {**ASKED, "key": f"a{n}"}, "blob é", {**META, "request": f"r-{n}"})
         )
-    await book.may(
+    await book.append(
         encode("spent", [161, 162]),
         *(
             encode("handed", f"leases/1.0badcafe-{n}", f"tasks/1.0badcafe-{n}", "b1", PLACE, n)
             for n in range(1, 5)
         ),
     )
-    await book.must(
+    await book.append_with_retry(
         encode("running", "leases/1.0badcafe-1"),
         encode("answer", "tasks/1.0badcafe-1", PLACED),
         encode("running", "leases/1.0badcafe-2"),
@@ -352,26 +357,26 @@
         encode("answer", "tasks/1.0badcafe-5", {"answer": "failed"}),
         encode("drop", "tasks/1.0badcafe-5"),
         encode("spent", [163]),
-        commit.PROBE,
+        commit.NO_OP_RECORD,
     )
     book.close()
 
 
 async def go_on_with_queue(folder):
     with tokens("12345678"):
-        book = Book(str(folder), 2000.0, print)
+        book = QueueStorage(str(folder), 2000.0, print)
     told = {
         "epoch": book.epoch,
         "fresh": book.fresh,
         "operations": {name: list(astuple(one)) for name, one in book.state.operations.items()},
         "leases": {name: list(astuple(one)) for name, one in book.state.leases.items()},
         "spent": list(book.state.spent),
-        "size": book.state.size,
-        "records": [record.decode() for record in book.state.records()],
+        "size": book.state.snapshot_size,
+        "records": [record.decode() for record in book.state.snapshot_records()],
         "later": durable_state.from_later(["leases/2.12345678-1", "leases/3.x-1"], 2, "12345678"),
     }
-    await book.may(durable_state.encode("seen", "leases/1.0badcafe-1"))
-    await book.must(durable_state.encode("over", "leases/1.0badcafe-4"))
+    await book.append(durable_state.encode("seen", "leases/1.0badcafe-1"))
+    await book.append_with_retry(durable_state.encode("over", "leases/1.0badcafe-4"))
     book.close()
     return {**told, "log": logged(folder / "queue.log")}
 
@@ -411,7 +416,7 @@
     journal = Journal(folder, "a second apply", 2000.0)
     last = journal.story.last.plan
     told["begun"] = shown(journal.story)
-    told["held by"] = holder(folder / "apply.lock").replace(str(os.getpid()), "PID")
+    told["held by"] = lock_owner(folder / "apply.lock").replace(str(os.getpid()), "PID")
     r = apply_records
     step = last.steps[1]
     journal.append(
@@ -542,7 +547,7 @@
             await asyncio.wait_for(stands.answered.wait(), 20)
             region.now["b"].hall.look_s = 0.5
             doubt = region.ask("a", 2, left_s=0.5)
-            await region.until(lambda: len(region.now["b"].sites.guests) == 2)
+            await region.until(lambda: len(region.now["b"].sites.incoming) == 2)
             next(iter(region.wires.values())).cut()
             await asyncio.wait_for(doubt.answered.wait(), 20)
             there = await asyncio.to_thread(lambda: region.now["b"].sites.status())
@@ -665,11 +670,11 @@
 
 def record_all():
     out = pinned_link()
-    fold = Fold()
+    fold = SiteState()
     for _, record in handoff_trace():
         if record is not None:
-            fold.take(record)
-    out["hand-off, folded"] = [record.decode() for record in fold.records()]
+            fold.apply(record)
+    out["hand-off, folded"] = [record.decode() for record in fold.snapshot_records()]
     for kind, (write, go_on) in STORE_KINDS.items():
         shutil.rmtree(STORES / kind, ignore_errors=True)
         write(STORES / kind)
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -37,8 +37,7 @@
 from weldhatch.simulation.scenario_runner import SCENARIOS, play
 from weldhatch.testbed.simulated_zones import Realm
 from weldhatch.testbed.simulated_zones import settings as realm_settings
-from weldhatch.zones import capacity
-from weldhatch.zones import load_shedding
+from weldhatch.zones import capacity, load_shedding
 from weldhatch.zones.endpoint_overlay import Narrowed
 from weldhatch.zones.failover_leader import Marshal, Times
 from weldhatch.zones.failover_member import Keeper
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -213,7 +213,7 @@
 
     async def test_a_lease_that_was_written_and_did_not_leave_keeps_no_key(self):
         """Its machine goes away while the disk is waited for, and its submitter then gives it up."""
-        kept, written = self.gateway.book.may, asyncio.Event()
+        kept, written = self.gateway.book.append, asyncio.Event()
 
         def slow(*records):
             done = asyncio.get_running_loop().create_future()
@@ -232,14 +232,14 @@
 
         await self.play(f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.play("p1 send PATCH $session X-Server-Timeout=9 | {}")
-        self.gateway.book.may = slow
+        self.gateway.book.append = slow
         await self.play(f"c1 send POST tasks | {task('unsafe')}")
         await asyncio.wait_for(written.wait(), 20)
         await self.play("p1 close\np1 wait closed")
         await self.until(lambda: self.job.done(), "the disk has answered")
         await self.play("c1 close")
         await self.until(lambda: not self.gateway.core.lives, "the task was given up")
-        self.gateway.book.may = kept
+        self.gateway.book.append = kept
         await self.gateway.book.flush()
         assert not self.gateway._ledger._out and not self.gateway._ledger._spent
         assert not self.gateway.book.state.leases
@@ -325,15 +325,15 @@
             c2 expect 200 state=DONE
         """)
         log.append = lambda payloads: whole(log, payloads)
-        await self.until(lambda: not self.gateway.book.full, "there is room again")
+        await self.until(lambda: not self.gateway.book.write_error, "there is room again")
         await self.again()
         await self.play(f"c3 send GET {name}\nc3 expect 200 state=DONE")
 
 
 class Compaction(Kept):
     async def test_the_log_is_cut_down_while_the_gateway_serves(self):
-        before = folded.COMPACT_OVER, folded.COMPACT_FACTOR
-        folded.COMPACT_OVER, folded.COMPACT_FACTOR = 30, 1
+        before = folded.COMPACTION_SLACK_RECORDS, folded.COMPACTION_FACTOR
+        folded.COMPACTION_SLACK_RECORDS, folded.COMPACTION_FACTOR = 30, 1
         try:
             held, name = await self.placed()
             for n in range(40):
@@ -351,7 +351,7 @@
             await self.gateway.book.flush()
             self.assertLess(self.gateway.book._store._log.count, 80)
         finally:
-            folded.COMPACT_OVER, folded.COMPACT_FACTOR = before
+            folded.COMPACTION_SLACK_RECORDS, folded.COMPACTION_FACTOR = before
         self.assertIn("cut down", " ".join(self.logged))
         await self.again()
         await self.play(f"c3 send GET {name}\nc3 expect 200 state=PLACED")
@@ -366,7 +366,7 @@
         pass
 
     async def test_a_snapshot_folds_to_the_same(self):
-        state = durable_state.Durable()
+        state = durable_state.QueueState()
         for record in (
             ("epoch", 3, "ab", 0),
             ("asked", "tasks/1", {"class": "safe"}, "b", {"at": 1}),
@@ -381,8 +381,8 @@
             ("probe",),
             ("end", "tasks/1", "DONE", 16, {"x": 1}),
         ):
-            state.take(durable_state.encode(*record))
-        again = durable_state.fold(state.records())
+            state.apply(durable_state.encode(*record))
+        again = durable_state.fold(state.snapshot_records())
         self.assertEqual(
             (state.operations.keys(), state.leases.keys(), state.spent),
             (again.operations.keys(), again.leases.keys(), again.spent),
@@ -400,7 +400,7 @@
             )
         for bad in (b"{", b"[]", b'["what"]', b'["asked"]', b"7"):
             with self.assertRaises(ValueError):
-                state.take(bad)
+                state.apply(bad)
 
     async def test_epochs_are_told_from_names(self):
         self.assertEqual((7, "3fa0"), durable_state.epoch_of("leases/7.3fa0-12"))
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -8,8 +8,8 @@
 from unittest import mock
 
 from weldhatch.sites import forwarding, session
-from weldhatch.sites.handoff_source import Lending
-from weldhatch.sites.handoff_target import Taking
+from weldhatch.sites.handoff_source import OutgoingPhase
+from weldhatch.sites.handoff_target import IncomingPhase
 from weldhatch.testbed.multi_site import Region
 
 LOOKUP, IMPORT, WRITER = range(3)
@@ -37,11 +37,11 @@
         await asyncio.wait_for(owner.answered.wait(), 20)
         return owner.answers[0]
 
-    def lent(self, site="a"):
-        return [one.phase for one in self.region.now[site].sites.lender.lent.values()]
+    def transfers(self, site="a"):
+        return [one.phase for one in self.region.now[site].sites.source.transfers.values()]
 
     def taken(self, site="b", of="a"):
-        return [one.phase for one in self.region.now[site].book.taker(of).taken.values()]
+        return [one.phase for one in self.region.now[site].book.target(of).transfers.values()]
 
 
 class Crossing(Sites):
@@ -49,7 +49,7 @@
         owner = self.region.ask("a", WRITER)
         self.assertEqual("placed", await self.answered(owner))
         self.assertRegex(owner.description, "m[1-4]")
-        self.assertEqual([Lending.STANDS], self.lent())
+        self.assertEqual([OutgoingPhase.PLACED], self.transfers())
         self.region.now["b"].hall.end_all()
         await asyncio.wait_for(owner.over.wait(), 20)
         self.assertEqual(1, owner.ends)
@@ -66,7 +66,7 @@
     async def test_an_owner_that_gives_up_leaves_nothing_standing(self):
         self.region.now["b"].hall.look_s = 0.3
         owner = self.region.ask("a", WRITER)
-        await self.region.until(lambda: Taking.TRIED in self.taken())
+        await self.region.until(lambda: IncomingPhase.PLACING in self.taken())
         owner.life.tell(forwarding.ports.GivenUp())
         await self.region.settled()
         self.assertEqual([], owner.answers)
@@ -95,10 +95,10 @@
         """The offer is out, the answer under way: the owner of a writer waits, or hears that it failed."""
         self.region.now["b"].hall.look_s = 0.2
         owner = self.region.ask("a", WRITER, left_s=1.0)
-        await self.region.until(lambda: Taking.TRIED in self.taken())
+        await self.region.until(lambda: IncomingPhase.PLACING in self.taken())
         self.wire.cut()
         self.assertEqual("failed", await self.answered(owner))
-        self.assertEqual([Lending.CALLED_BACK], self.lent())
+        self.assertEqual([OutgoingPhase.RECALLED], self.transfers())
         again = self.region.ask("a", WRITER, key=owner.task.key)
         self.assertEqual("refused", await self.answered(again))  # its key is in doubt
         self.wire.heal()
@@ -119,13 +119,13 @@
     async def test_safe_work_comes_home_from_a_site_that_is_silent_and_its_twin_is_called_off(self):
         self.region.now["b"].hall.look_s = 0.1
         owner = self.region.ask("a", LOOKUP, left_s=8.0)
-        await self.region.until(lambda: Taking.TRIED in self.taken())
+        await self.region.until(lambda: IncomingPhase.PLACING in self.taken())
         self.wire.cut()
         self.region.give_machines("a", 2)
         self.assertEqual("placed", await self.answered(owner))
         self.assertEqual(1, self.region.now["a"].hall.busy)
         self.wire.heal()
-        await self.region.until(lambda: not self.region.now["b"].hall.busy and not self.lent())
+        await self.region.until(lambda: not self.region.now["b"].hall.busy and not self.transfers())
 
     async def test_a_site_that_takes_no_answers_is_given_up_and_left_out(self):
         """Each believes the other dead, or one alone does: silence both ways, then one way."""
@@ -161,10 +161,10 @@
     async def test_a_site_that_dies_before_it_heard_calls_back_what_it_lent(self):
         self.region.now["b"].hall.look_s = 0.2
         owner = self.region.ask("a", WRITER)
-        await self.region.until(lambda: Taking.TRIED in self.taken())
+        await self.region.until(lambda: IncomingPhase.PLACING in self.taken())
         self.region.kill("a")
         self.region.begin("a", 0)
-        self.assertEqual([Lending.CALLED_BACK], self.lent())
+        self.assertEqual([OutgoingPhase.RECALLED], self.transfers())
         await self.region.settled()
         self.assertLessEqual(self.region.tally.starts[owner.task.key], 1)
 
@@ -183,8 +183,8 @@
         shutil.rmtree(region.folder / "b")
         copy.rename(region.folder / "b")
         region.begin("b")
-        await region.until(lambda: region.now["a"].sites.links["b"].doubt)
-        await region.until(lambda: region.now["b"].sites.links["a"].doubt)
+        await region.until(lambda: region.now["a"].sites.links["b"].stale_reason)
+        await region.until(lambda: region.now["b"].sites.links["a"].stale_reason)
         self.assertEqual("refused", await self.answered(region.ask("a", WRITER, left_s=0.5)))
         self.assertIn("older copy", " ".join(self.logged))
 
@@ -196,7 +196,9 @@
     async def test_a_task_that_nobody_can_place_goes_round_within_its_hops_and_is_refused(self):
         """No site has room, though each has told of some: no loop, no ping-pong, one answer."""
         for one in self.region.now.values():
-            one.sites.summary = lambda: forwarding.Summary({"lookup": 9, "import": 9, "writer": 9}, 100)
+            one.sites.summary = lambda: forwarding.CapacitySummary(
+                {"lookup": 9, "import": 9, "writer": 9}, 100
+            )
             for site in one.sites.links:
                 one.sites._tell(site)
         owner = self.region.ask("a", WRITER, left_s=1.5)
@@ -230,5 +232,5 @@
         self.assertEqual(0, counts["several"])
         self.assertEqual(region.died, counts["none"])
         self.assertGreater(counts["placed"], 100)
-        self.assertEqual([], [key for key in region.tally.doubled if region.guarded(key)])
+        self.assertEqual([], [key for key in region.tally.doubled if region.runs_once(key)])
         self.assertTrue(all(owner.ends <= 1 for owner in region.owners))
--- a/tests/test_sites_wire.py
+++ b/tests/test_sites_wire.py
@@ -8,24 +8,33 @@
 
 from weldhatch.net.ring_buffer import Ring
 from weldhatch.sites import frames, messages, session
-from weldhatch.sites.session import Ack, Beat, Faulty, Full, Hello, Message, Session, stale
+from weldhatch.sites.session import (
+    Ack,
+    Heartbeat,
+    Hello,
+    Message,
+    ProtocolError,
+    Session,
+    StreamFullError,
+    stale_store_reason,
+)
 
 
 def pass_all(a, b, now, got, most=1000):
     """Everything that both sides have to say crosses; whether anything did."""
     moved = False
     for one, other in ((a, b), (b, a)):
-        for frame in one.frames(now, most):
+        for frame in one.outgoing_frames(now, most):
             moved = True
-            if brought := other.hear(now, frame):
+            if brought := other.receive(now, frame):
                 got[other.name].append(brought)
     return moved
 
 
 def pair():
     a, b = Session("a"), Session("b")
-    a.begin(0.0, 0)
-    b.begin(0.0, 0)
+    a.resume(0.0, 0)
+    b.resume(0.0, 0)
     return a, b, {"a": [], "b": []}
 
 
@@ -40,34 +49,34 @@
         payload = f"{one.name}{n}".encode()
         one.send(0, payload)
         sent[other.name].append((0, payload))
-        out = list(one.frames(now))
+        out = list(one.outgoing_frames(now))
         come = rnd.choice((len(out), rnd.randrange(len(out) + 1)))
         for frame in out[:come]:
-            if brought := other.hear(now, frame):
+            if brought := other.receive(now, frame):
                 got[other.name].append(brought)
         if come < len(out) or rnd.random() < 0.2:  # the connection breaks, and what was under way is lost
-            list(a.frames(now)), list(b.frames(now))
-            heard = a.heard, b.heard
-            a.begin(now, heard[1])
-            b.begin(now, heard[0])
-    heard = a.heard, b.heard
-    a.begin(now, heard[1])
-    b.begin(now, heard[0])
+            list(a.outgoing_frames(now)), list(b.outgoing_frames(now))
+            heard = a.received, b.received
+            a.resume(now, heard[1])
+            b.resume(now, heard[0])
+    heard = a.received, b.received
+    a.resume(now, heard[1])
+    b.resume(now, heard[0])
     for _ in range(60):
         now += session.ACK_S
         pass_all(a, b, now, got)
     assert got == sent
-    assert not a.kept and not b.kept
+    assert not a.unacknowledged and not b.unacknowledged
 
 
 def test_a_stream_without_credit_does_not_block_another():
     a, b, got = pair()
     for n in range(session.CREDIT + 50):
         a.send(0, b"bulk%d" % n)
-    out = list(a.frames(0.0, 10_000))
+    out = list(a.outgoing_frames(0.0, 10_000))
     assert len(out) == session.CREDIT
     a.send(1, b"urgent")
-    assert [frame.payload for frame in a.frames(0.0)] == [b"urgent"]
+    assert [frame.payload for frame in a.outgoing_frames(0.0)] == [b"urgent"]
 
 
 def test_streams_take_turns():
@@ -75,37 +84,37 @@
     for n in range(6):
         a.send(0, b"x%d" % n)
     a.send(1, b"y")
-    assert b"y" in [frame.payload for frame in a.frames(0.0, 2)]
+    assert b"y" in [frame.payload for frame in a.outgoing_frames(0.0, 2)]
 
 
 def test_credit_that_was_lost_with_a_connection_is_given_again():
     a, b, got = pair()
     for n in range(session.CREDIT + 5):
         a.send(0, b"%d" % n)
-    for frame in a.frames(0.0, 10_000):
-        b.hear(0.0, frame)
-    list(b.frames(1.0))  # the acknowledgement, and the credit with it, is lost
-    a.begin(2.0, b.heard)
-    b.begin(2.0, a.heard)
+    for frame in a.outgoing_frames(0.0, 10_000):
+        b.receive(0.0, frame)
+    list(b.outgoing_frames(1.0))  # the acknowledgement, and the credit with it, is lost
+    a.resume(2.0, b.received)
+    b.resume(2.0, a.received)
     for _ in range(4):
         pass_all(a, b, 3.0, got)
-    assert b.heard == session.CREDIT + 5
+    assert b.received == session.CREDIT + 5
 
 
 def test_what_a_receiver_does_not_allow_ends_the_connection():
     _, b, _ = pair()
     for n in range(session.CREDIT):
-        b.hear(0.0, Message(n + 1, 0, b""))
-    with pytest.raises(Faulty, match="over its credit"):
-        b.hear(0.0, Message(session.CREDIT + 1, 0, b""))
+        b.receive(0.0, Message(n + 1, 0, b""))
+    with pytest.raises(ProtocolError, match="over its credit"):
+        b.receive(0.0, Message(session.CREDIT + 1, 0, b""))
     for bad in (
         Message(99_999, 0, b""),
         Ack(5),
         Message(session.CREDIT + 1, 99, b""),
         Hello(1, "x", 1, "t", (0, ""), "", 0, True),
     ):
-        with pytest.raises(Faulty):
-            b.hear(0.0, bad)
+        with pytest.raises(ProtocolError):
+            b.receive(0.0, bad)
 
 
 def test_a_side_that_lost_its_memory_can_not_go_on_with_the_session():
@@ -114,30 +123,30 @@
         a.send(0, b"%d" % n)
     for _ in range(5):
         pass_all(a, b, 1.0, got)
-    with pytest.raises(Faulty, match="heard up to 0"):
-        a.begin(2.0, 0)
-    with pytest.raises(Faulty, match="of 40 that were sent"):
-        a.begin(2.0, 41)
+    with pytest.raises(ProtocolError, match="heard up to 0"):
+        a.resume(2.0, 0)
+    with pytest.raises(ProtocolError, match="of 40 that were sent"):
+        a.resume(2.0, 41)
 
 
 def test_a_full_line_takes_nothing_and_says_so():
     a, _, _ = pair()
     for _ in range(session.LINE_MOST):
         a.send(2, b"")
-    with pytest.raises(Full):
+    with pytest.raises(StreamFullError):
         a.send(2, b"")
 
 
 def test_beats_tell_the_delay_and_silence_the_death_of_a_connection():
     a, b, _ = pair()
-    (beat,) = a.frames(session.BEAT_S)
-    b.hear(1.2, beat)
-    echo = next(frame for frame in b.frames(1.2) if isinstance(frame, Beat))
-    a.hear(1.4, echo)
+    (beat,) = a.outgoing_frames(session.BEAT_S)
+    b.receive(1.2, beat)
+    echo = next(frame for frame in b.outgoing_frames(1.2) if isinstance(frame, Heartbeat))
+    a.receive(1.4, echo)
     assert a.delay_s == pytest.approx(0.2)
     a.send(0, b"talk")  # what is said otherwise puts off no beat: the delay is measured all the same
-    assert [type(frame) for frame in a.frames(2.1)] == [Message, Beat]
-    assert not a.dead(1.3 + session.DEAD_S) and a.dead(1.5 + session.DEAD_S)
+    assert [type(frame) for frame in a.outgoing_frames(2.1)] == [Message, Heartbeat]
+    assert not a.timed_out(1.3 + session.DEAD_S) and a.timed_out(1.5 + session.DEAD_S)
 
 
 @pytest.mark.parametrize(
@@ -154,20 +163,25 @@
 )
 def test_an_older_copy_of_a_store_is_told_on_both_sides(hello, known, ours, fault):
     epoch, token, yours = hello
-    told = stale(Hello(1, "b", epoch, token, yours, "", 0, True), known, ours)
+    told = stale_store_reason(Hello(1, "b", epoch, token, yours, "", 0, True), known, ours)
     assert (fault in told) if fault else told == ""
 
 
 WORK = messages.Work("c", "UNSAFE", 7, 1, 0.5, 2.0, "t", ("a", "b"), 1)
-ALL = [Hello(1, "a", 3, "t", (2, "u"), "s", 9, False), Message(1, 2, b"\0x"), Ack(4, ((0, 9),)), Beat(5, 6)]
+ALL = [
+    Hello(1, "a", 3, "t", (2, "u"), "s", 9, False),
+    Message(1, 2, b"\0x"),
+    Ack(4, ((0, 9),)),
+    Heartbeat(5, 6),
+]
 WORDS = [
-    messages.Offered((1, 2), WORK, 5),
-    messages.Withdrawn((1, 2)),
-    messages.Freed((1, 2), 16),
-    messages.Closed((1, 2)),
-    messages.Floor((1, 2)),
-    messages.Taken((1, 2)),
-    messages.Stood((1, 2), "d"),
+    messages.Offer((1, 2), WORK, 5),
+    messages.Withdraw((1, 2)),
+    messages.Release((1, 2), 16),
+    messages.Close((1, 2)),
+    messages.LowWatermark((1, 2)),
+    messages.Accepted((1, 2)),
+    messages.Placed((1, 2), "d"),
     messages.Returned((1, 2), 7),
     messages.Ended((1, 2), 41, True),
 ]
@@ -180,7 +194,7 @@
         assert frames.parse(ring) is None
         ring.put(frames.encode(frame)[3:])
         assert frames.parse(ring) == frame
-    assert [frames.decode_word(frames.encode_word(word)) for word in WORDS] == WORDS
+    assert [frames.decode_message(frames.encode_message(word)) for word in WORDS] == WORDS
 
 
 @pytest.mark.parametrize(
@@ -202,10 +216,10 @@
 
 @given(st.binary(max_size=60))
 def test_bytes_of_no_meaning_are_faulty_and_nothing_else(data):
-    for read in (frames.decode, frames.decode_word):
+    for read in (frames.decode, frames.decode_message):
         try:
             read(data)
-        except Faulty as fault:
+        except ProtocolError as fault:
             assert str(fault)
     try:
         frames.decode_record(data)
@@ -216,7 +230,7 @@
 def test_a_frame_that_is_too_long_is_refused_at_its_length():
     ring = Ring(1024)
     ring.put(b"\xff\xff\xff\xff")
-    with pytest.raises(Faulty, match="are the most"):
+    with pytest.raises(ProtocolError, match="are the most"):
         frames.parse(ring)
     with pytest.raises(ValueError):
         frames.encode(Message(1, 0, bytes(frames.FRAME_MOST)))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.store.lock import Lock, LockHeld, holder
-from weldhatch.store.log import MAGIC, Log, LogCorrupt, LogError, RealDisk, read
+from weldhatch.store.lock import Lock, LockHeldError, lock_owner
+from weldhatch.store.log import MAGIC, Log, LogCorruptError, LogError, RealDisk, read_records
 
 RECORDS = [b"one", b"", b"three" * 50]
 
@@ -27,15 +27,15 @@
 
 def opened(path, disk=None):
     log = Log(path, disk)
-    return log, list(log.records())
+    return log, list(log.recovered_records())
 
 
 def test_what_was_appended_comes_back(path):
     log, records = opened(path)
-    assert records == RECORDS and log.torn is None
+    assert records == RECORDS and log.torn_tail is None
     log.append([b"four"])
     log.close()
-    assert read(path) == [*RECORDS, b"four"]
+    assert read_records(path) == [*RECORDS, b"four"]
 
 
 def test_an_end_that_was_cut_anywhere_loses_only_what_was_cut(path):
@@ -47,16 +47,16 @@
         path.write_bytes(data[:length])
         log, records = opened(path)
         assert records == RECORDS[: sum(end <= length for end in ends[1:])]
-        assert (log.torn is None) == (length == 0 or length in ends)
+        assert (log.torn_tail is None) == (length == 0 or length in ends)
         log.append([b"next"])
         log.close()
-        assert read(path) == [*records, b"next"]
+        assert read_records(path) == [*records, b"next"]
 
 
 def test_zeros_behind_the_end_are_torn_and_not_a_record(path):
     path.write_bytes(path.read_bytes() + bytes(100))
     log, records = opened(path)
-    assert records == RECORDS and log.torn.length == 100
+    assert records == RECORDS and log.torn_tail.length == 100
     log.close()
 
 
@@ -69,7 +69,7 @@
         last = at >= len(data) - 16 - len(RECORDS[-1])
         try:
             log, records = opened(path)
-        except LogCorrupt as fault:
+        except LogCorruptError as fault:
             assert str(path) in str(fault) and "byte" in str(fault)
         else:  # only a length at the very end can't be told from a record that was cut
             assert last and records == RECORDS[:-1]
@@ -104,11 +104,11 @@
     disk.room = room
     with pytest.raises(LogError, match="No space left on device; nothing was written"):
         log.append([b"x" * 30, b"y" * 30])
-    assert read(path) == RECORDS
+    assert read_records(path) == RECORDS
     disk.room = 1 << 20
     log.append([b"z"])
     log.close()
-    assert read(path) == [*RECORDS, b"z"]
+    assert read_records(path) == [*RECORDS, b"z"]
 
 
 def test_a_disk_that_does_not_confirm_ends_the_log_until_it_is_opened_anew(path):
@@ -129,19 +129,19 @@
     disk.room = 20
     with pytest.raises(LogError, match="as it was"):
         log.rewrite([b"short" * 10])
-    assert read(path) == RECORDS
+    assert read_records(path) == RECORDS
     disk.room = 1 << 20
     log.rewrite([b"short"])
     log.append([b"more"])
     log.close()
-    assert read(path) == [b"short", b"more"]
+    assert read_records(path) == [b"short", b"more"]
 
 
 def test_what_can_not_be_opened_is_named(tmp_path):
     with pytest.raises(LogError, match="no-such"):
         Log(tmp_path / "no-such" / "log")
     (tmp_path / "other").write_bytes(b"something else entirely")
-    with pytest.raises(LogCorrupt, match="byte 0: this is no log of ours"):
+    with pytest.raises(LogCorruptError, match="byte 0: this is no log of ours"):
         Log(tmp_path / "other")
 
 
@@ -168,19 +168,21 @@
         size = os.path.getsize(path)
         os.truncate(path, data.draw(st.integers(0, size)))
         again = Log(path)
-        found = list(again.records())
+        found = list(again.recovered_records())
         again.close()
         assert found == whole[: len(found)]
 
 
 def test_a_second_holder_is_refused_and_told_who_since_when(tmp_path):
     path = tmp_path / "lock"
-    assert holder(path) == ""
+    assert lock_owner(path) == ""
     lock = Lock(path, "an apply of spring", "noon")
-    with pytest.raises(LockHeld, match=rf"held by an apply of spring \(process {os.getpid()}\) since noon"):
+    with pytest.raises(
+        LockHeldError, match=rf"held by an apply of spring \(process {os.getpid()}\) since noon"
+    ):
         Lock(path, "another", "later")
     lock.close()
-    assert holder(path) == ""
+    assert lock_owner(path) == ""
     Lock(path, "another", "later").close()
 
 
@@ -192,5 +194,5 @@
     )
     subprocess.run([sys.executable, "-c", code, str(path)], check=False)
     assert json.loads(path.read_text())["who"] == "gone"
-    assert holder(path) == ""
+    assert lock_owner(path) == ""
     Lock(path, "next", "y").close()
--- a/weldhatch/applying/journal.py
+++ b/weldhatch/applying/journal.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from weldhatch.planning.records import AnyRecord, Begin, Ended, Stopped, Story, decode, encode
-from weldhatch.store.lock import Lock, holder
-from weldhatch.store.log import Disk, Log, LogCorrupt, read
+from weldhatch.store.lock import Lock, lock_owner
+from weldhatch.store.log import Disk, Log, LogCorruptError, read_records
 
 LOG, LOCK = "applies.log", "apply.lock"
 COMPACT_OVER = 50_000  # records; beyond, ended applies are cut down to their beginning and their end
@@ -28,19 +28,19 @@
         try:
             out.append(decode(payload))
         except msgspec.MsgspecError as fault:
-            raise LogCorrupt(f"{path}: record {number}: {fault}") from None
+            raise LogCorruptError(f"{path}: record {number}: {fault}") from None
     return out
 
 
 def story(folder: str | Path) -> Story:
     """All applies of a folder, without holding it."""
     path = Path(folder) / LOG
-    return Story(_records(read(path), path))
+    return Story(_records(read_records(path), path))
 
 
 def held_by(folder: str | Path) -> str:
     """Who is applying just now; '' where nobody is."""
-    return holder(Path(folder) / LOCK)
+    return lock_owner(Path(folder) / LOCK)
 
 
 class Journal:
@@ -52,8 +52,8 @@
         self._lock = Lock(self.folder / LOCK, who, stamp(now))
         try:
             self._log = Log(self.folder / LOG, disk)
-            self.torn = self._log.torn
-            records = _records(self._log.records(), self.folder / LOG)
+            self.torn = self._log.torn_tail
+            records = _records(self._log.recovered_records(), self.folder / LOG)
             self.story = Story(records)
             if len(records) > COMPACT_OVER:
                 self._compact(records)
--- a/weldhatch/cli/settings.py
+++ b/weldhatch/cli/settings.py
@@ -55,7 +55,7 @@
     try:
         journal = Log(f"{path}.journal")
         try:
-            cut_off = [json.loads(one)["record"] for one in journal.records()][-1:] == ["intent"]
+            cut_off = [json.loads(one)["record"] for one in journal.recovered_records()][-1:] == ["intent"]
 
             def note(record: str, **figures: object) -> None:
                 journal.append([json.dumps({"record": record, "at": time.time(), **figures}).encode()])
--- a/weldhatch/cluster/codec.py
+++ b/weldhatch/cluster/codec.py
@@ -14,7 +14,7 @@
 
 from weldhatch.consensus import messages
 from weldhatch.coordination import messages as coordination_messages
-from weldhatch.sites.session import Faulty
+from weldhatch.sites.session import ProtocolError
 
 PART = 8 * 1024
 WHOLE_MOST = 4 << 20
@@ -54,7 +54,9 @@
         number, rest = _pair(data)
         return _READERS[stream, number].decode(rest)
     except (msgspec.MsgspecError, KeyError, ValueError, RecursionError) as fault:
-        raise Faulty(f"a word that can't be read: {type(fault).__name__}: {str(fault)[:120]}") from None
+        raise ProtocolError(
+            f"a word that can't be read: {type(fault).__name__}: {str(fault)[:120]}"
+        ) from None
 
 
 def parts(data: bytes) -> Iterator[bytes]:
@@ -71,11 +73,11 @@
     def add(self, stream: int, part: bytes) -> bytes | None:
         """One part; the whole once it is there. Raises Faulty for what is none, or too much."""
         if not part or part[0] > 1:
-            raise Faulty("a part that begins with neither 0 nor 1")
+            raise ProtocolError("a part that begins with neither 0 nor 1")
         held = self._held.setdefault(stream, bytearray())
         held += part[1:]
         if len(held) > WHOLE_MOST:
-            raise Faulty(f"a word of over {WHOLE_MOST} bytes")
+            raise ProtocolError(f"a word of over {WHOLE_MOST} bytes")
         if part[0]:
             return None
         del self._held[stream]
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -185,7 +185,7 @@
         return {
             **self.member.status(self._now()),
             "voters": voters,
-            "full": self.book.full,
+            "full": self.book.write_error,
             "peers": self.peers.reached(),
             "bytes_sent": self.peers.sent,
         }
--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -14,7 +14,7 @@
 from weldhatch.consensus.messages import Message
 from weldhatch.coordination.messages import Word
 from weldhatch.net.descriptor_budget import Budget, Share
-from weldhatch.sites.link import Door, Ears, Link
+from weldhatch.sites.link import Link, LinkHandlers, LinkListener
 
 LOOK_S = 0.5  # a link looks as often for silence, and acknowledges: a group has many links
 DIALLED_MOST = 64
@@ -56,7 +56,9 @@
         self.out: dict[str, Link] = {}
         self.came = _Invited(self._invited, lambda name: self._link(name, dialled=False))
         self._share = Share(Budget(told.sockets), told.sockets)
-        self._door = Door(told.listen, self.came, self._share, log, self._serves) if told.listen else None
+        self._door = (
+            LinkListener(told.listen, self.came, self._share, log, self._serves) if told.listen else None
+        )
         self.sent = 0  # bytes, before the link's own
 
     def _invited(self, name: str) -> bool:
@@ -78,8 +80,8 @@
             if whole is not None:
                 self._heard(site, codec.decode(stream, whole))
 
-        ears = Ears(rise, self._down if dialled else _silent, hear)
-        link = Link(self._told.name, name, self._book, ears, self._say, LOOK_S)
+        handlers = LinkHandlers(rise, self._down if dialled else _silent, hear)
+        link = Link(self._told.name, name, self._book, handlers, self._say, LOOK_S)
         return link
 
     def _say(self, text: str) -> None:
@@ -127,9 +129,9 @@
                 ),
                 "doubt": next(
                     (
-                        link.doubt
+                        link.stale_reason
                         for link in (self.out.get(name), dict.get(self.came, name))
-                        if link is not None and link.doubt
+                        if link is not None and link.stale_reason
                     ),
                     "",
                 ),
--- a/weldhatch/cluster/storage.py
+++ b/weldhatch/cluster/storage.py
@@ -13,8 +13,8 @@
 
 from weldhatch.config import ConfigError
 from weldhatch.consensus.persistent_state import Saved
-from weldhatch.sites.epochs import EpochBook
-from weldhatch.store.commit import PROBE
+from weldhatch.sites.epochs import EpochStorage
+from weldhatch.store.commit import NO_OP_RECORD
 from weldhatch.store.folded import FoldedStore
 from weldhatch.store.log import Disk
 
@@ -30,9 +30,9 @@
         self.lineage, self.state = 0, ""
         self.saved = Saved()
 
-    def take(self, payload: bytes) -> None:
+    def apply(self, payload: bytes) -> None:
         """One record. Raises ValueError for what is none."""
-        if payload == PROBE:
+        if payload == NO_OP_RECORD:
             return
         try:
             word, *rest = json.loads(payload)
@@ -50,7 +50,7 @@
             case _:
                 raise ValueError(f"a record that can't be read: {payload[:80]!r}")
 
-    def records(self) -> Iterator[bytes]:
+    def snapshot_records(self) -> Iterator[bytes]:
         """The least records that fold to the same."""
         yield json.dumps(["begins", self.epoch, self.token]).encode()
         for name, (epoch, token) in self.met.items():
@@ -61,11 +61,11 @@
             yield b'["raft",' + record[1:]
 
     @property
-    def size(self) -> int:
+    def snapshot_size(self) -> int:
         return 2 + len(self.met) + self.saved.size
 
 
-class AgreementBook(EpochBook):
+class AgreementBook(EpochStorage):
     """The folder of the agreement. Its fold of the disk is one, a voter's log in memory another."""
 
     def __init__(self, folder: str, now: float, say: Callable[[str], None], disk: Disk | None = None) -> None:
@@ -77,8 +77,8 @@
             )
             self.fresh = memory.epoch == 0
             begins = json.dumps(["begins", memory.epoch + 1, secrets.token_hex(4)]).encode()
-            memory.take(begins)
-            self._store.begin([begins])
+            memory.apply(begins)
+            self._store.start([begins])
         except OSError as fault:
             raise ConfigError(f"agreement.store: {fault}") from None
         super().__init__(self._store, memory.epoch, memory.token, memory.met)
@@ -87,8 +87,8 @@
 
     def write(self, words: list[tuple]) -> asyncio.Future:
         """A voter's records: done once they are on the disk, however long that takes."""
-        return self._store.must([json.dumps(["raft", *word]).encode() for word in words])
+        return self._store.append_with_retry([json.dumps(["raft", *word]).encode() for word in words])
 
     def hold(self, lineage: int, state: str) -> None:
         """The state that is acted on, for a look after a restart."""
-        self._store.must([json.dumps(["held", lineage, state]).encode()])
+        self._store.append_with_retry([json.dumps(["held", lineage, state]).encode()])
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -22,7 +22,7 @@
 from weldhatch.pullqueue.machines import Bot, Deaf, machine_of
 from weldhatch.pullqueue.operator_states import Operators
 from weldhatch.pullqueue.reports import Listed, masked, read_listed, read_status
-from weldhatch.pullqueue.storage import Book, NoBook
+from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.workers import Worker, read_worker
 from weldhatch.scheduling import types as i
 
@@ -41,7 +41,7 @@
         timing: Timing,
         ledger: Ledger,
         operators: Operators,
-        book: Book | NoBook,
+        book: QueueStorage | NoStorage,
         changed: Callable[[i.MachinesChanged], None],
         log: Callable[[str], None],
         now: Callable[[], float],
@@ -236,10 +236,10 @@
                 self._extend(lease)
                 if lease.id in self._unseen:
                     self._unseen.discard(lease.id)
-                    self._book.must(durable_state.encode("seen", lease.id))
+                    self._book.append_with_retry(durable_state.encode("seen", lease.id))
                 if lease.phase is Phase.PENDING:
                     lease.phase = Phase.ACTIVE
-                    self._book.must(durable_state.encode("running", lease.id))
+                    self._book.append_with_retry(durable_state.encode("running", lease.id))
                     lease.teller.tell(ports.Answered(lease.attempt, bot.id))
         return to_end
 
@@ -268,7 +268,7 @@
         self._leases.pop(lease.id, None)
         self._due.drop(("lease", lease.id))
         self._ledger.over(lease)
-        self._book.must(durable_state.encode("over", lease.id))
+        self._book.append_with_retry(durable_state.encode("over", lease.id))
         lease.teller.tell(ports.Ended(lease.attempt, outcome, reason, (), cause))
 
     async def _sweep(self) -> None:
@@ -410,7 +410,7 @@
         if not record.seen and record.until:
             lease.expires = min(lease.expires, record.until)
             self._due.set(("lease", lease.id), lease.expires + self.timing.grace)
-        self._book.must(durable_state.encode("until", lease.id, lease.expires))
+        self._book.append_with_retry(durable_state.encode("until", lease.id, lease.expires))
         self._unseen.add(lease.id)
         return bot.machine
 
--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -15,7 +15,7 @@
 from weldhatch.pullqueue.operator_states import WordError, read_word
 
 if TYPE_CHECKING:  # its libraries are imported only where there are sites
-    from weldhatch.sites.forwarding import Sites
+    from weldhatch.sites.forwarding import SiteForwarder
 
 
 class Refused(HttpError):
@@ -141,7 +141,7 @@
         self._log(f"applied a plan of {len(todo)} changes")
         return {"applied": len(todo), "restarting": any(change["restart"] for change in todo)}
 
-    def _sites(self) -> Sites:
+    def _sites(self) -> SiteForwarder:
         if self._front.sites is None:
             raise HttpError(404, "sites: this gateway knows of no other site", "sites")
         return self._front.sites
--- a/weldhatch/pullqueue/durable_state.py
+++ b/weldhatch/pullqueue/durable_state.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class Durable:
+class QueueState:
     """The fold of all records."""
 
     epoch: int = 0
@@ -73,15 +73,15 @@
     leases: dict[str, LeaseRecord] = field(default_factory=dict)
     spent: dict[int, None] = field(default_factory=dict)
 
-    def take(self, payload: bytes) -> None:
+    def apply(self, payload: bytes) -> None:
         """One record. Raises ValueError for what is none."""
         try:
             word, *rest = json.loads(payload)
-            self._take(word, rest)
+            self._apply(word, rest)
         except (ValueError, TypeError, KeyError, IndexError) as fault:
             raise ValueError(f"a record that can't be read: {payload[:80]!r}: {fault!r}") from None
 
-    def _take(self, word: str, rest: list) -> None:
+    def _apply(self, word: str, rest: list) -> None:
         match word, rest:
             case "epoch", [number, token, _]:
                 self.epoch, self.token = number, token
@@ -126,7 +126,7 @@
             case _:
                 raise ValueError(word)
 
-    def records(self) -> Iterator[bytes]:
+    def snapshot_records(self) -> Iterator[bytes]:
         """The least records that fold to the same."""
         yield encode("epoch", self.epoch, self.token, 0)
         keys = list(self.spent)
@@ -147,15 +147,15 @@
                 yield encode("end", one.name, one.state, one.cause, one.result)
 
     @property
-    def size(self) -> int:
+    def snapshot_size(self) -> int:
         """About how many records `records` gives."""
         return 2 + 3 * len(self.operations) + 2 * len(self.leases) + len(self.spent) // SPENT_A_RECORD
 
 
-def fold(payloads: Iterable[bytes]) -> Durable:
-    out = Durable()
+def fold(payloads: Iterable[bytes]) -> QueueState:
+    out = QueueState()
     for payload in payloads:
-        out.take(payload)
+        out.apply(payload)
     return out
 
 
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -25,7 +25,7 @@
 from weldhatch.pullqueue.operator_states import Operators, Word
 from weldhatch.pullqueue.quotas import Quotas
 from weldhatch.pullqueue.security import Security
-from weldhatch.pullqueue.storage import Book, NoBook
+from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.tasks import Tasks
 from weldhatch.scheduling import types as i
 from weldhatch.store.log import Log
@@ -51,7 +51,7 @@
         self.settings = settings  # those that are in force
         self.roll = None  # machines make themselves known here
         self.driver = Driver(policy, log)
-        self.book = Book(told.store, time.time(), log) if told.store else NoBook(time.time_ns())
+        self.book = QueueStorage(told.store, time.time(), log) if told.store else NoStorage(time.time_ns())
         ledger = self._ledger = Ledger(told.remember, "" if told.store else told.ledger)
         ledger.open()
         self.operators = Operators()
@@ -96,9 +96,11 @@
             return None
         try:
             words = Log(path)
-            if words.torn is not None:
-                self._log(f"states: {path}: the last {words.torn.length} bytes were no whole record: dropped")
-            self.operators.restore(words.records())
+            if words.torn_tail is not None:
+                self._log(
+                    f"states: {path}: the last {words.torn_tail.length} bytes were no whole record: dropped"
+                )
+            self.operators.restore(words.recovered_records())
             if words.count > 2 * len(self.operators.words) + 100:
                 words.rewrite(word.encode() for word in self.operators.words.values())
         except (OSError, ValueError) as fault:
--- a/weldhatch/pullqueue/lease_dispatch.py
+++ b/weldhatch/pullqueue/lease_dispatch.py
@@ -13,7 +13,7 @@
 from weldhatch.pullqueue.http import Request
 from weldhatch.pullqueue.leases import Lease, Ledger, Phase
 from weldhatch.pullqueue.machines import Bot, Passed
-from weldhatch.pullqueue.storage import Book, NoBook
+from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.scheduling import types as i
 from weldhatch.store.log import LogError
 
@@ -28,7 +28,7 @@
         self,
         settings: i.Settings,
         ledger: Ledger,
-        book: Book | NoBook,
+        book: QueueStorage | NoStorage,
         due: Deadlines,
         pickup: Callable[[], float],
         place_of: Callable[[Bot], tuple[str, str]],
@@ -76,7 +76,7 @@
         if not out:
             return []
         try:
-            await self._book.may(*records)
+            await self._book.append(*records)
         except LogError:
             for lease in out:
                 if lease.phase is not Phase.OVER:
@@ -121,7 +121,7 @@
         for lease in leases:
             if lease.phase in (Phase.PENDING, Phase.CANCELLED):
                 self._ledger.taken_back(lease, lease.id in spent)
-                self._book.must(durable_state.encode("back", lease.id))
+                self._book.append_with_retry(durable_state.encode("back", lease.id))
                 if lease.phase is Phase.CANCELLED:
                     self._end(lease, i.Outcome.NOT_SENT, cause=ports.CALLED_OFF)
                     continue
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -21,23 +21,23 @@
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.pullqueue.machines import Passed
-from weldhatch.pullqueue.storage import Book, NoBook
+from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.scheduling import types as i
-from weldhatch.sites.forwarding import Sites
-from weldhatch.sites.link import Door
-from weldhatch.sites.local_site import Front
-from weldhatch.sites.messages import Id, Work
+from weldhatch.sites.forwarding import SiteForwarder
+from weldhatch.sites.link import LinkListener
+from weldhatch.sites.local_site import SiteFrontEnd
+from weldhatch.sites.messages import TransferId, Work
 from weldhatch.sites.routing import Router
-from weldhatch.sites.storage import SitesBook
+from weldhatch.sites.storage import SiteStorage
 
 SETTLE_SPARE_S = 0.5
 SOCKETS_A_SITE = 4
 
 
-class Abroad(Front):
+class Abroad(SiteFrontEnd):
     """What the sites need of this front."""
 
-    def __init__(self, settings: i.Settings, ledger: Ledger, book: Book | NoBook) -> None:
+    def __init__(self, settings: i.Settings, ledger: Ledger, book: QueueStorage | NoStorage) -> None:
         self._settings, self._ledger, self._book = settings, ledger, book
         self._names = {cls.name: cls for cls in settings.classes}
 
@@ -45,7 +45,9 @@
         passed: Passed = task.passed_on
         return msgspec.json.encode(passed.setup).decode(), passed.blob
 
-    def guest(self, site: str, id: Id, work: Work, came_to: Callable[[str], None]) -> tuple[object, object]:
+    def guest(
+        self, site: str, id: TransferId, work: Work, came_to: Callable[[str], None]
+    ) -> tuple[object, object]:
         try:
             setup, blob = work.names
             read = msgspec.json.decode(setup, type=Setup)
@@ -75,7 +77,7 @@
             and self._names[work.class_name].effect is i.Effect.UNSAFE
             and self._ledger.spend(work.key)
         ):
-            self._book.must(durable_state.encode("spent", [work.key]))
+            self._book.append_with_retry(durable_state.encode("spent", [work.key]))
 
 
 def link_contexts(keys: str, name: str, key: str) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
@@ -97,17 +99,17 @@
     driver: Driver,
     core: Core,
     ledger: Ledger,
-    book: Book | NoBook,
+    book: QueueStorage | NoStorage,
     random: Random,
     log: Callable[[str], None],
-) -> tuple[Sites, SitesBook, Door]:
+) -> tuple[SiteForwarder, SiteStorage, LinkListener]:
     """The sites of this gateway, dialling and listening. Raises ConfigError, or OSError for the address."""
-    sites_book = SitesBook(told.sites.store, time.time(), log)
+    sites_book = SiteStorage(told.sites.store, time.time(), log)
     names = list(told.sites.peers)
     share = Share(Budget(told.sockets), 2 * SOCKETS_A_SITE * len(names))
     try:
         settle = told.timing.lease + told.timing.grace + SETTLE_SPARE_S
-        sites = Sites(
+        sites = SiteForwarder(
             told.sites.name,
             names,
             settings,
@@ -119,7 +121,7 @@
             log,
         )
         serves, dials = link_contexts(told.sites.keys, told.sites.name, "sites.keys")
-        door = Door(told.sites.listen, sites.links, share, log, serves)
+        door = LinkListener(told.sites.listen, sites.links, share, log, serves)
     except BaseException:
         sites_book.close()
         raise
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -27,7 +27,7 @@
 from weldhatch.pullqueue.http import Request
 from weldhatch.pullqueue.leases import Ledger, Refusal
 from weldhatch.pullqueue.machines import Passed
-from weldhatch.pullqueue.storage import Book, NoBook
+from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.submission import Nobody, Submitted
 from weldhatch.pullqueue.workers import NOTHING, Matching, Worker, read_worker
 from weldhatch.scheduling import types as i
@@ -50,7 +50,7 @@
         core: Core,
         bots: Bots,
         ledger: Ledger,
-        book: Book | NoBook,
+        book: QueueStorage | NoStorage,
         queue: int,
         random: Random,
         log: Callable[[str], None],
@@ -139,8 +139,8 @@
             return known, {}
         if answer := self._barred(setup.key, cls):
             return None, answer
-        if self._book.full:
-            raise HttpError(503, f"store: {self._book.full}", "store", 1.0)
+        if self._book.write_error:
+            raise HttpError(503, f"store: {self._book.write_error}", "store", 1.0)
         now = unix_us()
         # In a busy loop, what is read now has stood unread for a while: its submitter counts from then.
         age = int(self._turns.age() * 1e6)
@@ -160,7 +160,7 @@
         passed = Passed(setup, blob, asked.machine_says, lambda: self._first_record(asked, blob))
         if waits or request_id:
             try:
-                await self._book.may(*self._first_record(asked, blob))
+                await self._book.append(*self._first_record(asked, blob))
             except LogError as fault:
                 asked.refused(1_000_000, "the store takes nothing")
                 raise HttpError(503, f"store: {fault}", "store", 1.0) from None
@@ -360,11 +360,11 @@
         if asked is not None:
             self._by_request.pop((asked.tenant, asked.meta.get("request", "")), None)
             if asked.recorded:
-                self._book.must(durable_state.encode("drop", name))
+                self._book.append_with_retry(durable_state.encode("drop", name))
 
     def record(self, asked: Submitted, payload: bytes) -> asyncio.Future | None:
         """What has happened to a submission; only for those that are in the book at all."""
-        return self._book.must(payload) if asked.recorded else None
+        return self._book.append_with_retry(payload) if asked.recorded else None
 
     def find(self, name: str, who: object) -> Submitted:
         asked = self.known.get(name)
--- a/weldhatch/simulation/seeded_defects.py
+++ b/weldhatch/simulation/seeded_defects.py
@@ -19,7 +19,7 @@
 from weldhatch.coordination.state_machine import Group
 from weldhatch.net.connection import Connection
 from weldhatch.pullqueue import front
-from weldhatch.pullqueue.durable_state import Durable
+from weldhatch.pullqueue.durable_state import QueueState
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.simulation.scenario_runner import SCENARIOS, play
 from weldhatch.zones.failover_leader import Marshal
@@ -50,14 +50,14 @@
 
 
 def _store_forgets() -> AbstractContextManager:
-    take = Durable.take
+    take = QueueState.apply
 
-    def forgets(self: Durable, payload: bytes) -> None:
+    def forgets(self: QueueState, payload: bytes) -> None:
         known = json.loads(payload)
         if known and known[0] == "epoch":  # it comes back with nothing but its name
             take(self, payload)
 
-    return mock.patch.object(Durable, "take", forgets)
+    return mock.patch.object(QueueState, "take", forgets)
 
 
 def _never_returns() -> AbstractContextManager:
--- a/weldhatch/simulation/virtual_disk.py
+++ b/weldhatch/simulation/virtual_disk.py
@@ -115,7 +115,7 @@
         self._machine: Disk = LIFE.get().disk
         self._path = str(path)
         if any(one._path == self._path for one in self._machine.locks):
-            raise lock.LockHeld(f"{path}: held")
+            raise lock.LockHeldError(f"{path}: held")
         self._machine.locks.append(self)
 
     def close(self) -> None:
--- a/weldhatch/sites/capacity.py
+++ b/weldhatch/sites/capacity.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, field
 
 from weldhatch.scheduling import types as i
-from weldhatch.sites.routing import Summary
+from weldhatch.sites.routing import CapacitySummary
 
 HEARD_S = 10.0  # an older report of a machine counts as the average of the others
 LEAST = 0.01  # of a core, or of a unit of memory: a class that asks for nothing still fills something
 
 
 @dataclass(slots=True)
-class Seen:
+class MachineCapacity:
     entry: i.Machine
     free: tuple[float, float] | None = None  # cores and memory that nobody has asked for
     at: float = 0.0
@@ -20,11 +20,11 @@
 
 
 @dataclass(slots=True)
-class Room:
+class CapacityTracker:
     """Watches the events that the module gets, and adds up. Times in seconds."""
 
     settings: i.Settings
-    machines: dict[int, Seen] = field(default_factory=dict)
+    machines: dict[int, MachineCapacity] = field(default_factory=dict)
 
     def watch(self, now: float, event: i.Event) -> None:
         match event:
@@ -36,7 +36,7 @@
                     if entry.state == i.MachineState.GONE:
                         self.machines.pop(entry.id, None)
                     else:
-                        self.machines.setdefault(entry.id, Seen(entry)).entry = entry
+                        self.machines.setdefault(entry.id, MachineCapacity(entry)).entry = entry
                     if entry.free_cores is not None and entry.id in self.machines:
                         self._hear(now, entry.id, (entry.free_cores, entry.free_memory or 0.0))
             case i.ProbeAnswered(machine, _, _, report) | i.AttemptEnded(machine=machine, report=report):
@@ -48,7 +48,7 @@
         seen = self.machines[machine]
         seen.free, seen.at = free, now
 
-    def summary(self, now: float, waiting: int, standing: int, draining: bool = False) -> Summary:
+    def summary(self, now: float, waiting: int, standing: int, draining: bool = False) -> CapacitySummary:
         """What to tell other sites. `waiting`: requests not placed; `standing`: tasks of ours that stand.
 
         A task of usual size asks for `usual_cores` and `usual_memory`; a machine that has told nothing is
@@ -75,7 +75,7 @@
         else:
             free = max(0, size - standing)
         left = max(0, free - waiting)
-        return Summary({cls.name: left for cls in s.classes}, size, waiting, draining)
+        return CapacitySummary({cls.name: left for cls in s.classes}, size, waiting, draining)
 
     def _whole(self, entry: i.Machine) -> tuple[float, float]:
         kinds = self.settings.kinds
--- a/weldhatch/sites/forwarding.py
+++ b/weldhatch/sites/forwarding.py
@@ -20,15 +20,15 @@
 from weldhatch.scheduling import types as i
 from weldhatch.sites import frames, handoff_source, handoff_target, messages
 from weldhatch.sites import storage as records
-from weldhatch.sites.capacity import Room
-from weldhatch.sites.handoff_source import Busy, Lender
-from weldhatch.sites.link import Ears, Link
-from weldhatch.sites.local_site import AtHome, Front, HomeOver, HomeOwner
-from weldhatch.sites.messages import Id, Work
-from weldhatch.sites.routing import Router, Stays, Summary
-from weldhatch.sites.session import Faulty
+from weldhatch.sites.capacity import CapacityTracker
+from weldhatch.sites.handoff_source import HandoffSource, TaskBusyError
+from weldhatch.sites.link import Link, LinkHandlers
+from weldhatch.sites.local_site import LocalAnswer, LocalEnd, LocalOwner, SiteFrontEnd
+from weldhatch.sites.messages import TransferId, Work
+from weldhatch.sites.routing import CapacitySummary, KeepLocal, Router
+from weldhatch.sites.session import ProtocolError
 from weldhatch.sites.status import site_status
-from weldhatch.sites.storage import SitesBook
+from weldhatch.sites.storage import SiteStorage
 from weldhatch.store.log import LogError
 
 WORDS, SUMMARIES = 0, 1  # streams of a link
@@ -44,15 +44,15 @@
 BUSY_WAIT_US = 1_000_000  # when to come back, for a task whose key is in doubt
 
 
-class Crossing(Mailbox):
+class ForwardedRequest(Mailbox):
     """One request of an owner here. Exactly one final answer: `_decide` is the only place that gives it."""
 
-    def __init__(self, sites: Sites, task: ports.Task, owner: ports.Owner) -> None:
+    def __init__(self, sites: SiteForwarder, task: ports.Task, owner: ports.Owner) -> None:
         super().__init__()
         self._sites, self.task, self._owner = sites, task, owner
         self.work = sites.work_of(task)
         self.answered = False
-        sites.crossings.add(self)
+        sites.requests.add(self)
         sites.undecided += 1
         self.running = self._loop.create_task(self._run())
 
@@ -72,7 +72,7 @@
                 self._answer_done()
                 self._owner.failed()
         finally:
-            self._sites.crossings.discard(self)
+            self._sites.requests.discard(self)
 
     def _answer_done(self) -> None:
         if not self.answered:
@@ -91,7 +91,7 @@
         wait_us = 0
         while self._left_us() > SPARE_US:
             to = self._sites.choose(self.work, self._left_us(), frozenset(crossed))
-            if isinstance(to, Stays):
+            if isinstance(to, KeepLocal):
                 if self._sites.draining:
                     break
                 last = len(crossed) >= len(self._sites.links) or self._left_us() < LOOK_LEAST_US
@@ -100,23 +100,23 @@
                 crossed.add(to)
                 word = await self._lend(to)
             match word:
-                case AtHome("placed", description):
+                case LocalAnswer("placed", description):
                     self._owner.placed(description)
                     return self._stand_at_home()
-                case handoff_source.Answer(id, "placed", description):
+                case handoff_source.AnswerOwner(id, "placed", description):
                     self._owner.placed(description)
                     return self._stand_there(id)
-                case AtHome("refused", _, wait) | handoff_source.TakeBack(_, wait):
+                case LocalAnswer("refused", _, wait) | handoff_source.ReclaimTask(_, wait):
                     wait_us = max(wait_us, wait)
-                    if isinstance(word, AtHome) and last:
+                    if isinstance(word, LocalAnswer) and last:
                         break
-                case handoff_source.Answer(_, "refused", _, wait):
+                case handoff_source.AnswerOwner(_, "refused", _, wait):
                     self._owner.refused(wait)
                     return None
-                case AtHome() | handoff_source.Answer():
+                case LocalAnswer() | handoff_source.AnswerOwner():
                     self._owner.failed()
                     return None
-                case Busy():
+                case TaskBusyError():
                     self._owner.refused(BUSY_WAIT_US)
                     return None
                 case None:
@@ -124,43 +124,45 @@
         self._owner.refused(wait_us)
         return None
 
-    async def _at_home(self, share_us: int) -> AtHome | Busy | None:
+    async def _at_home(self, share_us: int) -> LocalAnswer | TaskBusyError | None:
         """Home's module decides, within so much time; None where the owner gave up."""
         try:
-            self._sites.lender.begin(self.work)
-        except Busy as busy:
+            self._sites.source.reserve_key(self.work)
+        except TaskBusyError as busy:
             return busy
         self._life: Life = self._sites.core.arrive(
-            replace(self.task, deadline_us=unix_us() + share_us), HomeOwner(self.tell)
+            replace(self.task, deadline_us=unix_us() + share_us), LocalOwner(self.tell)
         )
         while True:
             match await self._next():
-                case AtHome(answer) as here:
+                case LocalAnswer(answer) as here:
                     if answer == "refused":
-                        self._sites.lender.end(self.work)
+                        self._sites.source.release_key(self.work)
                     elif answer == "failed":  # it may run: its key is not free before that is over
-                        self._sites.settle(self._life, lambda: self._sites.lender.end(self.work))
+                        self._sites.settle(self._life, lambda: self._sites.source.release_key(self.work))
                     return here
                 case ports.GivenUp():
                     self._life.tell(ports.GivenUp())
-                    self._sites.settle(self._life, lambda: self._sites.lender.end(self.work))
+                    self._sites.settle(self._life, lambda: self._sites.source.release_key(self.work))
                     return None
 
-    async def _lend(self, site: str) -> handoff_source.Answer | handoff_source.TakeBack | Busy | None:
+    async def _lend(
+        self, site: str
+    ) -> handoff_source.AnswerOwner | handoff_source.ReclaimTask | TaskBusyError | None:
         """Hand the task to another site and wait for its word; None where the owner gave up."""
         try:
             id = await self._sites.lend(site, self.work, self._left_us() - SPARE_US, self)
-        except Busy as busy:
+        except TaskBusyError as busy:
             return busy
         timer = self._loop.call_later(max(0, self._left_us() - SPARE_US) / 1e6, self._sites.time_up, id)
         try:
             while True:
                 match await self._next():
-                    case handoff_source.Answer() | handoff_source.TakeBack() as word if word.id == id:
+                    case handoff_source.AnswerOwner() | handoff_source.ReclaimTask() as word if word.id == id:
                         return word
                     case ports.GivenUp():
                         self._sites.leave(id)
-                        self._sites.carry(self._sites.lender.given_up(id))
+                        self._sites.carry(self._sites.source.abandoned(id))
                         return None
         finally:
             timer.cancel()
@@ -171,7 +173,7 @@
         try:
             while True:
                 match await self._next():
-                    case HomeOver(cause, moved):
+                    case LocalEnd(cause, moved):
                         self._owner.moved() if moved else self._owner.released(cause)
                         return
                     case ports.Released(cause):
@@ -179,26 +181,26 @@
                         await self._sites.after(self._life, 0.0, lambda: None)
                         return
         finally:
-            self._sites.lender.end(self.work)
+            self._sites.source.release_key(self.work)
 
-    async def _stand_there(self, id: Id) -> None:
+    async def _stand_there(self, id: TransferId) -> None:
         while True:
             match await self._next():
-                case handoff_source.Over(which, cause, result) if which == id:
+                case handoff_source.ReportEnd(which, cause, result) if which == id:
                     if result:
                         self._sites.front.came_to(self.task, result)
                     self._owner.released(cause)
                     return
                 case ports.Released(cause):
                     self._sites.leave(id)
-                    self._sites.carry(self._sites.lender.freed(id, cause))
+                    self._sites.carry(self._sites.source.released(id, cause))
                     return
 
 
-class Guest:
+class IncomingTask:
     """A task of another site, at this site's core: tells the hand-over what comes of it."""
 
-    def __init__(self, sites: Sites, site: str, id: Id, work: Work, left_us: int) -> None:
+    def __init__(self, sites: SiteForwarder, site: str, id: TransferId, work: Work, left_us: int) -> None:
         self._sites, self.site, self.id, self.work = sites, site, id, work
         self.standing = False
         self._result = ""
@@ -213,11 +215,11 @@
 
     def placed(self, description: str | None) -> None:
         self.standing = True
-        self._sites.carry(self._taker.stands(self.id, description or ""), self.site)
+        self._sites.carry(self._target.placed(self.id, description or ""), self.site)
 
     def refused(self, wait_us: int) -> None:
         self._over()
-        self._sites.carry(self._taker.given_back(self.id, wait_us), self.site)
+        self._sites.carry(self._target.returned(self.id, wait_us), self.site)
 
     def failed(self) -> None:
         """It may have run, and may still."""
@@ -240,19 +242,19 @@
         self._sites.spawn(self._sites.after(self.life, 0.0, lambda: self._ended(cause)))
 
     @property
-    def _taker(self) -> handoff_target.Taker:
-        return self._sites.book.taker(self.site)
+    def _target(self) -> handoff_target.HandoffTarget:
+        return self._sites.book.target(self.site)
 
     def _ended(self, cause: int) -> None:
         self._over()
-        self._sites.carry(self._taker.ended(self.id, cause, self._result), self.site)
+        self._sites.carry(self._target.ended(self.id, cause, self._result), self.site)
 
     def _over(self) -> None:
-        if self._sites.guests.pop((self.site, self.id), None) is not None:
-            self._sites.lender.end(self.work)
+        if self._sites.incoming.pop((self.site, self.id), None) is not None:
+            self._sites.source.release_key(self.work)
 
 
-class Sites:
+class SiteForwarder:
     """All that crosses, both ways. A front may hold it in the place of its core."""
 
     def __init__(
@@ -261,26 +263,28 @@
         names: list[str],
         settings: i.Settings,
         core: Core,
-        book: SitesBook,
+        book: SiteStorage,
         router: Router,
-        front: Front,
+        front: SiteFrontEnd,
         settle_s: float,
         log: Callable[[str], None],
     ) -> None:
         """`settle_s`: for how long a task that was given up, or whose gateway died, may still run."""
         self.name, self.settings, self.core, self.book, self.router = name, settings, core, book, router
         self.front, self._settle_s, self.log = front, settle_s, log
-        self.lender: Lender = book.lender
-        self.room = Room(settings)
-        self.crossings: set[Crossing] = set()
+        self.source: HandoffSource = book.source
+        self.room = CapacityTracker(settings)
+        self.requests: set[ForwardedRequest] = set()
         self.undecided = 0
-        self.guests: dict[tuple[str, Id], Guest] = {}
+        self.incoming: dict[tuple[str, TransferId], IncomingTask] = {}
         self.draining = self._closed = False
-        self._waiting: dict[Id, tuple[Crossing, int]] = {}  # who waits for a transfer, and until when
+        self._waiting: dict[
+            TransferId, tuple[ForwardedRequest, int]
+        ] = {}  # who waits for a transfer, and until when
         self._down: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
-        ears = Ears(self._link_up, self._link_down, self._hear)
-        self.links = {site: Link(name, site, book, ears, log) for site in names}
+        handlers = LinkHandlers(self._link_up, self._link_down, self._hear)
+        self.links = {site: Link(name, site, book, handlers, log) for site in names}
         self._indexes = {cls.name: n for n, cls in enumerate(settings.classes)}
         self._restore()
         self.spawn(self._tick())
@@ -298,39 +302,39 @@
     @property
     def unanswered(self) -> int:
         """Requests that are owed an answer: owners' here, and those of other sites."""
-        return self.undecided + sum(not guest.standing for guest in self.guests.values())
+        return self.undecided + sum(not incoming_task.standing for incoming_task in self.incoming.values())
 
     @property
     def lives(self) -> set:
         return self.core.lives
 
-    def arrive(self, task: ports.Task, owner: ports.Owner) -> Crossing:
-        return Crossing(self, task, owner)
+    def arrive(self, task: ports.Task, owner: ports.Owner) -> ForwardedRequest:
+        return ForwardedRequest(self, task, owner)
 
     def adopt(self, task: ports.Task, machine: int, owner: ports.Owner, answered: bool = True) -> Life:
         """A task that runs here already: its key is this site's until it is over."""
         work, life = self.work_of(task), self.core.adopt(task, machine, owner, answered)
         try:
-            self.lender.begin(work)
-        except Busy as busy:
+            self.source.reserve_key(work)
+        except TaskBusyError as busy:
             self.log(f"a task that runs here, of key {work.key:x}: {busy}")
         else:
-            self.spawn(self.after(life, 0.0, lambda: self.lender.end(work)))
+            self.spawn(self.after(life, 0.0, lambda: self.source.release_key(work)))
         return life
 
     def _restore(self) -> None:
         """After a start: owners of what was out have gone; what was tried here may run for a while yet."""
-        self.carry(self.lender.restarted())
+        self.carry(self.source.recover())
         asyncio.get_running_loop().call_later(
             self._settle_s,
             self._settled,
-            {site: list(taker.taken) for site, taker in self.book.takers.items()},
+            {site: list(target.transfers) for site, target in self.book.targets.items()},
         )
 
-    def _settled(self, before: dict[str, list[Id]]) -> None:
+    def _settled(self, before: dict[str, list[TransferId]]) -> None:
         """Nothing that a former gateway started runs any more."""
         for site, ids in before.items():
-            self.carry(self.book.taker(site).restarted(ids), site)
+            self.carry(self.book.target(site).recover(ids), site)
 
     def settle(self, life: Life, then: Callable[[], None]) -> None:
         """Call once a task that was given up, or failed, can't run any more."""
@@ -342,7 +346,7 @@
         await asyncio.sleep(seconds)
         then()
 
-    def leave(self, id: Id) -> None:
+    def leave(self, id: TransferId) -> None:
         """Nobody here waits for a transfer any more."""
         self._waiting.pop(id, None)
 
@@ -364,7 +368,7 @@
         )
 
     def task_of(
-        self, site: str, id: Id, work: Work, left_us: int, came_to: Callable[[str], None]
+        self, site: str, id: TransferId, work: Work, left_us: int, came_to: Callable[[str], None]
     ) -> ports.Task:
         tenants = [tenant.name for tenant in self.settings.tenants]
         label, passed_on = self.front.guest(site, id, work, came_to)
@@ -380,35 +384,35 @@
             passed_on=passed_on,
         )
 
-    def summary(self) -> Summary:
+    def summary(self) -> CapacitySummary:
         return self.room.summary(time.monotonic(), self.core.unanswered, len(self.core.lives), self.draining)
 
-    def choose(self, work: Work, left_us: int, crossed: frozenset[str]) -> str | Stays:
-        if self.book.full:
-            return Stays("the store takes nothing")
+    def choose(self, work: Work, left_us: int, crossed: frozenset[str]) -> str | KeepLocal:
+        if self.book.write_error:
+            return KeepLocal("the store takes nothing")
         return self.router.choose(time.monotonic(), work, self.summary(), left_us / 1e6, crossed)
 
-    async def lend(self, site: str, work: Work, left_us: int, crossing: Crossing) -> Id:
+    async def lend(self, site: str, work: Work, left_us: int, request: ForwardedRequest) -> TransferId:
         """Hand a task over: written down first. Raises Busy where that can't be done now."""
         work = replace(work, hops=work.hops + 1)
-        id, effects = self.lender.lend(site, work, left_us)
-        self._waiting[id] = (crossing, unix_us() + left_us)
+        id, effects = self.source.offer(site, work, left_us)
+        self._waiting[id] = (request, unix_us() + left_us)
         write, *rest = effects
         try:
-            await self.book.may([records.lent(write.record)])
+            await self.book.append([records.encode_source_record(write.record)])
         except LogError as fault:
-            self.lender.never_left(id)
+            self.source.cancel_unwritten(id)
             del self._waiting[id]
-            raise Busy(f"the store takes nothing: {fault}") from None
-        self.router.sent(time.monotonic(), site, work)
+            raise TaskBusyError(f"the store takes nothing: {fault}") from None
+        self.router.transfer_sent(time.monotonic(), site, work)
         self.carry(rest)
         return id
 
-    def time_up(self, id: Id) -> None:
-        one = self.lender.lent.get(id)
-        if one is not None and one.phase is handoff_source.Lending.OUT:
-            self.router.failed(time.monotonic(), one.site)
-            self.carry(self.lender.time_up(id))
+    def time_up(self, id: TransferId) -> None:
+        one = self.source.transfers.get(id)
+        if one is not None and one.phase is handoff_source.OutgoingPhase.OFFERED:
+            self.router.transfer_failed(time.monotonic(), one.site)
+            self.carry(self.source.deadline_passed(id))
 
     # ---- carrying effects out --------------------------------------------------------------------------
 
@@ -420,13 +424,13 @@
         if self._closed:
             return
         for n, effect in enumerate(effects):
-            if isinstance(effect, handoff_source.Write | handoff_target.Write):
+            if isinstance(effect, handoff_source.WriteRecord | handoff_target.WriteRecord):
                 record = (
-                    records.lent(effect.record)
-                    if isinstance(effect, handoff_source.Write)
-                    else records.taken(site, effect.record)
+                    records.encode_source_record(effect.record)
+                    if isinstance(effect, handoff_source.WriteRecord)
+                    else records.encode_target_record(site, effect.record)
                 )
-                self.book.must([record]).add_done_callback(
+                self.book.append_with_retry([record]).add_done_callback(
                     lambda done, rest=effects[n + 1 :]: done.cancelled() or self.carry(rest, site)
                 )
                 return
@@ -434,26 +438,26 @@
 
     def _carry(self, effect: object) -> None:
         match effect:
-            case handoff_source.Say(site, word) | handoff_target.Say(site, word):
-                self.links[site].send(WORDS, frames.encode_word(word))
-            case handoff_source.Answer(id) | handoff_source.TakeBack(id):
+            case handoff_source.SendMessage(site, word) | handoff_target.SendMessage(site, word):
+                self.links[site].send(WORDS, frames.encode_message(word))
+            case handoff_source.AnswerOwner(id) | handoff_source.ReclaimTask(id):
                 if waiting := self._waiting.get(id):
-                    if not (isinstance(effect, handoff_source.Answer) and effect.answer == "placed"):
+                    if not (isinstance(effect, handoff_source.AnswerOwner) and effect.answer == "placed"):
                         del self._waiting[id]
                     waiting[0].tell(effect)
-            case handoff_source.Over(id):
+            case handoff_source.ReportEnd(id):
                 if waiting := self._waiting.pop(id, None):
                     waiting[0].tell(effect)
-            case handoff_target.Try(site, id, work, left_us):
+            case handoff_target.StartTask(site, id, work, left_us):
                 self._welcome(site, id, work, left_us)
-            case handoff_target.GiveUp(site, id):
-                if guest := self.guests.get((site, id)):
-                    guest.give_up()
-            case handoff_target.Free(site, id, cause):
-                if guest := self.guests.get((site, id)):
-                    guest.free(cause)
-
-    def _welcome(self, site: str, id: Id, work: Work, left_us: int) -> None:
+            case handoff_target.AbandonTask(site, id):
+                if incoming_task := self.incoming.get((site, id)):
+                    incoming_task.give_up()
+            case handoff_target.ReleaseTask(site, id, cause):
+                if incoming_task := self.incoming.get((site, id)):
+                    incoming_task.free(cause)
+
+    def _welcome(self, site: str, id: TransferId, work: Work, left_us: int) -> None:
         """A task of another site comes to this site's core, or is returned where it can't start here."""
         cls = self._indexes.get(work.class_name)
         why = "" if cls is not None else f"no class is named {work.class_name!r} here"
@@ -461,65 +465,65 @@
             why = f"class {work.class_name!r} has another effect here"
         try:
             why = why or self.front.admits(work)
-            self.lender.begin(work) if not why else None
-        except Busy as busy:
+            self.source.reserve_key(work) if not why else None
+        except TaskBusyError as busy:
             why = str(busy)
         if not why:
             try:
-                self.guests[site, id] = Guest(self, site, id, work, left_us)
+                self.incoming[site, id] = IncomingTask(self, site, id, work, left_us)
                 return
             except ValueError as fault:
-                self.lender.end(work)
+                self.source.release_key(work)
                 why = str(fault)
         self.log(f"site {site}: transfer {id[0]}-{id[1]} is returned: {why}")
-        self.carry(self.book.taker(site).given_back(id), site)
+        self.carry(self.book.target(site).returned(id), site)
 
     # ---- links -----------------------------------------------------------------------------------------
 
     def _link_up(self, site: str) -> None:
         self._down.pop(site, None)
-        self.router.link(time.monotonic(), site, True)
+        self.router.link_changed(time.monotonic(), site, True)
         self._say_again(site)
         self._tell(site)
 
     def _link_down(self, site: str) -> None:
         self._down[site] = time.monotonic()
-        self.router.link(time.monotonic(), site, False)
+        self.router.link_changed(time.monotonic(), site, False)
 
     def _hear(self, site: str, stream: int, payload: bytes) -> None:
         if stream == SUMMARIES:
-            self.router.told(
+            self.router.receive_summary(
                 time.monotonic(), site, frames.decode_summary(payload), self.links[site].session.delay_s
             )
             return
         if stream != WORDS:
-            raise Faulty(f"stream {stream} is not spoken here")
-        word = frames.decode_word(payload)
-        if isinstance(word, messages.ToTaker):
-            if isinstance(word, messages.Offered) and self.book.full:
+            raise ProtocolError(f"stream {stream} is not spoken here")
+        word = frames.decode_message(payload)
+        if isinstance(word, messages.ToTarget):
+            if isinstance(word, messages.Offer) and self.book.write_error:
                 return  # it will be said again
-            self.carry(self.book.taker(site).hear(word, self.draining), site)
+            self.carry(self.book.target(site).receive(word, self.draining), site)
             return
-        one, now = self.lender.lent.get(word.id), time.monotonic()
+        one, now = self.source.transfers.get(word.id), time.monotonic()
         if one is not None and one.site == site:
-            if isinstance(word, messages.Stood | messages.Ended):
+            if isinstance(word, messages.Placed | messages.Ended):
                 self.front.ran(one.work)
             match word:
-                case messages.Stood() if one.phase is handoff_source.Lending.OUT:
-                    self.router.placed(now, site)
+                case messages.Placed() if one.phase is handoff_source.OutgoingPhase.OFFERED:
+                    self.router.transfer_placed(now, site)
                 case messages.Returned():
-                    self.router.returned(now, site, one.work)
-                    self.router.over(site)
+                    self.router.transfer_returned(now, site, one.work)
+                    self.router.transfer_over(site)
                 case messages.Ended():
-                    self.router.over(site)
-        self.carry(self.lender.hear(site, word))
+                    self.router.transfer_over(site)
+        self.carry(self.source.receive(site, word))
 
     def _say_again(self, site: str) -> None:
         now = unix_us()
         left = {id: deadline - now for id, (_, deadline) in self._waiting.items()}
-        for say in self.lender.repeat(site, left):
+        for say in self.source.unconfirmed_messages(site, left):
             self._carry(say)
-        for say in self.book.taker(site).repeat():
+        for say in self.book.target(site).unconfirmed_messages():
             self._carry(say)
 
     def _tell(self, site: str) -> None:
@@ -537,8 +541,8 @@
                     if now - repeated >= REPEAT_S:
                         self._say_again(site)
                 elif now - self._down.get(site, 0.0) > SILENT_S:
-                    for id in [id for id, one in self.lender.lent.items() if one.site == site]:
-                        self.carry(self.lender.silent(id))
+                    for id in [id for id, one in self.source.transfers.items() if one.site == site]:
+                        self.carry(self.source.link_silent(id))
             if now - repeated >= REPEAT_S:
                 repeated = now
 
@@ -551,21 +555,21 @@
             "epoch": self.book.epoch,
             "draining": self.draining,
             "sites": {
-                site: site_status(site, link, self.router.sites[site], self.lender, self.book)
+                site: site_status(site, link, self.router.sites[site], self.source, self.book)
                 for site, link in self.links.items()
             },
         }
 
     def forget(self, site: str) -> int:
         """An operator vouches that nothing of ours runs there; how many transfers are over with it."""
-        out = self.lender.out(site)
-        self.carry(self.lender.forget(site))
+        out = self.source.count_open(site)
+        self.carry(self.source.forget_site(site))
         return out
 
     def close(self) -> None:
         """Give back every socket and task at once; what was taken gets no more answers."""
         self._closed = True
-        for task in [*self._tasks, *(crossing.running for crossing in self.crossings)]:
+        for task in [*self._tasks, *(request.running for request in self.requests)]:
             task.cancel()
         for link in self.links.values():
             link.close()
--- a/weldhatch/sites/frames.py
+++ b/weldhatch/sites/frames.py
@@ -12,22 +12,22 @@
 
 from weldhatch.net.ring_buffer import Ring
 from weldhatch.sites import messages
-from weldhatch.sites.routing import Summary
-from weldhatch.sites.session import Ack, Beat, Faulty, Frame, Hello, Message
+from weldhatch.sites.routing import CapacitySummary
+from weldhatch.sites.session import Ack, Frame, Heartbeat, Hello, Message, ProtocolError
 
 VERSION = 1
 FRAME_MOST = 16 * 1024 - 4  # with its length, a message of `net.connection`
 _LENGTH = Struct(">I")
 
-_KINDS: dict[int, type] = {1: Hello, 2: Message, 3: Ack, 4: Beat}
+_KINDS: dict[int, type] = {1: Hello, 2: Message, 3: Ack, 4: Heartbeat}
 _WORDS: dict[int, type] = {
-    1: messages.Offered,
-    2: messages.Withdrawn,
-    3: messages.Freed,
-    4: messages.Closed,
-    5: messages.Floor,
-    6: messages.Taken,
-    7: messages.Stood,
+    1: messages.Offer,
+    2: messages.Withdraw,
+    3: messages.Release,
+    4: messages.Close,
+    5: messages.LowWatermark,
+    6: messages.Accepted,
+    7: messages.Placed,
     8: messages.Returned,
     9: messages.Ended,
 }
@@ -44,7 +44,9 @@
         number, rest = _unpack_pair(data)
         return readers[number].decode(rest)
     except (msgspec.MsgspecError, KeyError, ValueError, RecursionError) as fault:
-        raise Faulty(f"{what} that can't be read: {type(fault).__name__}: {str(fault)[:120]}") from None
+        raise ProtocolError(
+            f"{what} that can't be read: {type(fault).__name__}: {str(fault)[:120]}"
+        ) from None
 
 
 def encode(frame: Frame) -> bytes:
@@ -66,34 +68,34 @@
         return None
     (length,) = _LENGTH.unpack(ring.copy(_LENGTH.size))
     if length > FRAME_MOST:
-        raise Faulty(f"a frame of {length} bytes; {FRAME_MOST} are the most")
+        raise ProtocolError(f"a frame of {length} bytes; {FRAME_MOST} are the most")
     if len(ring) < _LENGTH.size + length:
         return None
     return decode(ring.take(_LENGTH.size + length)[_LENGTH.size :])
 
 
-def encode_word(word: messages.ToTaker | messages.ToLender) -> bytes:
+def encode_message(word: messages.ToTarget | messages.ToSource) -> bytes:
     return _pack((_WORD_OF[type(word)], word))
 
 
-def decode_word(payload: bytes) -> messages.ToTaker | messages.ToLender:
+def decode_message(payload: bytes) -> messages.ToTarget | messages.ToSource:
     """Raises Faulty."""
     return _made(_WORD_READERS, payload, "a word")
 
 
-def encode_summary(summary: Summary) -> bytes:
+def encode_summary(summary: CapacitySummary) -> bytes:
     return _pack([dict(summary.free), summary.size, summary.waiting, summary.draining])
 
 
-def decode_summary(payload: bytes) -> Summary:
+def decode_summary(payload: bytes) -> CapacitySummary:
     """Raises Faulty."""
     try:
         free, size, waiting, draining = msgspec.convert(
             _unpack(payload), tuple[dict[str, int], int, int, bool]
         )
     except (msgspec.MsgspecError, ValueError, RecursionError) as fault:
-        raise Faulty(f"a summary that can't be read: {str(fault)[:120]}") from None
-    return Summary(free, size, waiting, draining)
+        raise ProtocolError(f"a summary that can't be read: {str(fault)[:120]}") from None
+    return CapacitySummary(free, size, waiting, draining)
 
 
 def encode_record(record: tuple) -> bytes:
--- a/weldhatch/sites/handoff_target.py
+++ b/weldhatch/sites/handoff_target.py
@@ -21,31 +21,31 @@
 from enum import StrEnum
 
 from weldhatch.sites import messages
-from weldhatch.sites.messages import Id, Work
+from weldhatch.sites.messages import TransferId, Work
 
-HOPS_MOST = 2  # sites that a task crosses; then it is returned, not passed on
-LOST, CALLED_OFF = 41, 31  # causes: lost with its gateway, and called off
+MAX_HOPS = 2  # sites that a task crosses; then it is returned, not passed on
+LOST_WITH_GATEWAY, CALLED_OFF = 41, 31  # causes: lost with its gateway, and called off
 
 
-class Taking(StrEnum):
-    TRIED = "tried"  # written down, and the module decides
-    CALLED_BACK = "called back"  # nobody waits for it any more, and its end is awaited
-    STANDS = "stands"
+class IncomingPhase(StrEnum):
+    PLACING = "tried"  # written down, and the module decides
+    RECALLED = "called back"  # nobody waits for it any more, and its end is awaited
+    PLACED = "stands"
     ENDING = "ending"  # it stands, and was told to end
     RETURNED = "returned"
     ENDED = "ended"
 
 
-OPEN = (Taking.TRIED, Taking.CALLED_BACK, Taking.STANDS, Taking.ENDING)
+OPEN_PHASES = (IncomingPhase.PLACING, IncomingPhase.RECALLED, IncomingPhase.PLACED, IncomingPhase.ENDING)
 
 
 @dataclass(slots=True, frozen=True)
-class Borrowed:
+class IncomingTransfer:
     """One transfer at the taking site."""
 
-    id: Id
+    id: TransferId
     work: Work | None  # None where only the call-back of it has come
-    phase: Taking = Taking.TRIED
+    phase: IncomingPhase = IncomingPhase.PLACING
     description: str = ""
     cause: int = 0
     stood: bool = False
@@ -56,241 +56,254 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Write:
+class WriteRecord:
     """A record; on the disk before anything that follows it is done."""
 
     record: tuple
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class SendMessage:
     site: str
-    word: messages.ToLender
+    word: messages.ToSource
 
 
 @dataclass(slots=True, frozen=True)
-class Try:
+class StartTask:
     """Hand the task to this site's core, as a request with so much time left."""
 
     site: str
-    id: Id
+    id: TransferId
     work: Work
     left_us: int
 
 
 @dataclass(slots=True, frozen=True)
-class GiveUp:
+class AbandonTask:
     """Tell the core that nobody waits for the answer; it tells by `given_back` or `ended` what came of it."""
 
     site: str
-    id: Id
+    id: TransferId
 
 
 @dataclass(slots=True, frozen=True)
-class Free:
+class ReleaseTask:
     """End the task that stands here, with this cause."""
 
     site: str
-    id: Id
+    id: TransferId
     cause: int
 
 
-TakerEffect = Write | Say | Try | GiveUp | Free
+TargetEffect = WriteRecord | SendMessage | StartTask | AbandonTask | ReleaseTask
 
 
 @dataclass(slots=True)
-class Taker:
+class HandoffTarget:
     """All transfers from one other site. Feed it words and events; carry out what it returns, in order."""
 
     site: str
-    taken: dict[Id, Borrowed] = field(default_factory=dict)
-    tombs: dict[Id, None] = field(default_factory=dict)  # closed ones that the floor has not passed
-    floor: Id = (0, 0)
-    newest: Id = (0, 0)  # the latest id that was seen: proof of what the other side has lent
+    transfers: dict[TransferId, IncomingTransfer] = field(default_factory=dict)
+    tombstones: dict[TransferId, None] = field(
+        default_factory=dict
+    )  # closed ones that the floor has not passed
+    low_watermark: TransferId = (0, 0)
+    newest: TransferId = (0, 0)  # the latest id that was seen: proof of what the other side has lent
 
     # ---- what the other side says ----------------------------------------------------------------------
 
-    def hear(self, word: messages.ToTaker, draining: bool = False) -> list[TakerEffect]:
+    def receive(self, word: messages.ToTarget, draining: bool = False) -> list[TargetEffect]:
         """One word of the lending site. `draining`: this site takes nothing new."""
-        if isinstance(word, messages.Floor):
-            return self._passed(word.id)
+        if isinstance(word, messages.LowWatermark):
+            return self._advance_watermark(word.id)
         if word.id > self.newest:
             self.newest = word.id
-        one = self.taken.get(word.id)
+        one = self.transfers.get(word.id)
         match word:
-            case messages.Offered(id, work, left_us):
+            case messages.Offer(id, work, left_us):
                 if one is not None:
                     return self._last_word(one)
-                if id < self.floor or id in self.tombs:
+                if id < self.low_watermark or id in self.tombstones:
                     return []  # over at both sides: a copy of the offer that was long under way
-                if draining or work.hops >= HOPS_MOST or left_us <= 0:
-                    return self._give_back(Borrowed(id, work), 0)
-                self.taken[id] = Borrowed(id, work)
+                if draining or work.hops >= MAX_HOPS or left_us <= 0:
+                    return self._return_task(IncomingTransfer(id, work), 0)
+                self.transfers[id] = IncomingTransfer(id, work)
                 return [
-                    Write(("taken", id, work)),
-                    Say(self.site, messages.Taken(id)),
-                    Try(self.site, id, work, left_us),
+                    WriteRecord(("taken", id, work)),
+                    SendMessage(self.site, messages.Accepted(id)),
+                    StartTask(self.site, id, work, left_us),
                 ]
-            case messages.Withdrawn(id):
-                return self._withdrawn(one, id)
-            case messages.Freed(id, cause):
-                if one is not None and one.phase is Taking.STANDS:
-                    self.taken[id] = replace(one, phase=Taking.ENDING)
-                    return [Free(self.site, id, cause)]
-                return self._withdrawn(one, id)
-            case messages.Closed(id):
-                if one is None or one.phase in OPEN:
+            case messages.Withdraw(id):
+                return self._withdraw(one, id)
+            case messages.Release(id, cause):
+                if one is not None and one.phase is IncomingPhase.PLACED:
+                    self.transfers[id] = replace(one, phase=IncomingPhase.ENDING)
+                    return [ReleaseTask(self.site, id, cause)]
+                return self._withdraw(one, id)
+            case messages.Close(id):
+                if one is None or one.phase in OPEN_PHASES:
                     return []  # only what has had its last word can be closed
-                self._bury(id)
-                return [Write(("closed", id))]
+                self._close(id)
+                return [WriteRecord(("closed", id))]
         return []
 
-    def _withdrawn(self, one: Borrowed | None, id: Id) -> list[TakerEffect]:
+    def _withdraw(self, one: IncomingTransfer | None, id: TransferId) -> list[TargetEffect]:
         if one is None:
-            if id < self.floor or id in self.tombs:
+            if id < self.low_watermark or id in self.tombstones:
                 return []
-            return self._give_back(Borrowed(id, None), 0)  # its offer, if it still comes, finds it returned
+            return self._return_task(
+                IncomingTransfer(id, None), 0
+            )  # its offer, if it still comes, finds it returned
         match one.phase:
-            case Taking.TRIED:
-                self.taken[id] = replace(one, phase=Taking.CALLED_BACK)
-                return [GiveUp(self.site, id)]
-            case Taking.STANDS:
-                self.taken[id] = replace(one, phase=Taking.ENDING)
-                return [Free(self.site, id, CALLED_OFF)]
-            case Taking.RETURNED | Taking.ENDED:
+            case IncomingPhase.PLACING:
+                self.transfers[id] = replace(one, phase=IncomingPhase.RECALLED)
+                return [AbandonTask(self.site, id)]
+            case IncomingPhase.PLACED:
+                self.transfers[id] = replace(one, phase=IncomingPhase.ENDING)
+                return [ReleaseTask(self.site, id, CALLED_OFF)]
+            case IncomingPhase.RETURNED | IncomingPhase.ENDED:
                 return self._last_word(one)
         return []
 
-    def _passed(self, floor: Id) -> list[TakerEffect]:
+    def _advance_watermark(self, low_watermark: TransferId) -> list[TargetEffect]:
         """Nothing before the floor is open at the lending site: no entry or tombstone is needed for it."""
-        if floor <= self.floor:
+        if low_watermark <= self.low_watermark:
             return []
-        self.floor = floor
-        done = [id for id, one in self.taken.items() if id < floor and one.phase not in OPEN]
+        self.low_watermark = low_watermark
+        done = [
+            id for id, one in self.transfers.items() if id < low_watermark and one.phase not in OPEN_PHASES
+        ]
         for id in done:
-            del self.taken[id]
-        while self.tombs and (oldest := min(self.tombs)) < floor:
-            del self.tombs[oldest]
-        effects: list[TakerEffect] = [Write(("floor", floor))]
-        for one in [one for id, one in self.taken.items() if id < floor]:
-            effects += self._withdrawn(one, one.id)  # forgotten there, while it still goes on here
+            del self.transfers[id]
+        while self.tombstones and (oldest := min(self.tombstones)) < low_watermark:
+            del self.tombstones[oldest]
+        effects: list[TargetEffect] = [WriteRecord(("floor", low_watermark))]
+        for one in [one for id, one in self.transfers.items() if id < low_watermark]:
+            effects += self._withdraw(one, one.id)  # forgotten there, while it still goes on here
         return effects
 
     # ---- what happens here -----------------------------------------------------------------------------
 
-    def stands(self, id: Id, description: str) -> list[TakerEffect]:
+    def placed(self, id: TransferId, description: str) -> list[TargetEffect]:
         """The module placed it, and its machine holds it."""
-        one = self.taken.get(id)
-        if one is None or one.phase not in (Taking.TRIED, Taking.CALLED_BACK):
+        one = self.transfers.get(id)
+        if one is None or one.phase not in (IncomingPhase.PLACING, IncomingPhase.RECALLED):
             return []
-        ending = one.phase is Taking.CALLED_BACK
-        one = self.taken[id] = replace(
-            one, phase=Taking.ENDING if ending else Taking.STANDS, description=description, stood=True
+        ending = one.phase is IncomingPhase.RECALLED
+        one = self.transfers[id] = replace(
+            one,
+            phase=IncomingPhase.ENDING if ending else IncomingPhase.PLACED,
+            description=description,
+            stood=True,
         )
-        wrote = Write(("stands", id, description))
+        wrote = WriteRecord(("stands", id, description))
         return (
-            [wrote, Free(self.site, id, CALLED_OFF)]
+            [wrote, ReleaseTask(self.site, id, CALLED_OFF)]
             if ending
-            else [wrote, Say(self.site, messages.Stood(id, description))]
+            else [wrote, SendMessage(self.site, messages.Placed(id, description))]
         )
 
-    def given_back(self, id: Id, wait_us: int = 0) -> list[TakerEffect]:
+    def returned(self, id: TransferId, wait_us: int = 0) -> list[TargetEffect]:
         """The module refused it: nothing ran. Only a core that vouches for that may call this."""
-        one = self.taken.get(id)
-        if one is None or one.phase not in (Taking.TRIED, Taking.CALLED_BACK):
+        one = self.transfers.get(id)
+        if one is None or one.phase not in (IncomingPhase.PLACING, IncomingPhase.RECALLED):
             return []
-        return self._give_back(one, wait_us)
+        return self._return_task(one, wait_us)
 
-    def _give_back(self, one: Borrowed, wait_us: int) -> list[TakerEffect]:
-        self.taken[one.id] = replace(one, phase=Taking.RETURNED)
-        return [Write(("returned", one.id)), Say(self.site, messages.Returned(one.id, wait_us))]
+    def _return_task(self, one: IncomingTransfer, wait_us: int) -> list[TargetEffect]:
+        self.transfers[one.id] = replace(one, phase=IncomingPhase.RETURNED)
+        return [WriteRecord(("returned", one.id)), SendMessage(self.site, messages.Returned(one.id, wait_us))]
 
-    def ended(self, id: Id, cause: int, result: str = "") -> list[TakerEffect]:
+    def ended(self, id: TransferId, cause: int, result: str = "") -> list[TargetEffect]:
         """It is over: after it stood, with what it has come to; or failed, where it may have run."""
-        one = self.taken.get(id)
-        if one is None or one.phase not in OPEN:
+        one = self.transfers.get(id)
+        if one is None or one.phase not in OPEN_PHASES:
             return []
-        one = self.taken[id] = replace(one, phase=Taking.ENDED, cause=cause, result=result)
-        return [Write(("ended", id, cause, result)), *self._last_word(one)]
+        one = self.transfers[id] = replace(one, phase=IncomingPhase.ENDED, cause=cause, result=result)
+        return [WriteRecord(("ended", id, cause, result)), *self._last_word(one)]
 
     # ---- repeats and restarts --------------------------------------------------------------------------
 
-    def repeat(self) -> Iterator[Say]:
+    def unconfirmed_messages(self) -> Iterator[SendMessage]:
         """What the lending site has not confirmed, to be said again, as after a broken link."""
-        for one in self.taken.values():
-            if one.phase is not Taking.TRIED and one.phase is not Taking.CALLED_BACK:
+        for one in self.transfers.values():
+            if one.phase is not IncomingPhase.PLACING and one.phase is not IncomingPhase.RECALLED:
                 yield from self._last_word(one)
 
-    def _last_word(self, one: Borrowed) -> list[TakerEffect]:
+    def _last_word(self, one: IncomingTransfer) -> list[TargetEffect]:
         """Where it is now, said again."""
         match one.phase:
-            case Taking.TRIED | Taking.CALLED_BACK:
-                return [Say(self.site, messages.Taken(one.id))]
-            case Taking.STANDS | Taking.ENDING:
-                return [Say(self.site, messages.Stood(one.id, one.description))]
-            case Taking.RETURNED:
-                return [Say(self.site, messages.Returned(one.id))]
-        return [Say(self.site, messages.Ended(one.id, one.cause, one.stood, one.result))]
-
-    def restarted(self, ids: Iterable[Id] | None = None) -> list[TakerEffect]:
+            case IncomingPhase.PLACING | IncomingPhase.RECALLED:
+                return [SendMessage(self.site, messages.Accepted(one.id))]
+            case IncomingPhase.PLACED | IncomingPhase.ENDING:
+                return [SendMessage(self.site, messages.Placed(one.id, one.description))]
+            case IncomingPhase.RETURNED:
+                return [SendMessage(self.site, messages.Returned(one.id))]
+        return [SendMessage(self.site, messages.Ended(one.id, one.cause, one.stood, one.result))]
+
+    def recover(self, ids: Iterable[TransferId] | None = None) -> list[TargetEffect]:
         """After a start from the store, once nothing that was started before it can run any more.
 
         What was being tried may have run, and what stood is lost with its gateway: both have ended, and are
         not returned. `ids`: what was there at the start; None for all.
         """
-        effects: list[TakerEffect] = []
-        for id in list(self.taken if ids is None else ids):
-            effects += self.ended(id, LOST)
+        effects: list[TargetEffect] = []
+        for id in list(self.transfers if ids is None else ids):
+            effects += self.ended(id, LOST_WITH_GATEWAY)
         return effects
 
     # ---- the table -------------------------------------------------------------------------------------
 
-    def _bury(self, id: Id) -> None:
-        del self.taken[id]
-        if id >= self.floor:
-            self.tombs[id] = None
+    def _close(self, id: TransferId) -> None:
+        del self.transfers[id]
+        if id >= self.low_watermark:
+            self.tombstones[id] = None
 
     # ---- the fold of its records -----------------------------------------------------------------------
 
-    def take(self, record: tuple) -> None:
+    def apply(self, record: tuple) -> None:
         """One record of the store, in order. Raises ValueError for what is none."""
         match record:
             case ("taken", id, Work() as work):
-                self.taken[id] = Borrowed(id, work)
+                self.transfers[id] = IncomingTransfer(id, work)
             case ("stands", id, str(description)):
-                if one := self.taken.get(id):
-                    self.taken[id] = replace(one, phase=Taking.STANDS, description=description, stood=True)
+                if one := self.transfers.get(id):
+                    self.transfers[id] = replace(
+                        one, phase=IncomingPhase.PLACED, description=description, stood=True
+                    )
             case ("returned", id):
-                one = self.taken.get(id) or Borrowed(id, None)
-                self.taken[id] = replace(one, phase=Taking.RETURNED)
+                one = self.transfers.get(id) or IncomingTransfer(id, None)
+                self.transfers[id] = replace(one, phase=IncomingPhase.RETURNED)
             case ("ended", id, int(cause), str(result)):
-                if one := self.taken.get(id):
-                    self.taken[id] = replace(one, phase=Taking.ENDED, cause=cause, result=result)
+                if one := self.transfers.get(id):
+                    self.transfers[id] = replace(one, phase=IncomingPhase.ENDED, cause=cause, result=result)
             case ("closed", id):
-                if id in self.taken:
-                    self._bury(id)
+                if id in self.transfers:
+                    self._close(id)
                 else:
-                    self.tombs[id] = None
+                    self.tombstones[id] = None
             case ("floor", id):
-                self.floor = max(self.floor, id)
-                self.taken = {at: one for at, one in self.taken.items() if at >= id or one.phase in OPEN}
-                self.tombs = {at: None for at in self.tombs if at >= id}
+                self.low_watermark = max(self.low_watermark, id)
+                self.transfers = {
+                    at: one for at, one in self.transfers.items() if at >= id or one.phase in OPEN_PHASES
+                }
+                self.tombstones = {at: None for at in self.tombstones if at >= id}
                 return
             case _:
                 raise ValueError(f"a record that can't be read: {record!r}")
         self.newest = max(self.newest, record[1])
 
-    def records(self) -> Iterator[tuple]:
+    def snapshot_records(self) -> Iterator[tuple]:
         """The least records that fold to the same."""
-        yield ("floor", self.floor)
-        for one in self.taken.values():
+        yield ("floor", self.low_watermark)
+        for one in self.transfers.values():
             if one.work is not None:
                 yield ("taken", one.id, one.work)
             if one.stood:
                 yield ("stands", one.id, one.description)
-            if one.phase is Taking.RETURNED:
+            if one.phase is IncomingPhase.RETURNED:
                 yield ("returned", one.id)
-            elif one.phase is Taking.ENDED:
+            elif one.phase is IncomingPhase.ENDED:
                 yield ("ended", one.id, one.cause, one.result)
-        for id in self.tombs:
+        for id in self.tombstones:
             yield ("closed", id)
--- a/weldhatch/sites/link.py
+++ b/weldhatch/sites/link.py
@@ -23,7 +23,7 @@
 from weldhatch.net.ring_buffer import Ring
 from weldhatch.net.tls import shake_hands
 from weldhatch.sites import frames
-from weldhatch.sites.session import Faulty, Frame, Full, Hello, Session, stale
+from weldhatch.sites.session import Frame, Hello, ProtocolError, Session, StreamFullError, stale_store_reason
 
 DIAL_S = 1.0
 HELLO_S = 2.0  # a connection that has not said hello by then is closed
@@ -33,31 +33,31 @@
 UNSENT_MOST = 48 * 1024  # bytes that wait in a connection before frames wait in their streams instead
 
 
-class Epochs(Protocol):
+class EpochRegistry(Protocol):
     """What this site's store says of itself, and what it has written down of others."""
 
     @property
-    def ours(self) -> tuple[int, str]: ...
+    def own_epoch(self) -> tuple[int, str]: ...
 
-    def known(self, site: str) -> tuple[int, str]: ...
+    def known_epoch(self, site: str) -> tuple[int, str]: ...
 
-    async def met(self, site: str, epoch: int, token: str) -> None:
+    async def record_epoch(self, site: str, epoch: int, token: str) -> None:
         """Write down what another site's store said; done once it is on the disk."""
 
 
 @dataclass(slots=True, frozen=True)
-class Ears:
+class LinkHandlers:
     """Who hears what a link tells."""
 
-    up: Callable[[str], None]
-    down: Callable[[str], None]
-    heard: Callable[[str, int, bytes], None]  # site, stream, payload; may raise Faulty
+    on_up: Callable[[str], None]
+    on_down: Callable[[str], None]
+    on_message: Callable[[str, int, bytes], None]  # site, stream, payload; may raise Faulty
 
 
 def _parse(ring: Ring) -> Frame | None:
     try:
         return frames.parse(ring)
-    except Faulty as fault:
+    except ProtocolError as fault:
         raise Malformed(str(fault)) from None
 
 
@@ -68,40 +68,40 @@
         self,
         ours: str,
         site: str,
-        epochs: Epochs,
-        ears: Ears,
+        epochs: EpochRegistry,
+        handlers: LinkHandlers,
         log: Callable[[str], None],
         tick_s: float = TICK_S,
     ) -> None:
         """`tick_s`: how often it looks for silence, and for what is owed with nothing else to send."""
         self._tick_s = tick_s
-        self._ours, self.site, self._epochs, self._ears, self._log = ours, site, epochs, ears, log
-        self._names = 0
-        self.session = Session(self._name())
+        self._ours, self.site, self._epochs, self._handlers, self._log = ours, site, epochs, handlers, log
+        self._session_count = 0
+        self.session = Session(self._new_session_name())
         self._connection: Connection | None = None  # the one that has said hello
-        self._early: list[Frame] = []  # what came before the other side's epoch was on the disk
+        self._early_frames: list[Frame] = []  # what came before the other side's epoch was on the disk
         self.up = False
-        self.doubt = ""  # why no work may pass, though the other side can be reached
-        self.breaks = 0
+        self.stale_reason = ""  # why no work may pass, though the other side can be reached
+        self.break_count = 0
         self._tasks: set[asyncio.Task] = set()
-        self._soon = False
-        self._run(self._tick())
+        self._flush_scheduled = False
+        self._spawn(self._tick())
 
-    def _run(self, work: Coroutine) -> None:
+    def _spawn(self, work: Coroutine) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _name(self) -> str:
-        self._names += 1
-        epoch, token = self._epochs.ours
-        return f"{self._ours}.{epoch}.{token}.{self._names}"
+    def _new_session_name(self) -> str:
+        self._session_count += 1
+        epoch, token = self._epochs.own_epoch
+        return f"{self._ours}.{epoch}.{token}.{self._session_count}"
 
     # ---- connections ---------------------------------------------------------------------------------------
 
     def dial(self, endpoint: tuple[str, int], share: Share, tls: ssl.SSLContext | None = None) -> None:
         """Connect, and again whenever the connection ends."""
-        self._run(self._dial(endpoint, share, tls))
+        self._spawn(self._dial(endpoint, share, tls))
 
     async def _dial(self, endpoint: tuple[str, int], share: Share, tls: ssl.SSLContext | None) -> None:
         wait = AGAIN_S
@@ -114,10 +114,10 @@
                 except (OSError, TimeoutError):
                     pass
                 else:
-                    breaks = self.breaks
+                    breaks = self.break_count
                     connection.send(frames.encode(self._hello()))
-                    await self.serve(connection, lambda frame, at=connection: self.hear(at, frame, True))
-                    if self.breaks != breaks:  # it had come up
+                    await self.serve(connection, lambda frame, at=connection: self.receive(at, frame, True))
+                    if self.break_count != breaks:  # it had come up
                         wait = AGAIN_S
             await asyncio.sleep(wait)
             wait = min(2 * wait, AGAIN_MOST_S)
@@ -131,109 +131,111 @@
             await connection.pump(_parse, handle, lambda: connection.finish(LAST_S))
         finally:
             guard.cancel()
-            self.ended(connection)
+            self.connection_ended(connection)
 
     def _hello(self) -> Hello:
-        epoch, token = self._epochs.ours
+        epoch, token = self._epochs.own_epoch
         return Hello(
             frames.VERSION,
             self._ours,
             epoch,
             token,
-            self._epochs.known(self.site),
+            self._epochs.known_epoch(self.site),
             self.session.name,
-            self.session.heard,
+            self.session.received,
             self.session.fresh,
         )
 
-    def hear(self, connection: Connection, frame: Frame, dialled: bool) -> None:
+    def receive(self, connection: Connection, frame: Frame, dialled: bool) -> None:
         """One frame of a connection: its hello first. Raises Malformed, which ends the connection."""
         try:
             if connection is not self._connection:
                 if not isinstance(frame, Hello):
-                    raise Faulty("a frame before hello")
-                self._greet(connection, frame, dialled)
+                    raise ProtocolError("a frame before hello")
+                self._handle_hello(connection, frame, dialled)
             elif not self.up:
-                self._early.append(frame)
+                self._early_frames.append(frame)
             else:
-                self._take(frame)
-        except Faulty as fault:
+                self._handle_frame(frame)
+        except ProtocolError as fault:
             raise Malformed(str(fault)) from None
 
-    def _take(self, frame: Frame) -> None:
-        if (brought := self.session.hear(time.monotonic(), frame)) is not None:
-            self._ears.heard(self.site, *brought)
+    def _handle_frame(self, frame: Frame) -> None:
+        if (brought := self.session.receive(time.monotonic(), frame)) is not None:
+            self._handlers.on_message(self.site, *brought)
         self.flush()
 
-    def _greet(self, connection: Connection, hello: Hello, dialled: bool) -> None:
+    def _handle_hello(self, connection: Connection, hello: Hello, dialled: bool) -> None:
         """Take the other side's hello, and go on with the session or begin a new one. Raises Faulty."""
         if hello.version != frames.VERSION:
-            raise Faulty(f"version {hello.version} of the link, and {frames.VERSION} is spoken here")
+            raise ProtocolError(f"version {hello.version} of the link, and {frames.VERSION} is spoken here")
         if hello.site != self.site:
-            raise Faulty(f"it is site {hello.site!r}, and {self.site!r} was expected")
-        doubt = stale(hello, self._epochs.known(self.site), self._epochs.ours)
-        if doubt and doubt != self.doubt:
+            raise ProtocolError(f"it is site {hello.site!r}, and {self.site!r} was expected")
+        doubt = stale_store_reason(hello, self._epochs.known_epoch(self.site), self._epochs.own_epoch)
+        if doubt and doubt != self.stale_reason:
             self._log(f"site {self.site}: no work passes: {doubt}")
-        self.doubt = doubt
+        self.stale_reason = doubt
         if not dialled and doubt:
             connection.send(frames.encode(self._hello()))  # so that it can tell as well
         if doubt:
-            raise Faulty("a store is an older copy")
+            raise ProtocolError("a store is an older copy")
         now = time.monotonic()
         if dialled:
             if hello.session != self.session.name:
-                raise Faulty("it answers with another session")
+                raise ProtocolError("it answers with another session")
             try:
                 # Guards against a side that began anew under our session: its numbers begin anew too.
-                if hello.fresh and not self.session.fresh:
-                    raise Faulty("it has forgotten the session")
-                self.session.begin(now, hello.heard)
-            except Faulty:
-                self.session = Session(self._name())  # the next connection has a session of its own
+                if hello.is_new and not self.session.fresh:
+                    raise ProtocolError("it has forgotten the session")
+                self.session.resume(now, hello.received)
+            except ProtocolError:
+                self.session = Session(
+                    self._new_session_name()
+                )  # the next connection has a session of its own
                 raise
         else:
             if hello.session != self.session.name:
                 self.session = Session(hello.session)
             connection.send(frames.encode(self._hello()))
-            if self.session.fresh and not hello.fresh:
+            if self.session.fresh and not hello.is_new:
                 return  # it hears that this side has forgotten, and comes again with a new session
-            self.session.begin(now, hello.heard)
+            self.session.resume(now, hello.received)
         if self._connection is not None:  # the other side has given the old one up
             self._connection.close()
-            self._down()
-        self._connection, self._early = connection, []
-        self._run(self._meet(connection, hello))
+            self._mark_down()
+        self._connection, self._early_frames = connection, []
+        self._spawn(self._complete_handshake(connection, hello))
 
-    async def _meet(self, connection: Connection, hello: Hello) -> None:
+    async def _complete_handshake(self, connection: Connection, hello: Hello) -> None:
         """No work passes before the other side's epoch is on the disk: a restart could not tell it stale."""
-        await self._epochs.met(self.site, hello.epoch, hello.token)
+        await self._epochs.record_epoch(self.site, hello.epoch, hello.token)
         if self._connection is not connection or connection.closed:
             return
         self.up = True
         self._log(f"site {self.site}: up, session {self.session.name}, epoch {hello.epoch}")
-        self._ears.up(self.site)
-        early, self._early = self._early, []
+        self._handlers.on_up(self.site)
+        early, self._early_frames = self._early_frames, []
         try:
             for frame in early:
-                self._take(frame)
-        except Faulty as fault:
+                self._handle_frame(frame)
+        except ProtocolError as fault:
             self._log(f"site {self.site}: closed: {fault}")
             connection.close()
         self.flush()
 
-    def ended(self, connection: Connection) -> None:
+    def connection_ended(self, connection: Connection) -> None:
         if self._connection is connection:
             self._connection = None
-            self._down()
+            self._mark_down()
 
-    def _down(self) -> None:
+    def _mark_down(self) -> None:
         if self.up:
             self.up = False
-            self.breaks += 1
+            self.break_count += 1
             self._log(f"site {self.site}: down")
-            self._ears.down(self.site)
+            self._handlers.on_down(self.site)
 
-    def cut(self) -> None:
+    def drop_connection(self) -> None:
         """End the connection, as a fault would."""
         if self._connection is not None:
             self._connection.close()
@@ -249,16 +251,16 @@
             return False
         try:
             self.session.send(stream, payload)
-        except Full as fault:
+        except StreamFullError as fault:
             self._log(f"site {self.site}: {fault}")
             return False
-        if not self._soon:
-            self._soon = True
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush_soon)
         return True
 
     def _flush_soon(self) -> None:
-        self._soon = False
+        self._flush_scheduled = False
         self.flush()
 
     def flush(self) -> None:
@@ -267,7 +269,7 @@
         while (
             self.up and connection is not None and not connection.closed and connection.unsent < UNSENT_MOST
         ):
-            out = [frames.encode(frame) for frame in self.session.frames(time.monotonic(), 2)]
+            out = [frames.encode(frame) for frame in self.session.outgoing_frames(time.monotonic(), 2)]
             if not out:
                 break
             connection.queue(b"".join(out))
@@ -277,18 +279,18 @@
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(self._tick_s)
-            if self.up and self.session.dead(time.monotonic()):
+            if self.up and self.session.timed_out(time.monotonic()):
                 self._log(f"site {self.site}: nothing heard, the connection is given up")
-                self.cut()
+                self.drop_connection()
             self.flush()
 
     def close(self) -> None:
         for task in self._tasks:
             task.cancel()
-        self.cut()
+        self.drop_connection()
 
 
-class Door:
+class LinkListener:
     """Where other sites connect. A connection is nobody's until it has said which site it is."""
 
     def __init__(
@@ -336,7 +338,7 @@
                     )
                 link = self._links[frame.site]
                 connection.name = f"site {link.site}"
-            link.hear(connection, frame, dialled=False)
+            link.receive(connection, frame, dialled=False)
 
         guard = asyncio.get_running_loop().call_later(
             HELLO_S, lambda: None if link is not None else connection.close()
@@ -346,7 +348,7 @@
         finally:
             guard.cancel()
             if link is not None:
-                link.ended(connection)
+                link.connection_ended(connection)
 
     def close(self) -> None:
         self.listener.close()
--- a/weldhatch/sites/local_site.py
+++ b/weldhatch/sites/local_site.py
@@ -7,16 +7,18 @@
 from typing import Protocol
 
 from weldhatch.core import ports
-from weldhatch.sites.messages import Id, Work
+from weldhatch.sites.messages import TransferId, Work
 
 
-class Front(Protocol):
+class SiteFrontEnd(Protocol):
     """What the sites need of the front whose requests cross."""
 
     def names_of(self, task: ports.Task) -> tuple[str, ...]:
         """What another site's front needs of a task, as text that crosses unread."""
 
-    def guest(self, site: str, id: Id, work: Work, came_to: Callable[[str], None]) -> tuple[object, object]:
+    def guest(
+        self, site: str, id: TransferId, work: Work, came_to: Callable[[str], None]
+    ) -> tuple[object, object]:
         """A guest task's label, and what is passed on with it to a machine. ValueError: it can't be read.
 
         `came_to` is to hear, before its end, what its machine says that it has come to.
@@ -36,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AtHome:
+class LocalAnswer:
     """What home's core answered: placed, refused or failed."""
 
     answer: str
@@ -45,30 +47,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HomeOver:
+class LocalEnd:
     """A task that stood at home is over (`moved`: by a move)."""
 
     cause: int
     moved: bool = False
 
 
-class HomeOwner:
+class LocalOwner:
     """The core's owner for a task that this site's core decides on: tells the crossing."""
 
     def __init__(self, tell: Callable[[object], None]) -> None:
         self._tell = tell
 
     def placed(self, description: str | None) -> None:
-        self._tell(AtHome("placed", description))
+        self._tell(LocalAnswer("placed", description))
 
     def refused(self, wait_us: int) -> None:
-        self._tell(AtHome("refused", None, wait_us))
+        self._tell(LocalAnswer("refused", None, wait_us))
 
     def failed(self) -> None:
-        self._tell(AtHome("failed"))
+        self._tell(LocalAnswer("failed"))
 
     def released(self, cause: int) -> None:
-        self._tell(HomeOver(cause))
+        self._tell(LocalEnd(cause))
 
     def moved(self) -> None:
-        self._tell(HomeOver(ports.CALLED_OFF, moved=True))
+        self._tell(LocalEnd(ports.CALLED_OFF, moved=True))
--- a/weldhatch/sites/messages.py
+++ b/weldhatch/sites/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 # A transfer's id, unique for ever at the site that lends: its store's epoch, and a serial within that.
-Id = tuple[int, int]
+TransferId = tuple[int, int]
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,58 +30,58 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Offered:
+class Offer:
     """Place it within `left_us` of hearing this. The right to start it goes along until it is returned."""
 
-    id: Id
+    id: TransferId
     work: Work
     left_us: int
 
 
 @dataclass(slots=True, frozen=True)
-class Withdrawn:
+class Withdraw:
     """Nobody waits for it any more: do not start it, and end it if it stands."""
 
-    id: Id
+    id: TransferId
 
 
 @dataclass(slots=True, frozen=True)
-class Freed:
+class Release:
     """The owner of a task that stands has ended it, with this cause."""
 
-    id: Id
+    id: TransferId
     cause: int
 
 
 @dataclass(slots=True, frozen=True)
-class Closed:
+class Close:
     """The last word was heard and written down: it need not be said again."""
 
-    id: Id
+    id: TransferId
 
 
 @dataclass(slots=True, frozen=True)
-class Floor:
+class LowWatermark:
     """All transfers before this id are over at the lending site: no word of theirs means anything now."""
 
-    id: Id
+    id: TransferId
 
 
 # ---- from the taking site to the lending one ---------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Taken:
+class Accepted:
     """It was written down there, and its module decides."""
 
-    id: Id
+    id: TransferId
 
 
 @dataclass(slots=True, frozen=True)
-class Stood:
+class Placed:
     """It stands; the description is its machine's, unchanged."""
 
-    id: Id
+    id: TransferId
     description: str
 
 
@@ -89,7 +89,7 @@
 class Returned:
     """It never started there and never will: the right to start it is the lending site's again."""
 
-    id: Id
+    id: TransferId
     wait_us: int = 0
 
 
@@ -100,11 +100,11 @@
     `result`: what its machine said that the task has come to, as text that crosses unread.
     """
 
-    id: Id
+    id: TransferId
     cause: int
     stood: bool
     result: str = ""
 
 
-ToTaker = Offered | Withdrawn | Freed | Closed | Floor
-ToLender = Taken | Stood | Returned | Ended
+ToTarget = Offer | Withdraw | Release | Close | LowWatermark
+ToSource = Accepted | Placed | Returned | Ended
--- a/weldhatch/sites/routing.py
+++ b/weldhatch/sites/routing.py
@@ -16,21 +16,21 @@
 
 from weldhatch.sites.messages import Work
 
-DRAWN = 2  # sites drawn for a task, as machines are inside a site
-TOLD_MOST_S = 5.0  # an older summary says nothing of room
-KEPT_S = 6.0  # how long what went over is remembered, to be counted against an older summary
-MARGIN = 1.25  # the other side has to be so much roomier than home: guards against herds
-HOME_ROOM = 0.05  # a home with more than this part of its room free keeps all that it can place
-SHARE_OUT = 0.75  # the part of a site's size that one other site may fill: its own work comes on top
-LEAST_OUT = 2  # transfers that may be out at a site whatever it tells, where it is not left out
+SITES_SAMPLED = 2  # sites drawn for a task, as machines are inside a site
+SUMMARY_TTL_S = 5.0  # an older summary says nothing of room
+RECENT_TRANSFERS_S = 6.0  # how long what went over is remembered, to be counted against an older summary
+CAPACITY_MARGIN = 1.25  # the other side has to be so much roomier than home: guards against herds
+LOCAL_CAPACITY_RESERVE = 0.05  # a home with more than this part of its room free keeps all that it can place
+MAX_OPEN_FRACTION = 0.75  # the part of a site's size that one other site may fill: its own work comes on top
+MIN_OPEN_LIMIT = 2  # transfers that may be out at a site whatever it tells, where it is not left out
 DELAY_PRICE = 0.5  # what a second of delay each way costs, in parts of free room
-REFUSED_S = 1.0  # a task returned speaks for all of its class that ask as much, for so long
-FAILS_MOST = 3  # transfers in a row without a word, or failed, that leave a site out
-OUT_S, OUT_MOST_S = 2.0, 60.0  # for so long at first; doubles
-STEP_S = 1.0  # a site that is let back may have twice as much out after each such step without a failure
+REFUSAL_TTL_S = 1.0  # a task returned speaks for all of its class that ask as much, for so long
+FAILURES_TO_EXCLUDE = 3  # transfers in a row without a word, or failed, that leave a site out
+EXCLUDE_S, EXCLUDE_MAX_S = 2.0, 60.0  # for so long at first; doubles
+RAMP_STEP_S = 1.0  # a site that is let back may have twice as much out after each such step without a failure
 
 
-class Draws(Protocol):
+class RandomSource(Protocol):
     """A source of random choices, such as `random.Random` with a seed."""
 
     def sample(self, population: list, k: int) -> list: ...
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Summary:
+class CapacitySummary:
     """What a site tells of itself. `free`: tasks of usual size by class that it would take now; `size`: those
     it could take empty; `waiting`: requests that its module has not placed; `draining`: takes nothing new."""
 
@@ -50,26 +50,26 @@
 
 
 @dataclass(slots=True)
-class Site:
+class RemoteSite:
     """What is known of one other site."""
 
     name: str
-    told: Summary | None = None
-    told_at: float = 0.0
+    summary: CapacitySummary | None = None
+    summary_at: float = 0.0
     delay_s: float = 0.0
     up: bool = False  # its link stands, and no store is an older copy
-    out: int = 0  # transfers that it holds
-    sent: deque[tuple[float, str]] = field(default_factory=deque)  # when, and of which class
-    refused: dict[str, tuple[float, float, float]] = field(default_factory=dict)  # until, cores, memory
-    fails: int = 0
-    left_out: float = 0.0  # until when
-    wait: float = OUT_S
-    steps: int | None = None  # what may be out while it is let back; None where nothing limits it
-    stepped: float = 0.0
+    open_transfers: int = 0  # transfers that it holds
+    recent_transfers: deque[tuple[float, str]] = field(default_factory=deque)  # when, and of which class
+    refusals: dict[str, tuple[float, float, float]] = field(default_factory=dict)  # until, cores, memory
+    consecutive_failures: int = 0
+    excluded_until: float = 0.0  # until when
+    backoff_s: float = EXCLUDE_S
+    ramp_limit: int | None = None  # what may be out while it is let back; None where nothing limits it
+    ramp_stepped_at: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
-class Stays:
+class KeepLocal:
     """No site is chosen; `why` is one of a closed set of reasons, for those who ask."""
 
     why: str
@@ -78,115 +78,129 @@
 class Router:
     """Chooses for one site, among those of these names."""
 
-    def __init__(self, names: list[str], draws: Draws) -> None:
-        self.sites = {name: Site(name) for name in names}
+    def __init__(self, names: list[str], draws: RandomSource) -> None:
+        self.sites = {name: RemoteSite(name) for name in names}
         self._draws = draws
 
     # ---- what is heard ----------------------------------------------------------------------------------
 
-    def link(self, now: float, name: str, up: bool) -> None:
+    def link_changed(self, now: float, name: str, up: bool) -> None:
         """Its link has come up or gone down. What it told before a break is old news."""
         site = self.sites[name]
         if site.up and not up:
-            site.told = None
+            site.summary = None
         site.up = up
 
-    def told(self, now: float, name: str, summary: Summary, delay_s: float) -> None:
+    def receive_summary(self, now: float, name: str, summary: CapacitySummary, delay_s: float) -> None:
         site = self.sites[name]
-        site.told, site.told_at, site.delay_s = summary, now, delay_s
+        site.summary, site.summary_at, site.delay_s = summary, now, delay_s
 
-    def sent(self, now: float, name: str, work: Work) -> None:
+    def transfer_sent(self, now: float, name: str, work: Work) -> None:
         """A task went over."""
         site = self.sites[name]
-        site.out += 1
-        site.sent.append((now, work.class_name))
-        while site.sent and now - site.sent[0][0] > KEPT_S:
-            site.sent.popleft()
+        site.open_transfers += 1
+        site.recent_transfers.append((now, work.class_name))
+        while site.recent_transfers and now - site.recent_transfers[0][0] > RECENT_TRANSFERS_S:
+            site.recent_transfers.popleft()
 
-    def placed(self, now: float, name: str) -> None:
+    def transfer_placed(self, now: float, name: str) -> None:
         """It stands there: the site works."""
         site = self.sites[name]
-        site.fails, site.wait = 0, OUT_S
-        if site.steps is not None and now - site.stepped >= STEP_S:
-            site.steps, site.stepped = 2 * site.steps, now
-            if site.told is not None and site.steps > site.told.size:
-                site.steps = None
+        site.consecutive_failures, site.backoff_s = 0, EXCLUDE_S
+        if site.ramp_limit is not None and now - site.ramp_stepped_at >= RAMP_STEP_S:
+            site.ramp_limit, site.ramp_stepped_at = 2 * site.ramp_limit, now
+            if site.summary is not None and site.ramp_limit > site.summary.size:
+                site.ramp_limit = None
 
-    def returned(self, now: float, name: str, work: Work) -> None:
+    def transfer_returned(self, now: float, name: str, work: Work) -> None:
         """It took nothing of that kind: it would turn away the next one as well."""
-        self.sites[name].refused[work.class_name] = (now + REFUSED_S, work.cores, work.memory)
-        self.sites[name].fails = 0
+        self.sites[name].refusals[work.class_name] = (now + REFUSAL_TTL_S, work.cores, work.memory)
+        self.sites[name].consecutive_failures = 0
 
-    def failed(self, now: float, name: str) -> None:
+    def transfer_failed(self, now: float, name: str) -> None:
         """No word in time, or it failed there. Several in a row leave the site out for a while."""
         site = self.sites[name]
-        site.fails += 1
-        if (site.fails >= FAILS_MOST or site.steps is not None) and now >= site.left_out:
-            site.left_out, site.fails = now + site.wait, 0
-            site.wait = min(2 * site.wait, OUT_MOST_S)
-            site.steps, site.stepped = 1, site.left_out
-
-    def over(self, name: str) -> None:
+        site.consecutive_failures += 1
+        if (
+            site.consecutive_failures >= FAILURES_TO_EXCLUDE or site.ramp_limit is not None
+        ) and now >= site.excluded_until:
+            site.excluded_until, site.consecutive_failures = now + site.backoff_s, 0
+            site.backoff_s = min(2 * site.backoff_s, EXCLUDE_MAX_S)
+            site.ramp_limit, site.ramp_stepped_at = 1, site.excluded_until
+
+    def transfer_over(self, name: str) -> None:
         """The site holds one transfer less."""
         site = self.sites[name]
-        site.out = max(0, site.out - 1)
+        site.open_transfers = max(0, site.open_transfers - 1)
 
     # ---- the choice --------------------------------------------------------------------------------------
 
     def choose(
-        self, now: float, work: Work, home: Summary, left_s: float, crossed: frozenset[str] = frozenset()
-    ) -> str | Stays:
+        self,
+        now: float,
+        work: Work,
+        local: CapacitySummary,
+        left_s: float,
+        visited: frozenset[str] = frozenset(),
+    ) -> str | KeepLocal:
         """The site that a task goes to, or why it stays. `crossed`: sites that have had it already."""
-        if home.size and home.free.get(work.class_name, 0) > HOME_ROOM * home.size and not home.draining:
-            return Stays("home has room")
+        if (
+            local.size
+            and local.free.get(work.class_name, 0) > LOCAL_CAPACITY_RESERVE * local.size
+            and not local.draining
+        ):
+            return KeepLocal("home has room")
         fit, whys = [], []
         for site in self.sites.values():
-            why = "it was there" if site.name in crossed else self._unfit(now, site, work, left_s)
+            why = "it was there" if site.name in visited else self._why_unfit(now, site, work, left_s)
             if why:
                 whys.append(f"{site.name}: {why}")
             else:
                 fit.append(site)
         if not fit:
-            return Stays("; ".join(whys) or "there is no other site")
-        drawn = self._draws.sample(fit, min(DRAWN, len(fit)))
+            return KeepLocal("; ".join(whys) or "there is no other site")
+        drawn = self._draws.sample(fit, min(SITES_SAMPLED, len(fit)))
         self._draws.shuffle(drawn)
-        best = max(drawn, key=lambda site: self._roominess(now, site, work))
-        at_home = 0.0 if home.draining or not home.size else home.free.get(work.class_name, 0) / home.size
-        if self._roominess(now, best, work) < MARGIN * at_home:
-            return Stays(f"{best.name}: hardly roomier than home")
+        best = max(drawn, key=lambda site: self._free_fraction(now, site, work))
+        at_home = 0.0 if local.draining or not local.size else local.free.get(work.class_name, 0) / local.size
+        if self._free_fraction(now, best, work) < CAPACITY_MARGIN * at_home:
+            return KeepLocal(f"{best.name}: hardly roomier than home")
         return best.name
 
-    def free(self, now: float, site: Site, class_name: str) -> int:
+    def free_capacity(self, now: float, site: RemoteSite, class_name: str) -> int:
         """What a site told it would take, less what went there since it can have counted it."""
-        if site.told is None or now - site.told_at > TOLD_MOST_S:
+        if site.summary is None or now - site.summary_at > SUMMARY_TTL_S:
             return 0
-        since = site.told_at - 2 * site.delay_s
-        return site.told.free.get(class_name, 0) - sum(
-            at >= since and name == class_name for at, name in site.sent
+        since = site.summary_at - 2 * site.delay_s
+        return site.summary.free.get(class_name, 0) - sum(
+            at >= since and name == class_name for at, name in site.recent_transfers
         )
 
-    def _unfit(self, now: float, site: Site, work: Work, left_s: float) -> str:
+    def _why_unfit(self, now: float, site: RemoteSite, work: Work, left_s: float) -> str:
         if not site.up:
             return "its link is down"
-        if now < site.left_out:
+        if now < site.excluded_until:
             return "it failed lately"
-        if site.steps is not None and site.out >= site.steps:
+        if site.ramp_limit is not None and site.open_transfers >= site.ramp_limit:
             return "it is let back by steps"
-        if site.told is None or now - site.told_at > TOLD_MOST_S:
+        if site.summary is None or now - site.summary_at > SUMMARY_TTL_S:
             return "it has told nothing lately"
-        if site.told.draining:
+        if site.summary.draining:
             return "it is drained"
         if left_s <= 2 * site.delay_s:
             return "it is too far for the time left"
-        until, cores, memory = site.refused.get(work.class_name, (0.0, 0.0, 0.0))
+        until, cores, memory = site.refusals.get(work.class_name, (0.0, 0.0, 0.0))
         if now < until and work.cores >= cores and work.memory >= memory:
             return "it returned such a task lately"
-        if self.free(now, site, work.class_name) <= 0:
+        if self.free_capacity(now, site, work.class_name) <= 0:
             return "it has no room for the class"
-        if site.out >= max(LEAST_OUT, SHARE_OUT * site.told.size):
+        if site.open_transfers >= max(MIN_OPEN_LIMIT, MAX_OPEN_FRACTION * site.summary.size):
             return "enough is out there"
         return ""
 
-    def _roominess(self, now: float, site: Site, work: Work) -> float:
+    def _free_fraction(self, now: float, site: RemoteSite, work: Work) -> float:
         """The part of its size that is free for the class, less the price of the way."""
-        return self.free(now, site, work.class_name) / max(1, site.told.size) - DELAY_PRICE * site.delay_s
+        return (
+            self.free_capacity(now, site, work.class_name) / max(1, site.summary.size)
+            - DELAY_PRICE * site.delay_s
+        )
--- a/weldhatch/sites/status.py
+++ b/weldhatch/sites/status.py
@@ -5,37 +5,39 @@
 import time
 
 from weldhatch.sites import handoff_source, handoff_target
-from weldhatch.sites.handoff_source import Lender
+from weldhatch.sites.handoff_source import HandoffSource
 from weldhatch.sites.link import Link
-from weldhatch.sites.routing import Site
-from weldhatch.sites.storage import SitesBook
+from weldhatch.sites.routing import RemoteSite
+from weldhatch.sites.storage import SiteStorage
 
 DOUBTS_MOST = 100
 
 
-def site_status(site: str, link: Link, known: Site, lender: Lender, book: SitesBook) -> dict:
+def site_status(site: str, link: Link, known: RemoteSite, source: HandoffSource, book: SiteStorage) -> dict:
     """Its link and epoch, what is out there and taken from it, its room as told, and what is in doubt."""
     now = time.monotonic()
-    lent = [one for one in lender.lent.values() if one.site == site]
+    lent = [one for one in source.transfers.values() if one.site == site]
     phases = [one.phase for one in lent]
     why = "its link is down" if not link.up else "its end is awaited"
     return {
         "up": link.up,
-        "doubt": link.doubt,
-        "breaks": link.breaks,
+        "doubt": link.stale_reason,
+        "breaks": link.break_count,
         "delay_ms": round(link.session.delay_s * 1000, 1),
-        "epoch": book.known(site)[0],
-        "lent": {phase.value: phases.count(phase) for phase in handoff_source.Lending if phase in phases},
-        "taken": sum(one.phase in handoff_target.OPEN for one in book.taker(site).taken.values()),
-        "left_out_s": round(max(0.0, known.left_out - now), 1),
+        "epoch": book.known_epoch(site)[0],
+        "lent": {
+            phase.value: phases.count(phase) for phase in handoff_source.OutgoingPhase if phase in phases
+        },
+        "taken": sum(one.phase in handoff_target.OPEN_PHASES for one in book.target(site).transfers.values()),
+        "left_out_s": round(max(0.0, known.excluded_until - now), 1),
         "told": None
-        if known.told is None
+        if known.summary is None
         else {
-            "age_s": round(now - known.told_at, 1),
-            "free": dict(known.told.free),
-            "size": known.told.size,
-            "waiting": known.told.waiting,
-            "draining": known.told.draining,
+            "age_s": round(now - known.summary_at, 1),
+            "free": dict(known.summary.free),
+            "size": known.summary.size,
+            "waiting": known.summary.waiting,
+            "draining": known.summary.draining,
         },
         "in_doubt": [
             {
@@ -46,6 +48,6 @@
                 "why": why,
             }
             for one in lent
-            if one.phase is handoff_source.Lending.CALLED_BACK
+            if one.phase is handoff_source.OutgoingPhase.RECALLED
         ][:DOUBTS_MOST],
     }
--- a/weldhatch/store/folded.py
+++ b/weldhatch/store/folded.py
@@ -8,24 +8,24 @@
 from pathlib import Path
 from typing import Protocol
 
-from weldhatch.store.commit import Committer
-from weldhatch.store.lock import Lock, LockHeld
+from weldhatch.store.commit import GroupCommitter
+from weldhatch.store.lock import Lock, LockHeldError
 from weldhatch.store.log import Disk, Log, LogError
 
-COMPACT_FACTOR, COMPACT_OVER = 4, 20_000
+COMPACTION_FACTOR, COMPACTION_SLACK_RECORDS = 4, 20_000
 
 
-class Fold(Protocol):
+class FoldedState(Protocol):
     """A state that records bring about. It holds what is on the disk, not what is under way."""
 
     @property
-    def size(self) -> int:
+    def snapshot_size(self) -> int:
         """About how many records `records` gives."""
 
-    def take(self, payload: bytes) -> None:
+    def apply(self, payload: bytes) -> None:
         """One record. Raises ValueError for what is none."""
 
-    def records(self) -> Iterable[bytes]:
+    def snapshot_records(self) -> Iterable[bytes]:
         """The least records that fold to the same."""
 
 
@@ -42,10 +42,10 @@
         file: str,
         name: str,
         now: float,
-        folds: Sequence[Fold],
-        say: Callable[[str], None],
+        states: Sequence[FoldedState],
+        log_line: Callable[[str], None],
         disk: Disk | None = None,
-        over: int | None = None,
+        slack_records: int | None = None,
     ) -> None:
         """The first of `folds` is kept as the disk is; the others are folded once and then the caller's.
 
@@ -53,28 +53,28 @@
         `over`: how many records more than it needs the log may have.
         """
         path = Path(folder)
-        self.fold, self._name, self._say, self._over = folds[0], name, say, over
+        self.state, self._name, self._log_line, self._slack_records = states[0], name, log_line, slack_records
         try:
             path.mkdir(parents=True, exist_ok=True)
         except OSError as fault:
-            raise LockHeld(str(fault)) from None
+            raise LockHeldError(str(fault)) from None
         self._lock = Lock(path / "lock", f"a gateway (process {os.getpid()})", f"{now:.0f}")
         try:
             self._log = Log(path / file, disk)
-            for record in self._log.records():
-                for fold in folds:
+            for record in self._log.recovered_records():
+                for state in states:
                     try:
-                        fold.take(record)
+                        state.apply(record)
                     except ValueError as fault:
                         raise LogError(f"{self._log.path}: {fault}") from None
-            if self._log.torn is not None:
-                say(f"{name}: the last {self._log.torn.length} bytes were no whole record: dropped")
+            if self._log.torn_tail is not None:
+                log_line(f"{name}: the last {self._log.torn_tail.length} bytes were no whole record: dropped")
         except BaseException:
             self._lock.close()
             raise
-        self._committer: Committer | None = None
+        self._committer: GroupCommitter | None = None
 
-    def begin(self, records: Sequence[bytes], folded: bool = False) -> None:
+    def start(self, records: Sequence[bytes], folded: bool = False) -> None:
         """The first records of this run are on the disk before anything else is; then the thread begins.
 
         `folded`: the caller has taken them into the first fold already. Raises LogError.
@@ -82,39 +82,41 @@
         try:
             if not folded:
                 for record in records:
-                    self.fold.take(record)
-            if self.long:
-                self._log.rewrite(self.fold.records())
+                    self.state.apply(record)
+            if self.needs_compaction:
+                self._log.rewrite(self.state.snapshot_records())
             else:
                 self._log.append(records)
         except OSError:
             self._lock.close()
             raise
-        self._committer = Committer(self._log, self.fold.take, self._say, self._wrote)
+        self._committer = GroupCommitter(self._log, self.state.apply, self._log_line, self._on_batch)
 
     @property
-    def long(self) -> bool:
-        over = COMPACT_OVER if self._over is None else self._over
-        return self._log.count > COMPACT_FACTOR * self.fold.size + over
+    def needs_compaction(self) -> bool:
+        slack_records = COMPACTION_SLACK_RECORDS if self._slack_records is None else self._slack_records
+        return self._log.count > COMPACTION_FACTOR * self.state.snapshot_size + slack_records
 
-    def _wrote(self) -> None:
+    def _on_batch(self) -> None:
         """Guards the disk against a gateway that runs for months: the log is cut down while it runs."""
-        if self.long and self._committer.idle:
-            self._say(f"{self._name}: {self._log.count} records are cut down to {self.fold.size}")
-            self._committer.compact(list(self.fold.records()))
+        if self.needs_compaction and self._committer.idle:
+            self._log_line(
+                f"{self._name}: {self._log.count} records are cut down to {self.state.snapshot_size}"
+            )
+            self._committer.compact(list(self.state.snapshot_records()))
 
     @property
-    def full(self) -> str:
+    def write_error(self) -> str:
         """Why nothing new can be taken; '' while the disk takes records."""
-        return self._committer.full
+        return self._committer.write_error
 
-    def may(self, records: Iterable[bytes]) -> asyncio.Future:
+    def append(self, records: Iterable[bytes]) -> asyncio.Future:
         """What is about to happen: done once it is on the disk, LogError if it may not."""
-        return self._committer.put(records)
+        return self._committer.append(records)
 
-    def must(self, records: Iterable[bytes]) -> asyncio.Future:
+    def append_with_retry(self, records: Iterable[bytes]) -> asyncio.Future:
         """What has happened: written as soon as the disk takes it; the future never fails."""
-        return self._committer.put(records, must=True)
+        return self._committer.append(records, must_succeed=True)
 
     async def flush(self) -> None:
         await self._committer.flush()
--- a/weldhatch/store/lock.py
+++ b/weldhatch/store/lock.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 
-class LockHeld(OSError):
+class LockHeldError(OSError):
     """Somebody else has the folder; the text says who, since when, and for what."""
 
 
@@ -21,17 +21,17 @@
         try:
             self._handle = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as fault:
-            raise LockHeld(f"{self._path}: {fault.strerror}; nothing was done") from None
+            raise LockHeldError(f"{self._path}: {fault.strerror}; nothing was done") from None
         try:
             fcntl.flock(self._handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            text = holder(self._path)
+            text = lock_owner(self._path)
             os.close(self._handle)
             self._handle = -1
-            raise LockHeld(f"{self._path}: held by {text}") from None
-        self.say(who, since)
+            raise LockHeldError(f"{self._path}: held by {text}") from None
+        self.describe_owner(who, since)
 
-    def say(self, who: str, since: str) -> None:
+    def describe_owner(self, who: str, since: str) -> None:
         """What others read of the holder."""
         data = json.dumps({"who": who, "since": since, "pid": os.getpid()}).encode()
         os.ftruncate(self._handle, 0)
@@ -44,7 +44,7 @@
             self._handle = -1
 
 
-def holder(path: str | Path) -> str:
+def lock_owner(path: str | Path) -> str:
     """Who holds a lock, in words; '' where nobody does."""
     try:
         handle = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
--- a/weldhatch/store/log.py
+++ b/weldhatch/store/log.py
@@ -22,14 +22,14 @@
 
 MAGIC = b"WHLOG1\r\n"
 _HEAD = struct.Struct(">IIQ")
-RECORD_MOST = 64 << 20
+MAX_RECORD_BYTES = 64 << 20
 
 
 class LogError(OSError):
     """The log can't be read or written; the text names its file and the place."""
 
 
-class LogCorrupt(LogError):
+class LogCorruptError(LogError):
     """A record that was whole once is not as it was written."""
 
 
@@ -57,26 +57,26 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Torn:
+class TornTail:
     """The rest of a record that never became whole."""
 
     offset: int
     length: int
 
 
-def frame(number: int, payload: bytes) -> bytes:
+def encode_record(number: int, payload: bytes) -> bytes:
     counted = number.to_bytes(8, "big")
     return _HEAD.pack(len(payload), zlib.crc32(payload, zlib.crc32(counted)), number) + payload
 
 
-def _parse(data: bytes, path: str) -> tuple[list[bytes], int, Torn | None]:
+def _parse(data: bytes, path: str) -> tuple[list[bytes], int, TornTail | None]:
     """The payloads, the length of what is good, and what is torn behind it."""
     if len(data) < len(MAGIC):
         if MAGIC.startswith(data):
-            return [], 0, Torn(0, len(data)) if data else None
-        raise LogCorrupt(f"{path}: byte 0: this is no log of ours")
+            return [], 0, TornTail(0, len(data)) if data else None
+        raise LogCorruptError(f"{path}: byte 0: this is no log of ours")
     if not data.startswith(MAGIC):
-        raise LogCorrupt(f"{path}: byte 0: this is no log of ours, or of another version")
+        raise LogCorruptError(f"{path}: byte 0: this is no log of ours, or of another version")
     out: list[bytes] = []
     at = len(MAGIC)
     while at < len(data):
@@ -92,18 +92,18 @@
                 out.append(payload)
                 at += _HEAD.size + length
                 continue
-            whole = length <= RECORD_MOST and len(payload) == length
+            whole = length <= MAX_RECORD_BYTES and len(payload) == length
             if whole and any(data[at:]):
-                raise LogCorrupt(
+                raise LogCorruptError(
                     f"{path}: byte {at}: record {len(out) + 1} does not match its checksum; "
                     f"{len(out)} records before it are good"
                 )
         if _follows(data, at + 1, len(out) + 1):
-            raise LogCorrupt(
+            raise LogCorruptError(
                 f"{path}: byte {at}: record {len(out) + 1} can't be read, and others follow it; "
                 f"{len(out)} records before it are good"
             )
-        return out, at, Torn(at, len(data) - at)
+        return out, at, TornTail(at, len(data) - at)
     return out, at, None
 
 
@@ -120,7 +120,7 @@
     return False
 
 
-def read(path: str | Path) -> list[bytes]:
+def read_records(path: str | Path) -> list[bytes]:
     """The records of a log that another process may be writing: whole ones only. None there: none."""
     try:
         data = Path(path).read_bytes()
@@ -136,7 +136,7 @@
 
     def __init__(self, path: str | Path, disk: Disk | None = None) -> None:
         self.path, self._disk = str(path), disk or RealDisk()
-        self.torn: Torn | None = None
+        self.torn_tail: TornTail | None = None
         try:
             self._handle = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as fault:
@@ -152,17 +152,17 @@
         data = bytearray()
         while part := os.read(self._handle, 1 << 20):
             data += part
-        self._records, good, self.torn = _parse(bytes(data), self.path)
-        self.count = len(self._records)
+        self._recovered, good, self.torn_tail = _parse(bytes(data), self.path)
+        self.count = len(self._recovered)
         try:
             if good < len(MAGIC):
                 self._disk.truncate(self._handle, 0)
                 os.lseek(self._handle, 0, os.SEEK_SET)
-                self._whole(MAGIC)
+                self._write_all(MAGIC)
                 self._disk.sync(self._handle)
                 _sync_folder(self.path)
                 good = len(MAGIC)
-            elif self.torn is not None:
+            elif self.torn_tail is not None:
                 self._disk.truncate(self._handle, good)
                 self._disk.sync(self._handle)
         except OSError as fault:
@@ -170,9 +170,9 @@
         self.length = good
         self._broken = ""
 
-    def records(self) -> Iterator[bytes]:
+    def recovered_records(self) -> Iterator[bytes]:
         """What was there when the log was opened, once."""
-        records, self._records = self._records, []
+        records, self._recovered = self._recovered, []
         return iter(records)
 
     def append(self, payloads: Iterable[bytes]) -> None:
@@ -186,12 +186,12 @@
         payloads = list(payloads)
         if not payloads:
             return
-        data = b"".join(frame(self.count + n, payload) for n, payload in enumerate(payloads, 1))
+        data = b"".join(encode_record(self.count + n, payload) for n, payload in enumerate(payloads, 1))
         try:
             os.lseek(self._handle, self.length, os.SEEK_SET)
-            self._whole(data)
+            self._write_all(data)
         except OSError as fault:
-            self._take_back()
+            self._undo_partial_write()
             raise LogError(f"{self.path}: {fault.strerror}; nothing was written") from None
         try:
             self._disk.sync(self._handle)
@@ -202,12 +202,12 @@
         self.length += len(data)
         self.count += len(payloads)
 
-    def _whole(self, data: bytes) -> None:
+    def _write_all(self, data: bytes) -> None:
         view = memoryview(data)
         while view:
             view = view[self._disk.write(self._handle, view) :]
 
-    def _take_back(self) -> None:
+    def _undo_partial_write(self) -> None:
         """What was written of a record that did not get through is cut off again."""
         try:
             self._disk.truncate(self._handle, self.length)
@@ -218,7 +218,7 @@
         """Put these records in the place of all that there are: wholly, or not at all."""
         payloads = list(payloads)
         beside = f"{self.path}.new"
-        data = MAGIC + b"".join(frame(n, payload) for n, payload in enumerate(payloads, 1))
+        data = MAGIC + b"".join(encode_record(n, payload) for n, payload in enumerate(payloads, 1))
         try:
             handle = os.open(beside, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         except OSError as fault:
