--- a/weldhatch/testbed/handoff_model_checker.py
+++ b/weldhatch/testbed/handoff_model_checker.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 
 from weldhatch.sites import handoff_source, handoff_target
-from weldhatch.sites.handoff_source import Lender, Lending
-from weldhatch.sites.handoff_target import Taker, Taking
-from weldhatch.sites.messages import Id, Work
+from weldhatch.sites.handoff_source import HandoffSource, OutgoingPhase
+from weldhatch.sites.handoff_target import HandoffTarget, IncomingPhase
+from weldhatch.sites.messages import TransferId, Work
 
 HOME, AWAY = "home", "away"
 
@@ -44,35 +44,41 @@
 
     asks: tuple[Work, ...]
     faults: Faults
-    lender: Lender = field(default_factory=lambda: Lender(1))
-    lender_disk: Lender = field(default_factory=lambda: Lender(1))
-    taker: Taker = field(default_factory=lambda: Taker(HOME))
-    taker_disk: Taker = field(default_factory=lambda: Taker(HOME))
+    source: HandoffSource = field(default_factory=lambda: HandoffSource(1))
+    source_disk: HandoffSource = field(default_factory=lambda: HandoffSource(1))
+    target: HandoffTarget = field(default_factory=lambda: HandoffTarget(HOME))
+    target_disk: HandoffTarget = field(default_factory=lambda: HandoffTarget(HOME))
     there: tuple = ()  # words on their way to the taking site, in any order
     here: tuple = ()  # to the lending site
-    trying: frozenset[Id] = frozenset()  # given to the core of the taking site, not decided
+    trying: frozenset[TransferId] = frozenset()  # given to the core of the taking site, not decided
     running: frozenset[tuple[str, object]] = frozenset()  # a site, and the request's number or transfer's id
     starts: tuple[int, ...] = ()  # how often each request was started, anywhere
     answers: tuple[tuple[str, ...], ...] = ()  # what each request was answered
     asked: int = 0  # requests that have come
-    of: tuple[tuple[Id, int], ...] = ()  # which request a transfer is for
+    of: tuple[tuple[TransferId, int], ...] = ()  # which request a transfer is for
     gone: frozenset[int] = frozenset()  # requests whose owner's time is over, or whose gateway died
     mine: frozenset[int] = frozenset()  # requests that the lending site decides itself
     past: tuple[str, ...] = ()
 
     def key(self) -> tuple:
-        def lender(one: Lender) -> tuple:
-            return one.epoch, one.serial, tuple(one.lent.values()), tuple(one.keys.items()), tuple(one.here)
-
-        def taker(one: Taker) -> tuple:
-            return tuple(one.taken.values()), tuple(one.tombs), one.floor
+        def source(one: HandoffSource) -> tuple:
+            return (
+                one.epoch,
+                one.serial,
+                tuple(one.transfers.values()),
+                tuple(one.remote_keys.items()),
+                tuple(one.local_keys),
+            )
+
+        def target(one: HandoffTarget) -> tuple:
+            return tuple(one.transfers.values()), tuple(one.tombstones), one.low_watermark
 
         return (
             self.faults.key(),
-            lender(self.lender),
-            lender(self.lender_disk),
-            taker(self.taker),
-            taker(self.taker_disk),
+            source(self.source),
+            source(self.source_disk),
+            target(self.target),
+            target(self.target_disk),
             tuple(sorted(map(repr, self.there))),
             tuple(sorted(map(repr, self.here))),
             self.trying,
@@ -87,13 +93,17 @@
     def copied(self, event: str) -> World:
         out = copy(self)
         out.faults = copy(self.faults)
-        for name in ("lender", "lender_disk"):
+        for name in ("source", "source_disk"):
             one = copy(getattr(self, name))
-            one.lent, one.keys, one.here = dict(one.lent), dict(one.keys), set(one.here)
+            one.transfers, one.remote_keys, one.local_keys = (
+                dict(one.transfers),
+                dict(one.remote_keys),
+                set(one.local_keys),
+            )
             setattr(out, name, one)
-        for name in ("taker", "taker_disk"):
+        for name in ("target", "target_disk"):
             one = copy(getattr(self, name))
-            one.taken, one.tombs = dict(one.taken), dict(one.tombs)
+            one.transfers, one.tombstones = dict(one.transfers), dict(one.tombstones)
             setattr(out, name, one)
         out.past = (*self.past, event)
         return out
@@ -104,27 +114,27 @@
         """Carry effects out in order; `upto`: the process dies after so many."""
         for effect in effects[:upto]:
             match effect:
-                case handoff_source.Write(record):
-                    self.lender_disk.take(record)
-                case handoff_target.Write(record):
-                    self.taker_disk.take(record)
-                case handoff_source.Say(_, word):
+                case handoff_source.WriteRecord(record):
+                    self.source_disk.apply(record)
+                case handoff_target.WriteRecord(record):
+                    self.target_disk.apply(record)
+                case handoff_source.SendMessage(_, word):
                     self.there = (*self.there, word)
-                case handoff_target.Say(_, word):
+                case handoff_target.SendMessage(_, word):
                     self.here = (*self.here, word)
-                case handoff_source.Answer(id, answer):
+                case handoff_source.AnswerOwner(id, answer):
                     self.answer(self.request(id), answer)
-                case handoff_source.TakeBack(id):
+                case handoff_source.ReclaimTask(id):
                     if self.request(id) not in self.gone:
                         self.mine |= {self.request(id)}
-                case handoff_target.Try(_, id):
+                case handoff_target.StartTask(_, id):
                     self.trying |= {id}
-                case handoff_target.GiveUp() | handoff_target.Free() | handoff_source.Over():
+                case handoff_target.AbandonTask() | handoff_target.ReleaseTask() | handoff_source.ReportEnd():
                     pass  # what follows is an event of its own
         if upto is not None:
             return
 
-    def request(self, id: Id) -> int:
+    def request(self, id: TransferId) -> int:
         return dict(self.of)[id]
 
     def answer(self, request: int, answer: str) -> None:
@@ -161,13 +171,13 @@
                 yield f"away ends {what}", lambda w, what=what: w._away_ends(what)
             else:
                 yield f"home ends {what}", lambda w, what=what: w._home_ends(what)
-        for id, one in self.lender.lent.items():
-            if one.phase is Lending.OUT:
-                yield f"time up {id}", lambda w, id=id: w.lender.time_up(id)
+        for id, one in self.source.transfers.items():
+            if one.phase is OutgoingPhase.OFFERED:
+                yield f"time up {id}", lambda w, id=id: w.source.deadline_passed(id)
                 if one.work.effect == "SAFE":
-                    yield f"silent {id}", lambda w, id=id: w.lender.silent(id)
-            elif one.phase is Lending.STANDS:
-                yield f"freed {id}", lambda w, id=id: w.lender.freed(id, 16)
+                    yield f"silent {id}", lambda w, id=id: w.source.link_silent(id)
+            elif one.phase is OutgoingPhase.PLACED:
+                yield f"freed {id}", lambda w, id=id: w.source.released(id, 16)
         for request in self.mine:
             yield f"home decides {request}", lambda w, request=request: w._home_decides(request)
 
@@ -176,8 +186,8 @@
         self.asked += 1
         self.starts, self.answers = (*self.starts, 0), (*self.answers, ())
         try:
-            id, effects = self.lender.lend(AWAY, work, 1_000_000)
-        except handoff_source.Busy:
+            id, effects = self.source.offer(AWAY, work, 1_000_000)
+        except handoff_source.TaskBusyError:
             self.answer(request, "refused")
             return []
         self.of = (*self.of, (id, request))
@@ -185,40 +195,40 @@
 
     def _deliver_there(self, n: int, word: object) -> list:
         self.there = self.there[:n] + self.there[n + 1 :]
-        return self.taker.hear(word)
+        return self.target.receive(word)
 
     def _deliver_here(self, n: int, word: object) -> list:
         self.here = self.here[:n] + self.here[n + 1 :]
-        return self.lender.hear(AWAY, word)
+        return self.source.receive(AWAY, word)
 
-    def _places(self, id: Id) -> list:
+    def _places(self, id: TransferId) -> list:
         self.trying -= {id}
         self.start(AWAY, id, self.request(id))
-        return self.taker.stands(id, "d")
+        return self.target.placed(id, "d")
 
-    def _refuses(self, id: Id) -> list:
+    def _refuses(self, id: TransferId) -> list:
         self.trying -= {id}
-        return self.taker.given_back(id)
+        return self.target.returned(id)
 
-    def _fails(self, id: Id) -> list:
+    def _fails(self, id: TransferId) -> list:
         self.trying -= {id}
-        return self.taker.ended(id, 47)
+        return self.target.ended(id, 47)
 
-    def _away_ends(self, id: Id) -> list:
+    def _away_ends(self, id: TransferId) -> list:
         self.running -= {(AWAY, id)}
-        return self.taker.ended(id, 16)
+        return self.target.ended(id, 16)
 
     def _home_ends(self, request: int) -> list:
         self.running -= {(HOME, request)}
-        self.lender.end(self.asks[request])
+        self.source.release_key(self.asks[request])
         return []
 
     def _home_decides(self, request: int) -> list:
         """The home site's module places what came back, if the right to start it is there; or refuses."""
         self.mine -= {request}
         try:
-            self.lender.begin(self.asks[request])
-        except handoff_source.Busy:
+            self.source.reserve_key(self.asks[request])
+        except handoff_source.TaskBusyError:
             self.answer(request, "refused")
         else:
             self.start(HOME, request, request)
@@ -235,10 +245,10 @@
             for died in range(len(effects)) if effects else ():
                 home = isinstance(
                     effects[0],
-                    handoff_source.Write
-                    | handoff_source.Say
-                    | handoff_source.Answer
-                    | handoff_source.TakeBack,
+                    handoff_source.WriteRecord
+                    | handoff_source.SendMessage
+                    | handoff_source.AnswerOwner
+                    | handoff_source.ReclaimTask,
                 )
                 if (self.faults.home_crashes if home else self.faults.away_crashes) and died:
                     cut = self.copied(f"{name}, and dies after {died} of {len(effects)} effects")
@@ -265,7 +275,7 @@
             after = self.copied("home dies")
             after._home_crashes()
             yield after
-        if self.faults.away_crashes and self.taker_disk.taken:
+        if self.faults.away_crashes and self.target_disk.transfers:
             after = self.copied("away dies")
             after._away_crashes()
             yield after
@@ -275,33 +285,39 @@
         self.faults.home_crashes -= 1
         self.gone |= {n for n in range(self.asked) if not self.answers[n]}
         self.mine = frozenset()
-        fresh = Lender(0)
-        for record in self.lender_disk.records():
-            fresh.take(record)
-        self.lender, self.lender_disk = fresh, copy(fresh)
-        self.lender_disk.lent, self.lender_disk.keys = dict(fresh.lent), dict(fresh.keys)
-        self.lender_disk.here = set()
+        fresh = HandoffSource(0)
+        for record in self.source_disk.snapshot_records():
+            fresh.apply(record)
+        self.source, self.source_disk = fresh, copy(fresh)
+        self.source_disk.transfers, self.source_disk.remote_keys = (
+            dict(fresh.transfers),
+            dict(fresh.remote_keys),
+        )
+        self.source_disk.local_keys = set()
         # What this site's own machines run is taken up again with its key before anything is asked for.
-        self.lender.here = {
+        self.source.local_keys = {
             work.key
             for site, what in self.running
-            if site == HOME and handoff_source.guarded(work := self.asks[what]) is not None
+            if site == HOME and handoff_source.exclusive_key(work := self.asks[what]) is not None
         }
-        for one in (self.lender, self.lender_disk):
-            one.take(("epoch", fresh.epoch + 1 if one is fresh else self.lender.epoch))
-        self.carry(self.lender.restarted())
+        for one in (self.source, self.source_disk):
+            one.apply(("epoch", fresh.epoch + 1 if one is fresh else self.source.epoch))
+        self.carry(self.source.recover())
 
     def _away_crashes(self) -> None:
         """What it started runs on at its machines; it speaks again once that must have ended."""
         self.faults.away_crashes -= 1
         self.trying = frozenset()
         self.running = frozenset(one for one in self.running if one[0] != AWAY)
-        fresh = Taker(HOME)
-        for record in self.taker_disk.records():
-            fresh.take(record)
-        self.taker, self.taker_disk = fresh, copy(fresh)
-        self.taker_disk.taken, self.taker_disk.tombs = dict(fresh.taken), dict(fresh.tombs)
-        self.carry(self.taker.restarted())
+        fresh = HandoffTarget(HOME)
+        for record in self.target_disk.snapshot_records():
+            fresh.apply(record)
+        self.target, self.target_disk = fresh, copy(fresh)
+        self.target_disk.transfers, self.target_disk.tombstones = (
+            dict(fresh.transfers),
+            dict(fresh.tombstones),
+        )
+        self.carry(self.target.recover())
 
     # ---- promises --------------------------------------------------------------------------------------
 
@@ -328,8 +344,8 @@
         after.starts += (0,) * (len(after.asks) - len(after.starts))
         after.answers += (("unasked",),) * (len(after.asks) - len(after.answers))
         for _ in range(8):
-            after.carry(list(after.lender.repeat(AWAY, {})))
-            after.carry(list(after.taker.repeat()))
+            after.carry(list(after.source.unconfirmed_messages(AWAY, {})))
+            after.carry(list(after.target.unconfirmed_messages()))
             while after.there or after.here or after.trying or after.mine:
                 if after.there:
                     after.carry(after._deliver_there(0, after.there[0]))
@@ -346,9 +362,11 @@
 
     def check_settled(self) -> None:
         after = self.settled()
-        if after.lender.lent or after.lender.keys:
-            after.broken(f"still lent after all has settled: {list(after.lender.lent.values())}")
-        if open := [one for one in after.taker.taken.values() if one.phase in handoff_target.OPEN]:
+        if after.source.transfers or after.source.remote_keys:
+            after.broken(f"still lent after all has settled: {list(after.source.transfers.values())}")
+        if open := [
+            one for one in after.target.transfers.values() if one.phase in handoff_target.OPEN_PHASES
+        ]:
             after.broken(f"still taken after all has settled: {open}")
         for request, told in enumerate(after.answers):
             if len(told) != 1 and request not in after.gone:
@@ -379,4 +397,4 @@
     return len(seen)
 
 
-__all__ = ["AWAY", "HOME", "Broken", "Faults", "Taking", "World", "explore"]
+__all__ = ["AWAY", "HOME", "Broken", "Faults", "IncomingPhase", "World", "explore"]
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -21,11 +21,11 @@
 from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.scheduling import types as i
 from weldhatch.scheduling.policy import Policy
-from weldhatch.sites.forwarding import Sites
-from weldhatch.sites.link import Door
-from weldhatch.sites.messages import Id, Work
+from weldhatch.sites.forwarding import SiteForwarder
+from weldhatch.sites.link import LinkListener
+from weldhatch.sites.messages import TransferId, Work
 from weldhatch.sites.routing import Router
-from weldhatch.sites.storage import SitesBook
+from weldhatch.sites.storage import SiteStorage
 from weldhatch.testbed.fault_proxy import Wire
 from weldhatch.testbed.in_memory_machines import Hall, Tally
 
@@ -55,7 +55,9 @@
     def names_of(self, task: ports.Task) -> tuple[str, ...]:
         return ("x",)
 
-    def guest(self, site: str, id: Id, work: Work, came_to: Callable[[str], None]) -> tuple[object, object]:
+    def guest(
+        self, site: str, id: TransferId, work: Work, came_to: Callable[[str], None]
+    ) -> tuple[object, object]:
         return f"{site}-{id[0]}-{id[1]}", work.names
 
     def came_to(self, task: ports.Task, result: str) -> None:
@@ -109,10 +111,10 @@
 class SiteNow:
     """One gateway, from its start to its death."""
 
-    sites: Sites
+    sites: SiteForwarder
     hall: Hall
-    book: SitesBook
-    door: Door
+    book: SiteStorage
+    door: LinkListener
     driver: Driver
 
 
@@ -150,9 +152,9 @@
         driver = Driver(Policy(self.told, self.random.getrandbits(32)), self.log)
         driver.site = hall
         core = Core(driver, hall, self.log)
-        book = SitesBook(str(self.folder / name), time.time(), self.log)
+        book = SiteStorage(str(self.folder / name), time.time(), self.log)
         others = [other for other in self.names if other != name]
-        sites = Sites(
+        sites = SiteForwarder(
             name,
             others,
             self.told,
@@ -166,7 +168,7 @@
         driver.watches.append(lambda event: sites.room.watch(time.monotonic(), event))
         driver.post(i.MachinesChanged(i.ListForm.CACHED, hall.entries()))
         budget = Budget(400)
-        door = Door(("127.0.0.1", 0), sites.links, Share(budget, 200), self.log)
+        door = LinkListener(("127.0.0.1", 0), sites.links, Share(budget, 200), self.log)
         for pair, wire in self.wires.items():
             if name == pair[0]:
                 sites.links[pair[1]].dial(self._ends[pair], Share(budget, 4))
@@ -178,7 +180,7 @@
     def kill(self, name: str) -> None:
         """The gateway dies: nothing more is said or written, and its machines stop what they ran for it."""
         one = self.now.pop(name)
-        self.died += sum(not crossing.answered for crossing in one.sites.crossings)
+        self.died += sum(not request.answered for request in one.sites.requests)
         one.hall.die()
         one.sites.close()
         one.door.close()
@@ -188,7 +190,7 @@
         """Wait until all links stand and each site has heard of the others' room."""
         await self.until(
             lambda: all(
-                link.up and one.sites.router.sites[site].told is not None
+                link.up and one.sites.router.sites[site].summary is not None
                 for one in self.now.values()
                 for site, link in one.sites.links.items()
             ),
@@ -215,7 +217,7 @@
         """Wait until nothing is lent, taken or running any more."""
         await self.until(
             lambda: not any(
-                one.sites.lender.lent or one.sites.guests or one.sites.crossings or one.hall.busy
+                one.sites.source.transfers or one.sites.incoming or one.sites.requests or one.hall.busy
                 for one in self.now.values()
             ),
             within,
@@ -227,7 +229,7 @@
         one.hall.free = dict.fromkeys(range(1, count + 1), one.hall.cores)
         one.driver.post(i.MachinesChanged(i.ListForm.FULL, one.hall.entries()))
 
-    def guarded(self, key: int) -> bool:
+    def runs_once(self, key: int) -> bool:
         """Whether a key's task may not run twice."""
         return any(
             owner.task.key == key and self.told.classes[owner.task.class_index].effect is not i.Effect.SAFE
