--- a/tests/test_applies.py
+++ b/tests/test_applies.py
@@ -407,7 +407,7 @@
     told = stage.run(main())
     assert len(told.applies) == 8 and told.fence == 8
     assert all(progress.ended for progress in told.applies.values())
-    assert len(Journal(tmp_path, "x", 0.0)._log._records) < 60
+    assert Journal(tmp_path, "x", 0.0)._log.count < 60
 
 
 def test_points_are_counted_from_nought():
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -301,7 +301,7 @@
                     else:
                         disk.work(one.rewrite, ([b"folded"],))
                     disk.killed()
-                    seen.add(tuple(SimLog(Path(folder) / "log").records()))
+                    seen.add(tuple(SimLog(Path(folder) / "log").recovered_records()))
                 finally:
                     disk.killed()
                     LIFE.reset(token)
--- a/weldhatch/simulation/seeded_defects.py
+++ b/weldhatch/simulation/seeded_defects.py
@@ -50,14 +50,14 @@
 
 
 def _store_forgets() -> AbstractContextManager:
-    take = QueueState.apply
+    apply = QueueState.apply
 
     def forgets(self: QueueState, payload: bytes) -> None:
         known = json.loads(payload)
         if known and known[0] == "epoch":  # it comes back with nothing but its name
-            take(self, payload)
+            apply(self, payload)
 
-    return mock.patch.object(QueueState, "take", forgets)
+    return mock.patch.object(QueueState, "apply", forgets)
 
 
 def _never_returns() -> AbstractContextManager:
