--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -264,14 +264,14 @@
     async def start(self):
         """A gateway that starts from nothing, as after a crash."""
         self.gateway = Gateway(
-            config.Platform(
+            config.PlatformConfig(
                 "n0",
                 ("127.0.0.1", 0),
                 5,
                 self.sockets,
                 self.bus.endpoint,
                 tuple(self.bus.events),
-                config.settings_of_json(self.settings),
+                config.settings_from_json(self.settings),
                 0.25,
                 0.25,
             ),
--- a/tests/test_abroad.py
+++ b/tests/test_abroad.py
@@ -56,7 +56,7 @@
     def begin(self, name, peers, **more):
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue(
+        told = config.pull_queue_config(
             {
                 "enabled": True,
                 "listen": "127.0.0.1:0",
@@ -226,7 +226,7 @@
 
 
 def test_a_missing_certificate_is_named(tmp_path):
-    told = config.pull_queue(
+    told = config.pull_queue_config(
         {
             "enabled": True,
             "listen": "127.0.0.1:0",
@@ -255,4 +255,4 @@
 def test_a_faulty_key_is_named(change, fault):
     tree = {"enabled": True, "settings": SETTINGS, "sites": {**PLAIN, **change}}
     with pytest.raises(ConfigError, match=fault):
-        config.pull_queue(tree)
+        config.pull_queue_config(tree)
--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -288,8 +288,8 @@
 
 
 def test_without_the_table_a_dispatcher_agrees_with_nobody():
-    assert config.agreement({}) is None
-    assert config.agreement({"agreement": TABLE}).stated == 2.0
+    assert config.cluster_config({}) is None
+    assert config.cluster_config({"agreement": TABLE}).stated == 2.0
 
 
 @pytest.mark.parametrize(
@@ -311,7 +311,7 @@
 )
 def test_a_table_that_can_not_be_used_names_its_key(change, key):
     with pytest.raises(config.ConfigError, match=key.replace(".", r"\.")):
-        config.agreement({"agreement": {**TABLE, **change}})
+        config.cluster_config({"agreement": {**TABLE, **change}})
 
 
 # ---- the commands ----------------------------------------------------------------------------------------
@@ -324,7 +324,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        told = config.agreement(
+        told = config.cluster_config(
             {
                 "agreement": {
                     **TABLE,
@@ -338,14 +338,14 @@
         self.events = []
         self.agreement = ClusterNode(
             told,
-            config.settings_of_json,
+            config.settings_from_json,
             lambda settings: "",
             settings(),
             lambda: None,
             lambda text: None,
             lambda name, **fields: self.events.append((name, fields)),
         )
-        self.desk = ControlApi(self.agreement, config.settings_of_json, lambda text: None, time.time)
+        self.desk = ControlApi(self.agreement, config.settings_from_json, lambda text: None, time.time)
         self.closes = [self.desk.abort, self.agreement.close]
         host, port = self.desk.listener.address
         self.at = ["--control", f"{host}:{port}"]
@@ -443,7 +443,7 @@
         self.agreement.close()
         again = ClusterNode(
             told,
-            config.settings_of_json,
+            config.settings_from_json,
             lambda settings: "",
             settings(),
             lambda: None,
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -43,7 +43,7 @@
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
         settings["tenants"] = [{"name": "north", "portion": 0.5}, {"name": "south", "portion": 0.5}]
-        told = config.pull_queue(
+        told = config.pull_queue_config(
             {
                 "enabled": True,
                 "listen": "127.0.0.1:0",
@@ -395,7 +395,7 @@
 )
 def test_security_that_can_not_be_used_names_its_key(told, key):
     with pytest.raises(config.ConfigError, match=key):
-        config.pull_queue({"settings": SETTINGS, "security": told})
+        config.pull_queue_config({"settings": SETTINGS, "security": told})
 
 
 def test_waits_double_are_spread_and_keep_what_was_advised():
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -115,7 +115,7 @@
 
     def __init__(self, me, settings, every_s):
         self.me, self.lives, self._every_s = me, 0, every_s
-        self.settings = config.settings_of_json({**settings, "me": me})
+        self.settings = config.settings_from_json({**settings, "me": me})
         self.bus, self.logged = Bus(), []
 
     async def start(self):
@@ -124,7 +124,7 @@
             await self.bus.listen()
         self.lives += 1
         self.gateway = Gateway(
-            config.Platform(
+            config.PlatformConfig(
                 f"n{self.me}",
                 ("127.0.0.1", 0),
                 1000 * self.lives + self.me,
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -26,7 +26,7 @@
 def gateway(folder, **timing):
     tree = copy.deepcopy(SETTINGS)
     tree["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-    told = config.pull_queue(
+    told = config.pull_queue_config(
         {
             "enabled": True,
             "listen": "127.0.0.1:0",
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -215,7 +215,7 @@
         [server] = self.recorders()
         self.gateway.servers._probe_s = 5.0
         classes = [{**cls, "aimUs": 20_000_000, "hardLimitUs": 3_000_000} for cls in SETTINGS["classes"]]
-        self.gateway.driver.rule(config.settings_of_json({**SETTINGS, "classes": classes}))
+        self.gateway.driver.rule(config.settings_from_json({**SETTINGS, "classes": classes}))
         for n, how in enumerate(LEAVES):
             with self.subTest(how):
                 server.kept = []
--- a/tests/test_failover_member.py
+++ b/tests/test_failover_member.py
@@ -236,8 +236,8 @@
             ({"stay": -1}, "zones.stay"),
         ):
             with self.assertRaisesRegex(config.ConfigError, key):
-                config.zones({"zones": table, **group})
+                config.zones_config({"zones": table, **group})
         with self.assertRaisesRegex(config.ConfigError, "agreement"):
-            config.zones({"zones": {"step": 1.0}})
-        self.assertIsNone(config.zones({"zones": {"enabled": False}}))
-        self.assertEqual(config.zones({"zones": {"alone": True}}).times.quorum, 1)
+            config.zones_config({"zones": {"step": 1.0}})
+        self.assertIsNone(config.zones_config({"zones": {"enabled": False}}))
+        self.assertEqual(config.zones_config({"zones": {"alone": True}}).times.quorum, 1)
--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -13,6 +13,7 @@
 from weldhatch import config
 from weldhatch.cli import logs, output
 from weldhatch.cli.main import main
+from weldhatch.config import fleet_file
 
 ROOT = Path(__file__).parent.parent
 
@@ -287,11 +288,11 @@
     path = tmp_path / "fleet.toml"
     path.write_text(spoil((ROOT / "examples" / "fleet.toml").read_text()))
     with pytest.raises(config.ConfigError, match=said):
-        config.fleet_file(str(path))
+        fleet_file.fleet_config(str(path))
 
 
 def test_the_deploy_file_is_usable():
-    assert config.fleet_file(str(ROOT / "deploy" / "fleet.toml")).name == "aarhus-main"
+    assert fleet_file.fleet_config(str(ROOT / "deploy" / "fleet.toml")).name == "aarhus-main"
 
 
 def test_logs_are_structured_and_show_no_secrets(tmp_path):
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -18,6 +18,7 @@
     "applying",
     "cli",
     "client",
+    "config",
     "conform",
     "consensus",
     "core",
@@ -40,7 +41,8 @@
 # What each package may import of the others; modules beside the packages are its business.
 ABOVE = {
     "scheduling": set(),
-    "simulator_link": {"scheduling"},
+    "config": {"planning", "scheduling", "zones"},
+    "simulator_link": {"config", "scheduling"},
     "core": {"scheduling"},
     "net": set(),
     "store": set(),
@@ -52,11 +54,12 @@
     "conform": {"client"},
     "nodes": {"planning"},
     "applying": {"planning", "nodes", "store"},
-    "sites": {"core", "net", "scheduling", "store"},
+    "sites": {"config", "core", "net", "scheduling", "store"},
     "consensus": set(),
     "zones": {"scheduling"},
     "coordination": {"consensus", "scheduling", "zones"},
     "cluster": {
+        "config",
         "consensus",
         "coordination",
         "core",
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -126,7 +126,7 @@
     def begin(self):
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue(
+        told = config.pull_queue_config(
             {
                 "enabled": True,
                 "listen": "127.0.0.1:0",
--- a/tests/test_pins_config.py
+++ b/tests/test_pins_config.py
@@ -17,19 +17,19 @@
 
 from weldhatch.config import (
     ConfigError,
-    agreement,
-    endpoint,
-    fleet_file,
-    json_file,
-    platform,
-    pull_leaves,
-    pull_queue,
-    pull_queue_tree,
-    settings_of_json,
-    settings_of_text,
-    toml_file,
-    zones,
+    cluster_config,
+    parse_endpoint,
+    platform_config,
+    pull_queue_config,
+    pull_queue_leaves,
+    read_json_file,
+    read_pull_queue_file,
+    read_toml_file,
+    settings_from_json,
+    settings_from_text,
+    zones_config,
 )
+from weldhatch.config.fleet_file import fleet_config
 
 RECORD = "pins_config.json"
 ROOT = Path(__file__).parent.parent
@@ -199,12 +199,12 @@
 
     def platform(self, tree):
         self.path.write_text(json.dumps(tree))
-        return platform({"PROXY_CONFIG": str(self.path)})
+        return platform_config({"PROXY_CONFIG": str(self.path)})
 
     def fleet(self, tree):
         path = self.folder / "fleet.toml"
         path.write_text(toml(tree))
-        read = fleet_file(str(path))
+        read = fleet_config(str(path))
         return replace(read, journal=read.journal.replace(str(self.folder), "<folder>"))
 
     def neutral(self, value):
@@ -230,14 +230,16 @@
     """What each shipped file is read as, in pairs of path and value."""
     found = {}
     for name in PULL_FILES:
-        tree = pull_queue_tree(str(ROOT / name))
-        found[name] = pins.lines(pull_queue(tree))
-        found[f"{name} as leaves"] = pins.lines(pull_leaves(tree))
+        tree = read_pull_queue_file(str(ROOT / name))
+        found[name] = pins.lines(pull_queue_config(tree))
+        found[f"{name} as leaves"] = pins.lines(pull_queue_leaves(tree))
     for name in FLEET_FILES:
-        found[name] = pins.lines(fleet_file(str(ROOT / name)))
-    found["examples/config.json"] = pins.lines(platform({"PROXY_CONFIG": str(ROOT / "examples/config.json")}))
+        found[name] = pins.lines(fleet_config(str(ROOT / name)))
+    found["examples/config.json"] = pins.lines(
+        platform_config({"PROXY_CONFIG": str(ROOT / "examples/config.json")})
+    )
     found["config.json of the environment"] = pins.lines(
-        platform(
+        platform_config(
             {
                 "PROXY_CONFIG": str(ROOT / "examples/config.json"),
                 "PROXY_NAME": "other",
@@ -245,16 +247,16 @@
             }
         )
     )
-    found["settings as text"] = pins.lines(settings_of_text(SETTINGS_TEXT.encode()))
-    found["all tables"] = pins.lines(pull_queue({**example("pullqueue"), **ALL_TABLES}))
+    found["settings as text"] = pins.lines(settings_from_text(SETTINGS_TEXT.encode()))
+    found["all tables"] = pins.lines(pull_queue_config({**example("pullqueue"), **ALL_TABLES}))
     return reader.neutral(found)
 
 
 def example(name):
     """The tree of an example file."""
     if name == "config":
-        return json_file(str(ROOT / "examples/config.json"))
-    return toml_file(str(ROOT / f"examples/{name}.toml"))
+        return read_json_file(str(ROOT / "examples/config.json"))
+    return read_toml_file(str(ROOT / f"examples/{name}.toml"))
 
 
 def faults_of_platform(reader):
@@ -270,39 +272,41 @@
         limits = {**settings, "limits": {**settings["limits"], "dialTimeoutUs": value}}
         found[f"dialTimeoutUs {json.dumps(value)}"] = outcome(reader.platform, {**tree, "settings": limits})
     found["no settings"] = outcome(reader.platform, small(tree))
-    found["no environment"] = outcome(platform, {})
-    found["no such file"] = outcome(platform, {"PROXY_CONFIG": str(reader.folder / "none")})
+    found["no environment"] = outcome(platform_config, {})
+    found["no such file"] = outcome(platform_config, {"PROXY_CONFIG": str(reader.folder / "none")})
     found["odd listen"] = outcome(
-        platform, {"PROXY_CONFIG": str(ROOT / "examples/config.json"), "PROXY_LISTEN": "9"}
+        platform_config, {"PROXY_CONFIG": str(ROOT / "examples/config.json"), "PROXY_LISTEN": "9"}
     )
     for text in ("", "{", "[]", "7"):
         reader.path.write_text(text)
-        found[f"file of {text!r}"] = outcome(platform, {"PROXY_CONFIG": str(reader.path)})
+        found[f"file of {text!r}"] = outcome(platform_config, {"PROXY_CONFIG": str(reader.path)})
     return reader.neutral(found)
 
 
 def faults_of_pull_queue(reader):
     tree = {**example("pullqueue"), **ALL_TABLES}
     settings = tree["settings"]
-    found = faults(small(tree), lambda changed_tree: pull_queue({"settings": settings, **changed_tree}))
+    found = faults(small(tree), lambda changed: pull_queue_config({"settings": settings, **changed}))
     for value in ODD[1:]:
-        found[f"settings {json.dumps(value)}"] = outcome(pull_queue, {**tree, "settings": value})
+        found[f"settings {json.dumps(value)}"] = outcome(pull_queue_config, {**tree, "settings": value})
     for table in ALL_TABLES:
         for key, value in (("surplus", 1), *(extra for extra in ODD_OF_TABLES.get(table, ()))):
             changed_table = {**ALL_TABLES[table], key: value}
-            found[f"{table}.{key} {json.dumps(value)}"] = outcome(pull_queue, {**tree, table: changed_table})
-    found["zones without agreement"] = outcome(zones, {"zones": {"step": 1.0}})
-    found["zones off"] = outcome(zones, {"zones": {"enabled": False}})
-    found["zones alone"] = outcome(zones, {"zones": {"alone": True}})
-    found["agreement alone"] = outcome(agreement, {"agreement": ALL_TABLES["agreement"]})
+            found[f"{table}.{key} {json.dumps(value)}"] = outcome(
+                pull_queue_config, {**tree, table: changed_table}
+            )
+    found["zones without agreement"] = outcome(zones_config, {"zones": {"step": 1.0}})
+    found["zones off"] = outcome(zones_config, {"zones": {"enabled": False}})
+    found["zones alone"] = outcome(zones_config, {"zones": {"alone": True}})
+    found["agreement alone"] = outcome(cluster_config, {"agreement": ALL_TABLES["agreement"]})
     for text in ("", "x = ", "= 1", "[a]\n[a]"):
         path = reader.folder / "pull.toml"
         path.write_text(text)
-        found[f"toml of {text!r}"] = outcome(pull_queue_tree, str(path))
+        found[f"toml of {text!r}"] = outcome(read_pull_queue_file, str(path))
     path = reader.folder / "pull.json"
     path.write_text("{")
-    found["broken json"] = outcome(pull_queue_tree, str(path))
-    found["no such file"] = outcome(pull_queue_tree, str(reader.folder / "none.toml"))
+    found["broken json"] = outcome(read_pull_queue_file, str(path))
+    found["no such file"] = outcome(read_pull_queue_file, str(reader.folder / "none.toml"))
     return reader.neutral(found)
 
 
@@ -336,31 +340,31 @@
     apart = [node, {**node, "id": "other", "hall": "elsewhere"}]
     found["one rack in two halls"] = outcome(reader.fleet, {**tree, "nodes": apart})
     found["odd gateway"] = outcome(reader.fleet, {**tree, "gateways": ["x"]})
-    found["no such file"] = outcome(fleet_file, str(reader.folder / "none.toml"))
+    found["no such file"] = outcome(fleet_config, str(reader.folder / "none.toml"))
     return reader.neutral(found)
 
 
 def faults_of_settings(reader):
-    found = {"json": faults(example("config")["settings"], settings_of_json)}
+    found = {"json": faults(example("config")["settings"], settings_from_json)}
     for value in ODD[1:]:
-        found[f"json {json.dumps(value)}"] = outcome(settings_of_json, value)
+        found[f"json {json.dumps(value)}"] = outcome(settings_from_json, value)
     texts = SETTINGS_TEXT.splitlines()
     for number, line in enumerate(texts):
         key = line.partition("=")[0]
         for value in ("", "x", "-1", "nan", "true", "1,2,3,4"):
             lines = [*texts[:number], f"{key}={value}", *texts[number + 1 :]]
-            found[f"{key}={value}"] = outcome(settings_of_text, "\n".join(lines).encode())
+            found[f"{key}={value}"] = outcome(settings_from_text, "\n".join(lines).encode())
         found[f"no {key}"] = outcome(
-            settings_of_text, "\n".join(texts[:number] + texts[number + 1 :]).encode()
+            settings_from_text, "\n".join(texts[:number] + texts[number + 1 :]).encode()
         )
-    found["no sign"] = outcome(settings_of_text, b"abc")
-    found["not utf-8"] = outcome(settings_of_text, b"\xff=1")
+    found["no sign"] = outcome(settings_from_text, b"abc")
+    found["not utf-8"] = outcome(settings_from_text, b"\xff=1")
     return reader.neutral(found)
 
 
 def endpoints(reader):
     texts = ("", ":", ":1", "a:", "a:1", "a:x", "a:65535", "a:65536", "[::1]:5", "a:-1", "a:1 ", "a:\u0661")
-    return {text: outcome(endpoint, "some.key", text) for text in texts}
+    return {text: outcome(parse_endpoint, "some.key", text) for text in texts}
 
 
 PARTS = {
--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -325,7 +325,7 @@
                 saved.take(record.encode())
 
         def read(told):
-            return replace(config.settings_of_json(told), zone=0)
+            return replace(config.settings_from_json(told), zone=0)
 
         seat.member = CoordinationNode(
             seat.name,
@@ -435,7 +435,7 @@
                 for seat in self.seats.values():
                     if seat.member is not None:
                         now = seat.now(self.time)
-                        cls = config.settings_of_json(tree()).classes[1]
+                        cls = config.settings_from_json(tree()).classes[1]
                         self.transcript.add("status", seat.member.status(now))
                         self.transcript.add("seen by the leader", seat.member.leader_status(now))
                         self.transcript.add(
@@ -733,7 +733,7 @@
 async def call_all():
     out, events = [], []
     with tempfile.TemporaryDirectory() as folder:
-        told = config.agreement(
+        told = config.cluster_config(
             {
                 "agreement": {
                     "name": "g1",
@@ -747,7 +747,7 @@
         )
 
         def read(told):
-            return config.settings_of_json(told)
+            return config.settings_from_json(told)
 
         agreement = ClusterNode(
             told,
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -138,7 +138,7 @@
 
 class Files(unittest.TestCase):
     def test_the_deploy_file_is_usable_and_off(self):
-        told = config.pull_queue(config.toml_file(str(ROOT / "deploy" / "pullqueue.toml")))
+        told = config.pull_queue_config(config.read_toml_file(str(ROOT / "deploy" / "pullqueue.toml")))
         self.assertFalse(told.enabled)
 
     def test_defaults_written_out_are_no_change(self):
@@ -168,11 +168,11 @@
         ):
             path.write_text(json.dumps({**good, key: value}))
             with self.assertRaisesRegex(config.ConfigError, key):
-                config.platform({"PROXY_CONFIG": str(path)})
+                config.platform_config({"PROXY_CONFIG": str(path)})
         path.write_text(json.dumps(good))
-        self.assertEqual(10, config.platform({"PROXY_CONFIG": str(path)}).seed)
+        self.assertEqual(10, config.platform_config({"PROXY_CONFIG": str(path)}).seed)
         with self.assertRaisesRegex(config.ConfigError, "PROXY_CONFIG"):
-            config.platform({})
+            config.platform_config({})
 
 
 if __name__ == "__main__":
--- a/tests/test_pullqueue.py
+++ b/tests/test_pullqueue.py
@@ -65,7 +65,7 @@
         self.parties, self.logged = {}, []
         settings = copy.deepcopy(SETTINGS)
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue(
+        told = config.pull_queue_config(
             {"enabled": True, "listen": "127.0.0.1:0", "timing": self.timing, "settings": settings}
         )
         self.gateway = PullQueue(told, Policy(told.settings, 5), self.logged.append)
@@ -477,7 +477,7 @@
 
 class Judge(unittest.TestCase):
     def test_a_key_handed_out_once_is_known_after_a_restart(self):
-        cls = config.settings_of_json(SETTINGS).classes[2]
+        cls = config.settings_from_json(SETTINGS).classes[2]
         with tempfile.TemporaryDirectory() as folder:
             for expected in (None, Refusal.SPENT):
                 ledger = Ledger(100, f"{folder}/ledger")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -40,7 +40,7 @@
     def begin(self, **more):
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue(
+        told = config.pull_queue_config(
             {
                 "enabled": True,
                 "listen": "127.0.0.1:0",
@@ -493,7 +493,7 @@
         listen = "127.0.0.1:{}".format(self.fixed[1] if hasattr(self, "fixed") else 0)
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue(
+        told = config.pull_queue_config(
             {
                 "enabled": True,
                 "listen": listen,
--- a/tests/test_standalone_zones.py
+++ b/tests/test_standalone_zones.py
@@ -73,14 +73,14 @@
     async def start(self):
         zones = StandaloneZones(FailoverTiming(quorum=1), self.logged.append)
         self.gateway = Gateway(
-            config.Platform(
+            config.PlatformConfig(
                 "n0",
                 ("127.0.0.1", 0),
                 5,
                 self.sockets,
                 self.bus.endpoint,
                 tuple(self.bus.events),
-                config.settings_of_json(SETTINGS),
+                config.settings_from_json(SETTINGS),
                 0.25,
                 0.25,
             ),
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -23,6 +23,7 @@
 from weldhatch.applying.journal import Journal, held_by, story
 from weldhatch.applying.runner import Exit, Result, Runner, observe
 from weldhatch.cli import logs, output, render, settings
+from weldhatch.config import fleet_file
 from weldhatch.nodes.client import Wire
 from weldhatch.planning import plan as planning
 from weldhatch.planning.change import Change, read_change
@@ -85,7 +86,7 @@
 
 
 @contextmanager
-def wire(told: config.FleetFile) -> Iterator[Wire]:
+def wire(told: fleet_file.FleetConfig) -> Iterator[Wire]:
     made = Wire(told.control, told.gateways, told.patience.answer_s)
     try:
         yield made
@@ -93,7 +94,7 @@
         made.close()
 
 
-async def look(told: config.FleetFile) -> tuple[Fleet, dict[str, bool]]:
+async def look(told: fleet_file.FleetConfig) -> tuple[Fleet, dict[str, bool]]:
     """The fleet as it is, and which gateways answer."""
     with wire(told) as world:
         seen, held = await asyncio.gather(observe(told.fleet, world), world.held())
@@ -116,7 +117,7 @@
 @json_option
 def show(fleet_path: str, as_json: bool) -> None:
     """The fleet as its nodes and gateways say it is."""
-    told = config.fleet_file(fleet_path)
+    told = fleet_file.fleet_config(fleet_path)
     seen, gateways = asyncio.run(look(told))
     say(
         output.FleetShown(fleet=told.name, nodes=list(seen.nodes.values()), gateways=gateways),
@@ -162,14 +163,14 @@
             lambda *_: click.echo(f"{reconfiguration.render(made)}\nThe plan is in {out}."),
         )
         return
-    told = config.fleet_file(fleet_path)
+    told = fleet_file.fleet_config(fleet_path)
     change = read_change(read_forms(file), told.fleet)
     seen, _ = asyncio.run(look(told))
     finish_plan(told, change, seen, out, way, chart, as_json)
 
 
 def finish_plan(
-    told: config.FleetFile,
+    told: fleet_file.FleetConfig,
     change: Change,
     seen: Fleet,
     out: str,
@@ -230,7 +231,7 @@
     if settings.is_plan(data):
         applied(settings.apply_file(file, control), "settings", as_json)
         return
-    told = config.fleet_file(fleet_path)
+    told = fleet_file.fleet_config(fleet_path)
     plan = planning.decode(data, file)
     if plan.fleet != told.name:
         raise planning.PlanError(f"{file}: fleet: the plan is for {plan.fleet!r}, and this is {told.name!r}")
@@ -266,7 +267,7 @@
 
 
 async def carry_out(
-    told: config.FleetFile, plan: planning.Plan, over: bool, quiet: bool
+    told: fleet_file.FleetConfig, plan: planning.Plan, over: bool, quiet: bool
 ) -> tuple[Result, list[str]]:
     """Run the apply under the journal's lock; the first interrupt stops it at a safe point."""
     log = logs.logger("apply")
@@ -315,7 +316,7 @@
 @json_option
 def undo(apply_id: str | None, fleet_path: str, out: str | None, way: str, as_json: bool) -> None:
     """Plan the way back from wherever an apply (the last one) stands; `apply` then carries it out."""
-    told = config.fleet_file(fleet_path)
+    told = fleet_file.fleet_config(fleet_path)
     progress = find(told, apply_id)
     if progress is None:
         raise config.ConfigError("no apply has been begun here: there is nothing to take back")
@@ -332,7 +333,7 @@
     )
 
 
-def find(told: config.FleetFile, apply_id: str | None) -> Progress | None:
+def find(told: fleet_file.FleetConfig, apply_id: str | None) -> Progress | None:
     """An apply of the journal by its id or the beginning of it; the last one without."""
     known = story(told.journal)
     if apply_id is None:
@@ -360,7 +361,7 @@
 @json_option
 def status(apply_id: str | None, fleet_path: str, as_json: bool) -> None:
     """What is done, half done and not done of an apply (the last one); 4 where it stands half way."""
-    told = config.fleet_file(fleet_path)
+    told = fleet_file.fleet_config(fleet_path)
     progress, lock_owner = find(told, apply_id), held_by(told.journal)
     if progress is None:
         say(output.StatusShown(apply=""), as_json, render.status)
@@ -389,7 +390,7 @@
             last=progress.last_at,
             fence=progress.fence,
             by=progress.by,
-            lock_owner=lock_owner if state == "running" else "",
+            holder=lock_owner if state == "running" else "",
             reason=stop.reason if stop else "",
             text=stop.text if stop else "",
             half_done=progress.half_nodes,
@@ -406,7 +407,7 @@
 @json_option
 def history(fleet_path: str, as_json: bool) -> None:
     """All applies of the journal, oldest first."""
-    told = config.fleet_file(fleet_path)
+    told = fleet_file.fleet_config(fleet_path)
     known, lock_owner = story(told.journal), held_by(told.journal)
     entries = [
         output.HistoryEntry(
@@ -430,7 +431,7 @@
 @json_option
 def drift(fleet_path: str, as_json: bool) -> None:
     """What is no longer as the last apply left it; 2 where something is."""
-    told = config.fleet_file(fleet_path)
+    told = fleet_file.fleet_config(fleet_path)
     last = story(told.journal).last
     if last is None:
         say(output.DriftShown(apply="", drift=[]), as_json, render.drift)
--- a/weldhatch/cli/rules.py
+++ b/weldhatch/cli/rules.py
@@ -50,8 +50,8 @@
 def desk(pull_file: str, control: str | None) -> reconfiguration.Gateway:
     """Where the group is asked. Raises ConfigError naming the key that is missing."""
     if control:
-        return reconfiguration.Gateway(config.endpoint("--control", control))
-    told = config.agreement(config.pull_queue_tree(pull_file))
+        return reconfiguration.Gateway(config.parse_endpoint("--control", control))
+    told = config.cluster_config(config.read_pull_queue_file(pull_file))
     if told is None or told.control is None:
         raise config.ConfigError(f"{pull_file}: agreement.control is missing: where the group is asked")
     return reconfiguration.Gateway(told.control)
@@ -66,9 +66,9 @@
 
 def settings_of(path: str) -> dict:
     """The settings of a pull queue's file, or of a file of settings alone. Raises ConfigError."""
-    tree = config.pull_queue_tree(path)
+    tree = config.read_pull_queue_file(path)
     settings = tree.get("settings", tree)
-    config.settings_of_json(settings)
+    config.settings_from_json(settings)
     return settings
 
 
--- a/weldhatch/cli/settings.py
+++ b/weldhatch/cli/settings.py
@@ -26,8 +26,8 @@
 
 def plan_file(path: str, out: str, control: str | None) -> dict:
     """Make the plan that turns the running gateway into what a file says, and write it to `out`."""
-    target = config.pull_queue_tree(path)
-    config.pull_queue(target)
+    target = config.read_pull_queue_file(path)
+    config.pull_queue_config(target)
     made = reconfiguration.make(
         reconfiguration.Gateway(reconfiguration.address(target, control)).applied(), target
     )
--- a/weldhatch/cli/sites.py
+++ b/weldhatch/cli/sites.py
@@ -15,7 +15,7 @@
 control = click.option(
     "--control",
     metavar="HOST:PORT",
-    default=config.PULL_DEFAULTS["control"] or None,
+    default=config.PULL_QUEUE_DEFAULTS["control"] or None,
     help="The running gateway's control address.",
 )
 pull_file = click.option(
@@ -35,7 +35,7 @@
 
 def gateway(file: str, address: str | None) -> reconfiguration.Gateway:
     return reconfiguration.Gateway(
-        reconfiguration.address({} if address else config.pull_queue_tree(file), address)
+        reconfiguration.address({} if address else config.read_pull_queue_file(file), address)
     )
 
 
--- a/weldhatch/cli/zones.py
+++ b/weldhatch/cli/zones.py
@@ -179,7 +179,7 @@
     from weldhatch import config
     from weldhatch.cli.zones_chart import draw  # matplotlib: imported where it is used
 
-    told = config.json_file(saved) if saved else desk(pull_file, control).call("GET", "zones")
+    told = config.read_json_file(saved) if saved else desk(pull_file, control).call("GET", "zones")
     timeline = (told.get("seen_by_leader") or {}).get("timeline", [])
     if not timeline:
         click.echo("weldhatch: nothing has been left since this leader was elected", err=True)
--- a/weldhatch/cluster/control_api.py
+++ b/weldhatch/cluster/control_api.py
@@ -230,7 +230,7 @@
             case {"add": dict(add)} if add and all(isinstance(at, str) for at in add.values()):
                 for name, address in add.items():
                     try:
-                        config.endpoint(f"add.{name}", address)
+                        config.parse_endpoint(f"add.{name}", address)
                     except config.ConfigError as fault:
                         raise HttpError(400, str(fault), "add") from None
                 return await self._decide({"do": "voters", "add": add})
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -69,19 +69,19 @@
 
     def __init__(
         self,
-        told: config.AgreementFile,
+        told: config.ClusterConfig,
         tree: dict,
         front: Front,
         log: Callable[[str], None],
         unix: Callable[[], float],
-        zones: config.ZonesFile | None = None,
+        zones: config.ZonesConfig | None = None,
     ) -> None:
         """`tree`: the settings of this process's own file, proposed where a group has none yet; `zones`:
         where the group leaves zones that fail."""
         self._front, self._log, own = front, log, front.settings
 
         def read(tree: dict) -> Settings:
-            settings = config.settings_of_json(tree)
+            settings = config.settings_from_json(tree)
             return replace(settings, zone=own.zone, me=own.me, tick_us=own.tick_us)
 
         def fits(settings: Settings) -> str:
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -10,7 +10,7 @@
 
 from weldhatch.cluster.peers import PeerLinks
 from weldhatch.cluster.storage import ClusterStore
-from weldhatch.config import AgreementFile, ConfigError
+from weldhatch.config import ClusterConfig, ConfigError
 from weldhatch.consensus.messages import Message
 from weldhatch.coordination import node
 from weldhatch.coordination.leader import LeaseTiming
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        told: AgreementFile,
+        told: ClusterConfig,
         read: Callable[[dict], Settings],
         fits: Callable[[Settings], str],
         first: dict,
--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -10,7 +10,7 @@
 
 from weldhatch.cluster import codec
 from weldhatch.cluster.storage import ClusterStore
-from weldhatch.config import AgreementFile
+from weldhatch.config import ClusterConfig
 from weldhatch.consensus.messages import Message
 from weldhatch.coordination.messages import GroupMessage
 from weldhatch.net.descriptor_budget import Budget, Share
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        told: AgreementFile,
+        told: ClusterConfig,
         book: ClusterStore,
         up: Callable[[str], None],
         down: Callable[[str], None],
--- /dev/null
+++ b/weldhatch/config/__init__.py
@@ -0,0 +1,47 @@
+"""Configuration: the one place where settings, files and the environment are read and checked.
+
+One module a format: `settings` (of the decisions, as text or JSON), `platform_file` (what the platform starts
+a dispatcher with), `pull_queue_file` with the tables `site_table`, `cluster_table` and `zone_table`, and
+`fleet_file` (of the commands `weldhatch fleet`, which alone import it). Whatever can't be used raises
+`ConfigError`, whose text names the faulty key.
+"""
+
+from weldhatch.config.cluster_table import ClusterConfig, cluster_config
+from weldhatch.config.errors import ConfigError
+from weldhatch.config.platform_file import PlatformConfig, platform_config
+from weldhatch.config.pull_queue_file import (
+    PULL_QUEUE_DEFAULTS,
+    PullQueueConfig,
+    PullQueueTiming,
+    SecurityConfig,
+    pull_queue_config,
+    pull_queue_leaves,
+    read_pull_queue_file,
+)
+from weldhatch.config.reading import parse_endpoint, read_json_file, read_toml_file
+from weldhatch.config.settings import settings_from_json, settings_from_text
+from weldhatch.config.site_table import SitesConfig
+from weldhatch.config.zone_table import ZonesConfig, zones_config
+
+__all__ = [
+    "PULL_QUEUE_DEFAULTS",
+    "ClusterConfig",
+    "ConfigError",
+    "PlatformConfig",
+    "PullQueueConfig",
+    "PullQueueTiming",
+    "SecurityConfig",
+    "SitesConfig",
+    "ZonesConfig",
+    "cluster_config",
+    "parse_endpoint",
+    "platform_config",
+    "pull_queue_config",
+    "pull_queue_leaves",
+    "read_json_file",
+    "read_pull_queue_file",
+    "read_toml_file",
+    "settings_from_json",
+    "settings_from_text",
+    "zones_config",
+]
--- /dev/null
+++ b/weldhatch/config/cluster_table.py
@@ -0,0 +1,108 @@
+"""The table `agreement` of a pull queue's file: the group of dispatchers that agree on their settings."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from weldhatch.config.errors import ConfigError
+from weldhatch.config.reading import (
+    Endpoint,
+    Tree,
+    check_keys,
+    check_texts,
+    duration_s,
+    parse_endpoint,
+    parse_endpoints,
+    parse_loopback_endpoint,
+    value_of,
+    whole_number,
+)
+
+DEFAULTS: dict[str, Any] = {
+    "listen": "",
+    "control": "",
+    "stated": 2.0,
+    "drift": 0.02,
+    "sockets": 256,
+    "keys": "",
+    "invited": [],
+}
+REQUIRED = ("name", "store", "voters")
+CLOCK_DRIFT_MOST = 0.2
+SOCKETS_LEAST = 8
+SOCKETS_MOST = 100_000
+OVERLAP_LEAST_S = 0.5
+
+
+@dataclass(slots=True, frozen=True)
+class ClusterConfig:
+    """One dispatcher's place in its cluster."""
+
+    name: str  # of this dispatcher, in the cluster
+    listen: Endpoint | None  # where others reach this dispatcher; None: it never votes
+    control: Endpoint | None  # where `weldhatch rules` and `peers` reach it
+    store: str  # the folder of the log
+    voters: Mapping[str, Endpoint]  # the first voters, and where they are reached
+    invited: tuple[str, ...]  # dispatchers that may connect, besides voters; '*' for all
+    stated: float  # seconds for longer than which no two act on settings that contradict each other
+    drift: float  # by what part two clocks may run apart
+    sockets: int  # connections at a time
+    keys: str = ""  # a folder of `weldhatch keys`, for mutual TLS; '' for none
+
+
+def cluster_config(tree: Tree) -> ClusterConfig | None:
+    """Read the table; None without it: a dispatcher that agrees with nobody.
+
+    Raises:
+        ConfigError: a key is unknown, missing or can't be used.
+    """
+    table: Tree = value_of(tree, "agreement", dict, {})
+    if not table:
+        return None
+    check_keys("agreement", table, (*DEFAULTS, *REQUIRED))
+    check_texts("agreement", table, ("name", "store"))
+    values = {**DEFAULTS, **table}
+    voters = _voters(table)
+    if table["name"] in voters and not values["listen"]:
+        raise ConfigError("agreement.listen is missing: a voter has to be reached")
+    invited = _invited(values["invited"])
+    control = parse_loopback_endpoint("agreement.control", value_of(values, "control", str))
+    drift = _drift(values["drift"])
+    sockets = whole_number(
+        "agreement.sockets", values["sockets"], SOCKETS_LEAST, SOCKETS_MOST, "a whole number from 8 on"
+    )
+    return ClusterConfig(
+        name=table["name"],
+        listen=parse_endpoint("agreement.listen", values["listen"]) if values["listen"] else None,
+        control=control,
+        store=table["store"],
+        voters=voters,
+        invited=invited,
+        stated=duration_s("agreement.stated", values["stated"], OVERLAP_LEAST_S),
+        drift=drift,
+        sockets=sockets,
+        keys=value_of(values, "keys", str),
+    )
+
+
+def _voters(table: Tree) -> dict[str, Endpoint]:
+    addresses = table.get("voters")
+    if not isinstance(addresses, dict) or not addresses:
+        raise ConfigError("agreement.voters is missing: each voter with the address where it listens")
+    return parse_endpoints("agreement.voters", addresses)
+
+
+def _invited(value: object) -> tuple[str, ...]:
+    if not isinstance(value, list) or not all(isinstance(name, str) for name in value):
+        raise ConfigError(f"agreement.invited has the unusable value {value!r}: a list of names")
+    return tuple(value)
+
+
+def _drift(value: object) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= CLOCK_DRIFT_MOST:
+        raise ConfigError(
+            f"agreement.drift has the unusable value {value!r}: a part from 0 to {CLOCK_DRIFT_MOST}"
+        )
+    return float(value)
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable, Iterable
 
-from weldhatch.config import Timing
+from weldhatch.config import PullQueueTiming
 from weldhatch.core import ports
 from weldhatch.core.ports import LetGo
 from weldhatch.pullqueue import durable_state
@@ -39,7 +39,7 @@
     def __init__(
         self,
         settings: Settings,
-        timing: Timing,
+        timing: PullQueueTiming,
         ledger: Ledger,
         operators: Operators,
         book: QueueStorage | NoStorage,
--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -108,7 +108,7 @@
                 409, "settings: they are the group's; plan them apart from the other keys", "settings"
             )
         try:
-            config.pull_queue(target)
+            config.pull_queue_config(target)
         except config.ConfigError as fault:
             raise HttpError(400, str(fault), str(fault).split(" ")[0]) from None
         number = await self.governor.control_api.propose_and_wait(
@@ -125,7 +125,7 @@
         if plan.get("base") != reconfiguration.fingerprint(self._tree):
             raise HttpError(409, "base: the applied configuration has moved on; make a new plan", "base")
         try:
-            told = config.pull_queue(target)
+            told = config.pull_queue_config(target)
         except config.ConfigError as fault:
             raise HttpError(400, str(fault), str(fault).split(" ")[0]) from None
         if not told.enabled:
@@ -186,9 +186,9 @@
             raise HttpError(503, f"states: {fault}") from None
         return {"machine": machine, "state": word.state, "fence": word.fence}
 
-    def _try_addresses(self, told: config.PullQueueFile) -> None:
+    def _try_addresses(self, told: config.PullQueueConfig) -> None:
         """A restart that could not listen again would leave nothing running: it is tried first."""
-        now = config.pull_queue(self._tree)
+        now = config.pull_queue_config(self._tree)
         for address, held in ((told.listen, now.listen), (told.control, now.control)):
             if address is not None and address not in (now.listen, now.control) and address != held:
                 with socket.socket() as trial:
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -9,7 +9,7 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch.config import ConfigError, PullQueueFile
+from weldhatch.config import ConfigError, PullQueueConfig
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Decider, Rules
 from weldhatch.core.request_lifecycle import Core
@@ -46,7 +46,7 @@
 class PullQueue:
     """Listens, routes, and ends in an orderly way. Owns its connections."""
 
-    def __init__(self, told: PullQueueFile, policy: Decider, log: Callable[[str], None]) -> None:
+    def __init__(self, told: PullQueueConfig, policy: Decider, log: Callable[[str], None]) -> None:
         self._log, self._told, settings = log, told, told.settings
         self.settings = settings  # those that are in force
         self.endpoint_list = None  # machines make themselves known here
@@ -269,7 +269,7 @@
         stay."""
         self.security.load()
 
-    def reconfigure(self, told: PullQueueFile) -> None:
+    def reconfigure(self, told: PullQueueConfig) -> None:
         """Take over all that can change while it runs. What can fail comes first: wholly or not at all."""
         listener = self.listener
         if told.listen != self._told.listen:
--- a/weldhatch/pullqueue/reconfiguration.py
+++ b/weldhatch/pullqueue/reconfiguration.py
@@ -18,7 +18,7 @@
 
 
 def fingerprint(tree: Mapping) -> str:
-    leaves = json.dumps(config.pull_leaves(tree), sort_keys=True)
+    leaves = json.dumps(config.pull_queue_leaves(tree), sort_keys=True)
     return hashlib.sha256(leaves.encode()).hexdigest()
 
 
@@ -28,7 +28,7 @@
 
 def changes(old: Mapping, new: Mapping) -> list[dict]:
     """The keys that differ, each with its old and its new value; null where it is not there."""
-    before, after = config.pull_leaves(old), config.pull_leaves(new)
+    before, after = config.pull_queue_leaves(old), config.pull_queue_leaves(new)
     return [
         {"key": key, "from": before.get(key), "to": after.get(key), "restart": needs_restart(key)}
         for key in sorted(before.keys() | after.keys())
@@ -38,11 +38,11 @@
 
 def make(applied: Mapping, target: dict) -> dict:
     """The plan that turns what is applied into the target."""
-    config.pull_queue(target)
+    config.pull_queue_config(target)
     plan = {
         "version": VERSION,
         "base": fingerprint(applied),
-        "then": config.pull_leaves(applied),
+        "then": config.pull_queue_leaves(applied),
         "target": target,
         "changes": changes(applied, target),
     }
@@ -58,7 +58,7 @@
 def moved(plan: Mapping, applied: Mapping) -> list[tuple[str, str, str, str]]:
     """What has moved since the plan was made: key, as planned, then, now. All keys of the file are its
     base."""
-    then, now = plan["then"], config.pull_leaves(applied)
+    then, now = plan["then"], config.pull_queue_leaves(applied)
     planned = {change["key"]: change["to"] for change in plan["changes"]}
     return [
         (
@@ -89,7 +89,7 @@
 
 
 def read(path: str) -> dict:
-    plan = config.json_file(path)
+    plan = config.read_json_file(path)
     if plan.get("version") != VERSION or not isinstance(plan.get("target"), dict) or "base" not in plan:
         raise config.ConfigError(f"{path}: version: this is no plan of version {VERSION}")
     if plan.get("checksum") != checksum(plan):
@@ -150,7 +150,7 @@
 
 
 def address(tree: Mapping, override: str | None) -> tuple[str, int]:
-    text = override or tree.get("control") or config.PULL_DEFAULTS["control"]
+    text = override or tree.get("control") or config.PULL_QUEUE_DEFAULTS["control"]
     if not text:
         raise config.ConfigError("control is missing: it says where the running gateway is reached")
-    return config.endpoint("control", text)
+    return config.parse_endpoint("control", text)
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from weldhatch.config import ConfigError, PullQueueFile
+from weldhatch.config import ConfigError, PullQueueConfig
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.request_lifecycle import Core
@@ -90,7 +90,7 @@
 
 
 def build(
-    told: PullQueueFile,
+    told: PullQueueConfig,
     settings: Settings,
     driver: Driver,
     core: Core,
--- a/weldhatch/pullqueue/security.py
+++ b/weldhatch/pullqueue/security.py
@@ -11,7 +11,7 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch.config import ConfigError, SecurityFile
+from weldhatch.config import ConfigError, SecurityConfig
 from weldhatch.net.tls import shake_hands
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
@@ -23,7 +23,7 @@
 class Security:
     """The gateway's certificate and keyring. `load` reads both anew; open connections keep what they have."""
 
-    def __init__(self, told: SecurityFile) -> None:
+    def __init__(self, told: SecurityConfig) -> None:
         self._told = told
         self._context: ssl.SSLContext | None = None
         self._keyring = None
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        told: config.Platform,
+        told: config.PlatformConfig,
         log: Callable[[str], None],
         endpoint_list: ListObserver | None = None,
         alone: StandaloneZones | None = None,
@@ -132,7 +132,7 @@
         """Machines that count for less, or for more again, than our own list said last."""
         self.driver.tell(MachinesChanged(ListForm.DELTA, machines, self.endpoint_list.rev))
 
-    def reconfigure(self, told: config.Platform) -> None:
+    def reconfigure(self, told: config.PlatformConfig) -> None:
         """Take over what can change while it runs: the address of the event bus, and events we missed."""
         for event in told.known:
             self._told(event)
@@ -177,8 +177,8 @@
     """The fronts of this process, from their start to their planned end."""
 
     def __init__(self, pull_file: str) -> None:
-        tree = config.pull_queue_tree(pull_file) if os.path.exists(pull_file) else {}
-        pull = config.pull_queue(tree) if tree else None
+        tree = config.read_pull_queue_file(pull_file) if os.path.exists(pull_file) else {}
+        pull = config.pull_queue_config(tree) if tree else None
         self.stop, self.next_tree, self.fronts = asyncio.Event(), None, []
         self._gateway: Gateway | None = None
         # Before anything says that it listens: guards against a signal that comes on that word and, with
@@ -189,7 +189,7 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         control: Control | None = None
         if "PROXY_CONFIG" in os.environ or pull is None or not pull.enabled:
-            told, endpoint_list, alone = config.platform(os.environ), None, None
+            told, endpoint_list, alone = config.platform_config(os.environ), None, None
             if pull is not None and pull.agreement is not None:
                 from weldhatch.cluster.endpoint_list import LocalEndpointList
 
@@ -215,11 +215,11 @@
             )
 
             settings = (
-                config.json_file(os.environ["PROXY_CONFIG"])["settings"]
+                config.read_json_file(os.environ["PROXY_CONFIG"])["settings"]
                 if self._gateway is not None
                 else tree["settings"]
             )
-            zones = pull.zones if pull.zones is not None and not pull.zones.alone else None
+            zones = pull.zones if pull.zones is not None and not pull.zones.standalone else None
             self.front_controller = FrontController(
                 pull.agreement, settings, self.fronts[0], log, time.time, zones
             )
@@ -243,7 +243,7 @@
         if self._gateway is None:
             return
         try:
-            self._gateway.reconfigure(config.platform(os.environ))
+            self._gateway.reconfigure(config.platform_config(os.environ))
         except ValueError as fault:  # a ConfigError, or an event under `known` that can't be read
             log(f"configuration not taken over, the old one stays: {fault}")
         else:
--- a/weldhatch/simulation/scenario_runner.py
+++ b/weldhatch/simulation/scenario_runner.py
@@ -187,7 +187,7 @@
     def gateway(self, name: str) -> None:
         """As `serving.Running` does it, in a process of the play."""
         tree, world = self._tree(name), self.world
-        pull = config.pull_queue(tree)
+        pull = config.pull_queue_config(tree)
 
         def begin() -> None:
             policy = Policy(pull.settings, world.dice().getrandbits(64))
--- a/weldhatch/simulation/zone_scenario.py
+++ b/weldhatch/simulation/zone_scenario.py
@@ -188,7 +188,7 @@
         platform, own = self._files(name)
         path = self.world.folder / f"{name}.json"
         path.write_text(json.dumps(platform))
-        pull, told = config.pull_queue(own), config.platform({"PROXY_CONFIG": str(path)})
+        pull, told = config.pull_queue_config(own), config.platform_config({"PROXY_CONFIG": str(path)})
 
         def begin() -> None:
             endpoint_list = LocalEndpointList()
--- a/weldhatch/simulator_link/codec.py
+++ b/weldhatch/simulator_link/codec.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from weldhatch.config import settings_of_text as parse_settings
+from weldhatch.config import settings_from_text as parse_settings
 from weldhatch.scheduling.actions import (
     Action,
     Cancel,
--- a/weldhatch/testbed/server.py
+++ b/weldhatch/testbed/server.py
@@ -17,6 +17,7 @@
 from tornado.web import Application, RequestHandler
 
 from weldhatch import config
+from weldhatch.config import fleet_file
 from weldhatch.nodes.protocol import Answer, NodeOrder
 from weldhatch.planning.fleet import State
 from weldhatch.testbed.nodes import StandInNode
@@ -86,7 +87,7 @@
         self.say(200, {"effects": [[effect.op, effect.order] for effect in node.effects]})
 
 
-def serve(told: config.FleetFile, drain_s: float) -> list[HTTPServer]:
+def serve(told: fleet_file.FleetConfig, drain_s: float) -> list[HTTPServer]:
     """Listen at every control address of the fleet; nodes that share one are told apart by their path."""
     by_address: dict[str, dict[str, StandInNode]] = {}
     for name, address in told.control.items():
@@ -96,7 +97,7 @@
         by_address.setdefault(address, {})[name] = StandInNode.of(spec, told.fleet.pace, drain_s)
     servers = []
     for address, nodes in by_address.items():
-        host, port = config.endpoint("control", address)
+        host, port = config.parse_endpoint("control", address)
         if not host.startswith("127."):
             raise config.ConfigError(f"control has the unusable value {address!r}: stand-ins are on loopback")
         shared = {"nodes": nodes}
@@ -121,7 +122,7 @@
     parser.add_argument("--drain-s", type=float, default=3.0)
     parser.add_argument("--ready", action="store_true")
     options = parser.parse_args()
-    serve(config.fleet_file(options.fleet), options.drain_s)
+    serve(fleet_file.fleet_config(options.fleet), options.drain_s)
     if options.ready:
         print("stand-in nodes listen", flush=True)
     await asyncio.Event().wait()
--- a/weldhatch/testbed/simulated_cluster.py
+++ b/weldhatch/testbed/simulated_cluster.py
@@ -129,10 +129,10 @@
             saved = PersistentState()
             for word in seat.disk:
                 saved.apply(*word)
-        own = config.settings_of_json(settings())
+        own = config.settings_from_json(settings())
 
         def read(tree: dict) -> Settings:
-            return replace(config.settings_of_json(tree), zone=own.zone)
+            return replace(config.settings_from_json(tree), zone=own.zone)
 
         seat.member = CoordinationNode(
             name,
