--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -73,7 +73,8 @@
 
     def __init__(self, types, policy_type, size: int, seed: int) -> None:
         self.i, self.rng, self.now = types, Random(seed), 1_000_000
-        self.policy = policy_type(_settings(types, 16), seed=seed)
+        self.settings = _settings(types, 16)
+        self.policy = policy_type(self.settings, seed=seed)
         self.size = size
         self.free = {m: [44.0, 106.0] for m in range(1, size + 1)}
         self.timers: list[tuple[int, int, object]] = []  # (when, order, event)
@@ -178,7 +179,7 @@
         cls = world.rng.choice((0, 0, 0, 1, 2))
         cores, memory = world.rng.choice(((1.0, 2.0), (2.0, 4.0), (4.0, 8.0)))
         world.asks[k] = (cores, memory)
-        deadline = world.now + world.policy._s.classes[cls].deadline_us
+        deadline = world.now + world.settings.classes[cls].deadline_us
         world.handle(
             [
                 weldhatch.RequestArrived(
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -99,6 +99,7 @@
     """Drives one policy by hand, firing its timers on the way."""
 
     def __init__(self, settings, machines=(), seed=7):
+        self.settings = settings
         self.policy = Policy(settings, seed)
         self.now = 100 * SECOND
         self.timers = []
@@ -106,6 +107,16 @@
         self.requests = 0
         self.send(MachinesChanged(ListForm.CACHED, tuple(machines)))
 
+    @property
+    def machine_records(self):
+        """What the policy knows of each machine, by its id."""
+        return self.policy._cluster.machines
+
+    @property
+    def request_records(self):
+        """What the policy knows of each request, by its id."""
+        return self.policy._cluster.requests
+
     def send(self, *events):
         actions = self.policy.handle(self.now, list(events))
         for action in actions:
@@ -129,7 +140,7 @@
 
     def arrive(self, service=1, cores=1.0, memory=2.0, class_index=0, life=None):
         self.requests += 1
-        cls = self.policy._s.classes[class_index]
+        cls = self.settings.classes[class_index]
         return self.send(
             RequestArrived(
                 self.requests,
--- a/tests/test_alone.py
+++ b/tests/test_alone.py
@@ -121,7 +121,7 @@
             await until(
                 lambda: all(
                     node.entry.state is not MachineState.READY  # in the module's next batch
-                    for node in self.gateway.driver._policy._nodes.values()
+                    for node in self.gateway.driver._policy._cluster.machines.values()
                     if node.entry.zone == 1
                 ),
                 LONG,
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -235,9 +235,9 @@
                 client = self.client()
                 client.ask(f"a{n}")
                 await self.play(f"s1 expect SET_UP a{n}\ns1 send RELEASE a{n} cause=34 topic=queue_full")
-                requests = self.gateway.driver._policy._requests
+                requests = self.gateway.driver._policy._cluster.requests
                 await self.until(
-                    lambda requests=requests: any(r.holds for r in requests.values()), "the request waits"
+                    lambda requests=requests: any(r.backoffs for r in requests.values()), "the request waits"
                 )
                 client.leave(how)
                 await self.judge()
@@ -325,12 +325,12 @@
                 client = self.client()
                 client.ask(f"a{n}")
                 await self.play(f"s1 expect SET_UP a{n}\ns1 send RELEASE a{n} cause=34 topic=no_cores")
-                requests = self.gateway.driver._policy._requests
+                requests = self.gateway.driver._policy._cluster.requests
                 await self.until(
-                    lambda requests=requests: any(r.holds for r in requests.values()), "the request waits"
+                    lambda requests=requests: any(r.backoffs for r in requests.values()), "the request waits"
                 )
-                for node in self.gateway.driver._policy._nodes.values():
-                    node.refused = (0, 0.0, 0.0)  # the machine may be drawn again at once
+                for node in self.gateway.driver._policy._cluster.machines.values():
+                    node.decline(0, 0.0, 0.0)  # the machine may be drawn again at once
                 client.leave(how)
                 time.sleep(0.5)  # the loop is held up past the end of the wait
                 await self.judge()
--- a/tests/test_health_check.py
+++ b/tests/test_health_check.py
@@ -91,7 +91,10 @@
         """Guards against paying for a test of life and for a probe of the same server."""
         await self.play(PLACED)
         (link,) = self.gateway.servers._links.values()
-        (node,) = self.gateway.driver._policy._nodes.values()
+        (node,) = self.gateway.driver._policy._cluster.machines.values()
         self.parties["s1"].report = "x0:31;x1:77"
         self.gateway.servers.test(link)
-        await self.until(lambda: node.asked.told == (31.0, 77.0), "the module hears the report")
+        await self.until(
+            lambda: (node.unreserved.reported_cores, node.unreserved.reported_memory) == (31.0, 77.0),
+            "the module hears the report",
+        )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -191,7 +191,7 @@
     roots = {one.split(".")[0] for one in imported(MODULES[name])}
     seeded = (
         "weldhatch.scheduling.policy",
-        "weldhatch.scheduling.cluster_state",
+        "weldhatch.scheduling.context",
         "weldhatch.consensus.raft",
         "weldhatch.coordination.node",
         "weldhatch.zones.failover_member",
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -111,7 +111,7 @@
         def forgotten():
             """Once its last offer counts no more, the next word of the list makes the module forget it."""
             self.bus.add([target])
-            return set(self.gateway.driver._policy._nodes) == {number_of("u-4")}
+            return set(self.gateway.driver._policy._cluster.machines) == {number_of("u-4")}
 
         await self.until(forgotten, "one node")
         await self.play(SEND.format("a2", "unsafe") + "s1 send ANSWER a2\nowner expect STARTED a2")
--- a/tests/test_pins_policy.py
+++ b/tests/test_pins_policy.py
@@ -272,7 +272,7 @@
             self.disturb(step)
             self.until(self.now + self.random.choice(self.scenario.gap_us))
         self.until(self.now + 20 * SECOND)
-        self.digests.add(f"chance after all: {self.policy._random.random()!r}")
+        self.digests.add(f"chance after all: {self.policy._context.random.random()!r}")
         return self.digests.finish()
 
     def until(self, end):
@@ -436,7 +436,7 @@
         turns = self.scenario.resettle
         if turns and step % 100 == 99:
             self.settings = turns[step // 100 % len(turns)]
-            self.policy.settle(self.settings)
+            self.policy.reconfigure(self.settings)
 
     def arrival(self):
         rnd = self.random
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -6,7 +6,6 @@
 import pytest
 from conftest import SECOND, Driver, machines, make_class, make_settings, of
 
-import weldhatch.scheduling.policy as module
 from weldhatch import (
     AttemptEnded,
     Cancel,
@@ -32,7 +31,11 @@
     TaskAdopted,
     Topic,
 )
-from weldhatch.scheduling.policy import ABSENT, FAULTS, HOME, RANKED, STALE_US, STARTING, _rank
+from weldhatch.scheduling import sampling
+from weldhatch.scheduling.capacity import STALE_US
+from weldhatch.scheduling.outliers import FAULTS
+from weldhatch.scheduling.ranking import ABSENT, HOME, MOST_UNSTARTED
+from weldhatch.scheduling.sampling import RANKED, rendezvous_rank
 
 
 def ended(request, machine, outcome, attempt=0, **changes):
@@ -182,9 +185,9 @@
 
     def counted(service, machine):
         calls.append(machine)
-        return _rank(service, machine)
+        return rendezvous_rank(service, machine)
 
-    monkeypatch.setattr(module, "_rank", counted)
+    monkeypatch.setattr(sampling, "rendezvous_rank", counted)
     homes = {driver.place(service=9)[0].machine}
     first = len(calls)
     for _ in range(4):
@@ -240,7 +243,7 @@
 
 def test_homes_follow_the_whole_order_where_the_first_ranked_are_all_left_out():
     fleet = machines(RANKED + 8)
-    order = sorted(fleet, key=lambda m: _rank(3, m.id))
+    order = sorted(fleet, key=lambda m: rendezvous_rank(3, m.id))
     draining = {m.id for m in order[: RANKED + 1]}
     driver = Driver(make_settings(), fleet)
     driver.place(service=3)  # ranks the service on this list
@@ -251,7 +254,7 @@
         )
     )
     driver.arrive(service=3)
-    request = driver.policy._requests[driver.requests]
+    request = driver.request_records[driver.requests]
     assert [n.entry.id for n in request.homes] == [m.id for m in order if m.id not in draining][:2]
 
 
@@ -294,7 +297,7 @@
     empty, calm, crowded = (31.0, 62.0), (20.0, 40.0), (-24.0, 0.0)
     assert 1 not in crowd({1: crowded, 2: empty, 3: empty, 4: empty, 5: crowded})
     assert 1 in crowd({1: calm, 2: empty, 3: empty, 4: empty, 5: crowded})
-    *_, last = sorted((2, 3, 4), key=lambda machine: _rank(1, machine))  # no home by its rank
+    *_, last = sorted((2, 3, 4), key=lambda machine: rendezvous_rank(1, machine))  # no home by its rank
     assert set(crowd({**dict.fromkeys((1, 2, 3, 4, 5), crowded), last: empty})) == {last}
 
 
@@ -303,23 +306,23 @@
     """Guards against evictions: what is ranked by memory must not be outdone by cores."""
     driver = Driver(make_settings(classes=(make_class(calm=0.8),), report_fields=("x0", "x1")), machines(1))
     driver.answer(driver.arrive(), {1: (-10.0, memory)})
-    policy = driver.policy
-    assert policy._crowded(policy._requests[1], policy._nodes[1]) is crowded
+    ranking = driver.policy._ranking
+    assert ranking.is_crowded(driver.request_records[1], driver.machine_records[1]) is crowded
 
 
 def test_a_machine_with_tasks_not_started_yet_is_no_home_for_further_programs():
     driver = Driver(make_settings(report_fields=("x0", "x1"), confirms_running=False), machines(1))
-    [n] = driver.policy._nodes.values()
-    for request in range(1, STARTING + 1):
+    [n] = driver.machine_records.values()
+    for request in range(1, MOST_UNSTARTED + 1):
         driver.place(service=request)
         driver.send(Placed(request, 0, 1, 1000))
-    request = driver.policy._requests[1]
+    request = driver.request_records[1]
     request.service, request.homes = 99, []
-    assert driver.policy._tier(request, n) == ABSENT
+    assert driver.policy._ranking.tier(request, n) == ABSENT
     driver.send(Note(1, 0, 1, Topic.RUNS, 0.0))
-    assert driver.policy._tier(request, n) == HOME
+    assert driver.policy._ranking.tier(request, n) == HOME
     driver.send(ended(2, 1, Outcome.OK, closed=True))
-    assert not n.starting - set(range(3, STARTING + 1))
+    assert not n.unstarted - set(range(3, MOST_UNSTARTED + 1))
 
 
 @pytest.mark.parametrize(
@@ -345,7 +348,7 @@
         driver.place(service=n)
         driver.send(ended(n, 1, Outcome.ERROR, closed=True))
         driver.wait(SECOND)
-    assert driver.policy._nodes[1].suspects
+    assert driver.machine_records[1].outlier_periods
     driver.send(MachinesChanged(ListForm.DELTA, tuple(machines(8))))
     later = [o.machine for n in range(30) for o in driver.place(service=100 + n)]
     assert later and 1 not in later
@@ -356,10 +359,10 @@
     driver = Driver(make_settings(max_attempts=4), machines(3))
     [first] = driver.place()
     [second] = of(driver.answer(driver.send(ended(1, first.machine, Outcome.ERROR))), Offer)
-    assert not any(n.suspects for n in driver.policy._nodes.values())
+    assert not any(n.outlier_periods for n in driver.machine_records.values())
     # A second machine says the same: it is the request, and the others are spared it.
     assert of(driver.send(ended(1, second.machine, Outcome.ERROR, attempt=1)), Reject)
-    assert not any(n.faults for n in driver.policy._nodes.values())
+    assert not any(n.faults for n in driver.machine_records.values())
 
 
 def test_a_machine_is_a_suspect_once_another_takes_what_it_answered_with_an_error():
@@ -369,7 +372,7 @@
     [second] = of(driver.answer(driver.send(ended(1, first.machine, Outcome.ERROR))), Offer)
     assert second.machine != first.machine
     driver.send(Placed(1, 1, second.machine, 1000))
-    assert [n.entry.id for n in driver.policy._nodes.values() if n.suspects] == [first.machine]
+    assert [n.entry.id for n in driver.machine_records.values() if n.outlier_periods] == [first.machine]
 
 
 def test_what_breaks_with_one_connection_is_one_fault():
@@ -377,8 +380,8 @@
     for _ in range(FAULTS):
         driver.place()
     driver.send(*(ended(n + 1, 1, Outcome.RESET) for n in range(FAULTS)))
-    [n] = driver.policy._nodes.values()
-    assert n.faults == 1 and not n.suspects
+    [n] = driver.machine_records.values()
+    assert n.faults == 1 and not n.outlier_periods
 
 
 def test_a_machine_full_without_a_reason_is_drawn_last_for_that_class_alone():
@@ -476,7 +479,7 @@
 
 def test_a_smaller_share_of_a_cold_machine_holds_for_machines_known_before():
     driver = Driver(make_settings(may_probe=False, warm_up_offers=8), [Machine(1, born_us=100 * SECOND)])
-    driver.policy.settle(make_settings(may_probe=False, warm_up_offers=8, group_size=8))
+    driver.policy.reconfigure(make_settings(may_probe=False, warm_up_offers=8, group_size=8))
     for n in range(1, 20):
         driver.arrive(service=n)
         for offer in of(driver.log[-2:], Offer):
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -335,7 +335,7 @@
         await self.until(lambda: self.bus.writers, "the bus is read")
         gone = self.target("s1", "gone")
         self.bus.add([gone, gone])
-        nodes = self.gateway.driver._policy._nodes
+        nodes = self.gateway.driver._policy._cluster.machines
         await self.until(lambda: not nodes, "the module heard that the server has gone")
 
     async def test_a_move_of_the_bus_during_a_dial_leaves_one_connection_and_no_slot_behind(self):
--- a/weldhatch/core/policy_driver.py
+++ b/weldhatch/core/policy_driver.py
@@ -39,7 +39,7 @@
 
     def rule(self, settings: Settings) -> None:
         """Other settings are in force from the next batch on."""
-        self._policy.settle(settings)
+        self._policy.reconfigure(settings)
 
     def forget(self, request: int) -> None:
         self._lives.pop(request, None)
--- a/weldhatch/scheduling/__init__.py
+++ b/weldhatch/scheduling/__init__.py
@@ -1,1 +1,5 @@
-"""The placement decisions: policy, its records and its types. No I/O; clock and randomness are arguments."""
+"""The decisions: which machine a task is offered to, and when to try again or give up.
+
+`policy.Policy` is the entry. Deciding code does no I/O and takes the time and the seed as arguments. The
+vocabulary is in `types`, `events` and `actions`; docs/design.md describes the mechanism.
+"""
