--- a/tests/test_pins_wire.py
+++ b/tests/test_pins_wire.py
@@ -21,6 +21,7 @@
     SetTimer,
     Subscribe,
 )
+from weldhatch.config import settings_of_text
 from weldhatch.simulator_link import adapter, codec
 
 RECORD = "pins_wire.json"
@@ -246,7 +247,7 @@
 def observed():
     """All that this file pins."""
     return {
-        "settings": pins.lines(codec.parse_settings(SETTINGS)),
+        "settings": pins.lines(settings_of_text(SETTINGS)),
         "read": {name: read(*batch) for name, batch in batches().items()},
         "written": {name: codec.encode_reply([(9, [action])]).hex() for name, action in ACTIONS.items()},
         "together": codec.encode_reply([(3, list(ACTIONS.values())), (4, []), (5, [Log("x")])]).hex(),
--- a/tests/test_wire.py
+++ b/tests/test_simulator_link.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from weldhatch.config import settings_of_text
 from weldhatch.scheduling.actions import (
     Cancel,
     Fail,
@@ -177,7 +178,7 @@
 
 
 def test_settings_that_start_an_instance():
-    settings = codec.parse_settings(SETTINGS)
+    settings = settings_of_text(SETTINGS)
     assert settings.classes[0].effect is Effect.KEYED and settings.classes[0].group is Scope.CELL
     assert settings.kinds[1] == MachineKind("node-big", 61.0, 179.0)
     assert settings.classes[0].spread_most == 3 and not settings.reports_asked
@@ -195,7 +196,7 @@
 )
 def test_a_missing_required_key_is_named(line, key):
     with pytest.raises(ValueError, match=key):
-        codec.parse_settings(SETTINGS.replace(line, b""))
+        settings_of_text(SETTINGS.replace(line, b""))
 
 
 @pytest.mark.parametrize(
@@ -209,7 +210,7 @@
 )
 def test_an_unusable_value_is_named(old, new, key):
     with pytest.raises(ValueError, match=key):
-        codec.parse_settings(SETTINGS.replace(old, new))
+        settings_of_text(SETTINGS.replace(old, new))
 
 
 def test_input_that_ends_between_frames_is_the_end():
--- a/weldhatch/scheduling/actions.py
+++ b/weldhatch/scheduling/actions.py
@@ -20,6 +20,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
+    """Take an open attempt back; its end is still reported."""
+
     request: int
     attempt: int
 
@@ -41,32 +43,42 @@
 
 @dataclass(slots=True, frozen=True)
 class Migrate:
+    """Have a running task placed anew elsewhere."""
+
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
+    """Ask a machine for its load; `ProbeAnswered` brings the result."""
+
     machine: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
+    """Send `TimerFired` with this number after a wait."""
+
     after_us: int
     timer: int
 
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
+    """Start the subscription to lists of machines, or end it."""
+
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchList:
-    pass
+    """Ask for the full list of machines once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
+    """Write a line to the host program's log."""
+
     text: str
 
 
--- a/weldhatch/scheduling/events.py
+++ b/weldhatch/scheduling/events.py
@@ -10,6 +10,8 @@
 
 @dataclass(slots=True, frozen=True)
 class MachinesChanged:
+    """A list of machines: the changes to the one before, or all of it."""
+
     form: ListForm
     machines: tuple[Machine, ...] = ()
     version: int = 0
@@ -49,6 +51,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Placed:
+    """A machine has taken the task of an offer."""
+
     request: int
     attempt: int
     machine: int
@@ -57,6 +61,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Note:
+    """Something about a running task or its machine; `topic` is one of `types.Topic`, or unknown."""
+
     request: int
     attempt: int
     machine: int
@@ -80,6 +86,8 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestAbandoned:
+    """The caller has gone away or given up: no answer is owed any more."""
+
     request: int
 
 
@@ -98,6 +106,8 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
+    """The wait of a `SetTimer` is over."""
+
     timer: int
 
 
--- a/weldhatch/scheduling/types.py
+++ b/weldhatch/scheduling/types.py
@@ -1,7 +1,8 @@
 """The settings of a policy and the terms that its events and actions share. Types only, no decisions.
 
-Times are integer microseconds on the host program's clock. Machines, requests and services are
-opaque integers: the policy hands them back unchanged and reads nothing into them.
+Times are integer microseconds on the host program's clock; cores are counted in cores, memory in the unit of
+the settings (GB on the platform). Machines, requests and services are opaque integers: the policy hands them
+back unchanged and reads nothing into them.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class Effect(Enum):
-    """What repeating a request can do."""
+    """What repeating a request can do. SAFE and KEYED are idempotent, KEYED within its window and scope."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -64,7 +65,7 @@
 
 
 class Reason(IntEnum):
-    """Why an attempt ended so, where the machine tells."""
+    """Why an attempt ended so, where the machine says."""
 
     UNSPECIFIED = 0
     NO_CORES = 1
@@ -77,7 +78,7 @@
 
 
 class Topic(IntEnum):
-    """What a note on a task tells."""
+    """What a note on a task is about."""
 
     RUNS = 1
     CORES_USED = 2
@@ -88,25 +89,29 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
+    """A class of requests: its objective, what repeating one can do, its priority and its spread."""
+
     name: str
     latency_objective_us: int
-    deadline_us: int
+    deadline_us: int  # from arrival to the final answer
     effect: Effect = Effect.SAFE
-    group: Scope = Scope.ALL
-    window_us: int = 0
+    group: Scope = Scope.ALL  # where the key of a KEYED request is known
+    window_us: int = 0  # for how long after its first attempt
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
     start_priority_weight_s: float = 0.0
-    calm: float = 1.0
-    fade: float = 1.0
-    kind: int = -1
-    priority: int = 0
-    spread_over: Scope = Scope.NONE
+    calm: float = 1.0  # the share of a machine's cores in use up to which the class is served in full
+    fade: float = 1.0  # over this further share its service falls to nothing
+    kind: int = -1  # the one kind of machine that serves it; -1 for any
+    priority: int = 0  # the higher, the sooner served
+    spread_over: Scope = Scope.NONE  # no such scope holds more than `spread_most` tasks of one service
     spread_most: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class MachineKind:
+    """A kind of machine and its size."""
+
     name: str
     cores: float
     memory: float
@@ -114,14 +119,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
+    """Who requests are counted for, with its quotas."""
+
     name: str
-    quota_per_s: float = 0.0
+    quota_per_s: float = 0.0  # starts a second
     portion: float = 0.0
     cores: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Prices:
+    """What the deployment is charged for, in its own unit; 0 where something is free."""
+
     cross_zone: float = 0.0
     fleet: float = 0.0
     moves: float = 0.0
@@ -133,37 +142,37 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What one policy instance is told at its start. An optional field left out has the default here."""
+    """What one policy instance is configured with. An optional field left out has the default here."""
 
     classes: tuple[RequestClass, ...]
     kinds: tuple[MachineKind, ...]
-    zone: int = 0
+    zone: int = 0  # where this dispatcher is, as an index of `zones`
     zones: tuple[str, ...] = ("",)
-    me: int = 0
+    me: int = 0  # this dispatcher's number among `group_size`
     group_size: int = 1
     max_attempts: int = 1
     may_probe: bool = True
     may_cancel: bool = True
     hedged_requests: bool = False
-    retry_after: bool = False
+    retry_after: bool = False  # callers heed a time to stay away
     max_retry_after_us: int = 0
-    subscribe: bool = False
-    tick_us: int = 1000
+    subscribe: bool = False  # lists come only after a `Subscribe`
+    tick_us: int = 1000  # the resolution of the host program's timers
     drain_grace_us: int = 0
     answer_slack_us: int = 0
     poll_within_us: int = 0
-    warm_up_us: int = 0
-    warm_up_offers: float = 1.0
+    warm_up_us: int = 0  # for so long after its start a machine is warming up
+    warm_up_offers: float = 1.0  # it may have so many offers of all dispatchers together in any `fall_us`
     start_capacity: float = 1.0
     tip_multiple: float = 1.0
     fall_us: int = 1_000_000
-    cores_booking: float = 1.0
+    cores_booking: float = 1.0  # tasks may request so many times a machine's cores
     memory_booking: float = 1.0
-    lists_free: bool = False
-    reports_asked: bool = True
-    report_fields: tuple[str, ...] = ()
-    by_service: bool = False
-    confirms_running: bool = True
+    lists_free: bool = False  # lists tell free capacity
+    reports_asked: bool = True  # load reports count what tasks request, not what they use
+    report_fields: tuple[str, ...] = ()  # x0: free cores, x1: free memory, cpu: cores in use, 0 to 1
+    by_service: bool = False  # all requests of a service come to one dispatcher
+    confirms_running: bool = True  # `Placed` tells that the task runs, not only that it was accepted
     preempts_tasks: bool = False
     reports_usage: bool = False
     pressure_notes: bool = False
@@ -177,14 +186,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Machine:
-    """One entry of a list of machines; the free room is None where lists do not tell it."""
+    """One entry of a list of machines; the free capacity is None where lists do not tell it."""
 
     id: int
-    zone: int = 0
-    kind: int = 0
+    zone: int = 0  # an index of `Settings.zones`
+    kind: int = 0  # an index of `Settings.kinds`
     cell: int = 0
     state: MachineState = MachineState.READY
-    born_us: int = 0
+    born_us: int = 0  # when it started; 0 where that is not known
     free_cores: float | None = None
     free_memory: float | None = None
     weight: float = 1.0
--- a/weldhatch/simulator_link/adapter.py
+++ b/weldhatch/simulator_link/adapter.py
@@ -1,4 +1,4 @@
-"""The loop on standard input and output between the bench and the policies. No decisions.
+"""The loop on standard input and output between the simulator and the policies. No decisions.
 
 Instances share nothing: each has a policy of its own and sees its own events only.
 """
@@ -10,6 +10,7 @@
 import traceback
 from typing import BinaryIO
 
+from weldhatch.scheduling.events import Event
 from weldhatch.scheduling.policy import Policy
 from weldhatch.simulator_link.codec import (
     BATCH_HEADER,
@@ -22,28 +23,31 @@
 )
 
 
-class Host:
+class PolicyHost:
     """The policies of one process, by the number of their instance."""
 
     def __init__(self) -> None:
+        """Start with none."""
         self._decoder = Decoder()
         self._policies: dict[int, Policy] = {}
 
     def reply(self, now: int, body: bytes, count: int) -> bytes:
-        """The frame that answers one batch."""
-        pending: dict[int, list] = {}
-        for who, event in self._decoder.events(body, count):
+        """The frame that answers one batch of `count` records; raise WireError if it is malformed."""
+        pending: dict[int, list[Event]] = {}
+        for instance, event in self._decoder.events(body, count):
             if isinstance(event, Spawn):
-                self._policies[who] = Policy(event.settings, event.seed)
-                pending[who] = []
+                self._policies[instance] = Policy(event.settings, event.seed)
+                pending[instance] = []
             elif isinstance(event, Retire):
-                self._policies.pop(who, None)
-                pending.pop(who, None)
-            elif who not in self._policies:
-                raise WireError(f"an event for instance {who}, which has not started")
+                self._policies.pop(instance, None)
+                pending.pop(instance, None)
+            elif instance not in self._policies:
+                raise WireError(f"an event for instance {instance}, which has not started")
             else:
-                pending.setdefault(who, []).append(event)
-        return encode_reply((who, self._policies[who].handle(now, events)) for who, events in pending.items())
+                pending.setdefault(instance, []).append(event)
+        return encode_reply(
+            (instance, self._policies[instance].handle(now, events)) for instance, events in pending.items()
+        )
 
 
 def _read(stream: BinaryIO, size: int) -> bytes:
@@ -58,9 +62,21 @@
     return b"".join(parts)
 
 
+def _answer(host: PolicyHost, now: int, body: bytes, count: int) -> tuple[bytes, int]:
+    """The frame that answers a batch, and the exit status if it ends the session."""
+    try:
+        return host.reply(now, body, count), 0
+    except WireError as error:
+        print(f"weldhatch: malformed batch: {error}", file=sys.stderr)
+        return encode_fault(f"malformed batch: {error}"), 1
+    except Exception as error:  # the simulator shows what a policy died of
+        traceback.print_exc()
+        return encode_fault(f"{type(error).__name__}: {error}"), 1
+
+
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
     """Answer batches until the input ends; the exit status."""
-    host = Host()
+    host = PolicyHost()
     while True:
         header = _read(source, BATCH_HEADER.size)
         if not header:
@@ -73,14 +89,7 @@
         if len(body) < length:
             print(f"weldhatch: the input ended inside a batch of {length} bytes", file=sys.stderr)
             return 1
-        try:
-            frame, status = host.reply(now, body, count), 0
-        except WireError as error:
-            print(f"weldhatch: malformed batch: {error}", file=sys.stderr)
-            frame, status = encode_fault(f"malformed batch: {error}"), 1
-        except Exception as error:
-            traceback.print_exc()
-            frame, status = encode_fault(f"{type(error).__name__}: {error}"), 1
+        frame, status = _answer(host, now, body, count)
         sink.write(frame)
         sink.flush()
         if status:
--- a/weldhatch/simulator_link/codec.py
+++ b/weldhatch/simulator_link/codec.py
@@ -1,15 +1,18 @@
-"""The binary codec of the bench's wire. No decisions.
+"""The binary codec of the simulator's wire. No decisions.
 
-The wire's own names stay in this file; the rest of the library speaks the terms of `scheduling/types.py`.
+A batch holds records of 56 bytes, then a tail with what does not fit into them; a reply likewise, of 16
+bytes each. All numbers are big-endian. The wire's own names stay in this file, which maps them to the terms
+of `scheduling`.
 """
 
 from __future__ import annotations
 
 import struct
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Sequence
 from dataclasses import dataclass
+from typing import Any
 
-from weldhatch.config import settings_of_text as parse_settings
+from weldhatch.config import settings_of_text
 from weldhatch.scheduling.actions import (
     Action,
     Cancel,
@@ -25,6 +28,7 @@
 )
 from weldhatch.scheduling.events import (
     AttemptEnded,
+    Event,
     MachinesChanged,
     Note,
     Placed,
@@ -36,13 +40,34 @@
 )
 from weldhatch.scheduling.types import ListForm, Machine, MachineState, Outcome, Settings
 
-BATCH_HEADER = struct.Struct(">QII")
-REPLY_HEADER = struct.Struct(">II")
-EVENT_SIZE, ACTION_SIZE, ENTRY_SIZE = 56, 16, 32
-
-_HOST = "IH"
+BATCH_HEADER = struct.Struct(">QII")  # the time in microseconds, the length of the body, the count of records
+REPLY_HEADER = struct.Struct(">II")  # the count of records, the length of the body
+EVENT_SIZE = 56
+ACTION_SIZE = 16
+ENTRY_SIZE = 32  # of a list of hosts
+LAST_LIST_NUMBER = 15
+MOST_REPORT_VALUES = 4
+HOST_STATES = 3
+
+# Codes of event records, by the wire's names.
+PEER = 10
+HEALTH = 20
+CHANGE = 30
+RESIDENT = 40
+TO_PLACE = 50
+ABANDONED = 60
+CHANGED = 70
+SWITCH_TO = 80
+ADMITTED = 90
+SPAWN = 100
+RETIRE = 110
+REGISTER = 120
+TIMER = 130
+REPORT_BACK = 140
+
+_HOST = "IH"  # address and port
 _SPAWN = struct.Struct(">xQII")
-_TWO = struct.Struct(">xH")
+_SWITCH_TO = struct.Struct(">xH")
 _REGISTER = struct.Struct(">xHII")
 _CHANGED = struct.Struct(">xBHQ")
 _TASK = struct.Struct(">xIHHQQIQffH")
@@ -51,25 +76,42 @@
 _CHANGE = struct.Struct(">xI" + _HOST + "BHf")
 _REPORT_BACK = struct.Struct(">xIIIHB" + _HOST + "BBffff")
 _HEALTH = struct.Struct(">xBI" + _HOST + "Bffff")
-_ONE = struct.Struct(">xI")
+_ONE_NUMBER = struct.Struct(">xI")
 _ENTRY = struct.Struct(">" + _HOST + "BfHHfBfQ")
 
-_A_TRY = struct.Struct(">BI" + _HOST + "Ix")
-_A_ID_N = struct.Struct(">BIH9x")
-_A_TWO_INTS = struct.Struct(">BII7x")
-_A_ID = struct.Struct(">BI11x")
-_A_HOST = struct.Struct(">B" + _HOST + "9x")
-_A_FLAG = struct.Struct(">BB14x")
-_A_WHO = struct.Struct(">BH13x")
-_A_BARE = struct.Struct(">B15x")
-
-HINT_VALID, CAME_AGAIN = 1, 16
+# Marks of a task.
+HINT_VALID = 1
+CAME_AGAIN = 16
+
+_OFFER_ACTION = struct.Struct(">BI" + _HOST + "Ix")
+_ATTEMPT_ACTION = struct.Struct(">BIH9x")
+_TWO_NUMBERS_ACTION = struct.Struct(">BII7x")
+_REQUEST_ACTION = struct.Struct(">BI11x")
+_HOST_ACTION = struct.Struct(">B" + _HOST + "9x")
+_FLAG_ACTION = struct.Struct(">BB14x")
+_INSTANCE_ACTION = struct.Struct(">BH13x")
+_BARE_ACTION = struct.Struct(">B15x")
+
+# Codes of action records.
+MIGRATE_CODE = 10
+FAULT_CODE = 20
+CANCEL_CODE = 30
+SUBSCRIBE_CODE = 40
+FETCH_LIST_CODE = 50
+OFFER_CODE = 60
+INSTANCE_CODE = 70
+REJECT_CODE = 80
+PROBE_CODE = 90
+SET_TIMER_CODE = 100
+LOG_CODE = 110
+FAIL_CODE = 120
 
 
 class WireError(Exception):
     """What was read does not follow the wire; `record` counts the batch's records from 0."""
 
     def __init__(self, fault: str, record: int | None = None) -> None:
+        """Name the fault, and the record where it is known."""
         super().__init__(fault if record is None else f"record {record}: {fault}")
         self.record = record
 
@@ -87,54 +129,71 @@
     """An instance was killed."""
 
 
+InstanceEvent = Event | Spawn | Retire
+
+
 class Decoder:
-    """Reads batches. Holds the numbered lists of machines, which belong to the process, and field layouts."""
+    """Reads batches. Keeps the numbered lists of machines, which belong to the process."""
 
     def __init__(self) -> None:
+        """Start with no list and no instance."""
         self._lists: dict[int, bytes] = {}
-        self._lists_free: dict[int, bool] = {}
+        self._lists_with_capacity: dict[int, bool] = {}  # by instance
 
-    def events(self, body: bytes, count: int) -> Iterator[tuple[int, object]]:
+    def events(self, body: bytes, count: int) -> Iterator[tuple[int, InstanceEvent]]:
         """Yield (instance, event) for each record of a batch's body; raise WireError on the first fault."""
         tail_at = count * EVENT_SIZE
         if tail_at > len(body):
             raise WireError(f"{count} records do not fit into {len(body)} bytes")
         tail = memoryview(body)[tail_at:]
-        who: int | None = None
+        instance: int | None = None
         for number in range(count):
             at = number * EVENT_SIZE
             code = body[at]
             try:
-                if code == 80:
-                    (who,) = _TWO.unpack_from(body, at)
-                elif code == 120:
-                    name, offset, entries = _REGISTER.unpack_from(body, at)
-                    if name > 15:
-                        raise WireError(f"list number {name} is over 15")
-                    self._lists[name] = _slice(tail, offset, entries * ENTRY_SIZE)
-                elif code not in _READERS and code not in (70, 100, 110):
-                    raise WireError(f"unknown event code {code}")
-                elif who is None:
-                    raise WireError(f"event code {code} before any switch_to")
-                elif code == 70:
-                    yield who, self._changed(body, at, who)
-                elif code == 100:
-                    seed, offset, length = _SPAWN.unpack_from(body, at)
-                    settings = parse_settings(_slice(tail, offset, length))
-                    self._lists_free[who] = settings.lists_free
-                    yield who, Spawn(seed, settings)
-                elif code == 110:
-                    yield who, Retire()
+                if code == SWITCH_TO:
+                    (instance,) = _SWITCH_TO.unpack_from(body, at)
+                elif code == REGISTER:
+                    self._register(body, at, tail)
                 else:
-                    event = _READERS[code](body, at)
-                    if event is not None:
-                        yield who, event
+                    event = self._event(code, body, at, tail, instance)
+                    if event is not None and instance is not None:
+                        yield instance, event
             except WireError as error:
                 raise WireError(str(error), number) from None
             except ValueError as error:
                 raise WireError(str(error), number) from error
 
-    def _changed(self, body: bytes, at: int, who: int) -> MachinesChanged:
+    def _register(self, body: bytes, at: int, tail: memoryview) -> None:
+        name, offset, entries = _REGISTER.unpack_from(body, at)
+        if name > LAST_LIST_NUMBER:
+            raise WireError(f"list number {name} is over {LAST_LIST_NUMBER}")
+        self._lists[name] = _slice(tail, offset, entries * ENTRY_SIZE)
+
+    def _event(
+        self, code: int, body: bytes, at: int, tail: memoryview, instance: int | None
+    ) -> InstanceEvent | None:
+        """One event of an instance; None for a record that weldhatch has no use for."""
+        reader = _READERS.get(code)
+        if reader is None and code not in (CHANGED, SPAWN, RETIRE):
+            raise WireError(f"unknown event code {code}")
+        if instance is None:
+            raise WireError(f"event code {code} before any switch_to")
+        if reader is not None:
+            return reader(body, at)
+        if code == CHANGED:
+            return self._machines_changed(body, at, instance)
+        if code == SPAWN:
+            return self._spawn(body, at, tail, instance)
+        return Retire()
+
+    def _spawn(self, body: bytes, at: int, tail: memoryview, instance: int) -> Spawn:
+        seed, offset, length = _SPAWN.unpack_from(body, at)
+        settings = settings_of_text(_slice(tail, offset, length))
+        self._lists_with_capacity[instance] = settings.lists_free
+        return Spawn(seed, settings)
+
+    def _machines_changed(self, body: bytes, at: int, instance: int) -> MachinesChanged:
         form, name, version = _CHANGED.unpack_from(body, at)
         if form > ListForm.FAILED:
             raise WireError(f"unknown form {form} of a list")
@@ -142,8 +201,8 @@
             return MachinesChanged(ListForm(form), (), version)
         if name not in self._lists:
             raise WireError(f"list number {name} was never defined")
-        free = self._lists_free.get(who, False)
-        return MachinesChanged(ListForm(form), tuple(_entries(self._lists[name], free)), version)
+        with_capacity = self._lists_with_capacity.get(instance, False)
+        return MachinesChanged(ListForm(form), tuple(_entries(self._lists[name], with_capacity)), version)
 
 
 def _slice(tail: memoryview, offset: int, length: int) -> bytes:
@@ -152,9 +211,9 @@
     return bytes(tail[offset : offset + length])
 
 
-def _entries(data: bytes, free: bool) -> Iterator[Machine]:
+def _entries(data: bytes, with_capacity: bool) -> Iterator[Machine]:
     for address, port, zone, cores, kind, cell, memory, state, weight, born in _ENTRY.iter_unpack(data):
-        if state > 2:
+        if state >= HOST_STATES:
             raise WireError(f"unknown state {state} of a host")
         yield Machine(
             address << 16 | port,
@@ -163,8 +222,8 @@
             cell,
             MachineState(state),
             born,
-            cores if free else None,
-            memory if free else None,
+            cores if with_capacity else None,
+            memory if with_capacity else None,
             weight,
         )
 
@@ -176,13 +235,13 @@
         raise WireError(f"unknown outcome {code}") from None
 
 
-def _report(n: int, values: tuple[float, ...]) -> tuple[float, ...]:
-    if n > 4:
-        raise WireError(f"a load report of {n} values")
-    return values[:n]
+def _report(count: int, values: Sequence[float]) -> tuple[float, ...]:
+    if count > MOST_REPORT_VALUES:
+        raise WireError(f"a load report of {count} values")
+    return tuple(values[:count])
 
 
-def _to_place(body: bytes, at: int) -> RequestArrived:
+def _read_to_place(body: bytes, at: int) -> RequestArrived:
     request, kind, tenant, key, deadline, run, service, cores, memory, marks = _TASK.unpack_from(body, at)
     return RequestArrived(
         request,
@@ -198,7 +257,7 @@
     )
 
 
-def _resident(body: bytes, at: int) -> TaskAdopted:
+def _read_resident(body: bytes, at: int) -> TaskAdopted:
     (request, kind, tenant, key, _, run, service, cores, memory, marks, address, port) = (
         _RESIDENT.unpack_from(body, at)
     )
@@ -215,45 +274,47 @@
     )
 
 
-def _admitted(body: bytes, at: int) -> Placed:
-    request, n, address, port, took = _ADMITTED.unpack_from(body, at)
-    return Placed(request, n, address << 16 | port, took)
+def _read_admitted(body: bytes, at: int) -> Placed:
+    request, attempt, address, port, took = _ADMITTED.unpack_from(body, at)
+    return Placed(request, attempt, address << 16 | port, took)
 
 
-def _change(body: bytes, at: int) -> Note:
-    request, address, port, topic, n, value = _CHANGE.unpack_from(body, at)
-    return Note(request, n, address << 16 | port, topic, value)
+def _read_change(body: bytes, at: int) -> Note:
+    request, address, port, topic, attempt, value = _CHANGE.unpack_from(body, at)
+    return Note(request, attempt, address << 16 | port, topic, value)
 
 
-def _report_back(body: bytes, at: int) -> AttemptEnded:
-    request, took, detail, n, how, address, port, ended, size, *values = _REPORT_BACK.unpack_from(body, at)
+def _read_report_back(body: bytes, at: int) -> AttemptEnded:
+    request, took, detail, attempt, outcome, address, port, closed, count, *values = _REPORT_BACK.unpack_from(
+        body, at
+    )
     return AttemptEnded(
         request,
-        n,
+        attempt,
         address << 16 | port,
-        _outcome(how),
+        _outcome(outcome),
         took,
         detail,
-        bool(ended),
-        _report(size, tuple(values)),
+        bool(closed),
+        _report(count, values),
     )
 
 
-def _health(body: bytes, at: int) -> ProbeAnswered:
-    how, took, address, port, size, *values = _HEALTH.unpack_from(body, at)
-    return ProbeAnswered(address << 16 | port, _outcome(how), took, _report(size, tuple(values)))
+def _read_health(body: bytes, at: int) -> ProbeAnswered:
+    outcome, took, address, port, count, *values = _HEALTH.unpack_from(body, at)
+    return ProbeAnswered(address << 16 | port, _outcome(outcome), took, _report(count, values))
 
 
-_READERS: dict[int, Callable[[bytes, int], object]] = {
-    10: lambda body, at: None,  # a peer's message: weldhatch shares nothing
-    20: _health,
-    30: _change,
-    40: _resident,
-    50: _to_place,
-    60: lambda body, at: RequestAbandoned(*_ONE.unpack_from(body, at)),
-    90: _admitted,
-    130: lambda body, at: TimerFired(*_ONE.unpack_from(body, at)),
-    140: _report_back,
+_READERS: dict[int, Callable[[bytes, int], Event | None]] = {
+    PEER: lambda body, at: None,  # a peer's message: weldhatch shares nothing
+    HEALTH: _read_health,
+    CHANGE: _read_change,
+    RESIDENT: _read_resident,
+    TO_PLACE: _read_to_place,
+    ABANDONED: lambda body, at: RequestAbandoned(*_ONE_NUMBER.unpack_from(body, at)),
+    ADMITTED: _read_admitted,
+    TIMER: lambda body, at: TimerFired(*_ONE_NUMBER.unpack_from(body, at)),
+    REPORT_BACK: _read_report_back,
 }
 
 
@@ -261,10 +322,10 @@
     """One frame with the actions of each instance, in order."""
     records: list[bytes] = []
     tail = bytearray()
-    for who, actions in replies:
+    for instance, actions in replies:
         if actions:
-            records.append(_A_WHO.pack(70, who))
-            records.extend(_action(action, tail) for action in actions)
+            records.append(_INSTANCE_ACTION.pack(INSTANCE_CODE, instance))
+            records.extend(_encode_action(action, tail) for action in actions)
     body = b"".join(records) + tail
     return REPLY_HEADER.pack(len(records), len(body)) + body
 
@@ -272,32 +333,36 @@
 def encode_fault(text: str) -> bytes:
     """A frame that ends the day with a plain message."""
     tail = text.encode()
-    return REPLY_HEADER.pack(1, ACTION_SIZE + len(tail)) + _A_TWO_INTS.pack(20, 0, len(tail)) + tail
-
-
-def _action(action: Action, tail: bytearray) -> bytes:
-    match action:
-        case SetTimer(after, timer):
-            return _A_TWO_INTS.pack(100, after, timer)
-        case Probe(machine):
-            return _A_HOST.pack(90, machine >> 16, machine & 0xFFFF)
-        case Offer(request, machine, give_up):
-            return _A_TRY.pack(60, request, machine >> 16, machine & 0xFFFF, give_up)
-        case Cancel(request, attempt):
-            return _A_ID_N.pack(30, request, attempt)
-        case Reject(request, retry_after):
-            return _A_TWO_INTS.pack(80, request, retry_after)
-        case Fail(request):
-            return _A_ID.pack(120, request)
-        case Migrate(request):
-            return _A_ID.pack(10, request)
-        case Subscribe(on):
-            return _A_FLAG.pack(40, on)
-        case FetchList():
-            return _A_BARE.pack(50)
-        case Log(text):
-            data = text.encode()
-            offset = len(tail)
-            tail += data
-            return _A_TWO_INTS.pack(110, offset, len(data))
-    raise TypeError(f"no action: {action!r}")
+    record = _TWO_NUMBERS_ACTION.pack(FAULT_CODE, 0, len(tail))
+    return REPLY_HEADER.pack(1, ACTION_SIZE + len(tail)) + record + tail
+
+
+def _encode_action(action: Action, tail: bytearray) -> bytes:
+    """The record of one action; text is added to the tail. Raise TypeError for what is no action."""
+    if isinstance(action, Log):
+        data = action.text.encode()
+        offset = len(tail)
+        tail += data
+        return _TWO_NUMBERS_ACTION.pack(LOG_CODE, offset, len(data))
+    writer = _WRITERS.get(type(action))
+    if writer is None:
+        raise TypeError(f"no action: {action!r}")
+    return writer(action)
+
+
+def _write_offer(action: Offer) -> bytes:
+    host = (action.machine >> 16, action.machine & 0xFFFF)
+    return _OFFER_ACTION.pack(OFFER_CODE, action.request, *host, action.give_up_us)
+
+
+_WRITERS: dict[type, Callable[[Any], bytes]] = {
+    SetTimer: lambda action: _TWO_NUMBERS_ACTION.pack(SET_TIMER_CODE, action.after_us, action.timer),
+    Probe: lambda action: _HOST_ACTION.pack(PROBE_CODE, action.machine >> 16, action.machine & 0xFFFF),
+    Offer: _write_offer,
+    Cancel: lambda action: _ATTEMPT_ACTION.pack(CANCEL_CODE, action.request, action.attempt),
+    Reject: lambda action: _TWO_NUMBERS_ACTION.pack(REJECT_CODE, action.request, action.retry_after_us),
+    Fail: lambda action: _REQUEST_ACTION.pack(FAIL_CODE, action.request),
+    Migrate: lambda action: _REQUEST_ACTION.pack(MIGRATE_CODE, action.request),
+    Subscribe: lambda action: _FLAG_ACTION.pack(SUBSCRIBE_CODE, action.on),
+    FetchList: lambda action: _BARE_ACTION.pack(FETCH_LIST_CODE),
+}
