--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -111,14 +111,14 @@
     async def test_set_ups_taken_back_at_once_reach_no_server_and_end_the_connection(self):
         pairs = (line(f"b{n}", **SET_UP) + line(f"b{n}", "FINISH") for n in range(2 * client_front.BACK_MOST))
         await self.closed("bad", b"".join(pairs))
-        await self.until(lambda: not self.gateway.core.lives, "the requests were forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
         self.assertEqual((0, {}), (self.gateway.core.unanswered, self.gateway.owners._asked))
         self.assertFalse(self.parties["s1"].connected.is_set())  # not even probed
         await self.play(USUAL.format("a1"))
 
     async def test_nothing_is_kept_of_a_client_that_closes_with_set_ups_open(self):
         await self.play("usual send START a1\ns1 expect SET_UP a1\nusual close\ns1 expect RELEASE a1")
-        await self.until(lambda: not self.gateway.core.lives, "the request was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
         self.assertEqual({}, self.gateway.owners._asked)
 
     async def test_a_release_goes_to_an_owner_and_not_to_who_only_asked(self):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,8 +4,9 @@
 import time
 import unittest
 
+from weldhatch.core.messages import Ended, GiveUpResult
 from weldhatch.core.policy_driver import Driver, unix_us
-from weldhatch.core.ports import Ended, LetGo, Task
+from weldhatch.core.ports import Task
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.scheduling.actions import Fail, Offer, Reject
 from weldhatch.scheduling.events import AttemptEnded, RequestArrived
@@ -29,23 +30,23 @@
 class Unreachable:
     """A machine to which nothing ever leaves."""
 
-    def offer(self, machine, task, attempt, wait_us, teller, start_by_us=0):
+    def offer(self, machine, task, attempt, wait_us, receiver, start_by_us=0):
         pass
 
     def give_up(self, machine, task):
-        return LetGo.WITHDRAWN
+        return GiveUpResult.WITHDRAWN
 
 
 class Withdrawn(Unreachable):
     """Takes each offer back by itself, at the moment at which its time is up."""
 
-    def offer(self, machine, task, attempt, wait_us, teller, start_by_us=0):
+    def offer(self, machine, task, attempt, wait_us, receiver, start_by_us=0):
         asyncio.get_running_loop().call_later(
-            wait_us / 1e6, teller.tell, Ended(attempt, Outcome.CONNECT_FAILED)
+            wait_us / 1e6, receiver.deliver, Ended(attempt, Outcome.CONNECT_FAILED)
         )
 
     def give_up(self, machine, task):
-        return LetGo.GIVEN_UP
+        return GiveUpResult.GIVEN_UP
 
 
 class Asker:
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -135,7 +135,7 @@
         return [party for party in self.parties.values() if isinstance(party, RecordingServer)]
 
     async def forgotten(self) -> None:
-        await self.until(lambda: not self.gateway.core.lives, "the requests were forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
 
     async def past_the_term(self) -> None:
         """What begins from here on begins later than the term allows for those who have left."""
@@ -215,7 +215,7 @@
         [server] = self.recorders()
         self.gateway.servers._probe_s = 5.0
         classes = [{**cls, "aimUs": 20_000_000, "hardLimitUs": 3_000_000} for cls in SETTINGS["classes"]]
-        self.gateway.driver.rule(config.settings_of_json({**SETTINGS, "classes": classes}))
+        self.gateway.driver.reconfigure(config.settings_of_json({**SETTINGS, "classes": classes}))
         for n, how in enumerate(LEAVES):
             with self.subTest(how):
                 server.kept = []
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -143,13 +143,13 @@
         gateway, told = self.gateway.servers, []
         names = Names(tag("a1"), "unsafe", "7", "", "v=0")
         task = ports.Task("a1", 2, 9, 1.0, 1.0, 0, passed_on=names)
-        teller = unittest.mock.Mock(tell=told.append)
-        gateway.offer(number_of("u-s1"), task, 0, 1_000_000, teller)
+        receiver = unittest.mock.Mock(deliver=told.append)
+        gateway.offer(number_of("u-s1"), task, 0, 1_000_000, receiver)
         new = {**self.target("s1"), "uid": "u-new"}
         self.gateway._told(
             {"offset": 2, "topology": {"rev": 2, "targets": [self.target("s1", "draining"), new]}}
         )
-        gateway.offer(number_of("u-s1"), task, 1, 1_000_000, teller)
+        gateway.offer(number_of("u-s1"), task, 1, 1_000_000, receiver)
         self.assertEqual(
             [(0, Outcome.CONNECT_FAILED), (1, Outcome.NOT_SENT)], [(end.attempt, end.outcome) for end in told]
         )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,6 +9,7 @@
 from scenario import LONG, SETTINGS, Owner, Scenario, tag
 
 from weldhatch.core import ports
+from weldhatch.core.messages import Answered
 from weldhatch.platform.servers import Names
 
 PLACE = """
@@ -33,7 +34,7 @@
             owner expect FINISH a1 cause=16
         """
         )
-        self.assertFalse(self.gateway.core.lives)
+        self.assertFalse(self.gateway.core.requests)
 
     async def test_the_key_goes_out_with_keyed_classes_only(self):
         await self.play("""
@@ -56,7 +57,7 @@
             owner expect STARTED a2
         """
         )
-        await self.until(lambda: len(self.gateway.core.lives) == 1, "the ended task was forgotten")
+        await self.until(lambda: len(self.gateway.core.requests) == 1, "the ended task was forgotten")
 
     async def test_a_release_leaves_before_its_idle_connection_is_closed(self):
         """The task was the last that kept the connection: the sweep may come in the same turn of the loop."""
@@ -96,7 +97,7 @@
                 {end}
                 s1 expect RELEASE a1 cause=16
             """)
-        await self.until(lambda: not self.gateway.core.lives, "the requests were forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
 
     async def test_a_deadline_gives_the_attempt_up_and_answers_once(self):
         for name, cause in (("safe", 42), ("unsafe", 47)):
@@ -260,17 +261,17 @@
             ports.Task("a2", 2, 9, 1.0, 1.0, 0, passed_on=names),
             0,
             1_000_000,
-            unittest.mock.Mock(tell=told.append),
+            unittest.mock.Mock(deliver=told.append),
         )
         await self.play("s1 expect SET_UP a2\ns1 send ANSWER a2")
         await self.until(lambda: told, "the offer was answered")
-        self.assertEqual([ports.Answered(0, "")], told)
+        self.assertEqual([Answered(0, "")], told)
 
     async def test_a_fault_in_one_request_still_gives_its_one_final_answer(self):
         """Guards against a coroutine that dies and leaves its owner without an answer."""
         with unittest.mock.patch.object(self.gateway.servers, "offer", side_effect=KeyError("boom")):
             await self.play("owner send START a1\nowner expect FINISH a1 cause=47")
-        await self.until(lambda: not self.gateway.core.lives, "the request was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
         await self.play(PLACE)
 
     async def test_a_module_that_fails_on_a_batch_or_never_decides_does_not_lose_requests(self):
--- a/tests/test_pullqueue.py
+++ b/tests/test_pullqueue.py
@@ -175,13 +175,13 @@
             p1 send PATCH $session | {lease("CANCELLED")}
             p1 expect 200
         """)
-        await self.until(lambda: not self.gateway.core.lives, "the task was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the task was forgotten")
 
     async def test_a_submitter_that_hangs_up_gives_its_task_up(self):
         await self.play(f"c1 send POST tasks | {task()}")
         await self.until(lambda: self.gateway.core.unanswered, "the task is asked for")
         await self.play("c1 close")
-        await self.until(lambda: not self.gateway.core.lives, "the task was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the task was forgotten")
 
     async def test_a_machine_that_is_about_to_stop_gets_nothing_new(self):
         await self.play(f"""
@@ -395,7 +395,7 @@
         self.assertEqual([], faults(runs))
         self.assertGreaterEqual(len(runs), 1000)
         self.assertTrue(all(answers.values()), answers)
-        await self.until(lambda: not self.gateway.core.lives, "every request and attempt has ended")
+        await self.until(lambda: not self.gateway.core.requests, "every request and attempt has ended")
         self.assertFalse([line for line in self.logged if "fault" in line or "failed on" in line])
 
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -15,7 +15,7 @@
 from test_clients import SET_UP, line
 
 from weldhatch import server as dispatcher
-from weldhatch.core import ports
+from weldhatch.core.messages import TimeUp
 from weldhatch.net import connection
 from weldhatch.net.descriptor_budget import Budget, Share
 from weldhatch.platform import client_front
@@ -86,13 +86,13 @@
 
         def crossing(link, message):
             if message.tag == tag("a1") and self.lives:
-                self.lives.pop().tell(word)
+                self.lives.pop().deliver(word)
             handle(link, message)
 
         self.lives = []
         with unittest.mock.patch.object(ServerLink, "_handle", crossing):
             await self.play("owner send START a1 class=keyed idem=5c\ns1 expect SET_UP a1")
-            self.lives = list(self.gateway.core.lives)
+            self.lives = list(self.gateway.core.requests)
             await self.play("s1 send ANSWER a1 | v=0 s=9")
             server, owner = self.parties["s1"], self.parties["owner"]
             await self.first(server.heard, owner.heard)
@@ -105,7 +105,7 @@
         await self.crossed(Cancel(1, 0))
 
     async def test_an_attempt_whose_time_is_up_as_its_answer_comes_is_not_made_twice(self):
-        await self.crossed(ports.TimeUp(0))
+        await self.crossed(TimeUp(0))
 
     async def test_an_answer_and_its_release_in_one_read_are_told_in_order(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
@@ -113,13 +113,13 @@
         server.send("ANSWER", "a1", {}, "v=0")
         server.send("RELEASE", "a1", {"cause": "16"}, "")
         await self.play("owner expect STARTED a1\nowner expect FINISH a1 cause=16")
-        await self.until(lambda: not self.gateway.core.lives, "the request was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
 
     async def test_a_late_answer_of_a_cancelled_attempt_is_not_that_of_the_next_one_there(self):
         """Attempts of one request at one server have the same id on the wire."""
         await self.play("owner send START a1\ns1 expect SET_UP a1")
-        [life] = self.gateway.core.lives
-        life.tell(Cancel(life.id, 0))
+        [life] = self.gateway.core.requests
+        life.deliver(Cancel(life.id, 0))
         await self.play("s1 expect RELEASE a1 cause=16")
         server, owner = self.parties["s1"], self.parties["owner"]
         await self.first(server.heard, owner.heard)
@@ -148,7 +148,7 @@
         await self.until(lambda: self.link().probes, "the probe of the first draw")
         await self.until(lambda: self.link().out, "an offer that waits for the connection")
         await self.play("owner close")
-        await self.until(lambda: not self.gateway.core.lives, "the request was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
         self.gate.set()
         await self.play("owner2 send START a2\ns1 expect SET_UP a2")
 
@@ -260,7 +260,7 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             client.close()
         await self.play("owner send START b1\ns1 expect SET_UP b1")
-        await self.until(lambda: len(self.gateway.core.lives) == 1, "the others were forgotten")
+        await self.until(lambda: len(self.gateway.core.requests) == 1, "the others were forgotten")
         self.assertTrue(self.parties["s1"].heard.empty())
 
     async def test_a_request_and_its_end_in_one_read_make_no_attempt(self):
@@ -268,7 +268,7 @@
         await owner.open(self.gateway.listener.address)
         owner.writers[0].write(line("a1", **SET_UP) + line("a1", "FINISH"))
         await self.play("owner send START b1\ns1 expect SET_UP b1")
-        await self.until(lambda: len(self.gateway.core.lives) == 1, "the other was forgotten")
+        await self.until(lambda: len(self.gateway.core.requests) == 1, "the other was forgotten")
 
 
 WINDOW_S = 0.2
@@ -490,7 +490,7 @@
         await self.play("owner close")
         await self.until(lambda: len(self.gateway.owners.links) == 1, "the owner's connection has ended")
         await self.play("s1 send RELEASE a1 cause=16")
-        await self.until(lambda: not self.gateway.core.lives, "the end was heard")
+        await self.until(lambda: not self.gateway.core.requests, "the end was heard")
         await self.play("owner2 send ECHO t0\nowner2 expect FINISH a1 cause=16")
         self.assertTrue(silent.heard.empty())
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -238,7 +238,7 @@
         await self.play("p1 close\np1 wait closed")
         await self.until(lambda: self.job.done(), "the disk has answered")
         await self.play("c1 close")
-        await self.until(lambda: not self.gateway.core.lives, "the task was given up")
+        await self.until(lambda: not self.gateway.core.requests, "the task was given up")
         self.gateway.book.may = kept
         await self.gateway.book.flush()
         assert not self.gateway._ledger._out and not self.gateway._ledger._spent
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -7,6 +7,7 @@
 from random import Random
 from unittest import mock
 
+from weldhatch.core.messages import GivenUp, Released
 from weldhatch.sites import forwarding, session
 from weldhatch.sites.handoff_source import Lending
 from weldhatch.sites.handoff_target import Taking
@@ -58,7 +59,7 @@
     async def test_an_owners_release_is_relayed_and_its_machine_stops(self):
         owner = self.region.ask("a", IMPORT)
         await self.answered(owner)
-        owner.life.tell(forwarding.ports.Released(16))
+        owner.life.deliver(Released(16))
         await self.region.until(lambda: not self.region.now["b"].hall.busy)
         await self.region.settled()
         self.assertEqual(0, owner.ends)  # it brought the end about itself
@@ -67,7 +68,7 @@
         self.region.now["b"].hall.look_s = 0.3
         owner = self.region.ask("a", WRITER)
         await self.region.until(lambda: Taking.TRIED in self.taken())
-        owner.life.tell(forwarding.ports.GivenUp())
+        owner.life.deliver(GivenUp())
         await self.region.settled()
         self.assertEqual([], owner.answers)
         self.assertEqual(0, sum(self.region.tally.running.values()))
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -95,7 +95,7 @@
         self._roll, self.zoner, self._known = front.roll, None, Narrowed()
         if zones is not None:
             if self._roll is None:
-                front.driver.watches.append(self._listed)
+                front.driver.watchers.append(self._listed)
             self.zoner = Zoner(
                 own, told.drift, told.stated, front.driver, front.name_of, self._narrow, log, clock
             )
@@ -162,7 +162,7 @@
             if machines := known.news(
                 known.entries if zoned else (), lambda machine: zoned(machine.id) if zoned else "ready"
             ):
-                self._front.driver.tell(MachinesChanged(ListForm.DELTA, machines))
+                self._front.driver.post_unwatched(MachinesChanged(ListForm.DELTA, machines))
 
     def _listed(self, event: Event) -> None:
         """What the module hears of machines that make themselves known."""
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -43,7 +43,7 @@
         self._looks: object = None
         self._last_looks: object = None
         self._telling: asyncio.Task | None = None
-        driver.watches.append(lambda event: self.keeper.heard(now(), event))
+        driver.watchers.append(lambda event: self.keeper.heard(now(), event))
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def join(self, agreement: Agreement, machines: tuple[Machine, ...]) -> None:
--- a/weldhatch/core/__init__.py
+++ b/weldhatch/core/__init__.py
@@ -1,1 +1,1 @@
-"""The life of requests: attempts, outcomes, timers, standing tasks. It knows no wire."""
+"""Requests under way: attempts, outcomes, timers, standing tasks. It knows no wire."""
--- a/weldhatch/core/mailbox.py
+++ b/weldhatch/core/mailbox.py
@@ -1,4 +1,4 @@
-"""Words to one coroutine, heard one at a time, in the order in which they came."""
+"""Messages to one coroutine, received one at a time, in the order in which they came."""
 
 from __future__ import annotations
 
@@ -7,23 +7,25 @@
 
 
 class Mailbox:
-    """What a request's coroutine is told, by the module, machines, owners and timers alike."""
+    """What a request's coroutine is sent, by the policy, machines, callers and timers alike."""
 
     def __init__(self) -> None:
-        self._words: deque[object] = deque()
-        self._wake: asyncio.Future | None = None
+        """Start empty; needs a running event loop."""
+        self._messages: deque[object] = deque()
+        self._wake: asyncio.Future[None] | None = None
         self._loop = asyncio.get_running_loop()
 
-    def tell(self, word: object) -> None:
-        """Each word is heard in its turn."""
-        self._words.append(word)
+    def deliver(self, message: object) -> None:
+        """Add a message; each is received in its turn."""
+        self._messages.append(message)
         if self._wake is not None:
             if not self._wake.done():  # it is cancelled where its coroutine was ended by a close
                 self._wake.set_result(None)
             self._wake = None
 
-    async def _next(self) -> object:
-        while not self._words:
+    async def next_message(self) -> object:
+        """Wait for the next message."""
+        while not self._messages:
             self._wake = self._loop.create_future()
             await self._wake
-        return self._words.popleft()
+        return self._messages.popleft()
--- a/weldhatch/core/policy_driver.py
+++ b/weldhatch/core/policy_driver.py
@@ -10,62 +10,73 @@
 from weldhatch.core.ports import Decider, Directory, Site
 from weldhatch.scheduling.actions import Action, FetchList, Log, Probe, SetTimer, Subscribe
 from weldhatch.scheduling.events import Event, ProbeAnswered, TimerFired
-from weldhatch.scheduling.types import Settings
+from weldhatch.scheduling.types import Outcome, Settings
 
 
 def unix_us() -> int:
+    """The time of the Unix clock in microseconds."""
     return time.time_ns() // 1000
 
 
 class Driver:
-    """Feeds the policy. Events posted while a batch is decided go into the next one: no re-entry."""
+    """Feeds the policy. Events posted while a batch is decided go into the next one: no re-entry.
+
+    `site` and `directory` are set once they are there, before the first event.
+    """
+
+    site: Site
+    directory: Directory
 
     def __init__(self, policy: Decider, log: Callable[[str], None]) -> None:
-        self._policy, self._log = policy, log
+        """Drive this policy from the running event loop."""
+        self._policy = policy
+        self._log = log
         self._inbox: list[Event] = []
-        self._waiting: list[asyncio.Future] = []
+        self._waiting: list[asyncio.Future[None]] = []
         self._loop = asyncio.get_running_loop()
-        self._lives: dict[int, Callable[[Action], None]] = {}
-        self._last = 0
-        self.watches: list[Callable[[Event], None]] = []  # each hears every event that the module gets
-        self.site: Site | None = None
-        self.directory: Directory | None = None
-
-    def register(self, decided: Callable[[Action], None]) -> int:
-        """A number for a new request, whose actions go to `decided` until it is forgotten."""
-        self._last += 1
-        self._lives[self._last] = decided
-        return self._last
-
-    def rule(self, settings: Settings) -> None:
+        self._receivers: dict[int, Callable[[Action], None]] = {}  # of the actions for each request
+        self._last_request = 0
+        self.watchers: list[Callable[[Event], None]] = []  # each gets every event that the policy gets
+
+    def register(self, receive_action: Callable[[Action], None]) -> int:
+        """A number for a new request, whose actions go to the callback until it is forgotten."""
+        self._last_request += 1
+        self._receivers[self._last_request] = receive_action
+        return self._last_request
+
+    def reconfigure(self, settings: Settings) -> None:
         """Other settings are in force from the next batch on."""
         self._policy.reconfigure(settings)
 
     def forget(self, request: int) -> None:
-        self._lives.pop(request, None)
+        """Drop actions for this request from now on."""
+        self._receivers.pop(request, None)
 
     def post(self, *events: Event) -> None:
-        self.tell(*events)
-        for watch in self.watches:
+        """Have the events decided in the next batch, and show them to the watchers now."""
+        self.post_unwatched(*events)
+        for watch in self.watchers:
             for event in events:
                 watch(event)
 
-    def tell(self, *events: Event) -> None:
-        """As `post`, for what those who watch have worked out themselves."""
+    def post_unwatched(self, *events: Event) -> None:
+        """As `post`, for what the watchers have worked out themselves."""
         if not self._inbox:
-            self._loop.call_soon(self._run)
+            self._loop.call_soon(self._run_batch)
         self._inbox += events
 
-    def settled(self, *events: Event) -> asyncio.Future:
+    def settled(self, *events: Event) -> asyncio.Future[None]:
         """Post the events; done once all posted so far is decided and its actions have been routed."""
         self.post(*events)
-        done = self._loop.create_future()
+        done: asyncio.Future[None] = self._loop.create_future()
         self._waiting.append(done)
         return done
 
-    def _run(self) -> None:
-        events, self._inbox = self._inbox, []
-        waiting, self._waiting = self._waiting, []
+    def _run_batch(self) -> None:
+        events = self._inbox
+        waiting = self._waiting
+        self._inbox = []
+        self._waiting = []
         self._decide(events)
         for done in waiting:
             if not done.done():
@@ -76,7 +87,7 @@
             actions = self._policy.handle(unix_us(), events)
         except Exception:
             # One bad batch must not take the standing tasks of everyone down with the process. The
-            # requests in it still get their final answer: from the module's timers, or at the deadline.
+            # requests in it still get their final answer: from the policy's timers, or at the deadline.
             self._log("the policy failed on a batch: " + traceback.format_exc().replace("\n", " | "))
             return
         for action in actions:
@@ -87,13 +98,7 @@
             case SetTimer(after, timer):
                 self._loop.call_later(after / 1e6, self.post, TimerFired(timer))
             case Probe(machine):
-                sent = unix_us()
-                self.site.probe(
-                    machine,
-                    lambda outcome, report: self.post(
-                        ProbeAnswered(machine, outcome, max(0, unix_us() - sent), report)
-                    ),
-                )
+                self._probe(machine)
             case Subscribe(on):
                 self.directory.subscribe(on)
             case FetchList():
@@ -101,5 +106,13 @@
             case Log(text):
                 self._log(text)
             case _:
-                if decided := self._lives.get(action.request):
-                    decided(action)
+                if receive_action := self._receivers.get(action.request):
+                    receive_action(action)
+
+    def _probe(self, machine: int) -> None:
+        sent_at = unix_us()
+
+        def answered(outcome: Outcome, report: tuple[float, ...]) -> None:
+            self.post(ProbeAnswered(machine, outcome, max(0, unix_us() - sent_at), report))
+
+        self.site.probe(machine, answered)
--- a/weldhatch/core/ports.py
+++ b/weldhatch/core/ports.py
@@ -1,20 +1,16 @@
-"""What the core needs of the world round it, and the words that pass between them."""
+"""What the core needs of the world round it. The messages that pass between them are in `messages`."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Container
 from dataclasses import dataclass
-from enum import Enum
 from typing import Protocol
 
+from weldhatch.core.messages import GiveUpResult
 from weldhatch.scheduling.actions import Action
 from weldhatch.scheduling.events import Event
 from weldhatch.scheduling.types import Outcome, Settings
 
-GIVEN_UP = 16  # the cause of a set-up that is given up, and of a task that came to its end
-CUT = 41  # the cause of a task that was cut, or lost with its machine
-CALLED_OFF = 31  # the cause of a task that its owner ended or the dispatcher moved
-
 
 @dataclass(slots=True, frozen=True)
 class Task:
@@ -33,111 +29,61 @@
     only: Container[int] | None = None  # the machines that it may go to; None for all
 
 
-# ---- words to a request's coroutine -----------------------------------------------------------------------
-
-
-@dataclass(slots=True, frozen=True)
-class Answered:
-    """A machine holds the task now; the description goes to the owner unchanged."""
-
-    attempt: int
-    description: str | None
-
-
-@dataclass(slots=True, frozen=True)
-class Ended:
-    """The one end of an attempt, before the answer or after it."""
-
-    attempt: int
-    outcome: Outcome
-    reason: int = 0
-    report: tuple[float, ...] = ()
-    cause: int = CUT
-
-
-@dataclass(slots=True, frozen=True)
-class Noted:
-    attempt: int
-    topic: int
-    value: float
-
-
-@dataclass(slots=True, frozen=True)
-class TimeUp:
-    attempt: int
-
-
-@dataclass(slots=True, frozen=True)
-class Overdue:
-    """The owner's deadline has passed and the module has not decided."""
-
-
-@dataclass(slots=True, frozen=True)
-class GivenUp:
-    """The owner no longer waits for its answer."""
-
-
-@dataclass(slots=True, frozen=True)
-class Released:
-    """The owner ends a task that stands."""
-
-    cause: int
-
-
-class LetGo(Enum):
-    """What giving an attempt up comes to."""
-
-    WITHDRAWN = "it had not left: nothing ran"
-    GIVEN_UP = "it is over, and may have run"
-    STILL_OUT = "it goes on until its end is told"
-
-
-class Teller(Protocol):
+class Receiver(Protocol):
     """A request's coroutine, as the parties outside the core see it."""
 
-    def tell(self, word: object) -> None: ...
+    def deliver(self, message: object) -> None:
+        """Add a message to those that the request receives in turn."""
 
 
 class Owner(Protocol):
-    """The one who asked. Exactly one of placed, refused and failed is called, and only once."""
+    """The caller that asked. Exactly one of placed, refused and failed is called, and only once."""
 
-    def placed(self, description: str | None) -> None: ...
+    def placed(self, description: str | None) -> None:
+        """Final answer: the task stands; the description is the machine's own."""
 
-    def refused(self, wait_us: int) -> None: ...
+    def refused(self, wait_us: int) -> None:
+        """Final answer: not placed, a retry is harmless, after this time at the earliest."""
 
-    def failed(self) -> None: ...
+    def failed(self) -> None:
+        """Final answer: not placed, with no promise about its effect."""
 
     def released(self, cause: int) -> None:
-        """A task that stood is over; not called where the owner ended it."""
+        """A task that stood is over; not called where the caller ended it."""
 
-    def moved(self) -> None: ...
+    def moved(self) -> None:
+        """The task that stood is to be placed anew: the caller should ask again."""
 
 
 class Site(Protocol):
     """The machines. Every offer gets one `Ended`, unless it is given up first and does not stay out."""
 
     def offer(
-        self, machine: int, task: Task, attempt: int, wait_us: int, teller: Teller, start_by_us: int = 0
+        self, machine: int, task: Task, attempt: int, wait_us: int, receiver: Receiver, start_by_us: int = 0
     ) -> None:
         """An offer that waits, and has not left by `start_by_us` on the Unix clock, ends as not sent."""
 
-    def adopt(self, machine: int, task: Task, teller: Teller) -> None:
+    def adopt(self, machine: int, task: Task, receiver: Receiver) -> None:
         """The task runs there already; its end is told as that of attempt 0."""
 
-    def give_up(self, machine: int, task: Task) -> LetGo: ...
+    def give_up(self, machine: int, task: Task) -> GiveUpResult:
+        """Take an open offer back, as far as that still goes."""
 
-    def release(self, machine: int, task: Task, cause: int) -> None: ...
+    def release(self, machine: int, task: Task, cause: int) -> None:
+        """Have a standing task ended; its end is still delivered."""
 
-    def move(self, machine: int, task: Task) -> None: ...
+    def move(self, machine: int, task: Task) -> None:
+        """Have a standing task ended because it is to run elsewhere."""
 
-    def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None: ...
+    def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
+        """Ask a machine for its load; `done` gets the outcome and the load report."""
 
 
 class Rules(Protocol):
     """What a group of dispatchers has agreed on, where there is one."""
 
     def away_us(self, task: Task) -> int | None:
-        """None where a request may be taken up; else how long its owner should stay away."""
+        """None where a request may be taken up; else how long its caller should stay away."""
 
     def stops(self, class_index: int, machine: int, attempt: int = -1) -> str:
         """Why a start may not leave for that machine at this moment; '' where it may.
@@ -150,12 +96,16 @@
 class Directory(Protocol):
     """Where the list of machines comes from."""
 
-    def subscribe(self, on: bool) -> None: ...
+    def subscribe(self, on: bool) -> None:
+        """Start the subscription to lists, or end it."""
 
 
 class Decider(Protocol):
     """The decision module."""
 
-    def handle(self, now: int, events: list[Event]) -> list[Action]: ...
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
+        """Take the events of one instant; return the actions to carry out, in order."""
+        ...
 
-    def reconfigure(self, settings: Settings) -> None: ...
+    def reconfigure(self, settings: Settings) -> None:
+        """Decide by these settings from now on."""
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -10,8 +10,9 @@
 from tornado.iostream import IOStream
 
 from weldhatch.core import ports
+from weldhatch.core.messages import GIVEN_UP, GivenUp, Released
 from weldhatch.core.policy_driver import unix_us
-from weldhatch.core.request_lifecycle import Core, Life
+from weldhatch.core.request_lifecycle import Core, RequestLifecycle
 from weldhatch.net.connection import Connection, Malformed
 from weldhatch.net.descriptor_budget import Share
 from weldhatch.net.rate_limited_log import Sparing
@@ -136,7 +137,7 @@
 
     def __init__(self, front: Owners, link: OwnerLink, tag: str) -> None:
         self._front, self._link, self._tag = front, link, tag
-        self.life: Life | None = None
+        self.life: RequestLifecycle | None = None
         self.stands = self.gone = False
         self.came = time.monotonic()
 
@@ -149,7 +150,7 @@
         self.gone = True
         self._link.open.pop(self._tag, None)
         self._front.forget(self._tag)
-        self.life.tell(ports.GivenUp())
+        self.life.deliver(GivenUp())
 
     def forgotten(self) -> None:
         if self.stands:
@@ -239,7 +240,7 @@
         if asked is None:
             return
         if asked.stands:
-            asked.life.tell(ports.Released(line.cause if line.cause is not None else ports.GIVEN_UP))
+            asked.life.deliver(Released(line.cause if line.cause is not None else GIVEN_UP))
             self.forget(line.tag)
             return
         asked.given_up()
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -9,8 +9,9 @@
 from typing import Protocol
 
 from weldhatch.core import ports
+from weldhatch.core.messages import CUT, GIVEN_UP, Answered, Ended, Noted
 from weldhatch.core.policy_driver import unix_us
-from weldhatch.core.request_lifecycle import HEARD_OUT_TURNS
+from weldhatch.core.request_state import LOOP_PASSES_TO_READ
 from weldhatch.net.connection import Connection, Malformed
 from weldhatch.net.descriptor_budget import NoDescriptor
 from weldhatch.platform import server_codec
@@ -50,7 +51,7 @@
     """A set-up that is out, or a task that stands."""
 
     attempt: int
-    teller: ports.Teller
+    receiver: ports.Receiver
     since: float
     start_by_us: int = 0  # a set-up that has not left by then must not; 0 for any time
     last_word: bytes = b""  # the release or the move of a task that stands: said again until its end is heard
@@ -73,7 +74,7 @@
 
     def test_message(self) -> bytes: ...
 
-    def unclaimed(self, tag: bytes, ended: ports.Ended) -> None: ...
+    def unclaimed(self, tag: bytes, ended: Ended) -> None: ...
 
     def report(self, message: server_codec.Message) -> tuple[float, ...]: ...
 
@@ -90,7 +91,7 @@
         self.standing: dict[bytes, Held] = {}
         self.probes: dict[bytes, tuple[Callable, asyncio.TimerHandle]] = {}
         # Set-ups that were given up and may still be answered: when, and whose; the oldest first.
-        self._given_up: dict[bytes, tuple[float, ports.Teller]] = {}
+        self._given_up: dict[bytes, tuple[float, ports.Receiver]] = {}
         self._asked = 0.0  # when the first message since the last sign of life went out
         self._trial: asyncio.Task | None = None
         self._spare: Connection | None = None  # the second connection that a trial has made
@@ -110,23 +111,23 @@
             self._pending[name] = data
             self.open()
 
-    def give_up(self, tag: bytes, teller: ports.Teller) -> None:
+    def give_up(self, tag: bytes, receiver: ports.Receiver) -> None:
         """Tell the machine that nobody waits for that set-up any more; its answer may be on its way."""
         now = time.monotonic()
         while self._given_up and now - next(iter(self._given_up.values()))[0] > LATE_ANSWER_S:
             del self._given_up[next(iter(self._given_up))]
         self._given_up.pop(tag, None)
-        self._given_up[tag] = (now, teller)
+        self._given_up[tag] = (now, receiver)
         self.send(
             (tag, "up"),
-            server_codec.encode(server_codec.RELEASE, tag, {server_codec.CAUSE: bytes((ports.GIVEN_UP,))}),
+            server_codec.encode(server_codec.RELEASE, tag, {server_codec.CAUSE: bytes((GIVEN_UP,))}),
         )
 
-    def may_answer_late(self, tag: bytes, teller: ports.Teller) -> bool:
+    def may_answer_late(self, tag: bytes, receiver: ports.Receiver) -> bool:
         """Whether an earlier attempt of that request here was given up, and has not been heard of since."""
         now = time.monotonic()
         given_up_at, given_up_by = self._given_up.get(tag, (0.0, None))
-        return given_up_by is teller and now - given_up_at <= LATE_ANSWER_S
+        return given_up_by is receiver and now - given_up_at <= LATE_ANSWER_S
 
     def say_last_word(self, data: bytes) -> None:
         """How a task that stands is to end. What can't leave now is said by the next connection."""
@@ -221,7 +222,7 @@
         """
         connection = await self._dial()
         try:
-            for _ in range(HEARD_OUT_TURNS):
+            for _ in range(LOOP_PASSES_TO_READ):
                 await asyncio.sleep(0)
         except asyncio.CancelledError:
             connection.close()
@@ -246,7 +247,7 @@
             held = self.out[tag]
             if held.start_by_us and now > held.start_by_us:
                 del self.out[tag], self._pending[tag]
-                held.teller.tell(ports.Ended(held.attempt, Outcome.NOT_SENT))
+                held.receiver.deliver(Ended(held.attempt, Outcome.NOT_SENT))
         pending, self._pending = self._pending, {}
         data = b"".join((*last_words, *pending.values()))
         self._asked = time.monotonic() if data else 0.0
@@ -284,7 +285,7 @@
         """
         for tag in [tag for tag in self.out if tag not in self._pending]:
             held = self.out.pop(tag)
-            held.teller.tell(ports.Ended(held.attempt, outcome))
+            held.receiver.deliver(Ended(held.attempt, outcome))
         for tag in [tag for tag in self.probes if tag not in self._pending]:
             done, timer = self.probes.pop(tag)
             timer.cancel()
@@ -310,7 +311,7 @@
             self._servers.log(f"server {self.server.uid}: {why}; {len(cut)} tasks are lost")
         for tag, held in cut.items():
             del self.standing[tag]
-            held.teller.tell(ports.Ended(held.attempt, Outcome.RESET, cause=ports.CUT))
+            held.receiver.deliver(Ended(held.attempt, Outcome.RESET, cause=CUT))
 
     def excuse(self, now: float) -> None:
         """Guards against our own stalls: what a server said during one is not read yet."""
@@ -403,17 +404,15 @@
                 if held := self.out.pop(message.tag, None):
                     self.standing[message.tag] = held
                     held.since = time.time()
-                    held.teller.tell(ports.Answered(held.attempt, description))
+                    held.receiver.deliver(Answered(held.attempt, description))
             case server_codec.RELEASE:
                 self._release(message)
             case server_codec.NOTE:
                 held = self.standing.get(message.tag) or self.out.get(message.tag)
                 topic = TOPICS.get(message.text(server_codec.TOPIC))
                 if held is not None and topic is not None:
-                    held.teller.tell(
-                        ports.Noted(
-                            held.attempt, topic, server_codec.number(message.text(server_codec.FIGURE))
-                        )
+                    held.receiver.deliver(
+                        Noted(held.attempt, topic, server_codec.number(message.text(server_codec.FIGURE)))
                     )
             case server_codec.TESTED:
                 report, passed = self._servers.report(message), message.cause == 1
@@ -439,12 +438,12 @@
         self._given_up.pop(message.tag, None)
         if held := self.out.pop(message.tag, None):
             outcome = OUTCOMES_BEFORE_ANSWER.get(cause, Outcome.RESET)
-            held.teller.tell(ports.Ended(held.attempt, outcome, reason, report, cause))
+            held.receiver.deliver(Ended(held.attempt, outcome, reason, report, cause))
         elif held := self.standing.pop(message.tag, None):
             outcome = OUTCOMES_AFTER_ANSWER.get(cause, Outcome.RESET)
-            held.teller.tell(ports.Ended(held.attempt, outcome, reason, report, cause))
+            held.receiver.deliver(Ended(held.attempt, outcome, reason, report, cause))
         else:
             self._servers.unclaimed(
                 message.tag,
-                ports.Ended(0, OUTCOMES_AFTER_ANSWER.get(cause, Outcome.RESET), reason, report, cause),
+                Ended(0, OUTCOMES_AFTER_ANSWER.get(cause, Outcome.RESET), reason, report, cause),
             )
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 
 from weldhatch.core import ports
+from weldhatch.core.messages import Ended, GiveUpResult
 from weldhatch.net.connection import Connection, connect
 from weldhatch.net.descriptor_budget import NoDescriptor, Share
 from weldhatch.platform import server_codec
@@ -59,7 +60,7 @@
         self._dial_s, self._probe_s, self.log = dial_s, probe_s, log
         self.broke: Callable[[int], None] = lambda machine: None  # hears that a machine's connection ended
         self._links: dict[int, ServerLink] = {}
-        self._unclaimed: dict[bytes, tuple[float, ports.Ended]] = {}  # the oldest first
+        self._unclaimed: dict[bytes, tuple[float, Ended]] = {}  # the oldest first
         self._unlisted: dict[int, dict[bytes, Held]] = {}  # tasks on machines that no list has named yet
         self._tests, self._schedule = 0, HealthCheckSchedule()
         self._watching = asyncio.get_running_loop().create_task(self._watch())
@@ -139,7 +140,7 @@
                 if now - held.since > UNLISTED_S:
                     del unlisted[tag]
                     self.log(f"a task on machine {machine}, which no list has named")
-                    held.teller.tell(ports.Ended(0, Outcome.RESET))
+                    held.receiver.deliver(Ended(0, Outcome.RESET))
             if not unlisted:
                 del self._unlisted[machine]
 
@@ -156,15 +157,15 @@
         task: ports.Task,
         attempt: int,
         wait_us: int,
-        teller: ports.Teller,
+        receiver: ports.Receiver,
         start_by_us: int = 0,
     ) -> None:
         link, names = self._links.get(machine), task.passed_on
         # Guards against the late answer to an attempt that was given up there: it has the same tag as ours.
-        if link is None or link.replaced or link.may_answer_late(names.tag, teller):
-            teller.tell(ports.Ended(attempt, Outcome.NOT_SENT))
+        if link is None or link.replaced or link.may_answer_late(names.tag, receiver):
+            receiver.deliver(Ended(attempt, Outcome.NOT_SENT))
             return
-        link.out[names.tag] = Held(attempt, teller, 0.0, start_by_us)
+        link.out[names.tag] = Held(attempt, receiver, 0.0, start_by_us)
         parameters = {
             server_codec.CLASS: names.class_name.encode(),
             server_codec.LEFT: str(max(1, wait_us // 1000)).encode(),
@@ -175,30 +176,30 @@
         parameters[server_codec.DESCRIPTION] = names.description.encode()
         link.send(names.tag, server_codec.encode(server_codec.SET_UP, names.tag, parameters))
 
-    def adopt(self, machine: int, task: ports.Task, teller: ports.Teller) -> None:
+    def adopt(self, machine: int, task: ports.Task, receiver: ports.Receiver) -> None:
         """Its end comes on any open connection, or on the next one: one is kept open for it."""
         tag, link = task.passed_on.tag, self._links.get(machine)
         if ended := self._unclaimed.pop(tag, None):
-            teller.tell(ended[1])
+            receiver.deliver(ended[1])
         elif link is None:
             # Guards against tasks told as cut at a start: owners name them before the list is up to date.
-            self._unlisted.setdefault(machine, {})[tag] = Held(0, teller, time.time())
+            self._unlisted.setdefault(machine, {})[tag] = Held(0, receiver, time.time())
         elif link.replaced:
-            teller.tell(ports.Ended(0, Outcome.RESET))
+            receiver.deliver(Ended(0, Outcome.RESET))
         else:
-            link.standing[tag] = Held(0, teller, time.time())
+            link.standing[tag] = Held(0, receiver, time.time())
             link.open()
 
-    def give_up(self, machine: int, task: ports.Task) -> ports.LetGo:
+    def give_up(self, machine: int, task: ports.Task) -> GiveUpResult:
         link, tag = self._links.get(machine), task.passed_on.tag
         if link is None:
-            return ports.LetGo.GIVEN_UP
+            return GiveUpResult.GIVEN_UP
         # What was answered in the same moment stands there by now, and is ended as well.
         if held := link.out.pop(tag, None) or link.standing.pop(tag, None):
             if link.unsent(tag):
-                return ports.LetGo.WITHDRAWN
-            link.give_up(tag, held.teller)
-        return ports.LetGo.GIVEN_UP
+                return GiveUpResult.WITHDRAWN
+            link.give_up(tag, held.receiver)
+        return GiveUpResult.GIVEN_UP
 
     def release(self, machine: int, task: ports.Task, cause: int) -> None:
         self._end(
@@ -275,7 +276,7 @@
     def vanished(self, server: Server) -> None:
         self._schedule.vanished(time.monotonic(), server.zone, server.cell)
 
-    def unclaimed(self, tag: bytes, ended: ports.Ended) -> None:
+    def unclaimed(self, tag: bytes, ended: Ended) -> None:
         """Guards against a race after a restart: the release may come before the owner names the task."""
         self._unclaimed[tag] = (time.monotonic(), ended)
         if len(self._unclaimed) > UNCLAIMED_MOST:
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -12,7 +12,7 @@
 
 from weldhatch.config import Timing
 from weldhatch.core import ports
-from weldhatch.core.ports import LetGo
+from weldhatch.core.messages import CALLED_OFF, CUT, GIVEN_UP, Answered, Ended, GiveUpResult
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.deadlines import Deadlines
 from weldhatch.pullqueue.errors import HttpError
@@ -236,28 +236,26 @@
                 if lease.phase is Phase.PENDING:
                     lease.phase = Phase.ACTIVE
                     self._book.must(durable_state.encode("running", lease.id))
-                    lease.teller.tell(ports.Answered(lease.attempt, bot.id))
+                    lease.receiver.deliver(Answered(lease.attempt, bot.id))
         return to_end
 
     def _done(self, lease: Lease, one: Listed) -> None:
         """The puller holds it no longer."""
         lease.task.passed_on.told(one.result, one.message)
         if lease.phase is Phase.CANCELLED:
-            self._end(lease, Outcome.CANCELLED, cause=ports.CALLED_OFF)
+            self._end(lease, Outcome.CANCELLED, cause=CALLED_OFF)
         elif lease.phase is Phase.ACTIVE:
             well = one.state == "COMPLETED" and one.code == RAN_WELL
-            self._end(
-                lease, Outcome.OK if well else Outcome.RESET, cause=ports.GIVEN_UP if well else ports.CUT
-            )
+            self._end(lease, Outcome.OK if well else Outcome.RESET, cause=GIVEN_UP if well else CUT)
         elif one.state == "COMPLETED" and one.code == RAN_WELL:  # a short task: begun and ended in one report
-            lease.teller.tell(ports.Answered(lease.attempt, self._machines[lease.machine].id))
-            self._end(lease, Outcome.OK, cause=ports.GIVEN_UP)
+            lease.receiver.deliver(Answered(lease.attempt, self._machines[lease.machine].id))
+            self._end(lease, Outcome.OK, cause=GIVEN_UP)
         elif one.state == "COMPLETED" and one.code in DECLINED:
             self._end(lease, Outcome.FULL, DECLINED[one.code])
         else:
             self._end(lease, Outcome.ERROR)
 
-    def _end(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = ports.CUT) -> None:
+    def _end(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CUT) -> None:
         """The one end of an attempt."""
         lease.phase = Phase.OVER
         self._machines[lease.machine].remove(lease)
@@ -265,7 +263,7 @@
         self._due.drop(("lease", lease.id))
         self._ledger.over(lease)
         self._book.must(durable_state.encode("over", lease.id))
-        lease.teller.tell(ports.Ended(lease.attempt, outcome, reason, (), cause))
+        lease.receiver.deliver(Ended(lease.attempt, outcome, reason, (), cause))
 
     async def _sweep(self) -> None:
         """Sessions and leases that have run out, and offers that nobody picked up: only those that are
@@ -359,27 +357,27 @@
         task: ports.Task,
         attempt: int,
         wait_us: int,
-        teller: ports.Teller,
+        receiver: ports.Receiver,
         start_by_us: int = 0,
     ) -> None:
         bot = self._machines.get(machine)
         if bot is None or not bot.session or self._stands(bot) is not MachineState.READY:
-            teller.tell(ports.Ended(attempt, Outcome.NOT_SENT))
+            receiver.deliver(Ended(attempt, Outcome.NOT_SENT))
             return
-        lease = Lease(self._name("leases"), machine, task, attempt, teller)
+        lease = Lease(self._name("leases"), machine, task, attempt, receiver)
         self._leases[lease.id] = lease
         lease.expires = self.now() + min(self.timing.pickup, wait_us / 1e6)
         self._due.set(("lease", lease.id), lease.expires)
         bot.add(lease)
         bot.news.set()
 
-    def adopt(self, machine: int, task: ports.Task, teller: ports.Teller) -> None:
+    def adopt(self, machine: int, task: ports.Task, receiver: ports.Receiver) -> None:
         """A lease that a former gateway handed out, and the store kept: this life hears of it from now on."""
         lease = self._lease(machine, task)
         if lease is None:  # no submitter names a machine
-            teller.tell(ports.Ended(0, Outcome.RESET))
+            receiver.deliver(Ended(0, Outcome.RESET))
         else:
-            lease.teller = teller
+            lease.receiver = receiver
 
     def restore(self, record: durable_state.LeaseRecord, task: ports.Task) -> int:
         """A lease that was out when the gateway ended counts as out anew; the machine that it is out at."""
@@ -411,25 +409,25 @@
     def leases_out(self) -> list[Lease]:
         return [lease for lease in self._leases.values() if lease.phase is not Phase.WAITING]
 
-    def give_up(self, machine: int, task: ports.Task) -> LetGo:
+    def give_up(self, machine: int, task: ports.Task) -> GiveUpResult:
         lease = self._lease(machine, task)
         if lease is None:
-            return LetGo.GIVEN_UP
+            return GiveUpResult.GIVEN_UP
         if lease.phase is Phase.WAITING:
             lease.phase = Phase.OVER
             self._machines[machine].remove(lease)
             self._leases.pop(lease.id, None)
             self._due.drop(("lease", lease.id))
-            return LetGo.WITHDRAWN
+            return GiveUpResult.WITHDRAWN
         self._cancel(lease)
-        return LetGo.STILL_OUT
+        return GiveUpResult.STILL_OUT
 
     def release(self, machine: int, task: ports.Task, cause: int) -> None:
         if lease := self._lease(machine, task):
             self._cancel(lease)
 
     def move(self, machine: int, task: ports.Task) -> None:
-        self.release(machine, task, ports.CALLED_OFF)
+        self.release(machine, task, CALLED_OFF)
 
     def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
         """Answered from the machine's last update; one that owes an update is silent."""
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -110,7 +110,7 @@
         start."""
         self.settings = settings
         self.core.rules = rules
-        self.driver.rule(settings)
+        self.driver.reconfigure(settings)
         self.bots.rule(settings, rules)
         self.tasks.rule(settings)
         if self.sites is not None:
--- a/weldhatch/pullqueue/lease_dispatch.py
+++ b/weldhatch/pullqueue/lease_dispatch.py
@@ -7,6 +7,7 @@
 from datetime import UTC, datetime
 
 from weldhatch.core import ports
+from weldhatch.core.messages import CALLED_OFF
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.deadlines import Deadlines
 from weldhatch.pullqueue.errors import HttpError
@@ -123,7 +124,7 @@
                 self._ledger.taken_back(lease, lease.id in spent)
                 self._book.must(durable_state.encode("back", lease.id))
                 if lease.phase is Phase.CANCELLED:
-                    self._end(lease, Outcome.NOT_SENT, cause=ports.CALLED_OFF)
+                    self._end(lease, Outcome.NOT_SENT, cause=CALLED_OFF)
                     continue
                 lease.phase = Phase.WAITING
                 lease.expires = self._now() + self._pickup()
--- a/weldhatch/pullqueue/leases.py
+++ b/weldhatch/pullqueue/leases.py
@@ -30,7 +30,7 @@
     machine: int
     task: ports.Task
     attempt: int
-    teller: ports.Teller
+    receiver: ports.Receiver
     phase: Phase = Phase.WAITING
     expires: float = 0.0  # Unix seconds
 
--- a/weldhatch/pullqueue/submission.py
+++ b/weldhatch/pullqueue/submission.py
@@ -6,8 +6,8 @@
 import math
 from typing import Protocol
 
-from weldhatch.core import ports
-from weldhatch.core.request_lifecycle import Life
+from weldhatch.core.messages import GIVEN_UP
+from weldhatch.core.request_lifecycle import RequestLifecycle
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.admission import Ticket
 
@@ -30,7 +30,7 @@
         self.told: dict | None = None  # the answer, once there is one
         self.over = asyncio.Event()
         self.changed = asyncio.Event()  # set anew at each change of state
-        self.life: Life | None = None
+        self.life: RequestLifecycle | None = None
         self.ticket: Ticket | None = None
         self.state, self.cause = "ASKED", 0
         self.result: object = None
@@ -57,7 +57,7 @@
 
     def released(self, cause: int) -> None:
         self.cause = cause
-        self._end("DONE" if cause == ports.GIVEN_UP else "LOST")
+        self._end("DONE" if cause == GIVEN_UP else "LOST")
 
     def moved(self) -> None:
         self._end("MOVED")
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -16,6 +16,7 @@
 from random import Random
 
 from weldhatch.core import ports
+from weldhatch.core.messages import CUT, GIVEN_UP, GivenUp, Released
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.loop_lag import Turns
@@ -325,7 +326,7 @@
     def cancel(self, asked: Submitted) -> None:
         """End it wherever it stands: waiting, under way, or placed."""
         if asked.state == "PLACED":
-            asked.life.tell(ports.Released(ports.GIVEN_UP))
+            asked.life.deliver(Released(GIVEN_UP))
             asked.ended_by_owner()
         elif asked.state == "ASKED":
             self.give_up(asked)
@@ -334,7 +335,7 @@
         if asked.state != "ASKED":
             return
         if asked.life is not None:
-            asked.life.tell(ports.GivenUp())
+            asked.life.deliver(GivenUp())
         elif asked.ticket is not None:
             self.gate.leave_queue(asked.ticket)
             self._entering.pop(asked.ticket, None)
@@ -431,7 +432,7 @@
             elif one.over:
                 self._ended.append(one.name)
             elif one.answer is not None:  # placed, and its end did not reach the disk
-                asked.released(ports.CUT)
+                asked.released(CUT)
             else:
                 anew.append((asked, task))
         self._ledger.restore(state.spent, self._bots.leases_out(), asked_keys)
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -115,7 +115,7 @@
     def rule(self, settings: Settings, rules: Rules) -> None:
         """Decide by settings that a group has agreed on, as far as `rules` lets anything start."""
         self.settings, self.core.rules = settings, rules
-        self.driver.rule(settings)
+        self.driver.reconfigure(settings)
         self.owners.rule(settings)
 
     def name_of(self, machine: int) -> str:
@@ -130,7 +130,7 @@
 
     def listed(self, machines: tuple[Machine, ...]) -> None:
         """Machines that count for less, or for more again, than our own list said last."""
-        self.driver.tell(MachinesChanged(ListForm.DELTA, machines, self.roll.rev))
+        self.driver.post_unwatched(MachinesChanged(ListForm.DELTA, machines, self.roll.rev))
 
     def reconfigure(self, told: config.Platform) -> None:
         """Take over what can change while it runs: the address of the event bus, and events we missed."""
@@ -158,7 +158,7 @@
         self.owners.ending = True
         self.listener.finish()
         await asyncio.sleep(LAST_READ_S)
-        while self.core.unanswered or (self.core.lives and time.monotonic() < end):
+        while self.core.unanswered or (self.core.requests and time.monotonic() < end):
             await asyncio.sleep(0.01)
         await self.owners.finish_all(FLUSH_S)
         self.abort()
--- a/weldhatch/sites/forwarding.py
+++ b/weldhatch/sites/forwarding.py
@@ -15,8 +15,9 @@
 
 from weldhatch.core import ports
 from weldhatch.core.mailbox import Mailbox
+from weldhatch.core.messages import CALLED_OFF, GIVEN_UP, GivenUp, Released
 from weldhatch.core.policy_driver import unix_us
-from weldhatch.core.request_lifecycle import Core, Life
+from weldhatch.core.request_lifecycle import Core, RequestLifecycle
 from weldhatch.scheduling.types import Settings
 from weldhatch.sites import frames, handoff_source, handoff_target, messages
 from weldhatch.sites import storage as records
@@ -130,19 +131,19 @@
             self._sites.lender.begin(self.work)
         except Busy as busy:
             return busy
-        self._life: Life = self._sites.core.arrive(
-            replace(self.task, deadline_us=unix_us() + share_us), HomeOwner(self.tell)
+        self._life: RequestLifecycle = self._sites.core.arrive(
+            replace(self.task, deadline_us=unix_us() + share_us), HomeOwner(self.deliver)
         )
         while True:
-            match await self._next():
+            match await self.next_message():
                 case AtHome(answer) as here:
                     if answer == "refused":
                         self._sites.lender.end(self.work)
                     elif answer == "failed":  # it may run: its key is not free before that is over
                         self._sites.settle(self._life, lambda: self._sites.lender.end(self.work))
                     return here
-                case ports.GivenUp():
-                    self._life.tell(ports.GivenUp())
+                case GivenUp():
+                    self._life.deliver(GivenUp())
                     self._sites.settle(self._life, lambda: self._sites.lender.end(self.work))
                     return None
 
@@ -155,10 +156,10 @@
         timer = self._loop.call_later(max(0, self._left_us() - SPARE_US) / 1e6, self._sites.time_up, id)
         try:
             while True:
-                match await self._next():
+                match await self.next_message():
                     case handoff_source.Answer() | handoff_source.TakeBack() as word if word.id == id:
                         return word
-                    case ports.GivenUp():
+                    case GivenUp():
                         self._sites.leave(id)
                         self._sites.carry(self._sites.lender.given_up(id))
                         return None
@@ -170,12 +171,12 @@
     async def _stand_at_home(self) -> None:
         try:
             while True:
-                match await self._next():
+                match await self.next_message():
                     case HomeOver(cause, moved):
                         self._owner.moved() if moved else self._owner.released(cause)
                         return
-                    case ports.Released(cause):
-                        self._life.tell(ports.Released(cause))
+                    case Released(cause):
+                        self._life.deliver(Released(cause))
                         await self._sites.after(self._life, 0.0, lambda: None)
                         return
         finally:
@@ -183,13 +184,13 @@
 
     async def _stand_there(self, id: Id) -> None:
         while True:
-            match await self._next():
+            match await self.next_message():
                 case handoff_source.Over(which, cause, result) if which == id:
                     if result:
                         self._sites.front.came_to(self.task, result)
                     self._owner.released(cause)
                     return
-                case ports.Released(cause):
+                case Released(cause):
                     self._sites.leave(id)
                     self._sites.carry(self._sites.lender.freed(id, cause))
                     return
@@ -227,16 +228,16 @@
         self._ended(cause)
 
     def moved(self) -> None:
-        self._ended(ports.CALLED_OFF)
+        self._ended(CALLED_OFF)
 
     def give_up(self) -> None:
         """Nobody waits for it any more. It may have run: it ends once it can't, and is not returned."""
-        self.life.tell(ports.GivenUp())
-        self._sites.settle(self.life, lambda: self._ended(ports.GIVEN_UP))
+        self.life.deliver(GivenUp())
+        self._sites.settle(self.life, lambda: self._ended(GIVEN_UP))
 
     def free(self, cause: int) -> None:
         """The core tells an owner nothing of an end that the owner asked for: it is waited for."""
-        self.life.tell(ports.Released(cause))
+        self.life.deliver(Released(cause))
         self._sites.spawn(self._sites.after(self.life, 0.0, lambda: self._ended(cause)))
 
     @property
@@ -302,12 +303,14 @@
 
     @property
     def lives(self) -> set:
-        return self.core.lives
+        return self.core.requests
 
     def arrive(self, task: ports.Task, owner: ports.Owner) -> Crossing:
         return Crossing(self, task, owner)
 
-    def adopt(self, task: ports.Task, machine: int, owner: ports.Owner, answered: bool = True) -> Life:
+    def adopt(
+        self, task: ports.Task, machine: int, owner: ports.Owner, answered: bool = True
+    ) -> RequestLifecycle:
         """A task that runs here already: its key is this site's until it is over."""
         work, life = self.work_of(task), self.core.adopt(task, machine, owner, answered)
         try:
@@ -332,11 +335,11 @@
         for site, ids in before.items():
             self.carry(self.book.taker(site).restarted(ids), site)
 
-    def settle(self, life: Life, then: Callable[[], None]) -> None:
+    def settle(self, life: RequestLifecycle, then: Callable[[], None]) -> None:
         """Call once a task that was given up, or failed, can't run any more."""
         self.spawn(self.after(life, self._settle_s, then))
 
-    async def after(self, life: Life, seconds: float, then: Callable[[], None]) -> None:
+    async def after(self, life: RequestLifecycle, seconds: float, then: Callable[[], None]) -> None:
         while not life.over:
             await asyncio.sleep(LOOK_S)
         await asyncio.sleep(seconds)
@@ -381,7 +384,9 @@
         )
 
     def summary(self) -> Summary:
-        return self.room.summary(time.monotonic(), self.core.unanswered, len(self.core.lives), self.draining)
+        return self.room.summary(
+            time.monotonic(), self.core.unanswered, len(self.core.requests), self.draining
+        )
 
     def choose(self, work: Work, left_us: int, crossed: frozenset[str]) -> str | Stays:
         if self.book.full:
@@ -440,10 +445,10 @@
                 if waiting := self._waiting.get(id):
                     if not (isinstance(effect, handoff_source.Answer) and effect.answer == "placed"):
                         del self._waiting[id]
-                    waiting[0].tell(effect)
+                    waiting[0].deliver(effect)
             case handoff_source.Over(id):
                 if waiting := self._waiting.pop(id, None):
-                    waiting[0].tell(effect)
+                    waiting[0].deliver(effect)
             case handoff_target.Try(site, id, work, left_us):
                 self._welcome(site, id, work, left_us)
             case handoff_target.GiveUp(site, id):
--- a/weldhatch/sites/local_site.py
+++ b/weldhatch/sites/local_site.py
@@ -7,6 +7,7 @@
 from typing import Protocol
 
 from weldhatch.core import ports
+from weldhatch.core.messages import CALLED_OFF
 from weldhatch.sites.messages import Id, Work
 
 
@@ -71,4 +72,4 @@
         self._tell(HomeOver(cause))
 
     def moved(self) -> None:
-        self._tell(HomeOver(ports.CALLED_OFF, moved=True))
+        self._tell(HomeOver(CALLED_OFF, moved=True))
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -41,7 +41,7 @@
         self._settings, self._driver = settings, driver
         self._solitary = Solitary(settings, self._times, Random(seed), time.monotonic())
         self._heard(MachinesChanged(ListForm.DELTA, tuple(self._told.entries.values())))
-        driver.watches.append(self._heard)
+        driver.watchers.append(self._heard)
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def _heard(self, event: Event) -> None:
@@ -70,7 +70,7 @@
         machines = self._told.news(self._told.entries, lambda machine: keeper.state(now, machine.id))
         if machines:
             # Not through `post`, which would have us hear it as our own list's word.
-            self._driver.tell(MachinesChanged(ListForm.DELTA, machines))
+            self._driver.post_unwatched(MachinesChanged(ListForm.DELTA, machines))
 
     # ---- what the core asks ----------------------------------------------------------------------------
 
--- a/weldhatch/testbed/in_memory_machines.py
+++ b/weldhatch/testbed/in_memory_machines.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from weldhatch.core import ports
-from weldhatch.core.ports import LetGo
+from weldhatch.core.messages import CALLED_OFF, GIVEN_UP, Answered, Ended, GiveUpResult
 from weldhatch.scheduling.types import Machine, Outcome, Reason
 
 
@@ -39,7 +39,7 @@
     task: ports.Task
     attempt: int
     machine: int
-    teller: ports.Teller
+    receiver: ports.Receiver
     timer: asyncio.TimerHandle | None = None
 
 
@@ -67,7 +67,7 @@
     def end_all(self) -> None:
         """All that runs comes to its end."""
         for one in list(self._stands.values()):
-            self._end(one, Outcome.OK, ports.GIVEN_UP)
+            self._end(one, Outcome.OK, GIVEN_UP)
 
     def die(self) -> None:
         """The gateway is gone, and the machines stop what they ran for it, as leases run out."""
@@ -88,25 +88,25 @@
         task: ports.Task,
         attempt: int,
         wait_us: int,
-        teller: ports.Teller,
+        receiver: ports.Receiver,
         start_by_us: int = 0,
     ) -> None:
         if self.dead:
             return
-        one = self._out[id(task)] = Running(task, attempt, machine, teller)
+        one = self._out[id(task)] = Running(task, attempt, machine, receiver)
         one.timer = asyncio.get_running_loop().call_later(self.look_s, self._look, one)
 
     def _look(self, one: Running) -> None:
         del self._out[id(one.task)]
         if self.free[one.machine] < one.task.cores:
-            one.teller.tell(ports.Ended(one.attempt, Outcome.FULL, Reason.NO_CORES))
+            one.receiver.deliver(Ended(one.attempt, Outcome.FULL, Reason.NO_CORES))
             return
         self.free[one.machine] -= one.task.cores
         self._stands[id(one.task)] = one
         self._tally.begin(one.task.key)
-        one.teller.tell(ports.Answered(one.attempt, f"m{one.machine}"))
+        one.receiver.deliver(Answered(one.attempt, f"m{one.machine}"))
         life = self.life_s * (0.5 + self._random.random())
-        one.timer = asyncio.get_running_loop().call_later(life, self._end, one, Outcome.OK, ports.GIVEN_UP)
+        one.timer = asyncio.get_running_loop().call_later(life, self._end, one, Outcome.OK, GIVEN_UP)
 
     def _end(self, one: Running, outcome: Outcome, cause: int) -> None:
         if self._stands.pop(id(one.task), None) is None:
@@ -114,23 +114,23 @@
         one.timer.cancel()
         self.free[one.machine] += one.task.cores
         self._tally.end(one.task.key)
-        one.teller.tell(ports.Ended(one.attempt, outcome, cause=cause))
+        one.receiver.deliver(Ended(one.attempt, outcome, cause=cause))
 
-    def adopt(self, machine: int, task: ports.Task, teller: ports.Teller) -> None:
-        teller.tell(ports.Ended(0, Outcome.RESET))
+    def adopt(self, machine: int, task: ports.Task, receiver: ports.Receiver) -> None:
+        receiver.deliver(Ended(0, Outcome.RESET))
 
-    def give_up(self, machine: int, task: ports.Task) -> LetGo:
+    def give_up(self, machine: int, task: ports.Task) -> GiveUpResult:
         if one := self._out.pop(id(task), None):
             one.timer.cancel()
-            return LetGo.WITHDRAWN
-        return LetGo.GIVEN_UP
+            return GiveUpResult.WITHDRAWN
+        return GiveUpResult.GIVEN_UP
 
     def release(self, machine: int, task: ports.Task, cause: int) -> None:
         if one := self._stands.get(id(task)):
             self._end(one, Outcome.CANCELLED, cause)
 
     def move(self, machine: int, task: ports.Task) -> None:
-        self.release(machine, task, ports.CALLED_OFF)
+        self.release(machine, task, CALLED_OFF)
 
     def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
         done(Outcome.OK, (self.free[machine], 2 * self.free[machine]))
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -16,6 +16,7 @@
 from random import Random
 
 from weldhatch.core import ports
+from weldhatch.core.messages import CALLED_OFF
 from weldhatch.core.policy_driver import Driver, unix_us
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.descriptor_budget import Budget, Share
@@ -79,7 +80,7 @@
         self.ends = 0
         self.asked, self.took = time.monotonic(), 0.0
         self.answered, self.over = asyncio.Event(), asyncio.Event()
-        self.life: ports.Teller | None = None
+        self.life: ports.Receiver | None = None
 
     def _told(self, answer: str) -> None:
         self.answers.append(answer)
@@ -103,7 +104,7 @@
         self.over.set()
 
     def moved(self) -> None:
-        self.released(ports.CALLED_OFF)
+        self.released(CALLED_OFF)
 
 
 @dataclass(slots=True)
@@ -164,7 +165,7 @@
             self.settle_s,
             self.log,
         )
-        driver.watches.append(lambda event: sites.room.watch(time.monotonic(), event))
+        driver.watchers.append(lambda event: sites.room.watch(time.monotonic(), event))
         driver.post(MachinesChanged(ListForm.CACHED, hall.entries()))
         budget = Budget(400)
         door = Door(("127.0.0.1", 0), sites.links, Share(budget, 200), self.log)
