--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -95,7 +95,7 @@
         self._roll, self.zone_agent, self._known = front.endpoint_list, None, EndpointOverlay()
         if zones is not None:
             if self._roll is None:
-                front.driver.watches.append(self._listed)
+                front.driver.watchers.append(self._listed)
             self.zone_agent = ZoneAgent(
                 own, told.drift, told.stated, front.driver, front.name_of, self._narrow, log, boot_clock
             )
@@ -166,7 +166,7 @@
             if machines := known.changes(
                 known.entries if zoned else (), lambda machine: zoned(machine.id) if zoned else "ready"
             ):
-                self._front.driver.tell(MachinesChanged(ListForm.DELTA, machines))
+                self._front.driver.post_unwatched(MachinesChanged(ListForm.DELTA, machines))
 
     def _listed(self, event: Event) -> None:
         """What the module hears of machines that make themselves known."""
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -46,7 +46,7 @@
         self._driver = driver
         self._failover = StandaloneFailover(settings, self._timing, Random(seed), time.monotonic())
         self._handle_event(MachinesChanged(ListForm.DELTA, tuple(self._overlay.entries.values())))
-        driver.watches.append(self._handle_event)
+        driver.watchers.append(self._handle_event)
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def _handle_event(self, event: Event) -> None:
@@ -79,7 +79,7 @@
         )
         if machines:
             # Not through `post`, which would have us take it for our own list's event.
-            self._driver.tell(MachinesChanged(ListForm.DELTA, machines))
+            self._driver.post_unwatched(MachinesChanged(ListForm.DELTA, machines))
 
     # ---- what the core asks ------------------------------------------------------------------------------
 
