--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -489,9 +489,9 @@
 def test_records_of_every_kind_fold_to_the_least_that_say_the_same():
     fold = Fold()
     for record in RECORDS:
-        fold.take(record.encode())
-    assert [record.decode() for record in fold.records()] == FOLDED
-    assert fold.size == 2 + 1 + 3 + 1
+        fold.apply(record.encode())
+    assert [record.decode() for record in fold.snapshot_records()] == FOLDED
+    assert fold.snapshot_size == 2 + 1 + 3 + 1
 
 
 @pytest.mark.parametrize(
@@ -499,7 +499,7 @@
 )
 def test_a_record_of_no_kind_is_an_error(bad):
     with pytest.raises(ValueError):
-        Fold().take(bad.encode())
+        Fold().apply(bad.encode())
 
 
 def play_store(folder):
@@ -511,7 +511,7 @@
             "fresh": book.fresh,
             "epoch": book.epoch,
             "held": [book.lineage, book.state],
-            "met": list(book.known("g2")),
+            "met": list(book.known_epoch("g2")),
             "saved": [record.decode() for record in book.saved.records()],
         }
         raft = Raft("g1", book.saved, Times(), Random(book.epoch), 0.0)
@@ -528,14 +528,14 @@
         if book.epoch == 1:
             raft.change_voters(103.0, {"g1": "h:1", "g2": "h:2"})
         await book.write([fields_of(effect)[0] for effect in raft.out if isinstance(effect, Write)])
-        await book.met("g2", book.epoch + 4, "t5")
+        await book.record_epoch("g2", book.epoch + 4, "t5")
         book.hold(0, json.dumps({"index": 10 * book.epoch}))
         await book.flush()
         book.close()
         return found
 
     found = asyncio.run(run())
-    records = [record.decode() for record in Log(folder / "agreement.log").records()]
+    records = [record.decode() for record in Log(folder / "agreement.log").recovered_records()]
     token = '"begins", '  # what follows is the epoch and a token that is drawn anew
     return found, [one[: one.rindex(",")] if token in one else one for one in records]
 
@@ -549,9 +549,9 @@
     play_store(folder)
     play_store(folder)
     fold, log = Fold(), Log(folder / "agreement.log")
-    for record in log.records():
-        fold.take(record)
-    log.rewrite(fold.records())
+    for record in log.recovered_records():
+        fold.apply(record)
+    log.rewrite(fold.snapshot_records())
 
 
 STORES = {"store_as_written": as_written, "store_cut_down": cut_down}
@@ -567,8 +567,8 @@
 @pytest.mark.parametrize("name", STORES)
 def test_a_new_store_holds_the_bytes_that_were_recorded(name, tmp_path):
     STORES[name](tmp_path)
-    of_version = list(Log(DATA / name / "agreement.log").records())
-    mine = list(Log(tmp_path / "agreement.log").records())
+    of_version = list(Log(DATA / name / "agreement.log").recovered_records())
+    mine = list(Log(tmp_path / "agreement.log").recovered_records())
     assert [without_token(one) for one in mine] == [without_token(one) for one in of_version]
 
 
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -366,7 +366,7 @@
     with tokens("12345678"):
         book = QueueStorage(str(folder), 2000.0, print)
     told = {
-        "epoch": book.epoch,
+        "epoch": book.epoch_name,
         "fresh": book.fresh,
         "operations": {name: list(astuple(one)) for name, one in book.state.operations.items()},
         "leases": {name: list(astuple(one)) for name, one in book.state.leases.items()},
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -62,7 +62,7 @@
         self._unseen: set[str] = set()  # restored ones that their machines have not renewed yet
         self._due = Deadlines()
         # A gateway that starts anew makes names that no former one gave.
-        self._epoch = book.epoch
+        self._epoch = book.epoch_name
         self._outgoing = Outgoing(
             settings,
             ledger,
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -81,7 +81,8 @@
         self.operations = Operations(self.tasks)
         if told.store:
             out, anew = self.tasks.restore()
-            log(f"store: epoch {self.book.epoch}, {out} leases go on, {anew} submissions are asked for anew")
+            epoch = self.book.epoch_name
+            log(f"store: epoch {epoch}, {out} leases go on, {anew} submissions are asked for anew")
         self._share = Share(Budget(told.sockets), told.connections)
         self._links: dict[Connection, HttpLink] = {}
         self._serving: set[asyncio.Task] = set()
--- a/weldhatch/pullqueue/storage.py
+++ b/weldhatch/pullqueue/storage.py
@@ -1,56 +1,58 @@
-"""The gateway's book: writes what `durable` folds, through the store's group commit; or nothing, without a
-store."""
+"""The pull queue's store: writes what `durable_state` folds, by group commit; or nothing, without a store."""
 
 from __future__ import annotations
 
 import asyncio
-import secrets
 from collections.abc import Callable
 
 from weldhatch.config import ConfigError
 from weldhatch.pullqueue.durable_state import QueueState, encode
-from weldhatch.store.folded import FoldedStore
+from weldhatch.store.folded import EpochStore, FoldedStore
 
 
-class QueueStorage:
-    """The store's folder, as a pull queue keeps it. One gateway at a time."""
+class QueueStorage(EpochStore):
+    """The folder of a pull queue's store. One gateway at a time."""
 
-    def __init__(self, folder: str, now: float, say: Callable[[str], None]) -> None:
-        """Raises ConfigError where the folder can't be used, is another's, or holds what can't be read."""
+    def __init__(self, folder: str, now: float, log: Callable[[str], None]) -> None:
+        """Open the folder and begin an epoch. `now`: Unix seconds.
+
+        Raises ConfigError where the folder can't be used, is another's, or holds what can't be read.
+        """
         self.state = QueueState()
         try:
-            self._store = FoldedStore(folder, "queue.log", "store", now, [self.state], say)
-            self.fresh = self.state.epoch == 0
-            self.state.epoch += 1
-            self.state.token = secrets.token_hex(4)
-            # The epoch is on the disk before the first name of it is given.
-            self._store.start([encode("epoch", self.state.epoch, self.state.token, now)], folded=True)
-        except OSError as fault:
-            raise ConfigError(f"store: {fault}") from None
-
-    @property
-    def epoch(self) -> str:
-        return f"{self.state.epoch}.{self.state.token}"
+            store = FoldedStore(folder, "queue.log", "store", now, [self.state], log)
+            self.fresh = self.state.epoch == 0  # no gateway has used the folder before
+            super().__init__(
+                store,
+                *self.begin_run(
+                    store,
+                    self.state.epoch,
+                    lambda epoch, token: self._begin_epoch(epoch, token, now),
+                    already_applied=True,
+                ),
+            )
+        except OSError as error:
+            raise ConfigError(f"store: {error}") from None
+
+    def _begin_epoch(self, epoch: int, token: str, now: float) -> bytes:
+        """Set the epoch, but do not apply its record: it would forget which leases the last run has seen."""
+        self.state.epoch = epoch
+        self.state.token = token
+        return encode("epoch", epoch, token, now)
 
     @property
-    def write_error(self) -> str:
-        """Why nothing new can be taken; '' while the disk takes records."""
-        return self._store.write_error
+    def epoch_name(self) -> str:
+        """The epoch as it stands in the names that this gateway gives."""
+        return f"{self.epoch}.{self.token}"
 
-    def append(self, *records: bytes) -> asyncio.Future:
-        """What is about to happen: done once it is on the disk, LogError if it may not."""
+    def append(self, *records: bytes) -> asyncio.Future[None]:
+        """Write what is about to happen: done once it is on the disk, LogError if it may not."""
         return self._store.append(records)
 
-    def append_with_retry(self, *records: bytes) -> asyncio.Future:
-        """What has happened: written as soon as the disk takes it; the future never fails."""
+    def append_with_retry(self, *records: bytes) -> asyncio.Future[None]:
+        """Write what has happened, as soon as the disk takes it; the future never fails."""
         return self._store.append_with_retry(records)
 
-    async def flush(self) -> None:
-        await self._store.flush()
-
-    def close(self) -> None:
-        self._store.close()
-
 
 class NoStorage:
     """Without a store: nothing is written, and nothing is there after a restart."""
@@ -59,18 +61,20 @@
     fresh = True
 
     def __init__(self, now_ns: int) -> None:
+        """Name the epoch after the time, in Unix nanoseconds. Needs a running event loop."""
         self.state = QueueState()
-        self.epoch = f"{now_ns:x}"
-        self._done = asyncio.get_running_loop().create_future()
+        self.epoch_name = f"{now_ns:x}"
+        self._done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._done.set_result(None)
 
-    def append(self, *records: bytes) -> asyncio.Future:
+    def append(self, *records: bytes) -> asyncio.Future[None]:
+        """Forget the records; the future is done."""
         return self._done
 
     append_with_retry = append
 
     async def flush(self) -> None:
-        pass
+        """Return at once."""
 
     def close(self) -> None:
-        pass
+        """Do nothing."""
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -63,7 +63,7 @@
         self._ended: deque[str] = deque()
         self._serial = 0
         self._started = bots.now()
-        self._epoch = book.epoch
+        self._epoch = book.epoch_name
         self.gate = Gate(
             {n: max(tenant.portion, 0.001) for n, tenant in enumerate(settings.tenants)} or {0: 1.0}, queue
         )
--- a/weldhatch/sites/messages.py
+++ b/weldhatch/sites/messages.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Any
 
 # A transfer's id, unique for ever at the site that lends: its store's epoch, and a serial within that.
 TransferId = tuple[int, int]
@@ -108,3 +109,6 @@
 
 ToTarget = Offer | Withdraw | Release | Close | LowWatermark
 ToSource = Accepted | Placed | Returned | Ended
+
+# A record of a hand-off in the store: the word that says its kind, then its values.
+HandoffRecord = tuple[Any, ...]
--- a/weldhatch/sites/storage.py
+++ b/weldhatch/sites/storage.py
@@ -1,14 +1,13 @@
-"""The sites' book: what a site lent, what it took, and which epochs of other sites it has met, on the disk.
+"""The sites' store: what a site lent, what it took, and which epochs of other sites it has met, on the disk.
 
 Records are JSON arrays: ["begins", epoch, token], ["met", site, epoch, token], ["lender", ...] and
-["taker", site, ...], the last two as the hand-over's own. What is in memory runs ahead of the disk; the fold
-here holds what is on it, from which the log is cut down while it is written.
+["taker", site, ...], the last two as the hand-off's own. What is in memory runs ahead of the disk; the state
+here holds what is on it, from which the log is compacted while it is written.
 """
 
 from __future__ import annotations
 
 import asyncio
-import secrets
 from collections.abc import Callable, Iterator
 
 import msgspec
@@ -18,31 +17,33 @@
 from weldhatch.sites.frames import decode_record, encode_record
 from weldhatch.sites.handoff_source import HandoffSource
 from weldhatch.sites.handoff_target import HandoffTarget
+from weldhatch.sites.messages import HandoffRecord
 from weldhatch.store.commit import NO_OP_RECORD
 from weldhatch.store.folded import FoldedStore
 
 
 class SiteState:
-    """All records, folded."""
+    """All records of a site's store, folded."""
 
     def __init__(self) -> None:
-        self.epoch, self.token = 0, ""
+        """Begin with nothing lent, taken or met."""
+        self.epoch = 0
+        self.token = ""
         self.met: dict[str, tuple[int, str]] = {}
         self.source = HandoffSource(0)
         self.targets: dict[str, HandoffTarget] = {}
 
     def apply(self, payload: bytes) -> None:
-        """One record. Raises ValueError for what is none."""
+        """Apply one record. Raises ValueError for what is none."""
         if payload == NO_OP_RECORD:
             return
         try:
             kind, *rest = msgspec.json.decode(payload)
-        except (msgspec.MsgspecError, ValueError, TypeError) as fault:
-            raise ValueError(f"a record that can't be read: {payload[:80]!r}: {fault}") from None
+        except (msgspec.MsgspecError, ValueError, TypeError) as error:
+            raise ValueError(f"a record that can't be read: {payload[:80]!r}: {error}") from None
         match kind, rest:
             case "begins", [int(epoch), str(token)]:
-                self.epoch, self.token = epoch, token
-                self.source.apply(("epoch", epoch))
+                self.begin_epoch(epoch, token)
             case "met", [str(site), int(epoch), str(token)]:
                 self.met[site] = (epoch, token)
             case "lender", [*record]:
@@ -52,11 +53,19 @@
             case _:
                 raise ValueError(f"a record that can't be read: {payload[:80]!r}")
 
+    def begin_epoch(self, epoch: int, token: str) -> bytes:
+        """Set the epoch of a run, and return the record that says so."""
+        self.epoch = epoch
+        self.token = token
+        self.source.apply(("epoch", epoch))
+        return msgspec.json.encode(("begins", epoch, token))
+
     def target(self, site: str) -> HandoffTarget:
+        """Return what was taken from a site."""
         return self.targets.setdefault(site, HandoffTarget(site))
 
     def snapshot_records(self) -> Iterator[bytes]:
-        """The least records that fold to the same."""
+        """Return the least records that fold to the same state."""
         for record in self.source.snapshot_records():
             if record[0] != "epoch":
                 yield encode_source_record(record)
@@ -69,44 +78,46 @@
 
     @property
     def snapshot_size(self) -> int:
-        """About how many records `records` gives."""
-        return (
-            2
-            + 2 * len(self.source.transfers)
-            + len(self.met)
-            + sum(3 * len(one.transfers) + len(one.tombstones) for one in self.targets.values())
-        )
+        """About how many records `snapshot_records` gives."""
+        taken = sum(3 * len(target.transfers) + len(target.tombstones) for target in self.targets.values())
+        return 2 + 2 * len(self.source.transfers) + len(self.met) + taken
 
 
-def encode_source_record(record: tuple) -> bytes:
+def encode_source_record(record: HandoffRecord) -> bytes:
+    """Return a record of what was lent, as it stands in the log."""
     return b'["lender",' + encode_record(record)[1:]
 
 
-def encode_target_record(site: str, record: tuple) -> bytes:
+def encode_target_record(site: str, record: HandoffRecord) -> bytes:
+    """Return a record of what was taken from a site, as it stands in the log."""
     return msgspec.json.encode(("taker", site))[:-1] + b"," + encode_record(record)[1:]
 
 
 class SiteStorage(EpochStorage):
-    """The sites' folder: a fold of what is on the disk, and one that runs ahead of it."""
+    """The sites' folder: a state as it is on the disk, and one that runs ahead of it."""
+
+    def __init__(self, folder: str, now: float, log: Callable[[str], None]) -> None:
+        """Open the folder and begin an epoch. `now`: Unix seconds.
 
-    def __init__(self, folder: str, now: float, say: Callable[[str], None]) -> None:
-        """Raises ConfigError where the folder can't be used, is another's, or holds what can't be read."""
-        disk, memory = SiteState(), SiteState()
+        Raises ConfigError where the folder can't be used, is another's, or holds what can't be read.
+        """
+        self.disk = SiteState()
+        memory = SiteState()
         try:
-            self._store = FoldedStore(folder, "sites.log", "sites", now, [disk, memory], say)
-            begins = msgspec.json.encode(("begins", memory.epoch + 1, secrets.token_hex(4)))
-            memory.apply(begins)
-            self._store.start([begins])  # on the disk before the first id of it is given
-        except OSError as fault:
-            raise ConfigError(f"sites.store: {fault}") from None
-        super().__init__(self._store, memory.epoch, memory.token, memory.met)
-        self.disk = disk
-        self.source, self.targets, self.target = memory.source, memory.targets, memory.target
-
-    def append(self, records: list[bytes]) -> asyncio.Future:
-        """What is about to happen: done once it is on the disk, LogError if it may not."""
+            store = FoldedStore(folder, "sites.log", "sites", now, [self.disk, memory], log)
+            # The epoch is on the disk before the first id of it is given.
+            epoch, token = self.begin_run(store, memory.epoch, memory.begin_epoch)
+        except OSError as error:
+            raise ConfigError(f"sites.store: {error}") from None
+        super().__init__(store, epoch, token, memory.met)
+        self.source = memory.source
+        self.targets = memory.targets
+        self.target = memory.target
+
+    def append(self, records: list[bytes]) -> asyncio.Future[None]:
+        """Write what is about to happen: done once it is on the disk, LogError if it may not."""
         return self._store.append(records)
 
-    def append_with_retry(self, records: list[bytes]) -> asyncio.Future:
-        """What has happened: written as soon as the disk takes it; the future never fails."""
+    def append_with_retry(self, records: list[bytes]) -> asyncio.Future[None]:
+        """Write what has happened, as soon as the disk takes it; the future never fails."""
         return self._store.append_with_retry(records)
--- a/weldhatch/store/__init__.py
+++ b/weldhatch/store/__init__.py
@@ -1,1 +1,1 @@
-"""What has to outlast the process: a checksummed log, and the lock of its folder."""
+"""What has to outlast the process: a checksummed log, its folder's lock, states folded from its records."""
--- a/weldhatch/store/lock.py
+++ b/weldhatch/store/lock.py
@@ -1,5 +1,4 @@
-"""One holder at a time for a folder, by the operating system's lock: it goes with the process that held
-it."""
+"""One owner at a time for a folder, by the operating system's lock: it goes with the process that held it."""
 
 from __future__ import annotations
 
@@ -14,30 +13,32 @@
 
 
 class Lock:
-    """Held from its making to `close`. `since` is told to those who are turned away."""
+    """Held from its making to `close`."""
 
     def __init__(self, path: str | Path, who: str, since: str) -> None:
+        """Take the lock, or raise LockHeldError. `who` and `since` are told to those who are turned away."""
         self._path = str(path)
         try:
             self._handle = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        except OSError as fault:
-            raise LockHeldError(f"{self._path}: {fault.strerror}; nothing was done") from None
+        except OSError as error:
+            raise LockHeldError(f"{self._path}: {error.strerror}; nothing was done") from None
         try:
             fcntl.flock(self._handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            text = lock_owner(self._path)
+            owner = lock_owner(self._path)
             os.close(self._handle)
             self._handle = -1
-            raise LockHeldError(f"{self._path}: held by {text}") from None
+            raise LockHeldError(f"{self._path}: held by {owner}") from None
         self.describe_owner(who, since)
 
     def describe_owner(self, who: str, since: str) -> None:
-        """What others read of the holder."""
+        """Write what others read of the owner."""
         data = json.dumps({"who": who, "since": since, "pid": os.getpid()}).encode()
         os.ftruncate(self._handle, 0)
         os.pwrite(self._handle, data, 0)
 
     def close(self) -> None:
+        """Give the lock back; a second call does nothing."""
         if self._handle >= 0:
             os.ftruncate(self._handle, 0)
             os.close(self._handle)
@@ -45,7 +46,7 @@
 
 
 def lock_owner(path: str | Path) -> str:
-    """Who holds a lock, in words; '' where nobody does."""
+    """Return who holds a lock, in words; '' where nobody does."""
     try:
         handle = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     except OSError:
@@ -57,8 +58,8 @@
         except OSError:
             pass
         try:
-            told = json.loads(os.pread(handle, 4096, 0))
-            return f"{told['who']} (process {told['pid']}) since {told['since']}"
+            owner = json.loads(os.pread(handle, 4096, 0))
+            return f"{owner['who']} (process {owner['pid']}) since {owner['since']}"
         except (ValueError, KeyError, TypeError):
             return "one that has just come"
     finally:
