--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -114,12 +114,12 @@
 def hand_over(to="b"):
     source, target = HandoffSource(3), HandoffTarget("a")
     id, (_, say) = source.offer(to, UNSAFE, 500_000)
-    return source, target, id, say.word
+    return source, target, id, say.message
 
 
 def said(effects):
     return [
-        effect.word
+        effect.message
         for effect in effects
         if isinstance(effect, handoff_source.SendMessage | handoff_target.SendMessage)
     ]
--- a/weldhatch/sites/handoff_source.py
+++ b/weldhatch/sites/handoff_source.py
@@ -1,13 +1,13 @@
-"""The lending side of a hand-over: the site that was asked, and that owes the owner its one answer. No I/O.
+"""The source of a hand-off: the site that was asked, and that owes the owner its one answer. No I/O.
 
-A transfer goes OUT, then STANDS, and is dropped with its end. CALLED_BACK and FREED wait for the end of what
-nobody wants any more. Whoever carries the effects out does so in order, and none before the records that
-stand before it are on the disk: each thing is written before it is said.
+A transfer goes from OFFERED to PLACED, and is dropped with its end. RECALLED and RELEASED wait for the end of
+what nobody wants any more. Whoever carries the effects out does so in order, and none before the records that
+precede it are on the disk: each thing is written before it is said.
 
-The right to start a task is here, or lent; never at two sites:
+The right to start a task is here, or at one target; never at two sites:
 
-* an id is lent to one site, once, and never offered to another under the same id;
-* while it is lent, the task is not started here, unless its class is safe;
+* an id is offered to one site, and never to another under the same id;
+* while the transfer is open, the task is not started here, unless its class is idempotent (`Effect.SAFE`);
 * only `Returned` brings the right back. Time-outs, broken links and restarts do not.
 """
 
@@ -19,13 +19,15 @@
 
 from weldhatch.scheduling.types import Effect
 from weldhatch.sites import messages
-from weldhatch.sites.messages import TransferId, Work
+from weldhatch.sites.messages import HandoffRecord, TransferId, Work
 
-MAX_ID_SPAN = 65_536  # ids from the oldest open transfer to the newest: what the taking side has to remember
+MAX_ID_SPAN = 65_536  # ids from the oldest open transfer to the newest: a target remembers those
 CALLED_OFF = 31  # the cause of a task that nobody waits for
 
 
 class OutgoingPhase(StrEnum):
+    """How far a transfer has come, as its source knows. The values are printed by `weldhatch sites status`."""
+
     OFFERED = "out"  # offered; the owner waits
     PLACED = "stands"  # the owner was told that it stands
     RECALLED = "called back"  # the owner has its answer, and no use for the task
@@ -34,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OutgoingTransfer:
-    """One transfer at the lending site."""
+    """One transfer at its source."""
 
     id: TransferId
     site: str
@@ -44,6 +46,14 @@
     cause: int = 0  # with which its owner ended it
 
 
+class Answer(StrEnum):
+    """The final answer of a request."""
+
+    PLACED = "placed"
+    REJECTED = "refused"
+    FAILED = "failed"
+
+
 # ---- effects, carried out in order ------------------------------------------------------------------------
 
 
@@ -51,21 +61,23 @@
 class WriteRecord:
     """A record; on the disk before anything that follows it is done."""
 
-    record: tuple
+    record: HandoffRecord
 
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
+    """A message to a site, which may be lost: it is sent again until it is confirmed."""
+
     site: str
-    word: messages.ToTarget
+    message: messages.ToTarget
 
 
 @dataclass(slots=True, frozen=True)
 class AnswerOwner:
-    """The one final answer of the request that was lent: placed, refused or failed."""
+    """The one final answer of the request that was handed off. `wait_us`: when its owner may come back."""
 
     id: TransferId
-    answer: str
+    answer: Answer
     description: str = ""
     wait_us: int = 0
 
@@ -80,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportEnd:
-    """A task that stood there is over; the owner is told, unless it brought that about."""
+    """A task that was placed there is over; the owner is notified, unless it brought that about."""
 
     id: TransferId
     cause: int
@@ -91,30 +103,50 @@
 
 
 def exclusive_key(work: Work) -> int | None:
-    """The key under which the task may run once only, over all sites; None for one that may run twice."""
+    """Return the key under which the task may run once only, over all sites; None where it may run twice."""
     return work.key if work.key and work.effect != Effect.SAFE.name else None
 
 
+_PHASE_OF_RECORD = {
+    "stands": OutgoingPhase.PLACED,
+    "called": OutgoingPhase.RECALLED,
+    "freed": OutgoingPhase.RELEASED,
+}
+
+
 class TaskBusyError(Exception):
-    """The task can't be lent or started now; the text says why, and trying again later is harmless."""
+    """The task can't be handed off or started now; the text says why, and a later retry is harmless."""
+
+
+def _records_of(transfer: OutgoingTransfer) -> Iterator[HandoffRecord]:
+    """Return the least records that bring one transfer about."""
+    yield ("lent", transfer.id, transfer.site, transfer.work)
+    match transfer.phase:
+        case OutgoingPhase.PLACED:
+            yield ("stands", transfer.id)
+        case OutgoingPhase.RECALLED:
+            yield ("called", transfer.id)
+        case OutgoingPhase.RELEASED:
+            yield ("freed", transfer.id, transfer.cause)
 
 
 @dataclass(slots=True)
 class HandoffSource:
-    """All transfers of one lending site. Feed it words and events; carry out what it returns, in order."""
+    """All transfers from this site. Feed it messages and events; carry out what it returns, in order.
+
+    `transfers`: those that are open, the oldest first; `remote_keys`: keys whose right to start is at another
+    site, with the transfer that holds it; `local_keys`: those on which this site's module decides, or whose
+    tasks run here.
+    """
 
     epoch: int
     serial: int = 0
-    transfers: dict[TransferId, OutgoingTransfer] = field(
-        default_factory=dict
-    )  # open transfers, the oldest first
-    remote_keys: dict[int, TransferId] = field(default_factory=dict)  # keys whose right to start is elsewhere
-    local_keys: set[int] = field(default_factory=set)  # keys that this site's own module decides on, or runs
-
-    # ---- what may be started here ----------------------------------------------------------------------
+    transfers: dict[TransferId, OutgoingTransfer] = field(default_factory=dict)
+    remote_keys: dict[int, TransferId] = field(default_factory=dict)
+    local_keys: set[int] = field(default_factory=set)
 
     def reserve_key(self, work: Work) -> None:
-        """This site's module is about to decide on the task. Raises Busy where its key is not free.
+        """Take the task's key, before this site's module decides on it. Raises TaskBusyError if it is taken.
 
         Guards against a start beside one at another site, or beside another request for the same key.
         """
@@ -123,7 +155,7 @@
             self.local_keys.add(key)
 
     def release_key(self, work: Work) -> None:
-        """It is over here, or its request has had its answer and nothing runs."""
+        """Free the task's key: it is over here, or its request has had its answer and nothing runs."""
         self.local_keys.discard(work.key)
 
     def _check_key_free(self, key: int) -> None:
@@ -133,208 +165,218 @@
             raise TaskBusyError("a request for its key is under way here, or its task stands")
 
     def offer(self, site: str, work: Work, left_us: int) -> tuple[TransferId, list[SourceEffect]]:
-        """Offer a task to another site. Raises Busy where the right to start it is not here to be lent."""
+        """Offer a task to another site.
+
+        Raises TaskBusyError where the right to start it is not here to be given away.
+        """
         if (key := exclusive_key(work)) is not None:
             self._check_key_free(key)
-        if (
-            self.transfers
-            and self.serial + 1 - next(iter(self.transfers))[1] >= MAX_ID_SPAN
-            and next(iter(self.transfers))[0] == self.epoch
-        ):
+        oldest_epoch, oldest_serial = self.low_watermark
+        if oldest_epoch == self.epoch and self.serial + 1 - oldest_serial >= MAX_ID_SPAN:
             raise TaskBusyError("too many transfers have come after one that is still open")
         self.serial += 1
-        one = OutgoingTransfer((self.epoch, self.serial), site, work)
-        self._put(one)
-        return one.id, [
-            WriteRecord(("lent", one.id, site, work)),
-            SendMessage(site, messages.Offer(one.id, work, left_us)),
+        transfer = OutgoingTransfer((self.epoch, self.serial), site, work)
+        self._put(transfer)
+        return transfer.id, [
+            WriteRecord(("lent", transfer.id, site, work)),
+            SendMessage(site, messages.Offer(transfer.id, work, left_us)),
         ]
 
     def cancel_unwritten(self, id: TransferId) -> None:
-        """The disk did not take the record of a transfer: it was not said, and its right is here still."""
+        """Drop a transfer whose record the disk did not take: it was not sent, its right is here still."""
         self._remove(self.transfers[id])
 
     # ---- what happens here -----------------------------------------------------------------------------
 
     def deadline_passed(self, id: TransferId) -> list[SourceEffect]:
-        """The owner's time is over, and nothing was heard: it gets its answer, which proves nothing."""
-        one = self.transfers.get(id)
-        if one is None or one.phase is not OutgoingPhase.OFFERED:
+        """Answer an owner whose time is over while nothing was received, which proves nothing."""
+        transfer = self._in_phase(id, OutgoingPhase.OFFERED)
+        if transfer is None:
             return []
-        safe = one.work.effect == Effect.SAFE.name
-        return [*self._recall(one), AnswerOwner(id, "refused" if safe else "failed")]
+        answer = Answer.REJECTED if transfer.work.effect == Effect.SAFE.name else Answer.FAILED
+        return [*self._recall(transfer), AnswerOwner(id, answer)]
 
     def abandoned(self, id: TransferId) -> list[SourceEffect]:
-        """The owner waits no more; none is owed an answer."""
-        one = self.transfers.get(id)
-        return self._recall(one) if one is not None and one.phase is OutgoingPhase.OFFERED else []
+        """Recall a transfer whose owner waits no more; none is owed an answer."""
+        transfer = self.transfers.get(id)
+        return (
+            self._recall(transfer) if transfer is not None and transfer.phase is OutgoingPhase.OFFERED else []
+        )
 
     def link_silent(self, id: TransferId) -> list[SourceEffect]:
-        """The link says nothing: safe work may go out again here, and its late twin is called off."""
-        one = self.transfers.get(id)
-        if one is None or one.phase is not OutgoingPhase.OFFERED or one.work.effect != Effect.SAFE.name:
+        """Take idempotent work back from a site whose link is silent; its twin there is recalled."""
+        transfer = self._in_phase(id, OutgoingPhase.OFFERED)
+        if transfer is None or transfer.work.effect != Effect.SAFE.name:
             return []
-        return [*self._recall(one), ReclaimTask(id, 0)]
+        return [*self._recall(transfer), ReclaimTask(id, 0)]
 
     def released(self, id: TransferId, cause: int) -> list[SourceEffect]:
-        """Its owner ends a task that stands there."""
-        one = self.transfers.get(id)
-        if one is None or one.phase is not OutgoingPhase.PLACED:
+        """End a task that was placed there, because its owner does."""
+        transfer = self._in_phase(id, OutgoingPhase.PLACED)
+        if transfer is None:
             return []
-        self._put(replace(one, phase=OutgoingPhase.RELEASED, cause=cause))
-        return [WriteRecord(("freed", id, cause)), SendMessage(one.site, messages.Release(id, cause))]
-
-    def _recall(self, one: OutgoingTransfer) -> list[SourceEffect]:
-        self._put(replace(one, phase=OutgoingPhase.RECALLED))
-        return [WriteRecord(("called", one.id)), SendMessage(one.site, messages.Withdraw(one.id))]
-
-    # ---- what the other side says ----------------------------------------------------------------------
-
-    def receive(self, site: str, word: messages.ToSource) -> list[SourceEffect]:
-        """One word of a site. Words on what is over, and of sites that it was not lent to, change nothing."""
-        one = self.transfers.get(word.id)
-        if one is None:
-            # Guards against a last word that is said for ever because `Closed` was lost.
-            over = isinstance(word, messages.Returned | messages.Ended)
-            return (
-                [SendMessage(site, messages.Close(word.id))]
-                if over and word.id <= (self.epoch, self.serial)
-                else []
-            )
-        if one.site != site:
+        self._put(replace(transfer, phase=OutgoingPhase.RELEASED, cause=cause))
+        return [WriteRecord(("freed", id, cause)), SendMessage(transfer.site, messages.Release(id, cause))]
+
+    def _in_phase(self, id: TransferId, phase: OutgoingPhase) -> OutgoingTransfer | None:
+        transfer = self.transfers.get(id)
+        return transfer if transfer is not None and transfer.phase is phase else None
+
+    def _recall(self, transfer: OutgoingTransfer) -> list[SourceEffect]:
+        self._put(replace(transfer, phase=OutgoingPhase.RECALLED))
+        return [
+            WriteRecord(("called", transfer.id)),
+            SendMessage(transfer.site, messages.Withdraw(transfer.id)),
+        ]
+
+    # ---- what the target says ----------------------------------------------------------------------
+
+    def receive(self, site: str, message: messages.ToSource) -> list[SourceEffect]:
+        """Take one message of a site.
+
+        Messages on what is over, and of sites that it was not offered to, change nothing.
+        """
+        transfer = self.transfers.get(message.id)
+        if transfer is None:
+            # Guards against a last message that is sent for ever because `Close` was lost.
+            over = isinstance(message, messages.Returned | messages.Ended)
+            if over and message.id <= (self.epoch, self.serial):
+                return [SendMessage(site, messages.Close(message.id))]
+            return []
+        if transfer.site != site:
             return []
-        match word:
+        match message:
             case messages.Accepted():
-                self._put(replace(one, accepted=True))
+                self._put(replace(transfer, accepted=True))
                 return []
             case messages.Placed(id, description):
-                return self._placed(one, id, description)
-            case messages.Returned(id, wait_us):
-                if one.phase in (OutgoingPhase.PLACED, OutgoingPhase.RELEASED):
-                    return []  # it stood: a word that can't be true takes nothing away
-                effects = self._drop(one, "back")
-                return [*effects, ReclaimTask(id, wait_us)] if one.phase is OutgoingPhase.OFFERED else effects
-            case messages.Ended(id, cause, _, result):
-                effects = self._drop(one, "over")
-                if (
-                    one.phase is OutgoingPhase.OFFERED
-                ):  # the word that it stood was lost: it ran, that much is known
-                    return [*effects, AnswerOwner(id, "failed")]
-                return (
-                    [*effects, ReportEnd(id, cause, result)] if one.phase is OutgoingPhase.PLACED else effects
-                )
-        return []
-
-    def _placed(self, one: OutgoingTransfer, id: TransferId, description: str) -> list[SourceEffect]:
-        match one.phase:
+                return self._placed(transfer, id, description)
+            case messages.Returned(_, wait_us):
+                return self._returned(transfer, wait_us)
+            case messages.Ended(_, cause, _, result):
+                return self._ended(transfer, cause, result)
+
+    def _placed(self, transfer: OutgoingTransfer, id: TransferId, description: str) -> list[SourceEffect]:
+        match transfer.phase:
             case OutgoingPhase.OFFERED:
-                self._put(replace(one, phase=OutgoingPhase.PLACED, accepted=True))
-                return [WriteRecord(("stands", id)), AnswerOwner(id, "placed", description)]
+                self._put(replace(transfer, phase=OutgoingPhase.PLACED, accepted=True))
+                return [WriteRecord(("stands", id)), AnswerOwner(id, Answer.PLACED, description)]
             case OutgoingPhase.RECALLED:
-                return [SendMessage(one.site, messages.Withdraw(id))]
+                return [SendMessage(transfer.site, messages.Withdraw(id))]
             case OutgoingPhase.RELEASED:
-                return [SendMessage(one.site, messages.Release(id, one.cause))]
-        return []
+                return [SendMessage(transfer.site, messages.Release(id, transfer.cause))]
+            case OutgoingPhase.PLACED:
+                return []
+
+    def _returned(self, transfer: OutgoingTransfer, wait_us: int) -> list[SourceEffect]:
+        if transfer.phase in (OutgoingPhase.PLACED, OutgoingPhase.RELEASED):
+            return []  # it was placed: a message that can't be true takes nothing away
+        effects = self._drop(transfer, "back")
+        if transfer.phase is OutgoingPhase.OFFERED:
+            effects.append(ReclaimTask(transfer.id, wait_us))
+        return effects
+
+    def _ended(self, transfer: OutgoingTransfer, cause: int, result: str) -> list[SourceEffect]:
+        effects = self._drop(transfer, "over")
+        if transfer.phase is OutgoingPhase.OFFERED:
+            # The message that it was placed got lost: it ran, that much is known.
+            effects.append(AnswerOwner(transfer.id, Answer.FAILED))
+        elif transfer.phase is OutgoingPhase.PLACED:
+            effects.append(ReportEnd(transfer.id, cause, result))
+        return effects
 
     # ---- repeats, restarts, operators ------------------------------------------------------------------
 
     def unconfirmed_messages(self, site: str, left_us: dict[TransferId, int]) -> Iterator[SendMessage]:
-        """What a site has not confirmed, to be said again; `left_us`: how long each owner still waits."""
+        """Return what a site has not confirmed, to be sent again; `left_us`: how long owners wait yet."""
         yield SendMessage(site, messages.LowWatermark(self.low_watermark))
-        for one in self.transfers.values():
-            if one.site != site:
+        for transfer in self.transfers.values():
+            if transfer.site != site:
                 continue
-            match one.phase:
-                case OutgoingPhase.OFFERED if not one.accepted:
-                    yield SendMessage(site, messages.Offer(one.id, one.work, max(0, left_us.get(one.id, 0))))
+            match transfer.phase:
+                case OutgoingPhase.OFFERED if not transfer.accepted:
+                    yield SendMessage(
+                        site, messages.Offer(transfer.id, transfer.work, max(0, left_us.get(transfer.id, 0)))
+                    )
                 case OutgoingPhase.RECALLED:
-                    yield SendMessage(site, messages.Withdraw(one.id))
+                    yield SendMessage(site, messages.Withdraw(transfer.id))
                 case OutgoingPhase.RELEASED:
-                    yield SendMessage(site, messages.Release(one.id, one.cause))
+                    yield SendMessage(site, messages.Release(transfer.id, transfer.cause))
 
     def recover(self) -> list[SourceEffect]:
-        """After a start from the store: owners of what was out have lost their gateway; it is called back.
+        """Recall, after a start from the store, what was offered: its owners have lost their gateway.
 
-        What stands goes on, and its end is told to whoever names it then.
+        What was placed goes on, and its end is reported to whoever names it then.
         """
         effects: list[SourceEffect] = []
-        for one in [one for one in self.transfers.values() if one.phase is OutgoingPhase.OFFERED]:
-            effects += self._recall(one)
+        for transfer in [
+            transfer for transfer in self.transfers.values() if transfer.phase is OutgoingPhase.OFFERED
+        ]:
+            effects += self._recall(transfer)
         return effects
 
     def forget_site(self, site: str) -> list[SourceEffect]:
-        """An operator vouches that nothing of ours runs at a site any more: what is lent to it is over."""
+        """End all that a site holds: an operator vouches that nothing of ours runs there any more."""
         effects: list[SourceEffect] = []
-        for one in [one for one in self.transfers.values() if one.site == site]:
-            effects += [WriteRecord(("over", one.id))]
-            self._remove(one)
-            if one.phase is OutgoingPhase.OFFERED:
-                effects.append(AnswerOwner(one.id, "failed"))
-            elif one.phase is OutgoingPhase.PLACED:
-                effects.append(ReportEnd(one.id, CALLED_OFF))
+        for transfer in [transfer for transfer in self.transfers.values() if transfer.site == site]:
+            effects += [WriteRecord(("over", transfer.id))]
+            self._remove(transfer)
+            if transfer.phase is OutgoingPhase.OFFERED:
+                effects.append(AnswerOwner(transfer.id, Answer.FAILED))
+            elif transfer.phase is OutgoingPhase.PLACED:
+                effects.append(ReportEnd(transfer.id, CALLED_OFF))
         return effects
 
     @property
     def low_watermark(self) -> TransferId:
-        """All transfers before this are over."""
+        """The oldest open transfer, or the next one: all before it are over."""
         return next(iter(self.transfers), (self.epoch, self.serial + 1))
 
     def count_open(self, site: str) -> int:
-        """Transfers that a site holds, or may."""
-        return sum(one.site == site for one in self.transfers.values())
-
-    # ---- the table -------------------------------------------------------------------------------------
+        """Return how many transfers a site holds, or may."""
+        return sum(transfer.site == site for transfer in self.transfers.values())
 
-    def _put(self, one: OutgoingTransfer) -> None:
-        self.transfers[one.id] = one
-        if (key := exclusive_key(one.work)) is not None:
-            self.remote_keys[key] = one.id
+    def _put(self, transfer: OutgoingTransfer) -> None:
+        self.transfers[transfer.id] = transfer
+        if (key := exclusive_key(transfer.work)) is not None:
+            self.remote_keys[key] = transfer.id
 
-    def _remove(self, one: OutgoingTransfer) -> None:
-        del self.transfers[one.id]
-        if self.remote_keys.get(one.work.key) == one.id:
-            del self.remote_keys[one.work.key]
+    def _remove(self, transfer: OutgoingTransfer) -> None:
+        del self.transfers[transfer.id]
+        if self.remote_keys.get(transfer.work.key) == transfer.id:
+            del self.remote_keys[transfer.work.key]
 
-    def _drop(self, one: OutgoingTransfer, record: str) -> list[SourceEffect]:
-        self._remove(one)
-        return [WriteRecord((record, one.id)), SendMessage(one.site, messages.Close(one.id))]
+    def _drop(self, transfer: OutgoingTransfer, record: str) -> list[SourceEffect]:
+        self._remove(transfer)
+        return [WriteRecord((record, transfer.id)), SendMessage(transfer.site, messages.Close(transfer.id))]
 
     # ---- the fold of its records -----------------------------------------------------------------------
 
-    def apply(self, record: tuple) -> None:
-        """One record of the store, in order. Raises ValueError for what is none."""
+    def apply(self, record: HandoffRecord) -> None:
+        """Apply one record of the store, in order. Raises ValueError for what is none."""
         match record:
             case ("epoch", int(epoch)):
-                self.epoch, self.serial = epoch, 0
-            case ("lent", (epoch, serial), str(site), Work() as work):
-                self.epoch, self.serial = epoch, max(serial, self.serial if epoch == self.epoch else 0)
-                self._put(OutgoingTransfer((epoch, serial), site, work))
-            case ("stands" | "called" | "freed" as word, id, *rest):
-                if one := self.transfers.get(id):
-                    phase = {
-                        "stands": OutgoingPhase.PLACED,
-                        "called": OutgoingPhase.RECALLED,
-                        "freed": OutgoingPhase.RELEASED,
-                    }
-                    accepted = one.accepted or word != "called"  # what stood has been taken
-                    self._put(
-                        replace(one, phase=phase[word], accepted=accepted, cause=rest[0] if rest else 0)
-                    )
+                self.epoch = epoch
+                self.serial = 0
+            case ("lent", id, str(site), Work() as work):
+                epoch, number = id
+                self.serial = max(number, self.serial if epoch == self.epoch else 0)
+                self.epoch = epoch
+                self._put(OutgoingTransfer(id, site, work))
+            case ("stands" | "called" | "freed" as kind, id, *rest):
+                if transfer := self.transfers.get(id):
+                    phase = _PHASE_OF_RECORD[kind]
+                    accepted = transfer.accepted or kind != "called"  # what was placed had been accepted
+                    cause = rest[0] if rest else 0
+                    self._put(replace(transfer, phase=phase, accepted=accepted, cause=cause))
             case ("back" | "over", id):
-                if one := self.transfers.get(id):
-                    self._remove(one)
+                if transfer := self.transfers.get(id):
+                    self._remove(transfer)
             case _:
                 raise ValueError(f"a record that can't be read: {record!r}")
 
-    def snapshot_records(self) -> Iterator[tuple]:
-        """The least records that fold to the same."""
-        for one in self.transfers.values():
-            yield ("lent", one.id, one.site, one.work)
-            match one.phase:
-                case OutgoingPhase.PLACED:
-                    yield ("stands", one.id)
-                case OutgoingPhase.RECALLED:
-                    yield ("called", one.id)
-                case OutgoingPhase.RELEASED:
-                    yield ("freed", one.id, one.cause)
+    def snapshot_records(self) -> Iterator[HandoffRecord]:
+        """Return the least records that fold to the same state."""
+        for transfer in self.transfers.values():
+            yield from _records_of(transfer)
         yield ("epoch", self.epoch)
