--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -129,7 +129,10 @@
 
     async def test_a_site_that_takes_no_answers_is_given_up_and_left_out(self):
         """Each believes the other dead, or one alone does: silence both ways, then one way."""
-        with mock.patch.object(session, "DEAD_S", 0.3), mock.patch.object(session, "BEAT_S", 0.05):
+        with (
+            mock.patch.object(session, "SILENCE_TIMEOUT_S", 0.3),
+            mock.patch.object(session, "HEARTBEAT_INTERVAL_S", 0.05),
+        ):
             self.wire.deaf = {"to", "from"}
             await self.region.until(
                 lambda: not any(
--- a/tests/test_sites_wire.py
+++ b/tests/test_sites_wire.py
@@ -131,7 +131,7 @@
 
 def test_a_full_line_takes_nothing_and_says_so():
     a, _, _ = pair()
-    for _ in range(session.LINE_MOST):
+    for _ in range(session.MAX_QUEUED_MESSAGES):
         a.send(2, b"")
     with pytest.raises(StreamFullError):
         a.send(2, b"")
@@ -139,14 +139,14 @@
 
 def test_beats_tell_the_delay_and_silence_the_death_of_a_connection():
     a, b, _ = pair()
-    (beat,) = a.outgoing_frames(session.BEAT_S)
+    (beat,) = a.outgoing_frames(session.HEARTBEAT_INTERVAL_S)
     b.receive(1.2, beat)
     echo = next(frame for frame in b.outgoing_frames(1.2) if isinstance(frame, Heartbeat))
     a.receive(1.4, echo)
     assert a.delay_s == pytest.approx(0.2)
     a.send(0, b"talk")  # what is said otherwise puts off no beat: the delay is measured all the same
     assert [type(frame) for frame in a.outgoing_frames(2.1)] == [Message, Heartbeat]
-    assert not a.timed_out(1.3 + session.DEAD_S) and a.timed_out(1.5 + session.DEAD_S)
+    assert not a.timed_out(1.3 + session.SILENCE_TIMEOUT_S) and a.timed_out(1.5 + session.SILENCE_TIMEOUT_S)
 
 
 @pytest.mark.parametrize(
@@ -233,4 +233,4 @@
     with pytest.raises(ProtocolError, match="are the most"):
         frames.parse(ring)
     with pytest.raises(ValueError):
-        frames.encode(Message(1, 0, bytes(frames.FRAME_MOST)))
+        frames.encode(Message(1, 0, bytes(frames.MAX_FRAME_BYTES)))
--- a/weldhatch/sites/frames.py
+++ b/weldhatch/sites/frames.py
@@ -1,26 +1,30 @@
 """The wire of the link: four bytes of length, then a MessagePack pair: the number of its kind, its fields.
 
 Read and written by msgspec, which is imported only where a gateway has sites. Every frame is checked whole:
-what does not fit its kind is `Faulty`, and the connection ends with one line in the log.
+one that does not fit its kind is a `ProtocolError`, and the connection ends with one line in the log. The
+records of a hand-off in the store are here too, since they hold the same work.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from struct import Struct
+from typing import Any, cast
 
 import msgspec
 
 from weldhatch.net.ring_buffer import Ring
 from weldhatch.sites import messages
+from weldhatch.sites.messages import HandoffRecord
 from weldhatch.sites.routing import CapacitySummary
 from weldhatch.sites.session import Ack, Frame, Heartbeat, Hello, Message, ProtocolError
 
 VERSION = 1
-FRAME_MOST = 16 * 1024 - 4  # with its length, a message of `net.connection`
+MAX_FRAME_BYTES = 16 * 1024 - 4  # with its length, a message of `net.connection`
 _LENGTH = Struct(">I")
 
-_KINDS: dict[int, type] = {1: Hello, 2: Message, 3: Ack, 4: Heartbeat}
-_WORDS: dict[int, type] = {
+_FRAME_KINDS: dict[int, type] = {1: Hello, 2: Message, 3: Ack, 4: Heartbeat}
+_MESSAGE_KINDS: dict[int, type] = {
     1: messages.Offer,
     2: messages.Withdraw,
     3: messages.Release,
@@ -31,86 +35,97 @@
     8: messages.Returned,
     9: messages.Ended,
 }
-_KIND_OF = {kind: number for number, kind in _KINDS.items()}
-_WORD_OF = {kind: number for number, kind in _WORDS.items()}
-_KIND_READERS = {number: msgspec.msgpack.Decoder(kind) for number, kind in _KINDS.items()}
-_WORD_READERS = {number: msgspec.msgpack.Decoder(kind) for number, kind in _WORDS.items()}
-_pack, _unpack = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
-_unpack_pair = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
+_NUMBER_OF_FRAME = {kind: number for number, kind in _FRAME_KINDS.items()}
+_NUMBER_OF_MESSAGE = {kind: number for number, kind in _MESSAGE_KINDS.items()}
+
+_Decoders = dict[int, msgspec.msgpack.Decoder[Any]]
+_FRAME_DECODERS: _Decoders = {number: msgspec.msgpack.Decoder(kind) for number, kind in _FRAME_KINDS.items()}
+_MESSAGE_DECODERS: _Decoders = {
+    number: msgspec.msgpack.Decoder(kind) for number, kind in _MESSAGE_KINDS.items()
+}
+_pack = msgspec.msgpack.Encoder().encode
+_unpack = msgspec.msgpack.Decoder().decode
+_unpack_pair: Callable[[bytes], tuple[int, msgspec.Raw]] = msgspec.msgpack.Decoder(
+    tuple[int, msgspec.Raw]
+).decode
 
 
-def _made(readers: dict[int, msgspec.msgpack.Decoder], data: bytes, what: str) -> object:
+def _decode_pair(decoders: _Decoders, data: bytes, what: str) -> object:
     try:
-        number, rest = _unpack_pair(data)
-        return readers[number].decode(rest)
-    except (msgspec.MsgspecError, KeyError, ValueError, RecursionError) as fault:
-        raise ProtocolError(
-            f"{what} that can't be read: {type(fault).__name__}: {str(fault)[:120]}"
-        ) from None
+        number, fields = _unpack_pair(data)
+        return decoders[number].decode(fields)
+    except (msgspec.MsgspecError, KeyError, ValueError, RecursionError) as error:
+        reason = f"{type(error).__name__}: {str(error)[:120]}"
+        raise ProtocolError(f"{what} that can't be read: {reason}") from None
 
 
 def encode(frame: Frame) -> bytes:
-    """A frame as it goes out. Raises ValueError for one that is too long."""
-    data = _pack((_KIND_OF[type(frame)], frame))
-    if len(data) > FRAME_MOST:
-        raise ValueError(f"a frame of {len(data)} bytes; {FRAME_MOST} are the most")
+    """Return a frame as it goes out. Raises ValueError for one that is too long."""
+    data = _pack((_NUMBER_OF_FRAME[type(frame)], frame))
+    if len(data) > MAX_FRAME_BYTES:
+        raise ValueError(f"a frame of {len(data)} bytes; {MAX_FRAME_BYTES} are the most")
     return _LENGTH.pack(len(data)) + data
 
 
 def decode(data: bytes) -> Frame:
-    """The frame of these bytes, without their length. Raises Faulty."""
-    return _made(_KIND_READERS, data, "a frame")
+    """Return the frame of these bytes, without their length. Raises ProtocolError."""
+    return cast(Frame, _decode_pair(_FRAME_DECODERS, data, "a frame"))
 
 
 def parse(ring: Ring) -> Frame | None:
-    """The next whole frame of a ring; None where there is none yet. Raises Faulty."""
+    """Take the next whole frame of a ring; None where there is none yet. Raises ProtocolError."""
     if len(ring) < _LENGTH.size:
         return None
     (length,) = _LENGTH.unpack(ring.copy(_LENGTH.size))
-    if length > FRAME_MOST:
-        raise ProtocolError(f"a frame of {length} bytes; {FRAME_MOST} are the most")
+    if length > MAX_FRAME_BYTES:
+        raise ProtocolError(f"a frame of {length} bytes; {MAX_FRAME_BYTES} are the most")
     if len(ring) < _LENGTH.size + length:
         return None
     return decode(ring.take(_LENGTH.size + length)[_LENGTH.size :])
 
 
-def encode_message(word: messages.ToTarget | messages.ToSource) -> bytes:
-    return _pack((_WORD_OF[type(word)], word))
+def encode_message(message: messages.ToTarget | messages.ToSource) -> bytes:
+    """Return a message of a hand-off as the payload of a frame."""
+    return _pack((_NUMBER_OF_MESSAGE[type(message)], message))
 
 
 def decode_message(payload: bytes) -> messages.ToTarget | messages.ToSource:
-    """Raises Faulty."""
-    return _made(_WORD_READERS, payload, "a word")
+    """Return the message of a payload. Raises ProtocolError."""
+    return cast("messages.ToTarget | messages.ToSource", _decode_pair(_MESSAGE_DECODERS, payload, "a word"))
 
 
 def encode_summary(summary: CapacitySummary) -> bytes:
+    """Return a site's summary as the payload of a frame."""
     return _pack([dict(summary.free), summary.size, summary.waiting, summary.draining])
 
 
 def decode_summary(payload: bytes) -> CapacitySummary:
-    """Raises Faulty."""
+    """Return the summary of a payload. Raises ProtocolError."""
     try:
         free, size, waiting, draining = msgspec.convert(
             _unpack(payload), tuple[dict[str, int], int, int, bool]
         )
-    except (msgspec.MsgspecError, ValueError, RecursionError) as fault:
-        raise ProtocolError(f"a summary that can't be read: {str(fault)[:120]}") from None
+    except (msgspec.MsgspecError, ValueError, RecursionError) as error:
+        raise ProtocolError(f"a summary that can't be read: {str(error)[:120]}") from None
     return CapacitySummary(free, size, waiting, draining)
 
 
-def encode_record(record: tuple) -> bytes:
-    """A record of the hand-over for the store: a JSON array, as all its records are."""
+def encode_record(record: HandoffRecord) -> bytes:
+    """Return a record of a hand-off for the store: a JSON array, as all its records are."""
     return msgspec.json.encode(record)
 
 
-def decode_record(data: bytes) -> tuple:
-    """The record of these bytes. Raises ValueError for what is none."""
+def decode_record(data: bytes) -> HandoffRecord:
+    """Return the record of these bytes. Raises ValueError for what is none."""
     try:
-        word, *rest = msgspec.json.decode(data)
-        if word == "epoch":
-            return word, int(rest[0])
-        id = msgspec.convert(rest[0], tuple[int, int])
-        rest = [msgspec.convert(one, messages.Work) if isinstance(one, dict) else one for one in rest[1:]]
-        return word, id, *rest
-    except (msgspec.MsgspecError, IndexError, TypeError, ValueError) as fault:
-        raise ValueError(f"a record that can't be read: {data[:80]!r}: {fault}") from None
+        kind, *values = msgspec.json.decode(data)
+        if kind == "epoch":
+            return kind, int(values[0])
+        id = msgspec.convert(values[0], tuple[int, int])
+        rest = [
+            msgspec.convert(value, messages.Work) if isinstance(value, dict) else value
+            for value in values[1:]
+        ]
+        return kind, id, *rest
+    except (msgspec.MsgspecError, IndexError, TypeError, ValueError) as error:
+        raise ValueError(f"a record that can't be read: {data[:80]!r}: {error}") from None
--- a/weldhatch/sites/handoff_source.py
+++ b/weldhatch/sites/handoff_source.py
@@ -26,7 +26,7 @@
 
 
 class OutgoingPhase(StrEnum):
-    """How far a transfer has come, as its source knows. The values are printed by `weldhatch sites status`."""
+    """How far a transfer has come, as its source knows; `weldhatch sites status` prints the values."""
 
     OFFERED = "out"  # offered; the owner waits
     PLACED = "stands"  # the owner was told that it stands
--- a/weldhatch/sites/messages.py
+++ b/weldhatch/sites/messages.py
@@ -1,19 +1,25 @@
-"""What two sites say of one transfer. Each word may be lost, doubled, late or overtaken by a later one."""
+"""The messages of a hand-off between two sites. Each may be lost, doubled, late or overtaken by a later one.
+
+They cross under the names of their fields, and under the numbers of their kinds in `frames`: a field that is
+renamed here needs its old name there.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
-# A transfer's id, unique for ever at the site that lends: its store's epoch, and a serial within that.
+# A transfer's id, unique for ever at its source: the epoch of the source's store, and a serial within that.
 TransferId = tuple[int, int]
+# A record of a hand-off in the store: the text that says its kind, then its values.
+HandoffRecord = tuple[Any, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Work:
-    """One task as it crosses: what the taking site's module and machines need of it.
+    """One task as it crosses: what the target's module and machines need of it.
 
-    `cores` and `memory` in the units of the settings; `effect` is the class's, as in `interface.Effect`.
+    `cores` and `memory` in the units of the settings; `effect` is the name of the class's `Effect`.
     """
 
     class_name: str
@@ -23,16 +29,16 @@
     cores: float
     memory: float
     tenant: str = ""
-    names: tuple[str, ...] = ()  # what the front passes on unread
+    names: tuple[str, ...] = ()  # what the front passes on, unread here
     hops: int = 0  # sites that it has crossed before
 
 
-# ---- from the lending site to the taking one ---------------------------------------------------------------
+# ---- from the source to the target -------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """Place it within `left_us` of hearing this. The right to start it goes along until it is returned."""
+    """Place it within `left_us` of receiving this. The right to start it goes along until it is returned."""
 
     id: TransferId
     work: Work
@@ -48,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """The owner of a task that stands has ended it, with this cause."""
+    """The owner of a task that was placed has ended it, with this cause."""
 
     id: TransferId
     cause: int
@@ -56,31 +62,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Close:
-    """The last word was heard and written down: it need not be said again."""
+    """The last message was received and written down: it need not be sent again."""
 
     id: TransferId
 
 
 @dataclass(slots=True, frozen=True)
 class LowWatermark:
-    """All transfers before this id are over at the lending site: no word of theirs means anything now."""
+    """All transfers before this id are over at the source: no message of theirs means anything now."""
 
     id: TransferId
 
 
-# ---- from the taking site to the lending one ---------------------------------------------------------------
+# ---- from the target to the source -------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """It was written down there, and its module decides."""
+    """The offer was written down there, and its module decides."""
 
     id: TransferId
 
 
 @dataclass(slots=True, frozen=True)
 class Placed:
-    """It stands; the description is its machine's, unchanged."""
+    """A machine holds it; the description is that machine's, unchanged."""
 
     id: TransferId
     description: str
@@ -88,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Returned:
-    """It never started there and never will: the right to start it is the lending site's again."""
+    """It never started there and never will: the right to start it is the source's again."""
 
     id: TransferId
     wait_us: int = 0
@@ -96,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """It is over there. Not `stood`: it may have run, and nobody was told that it stood.
+    """It is over there. Not `stood`: it may have run, and nobody was notified that it was placed.
 
     `result`: what its machine said that the task has come to, as text that crosses unread.
     """
@@ -109,6 +115,3 @@
 
 ToTarget = Offer | Withdraw | Release | Close | LowWatermark
 ToSource = Accepted | Placed | Returned | Ended
-
-# A record of a hand-off in the store: the word that says its kind, then its values.
-HandoffRecord = tuple[Any, ...]
--- a/weldhatch/sites/session.py
+++ b/weldhatch/sites/session.py
@@ -1,12 +1,13 @@
-"""Words between two gateways over connections that break: numbered, acknowledged, resumed. No I/O.
+"""Messages between two gateways over connections that break: numbered, acknowledged, resumed. No I/O.
 
 A session outlives its connections. Each side numbers what it sends and keeps it until the other side has
-acknowledged it; after a break both say how far they have heard, and the rest is sent again, once. Where one
-side has lost its memory of the session, a new one begins, and what was under way is lost: the hand-over says
-again what was not confirmed.
+acknowledged it; after a break both say how far they have received, and the rest is sent again, once. Where
+one side has lost its memory of the session, a new one begins, and what was under way is lost: the hand-off
+sends again what was not confirmed.
 
-Streams share one connection: each has a line of its own and a credit of its own, given by the receiver, and
-they are sent by turns, so that none blocks another. Times are in seconds of the caller's clock.
+Streams share one connection: each has a queue of its own and a credit of its own, given by the receiver
+(credit-based flow control, as the windows of HTTP/2, RFC 9113 5.2), and they are sent by turns, so that none
+blocks another. Times are in seconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from msgspec import Struct
 
 CREDIT = 256  # messages of a stream that may be under way; the receiver gives more as it takes them
-LINE_MOST = 1024  # messages of a stream that wait for credit; more are refused, and their sender is told
-ACK_EVERY = 16  # messages heard before an acknowledgement goes out by itself
+MAX_QUEUED_MESSAGES = 1024  # of a stream, that wait for credit; more are refused with an error
+ACK_EVERY = 16  # messages received before an acknowledgement goes out by itself
 ACK_S = 0.02  # or after this, if there is less to acknowledge
-BEAT_S = 1.0  # a beat goes out as often: it shows that a side is there, and measures the delay
-DEAD_S = 3.5  # a connection on which nothing is heard for so long is given up
-STREAMS_MOST = 8
+HEARTBEAT_INTERVAL_S = 1.0  # a heartbeat shows that a side is there, and measures the delay
+SILENCE_TIMEOUT_S = 3.5  # a connection on which nothing is received for so long is given up
+MAX_STREAMS = 8
 
 
 class ProtocolError(Exception):
@@ -31,7 +32,7 @@
 
 
 class StreamFullError(Exception):
-    """A stream's line is full: nothing was taken."""
+    """A stream's queue is full: nothing was taken."""
 
 
 # ---- frames --------------------------------------------------------------------------------------------
@@ -42,9 +43,9 @@
 ):
     """The first frame of each connection, both ways.
 
-    `epoch`, `token`: the sender's store, which tells an older copy; `yours`: the same as last heard of the
-    other side; `heard`: how far the sender has heard in that session; `fresh`: it has just begun it, and
-    knows nothing of what either side said there before.
+    `epoch`, `token`: the sender's store, which tells an older copy; `known_peer_epoch`: both as the sender
+    last wrote them down of the other side; `received`: the last message of that session that it has received;
+    `is_new`: it has just begun the session, and knows nothing of what either side said there before.
     """
 
     version: int
@@ -66,7 +67,7 @@
 
 
 class Ack(Struct, frozen=True, rename={"received": "heard"}):
-    """All up to `heard` were heard; `credit`: by stream, how many of its messages may be sent in all."""
+    """All up to `received` were received; `credit`: by stream, how many of its messages may be sent in all."""
 
     received: int
     credit: tuple[tuple[int, int], ...] = ()
@@ -84,51 +85,61 @@
 
 @dataclass(slots=True)
 class StreamState:
-    """One stream, as its sender sees it and as its receiver does."""
+    """One stream, as its sender sees it and as its receiver does. All counts begin with the session.
+
+    `sent`: messages that have been given a number; `send_limit`: how many the other side has allowed;
+    `receive_limit`: how many we have allowed; `announced_limit`: how many of those the other side was told of.
+    """
 
     waiting: deque[bytes] = field(default_factory=deque)
-    sent: int = 0  # messages of the stream that have been given a number
-    send_limit: int = CREDIT  # how many of it the other side has allowed in all
+    sent: int = 0
+    send_limit: int = CREDIT
     received: int = 0
-    receive_limit: int = CREDIT  # how many of it we have allowed
-    announced_credit: int = CREDIT  # how many of those the other side was told of
+    receive_limit: int = CREDIT
+    announced_limit: int = CREDIT
 
 
 @dataclass(slots=True)
 class Session:
-    """One side. `send` queues, `frames` says what goes out now, `hear` takes a frame and what it brings."""
+    """One side: `send` queues, `outgoing_frames` gives what goes out now, `receive` takes a frame.
+
+    `number`: the last message that was sent; `received`: the last that was received; `acknowledged`: the last
+    that we have acknowledged; `delay_s`: one way, half of the smoothed round trip, 0 until it is known.
+    """
 
     name: str
     streams: dict[int, StreamState] = field(default_factory=dict)
-    unacknowledged: deque[Message] = field(default_factory=deque)  # sent, and not acknowledged
+    unacknowledged: deque[Message] = field(default_factory=deque)
     number: int = 0
     received: int = 0
-    acked: int = 0  # how far we have acknowledged
-    delay_s: float = 0.0  # one way, half of the smoothed round trip; 0 until told
+    acknowledged: int = 0
+    delay_s: float = 0.0
     _turn: int = 0
     _to_send: deque[Message] = field(default_factory=deque)
-    _owed_since: float = -1.0
-    _beaten: float = 0.0
-    _last: float = 0.0  # when anything was heard
+    _ack_owed_since: float = -1.0
+    _heartbeat_at: float = 0.0
+    _received_at: float = 0.0  # when anything was received
     _echo: int = 0
 
     # ---- connections -----------------------------------------------------------------------------------
 
     def resume(self, now: float, received_there: int) -> None:
-        """A new connection of this session: what the other side has not heard goes out again, in order.
+        """Go on over a new connection: what the other side has not received goes out again, in order.
 
-        Raises Faulty where it claims to have heard what was never sent, or forgot what it acknowledged.
+        Raises ProtocolError where it claims to have received what was never sent, or has forgotten what it
+        acknowledged.
         """
         if not self.number - len(self.unacknowledged) <= received_there <= self.number:
             raise ProtocolError(
                 f"the other side has heard up to {received_there}, of {self.number} that were sent"
             )
-        self._acknowledged(received_there)
+        self._drop_acknowledged(received_there)
         self._to_send = deque(self.unacknowledged)
-        self._beaten = self._last = now
-        for line in self.streams.values():
-            line.announced_credit = 0  # guards against a credit that went down with the old connection
-        self._owed_since = now - ACK_S if self.streams else -1.0
+        self._heartbeat_at = now
+        self._received_at = now
+        for state in self.streams.values():
+            state.announced_limit = 0  # guards against a credit that got lost with the old connection
+        self._ack_owed_since = now - ACK_S if self.streams else -1.0
 
     @property
     def fresh(self) -> bool:
@@ -136,20 +147,20 @@
         return not (self.number or self.received)
 
     def timed_out(self, now: float) -> bool:
-        """Nothing was heard for too long: the connection is to be given up."""
-        return now - self._last > DEAD_S
+        """Return whether nothing was received for too long: the connection is to be given up."""
+        return now - self._received_at > SILENCE_TIMEOUT_S
 
     # ---- sending ---------------------------------------------------------------------------------------
 
     def send(self, stream: int, payload: bytes) -> None:
-        """Queue one message. Raises Full where its stream's line is."""
-        line = self._stream(stream)
-        if len(line.waiting) >= LINE_MOST:
-            raise StreamFullError(f"stream {stream}: {LINE_MOST} messages wait for the other side")
-        line.waiting.append(payload)
+        """Queue one message. Raises StreamFullError where its stream's queue is full."""
+        state = self._stream(stream)
+        if len(state.waiting) >= MAX_QUEUED_MESSAGES:
+            raise StreamFullError(f"stream {stream}: {MAX_QUEUED_MESSAGES} messages wait for the other side")
+        state.waiting.append(payload)
 
     def outgoing_frames(self, now: float, most: int = 64) -> Iterator[Frame]:
-        """What goes out now, streams by turns, at most so many frames."""
+        """Return what goes out now, streams by turns, at most so many frames."""
         for _ in range(most):
             frame = self._next(now)
             if frame is None:
@@ -157,66 +168,69 @@
             yield frame
 
     def _next(self, now: float) -> Frame | None:
-        due = self.received - self.acked >= ACK_EVERY or now - self._owed_since >= ACK_S
-        if self._owed_since >= 0 and due:
+        due = self.received - self.acknowledged >= ACK_EVERY or now - self._ack_owed_since >= ACK_S
+        if self._ack_owed_since >= 0 and due:
             return self._ack()
         if self._to_send:
             return self._to_send.popleft()
+        return self._next_message() or self._heartbeat(now)
+
+    def _next_message(self) -> Message | None:
+        """Return the next message that has credit, of the stream whose turn it is."""
         streams = sorted(self.streams)
         for step in range(len(streams)):
             stream = streams[(self._turn + step) % len(streams)]
-            line = self.streams[stream]
-            if line.waiting and line.sent < line.send_limit:
+            state = self.streams[stream]
+            if state.waiting and state.sent < state.send_limit:
                 self._turn = (self._turn + step + 1) % len(streams)
-                line.sent += 1
+                state.sent += 1
                 self.number += 1
-                message = Message(self.number, stream, line.waiting.popleft())
+                message = Message(self.number, stream, state.waiting.popleft())
                 self.unacknowledged.append(message)
                 return message
-        if self._echo or now - self._beaten >= BEAT_S:
-            echo, self._echo = self._echo, 0
-            asks, self._beaten = now - self._beaten >= BEAT_S, now
-            return Heartbeat(int(now * 1e6) if asks else 0, echo)
         return None
 
+    def _heartbeat(self, now: float) -> Heartbeat | None:
+        """Return a heartbeat where one is due or owed an echo; one that is not due asks for no echo."""
+        due = now - self._heartbeat_at >= HEARTBEAT_INTERVAL_S
+        if not (due or self._echo):
+            return None
+        echo = self._echo
+        self._echo = 0
+        self._heartbeat_at = now
+        return Heartbeat(int(now * 1e6) if due else 0, echo)
+
     def _ack(self) -> Ack:
-        """Guards against a receiver that is flooded: it allows as many more as it has taken."""
-        self.acked, self._owed_since = self.received, -1.0
+        """Acknowledge, and guard a receiver against a flood: it allows as many more as it has taken."""
+        self.acknowledged = self.received
+        self._ack_owed_since = -1.0
         credit = []
-        for stream, line in self.streams.items():
-            if line.received + CREDIT - line.receive_limit >= ACK_EVERY:
-                line.receive_limit = line.received + CREDIT
-            if line.announced_credit < line.receive_limit:
-                line.announced_credit = line.receive_limit
-                credit.append((stream, line.receive_limit))
+        for stream, state in self.streams.items():
+            if state.received + CREDIT - state.receive_limit >= ACK_EVERY:
+                state.receive_limit = state.received + CREDIT
+            if state.announced_limit < state.receive_limit:
+                state.announced_limit = state.receive_limit
+                credit.append((stream, state.receive_limit))
         return Ack(self.received, tuple(credit))
 
-    # ---- hearing ---------------------------------------------------------------------------------------
+    # ---- receiving -------------------------------------------------------------------------------------
 
     def receive(self, now: float, frame: Frame) -> tuple[int, bytes] | None:
-        """One frame; the message it brings, with its stream, if it is a new one. Raises Faulty."""
-        self._last = now
+        """Take one frame; return its stream and payload if it is a new message. Raises ProtocolError."""
+        self._received_at = now
         match frame:
             case Message(number, stream, payload):
                 if number <= self.received:
-                    return None  # said again after a break, and heard before it
-                if number != self.received + 1:
-                    raise ProtocolError(f"message {number} after {self.received}")
-                line = self._stream(stream)
-                if line.received >= line.receive_limit:
-                    raise ProtocolError(f"stream {stream}: a message over its credit")
-                line.received += 1
-                self.received = number
-                if self._owed_since < 0:
-                    self._owed_since = now
+                    return None  # sent again after a break, and received before it
+                self._receive_message(now, number, stream)
                 return stream, payload
             case Ack(received, credit):
                 if received > self.number:
                     raise ProtocolError(f"message {received} is acknowledged, and {self.number} were sent")
-                self._acknowledged(received)
+                self._drop_acknowledged(received)
                 for stream, send_limit in credit:
-                    line = self._stream(stream)
-                    line.send_limit = max(line.send_limit, send_limit)
+                    state = self._stream(stream)
+                    state.send_limit = max(state.send_limit, send_limit)
             case Heartbeat(at, echo):
                 if at:
                     self._echo = at
@@ -227,14 +241,25 @@
                 raise ProtocolError("a second hello")
         return None
 
-    def _acknowledged(self, received: int) -> None:
+    def _receive_message(self, now: float, number: int, stream: int) -> None:
+        if number != self.received + 1:
+            raise ProtocolError(f"message {number} after {self.received}")
+        state = self._stream(stream)
+        if state.received >= state.receive_limit:
+            raise ProtocolError(f"stream {stream}: a message over its credit")
+        state.received += 1
+        self.received = number
+        if self._ack_owed_since < 0:
+            self._ack_owed_since = now
+
+    def _drop_acknowledged(self, received: int) -> None:
         while self.unacknowledged and self.unacknowledged[0].number <= received:
             self.unacknowledged.popleft()
 
     def _stream(self, stream: int) -> StreamState:
         if stream not in self.streams:
-            if not 0 <= stream < STREAMS_MOST:
-                raise ProtocolError(f"stream {stream}: there are {STREAMS_MOST} of them")
+            if not 0 <= stream < MAX_STREAMS:
+                raise ProtocolError(f"stream {stream}: there are {MAX_STREAMS} of them")
             self.streams[stream] = StreamState()
         return self.streams[stream]
 
@@ -243,10 +268,10 @@
 
 
 def stale_store_reason(hello: Hello, known: tuple[int, str], ours: tuple[int, str]) -> str:
-    """Why no work may pass: an older copy of a store on one of the sides; '' where all is well.
+    """Return why no work may pass: an older copy of a store on one of the sides; '' where all is well.
 
     `known`: epoch and token of the other side's store as we last wrote them down, (0, '') for never; `ours`:
-    our own. Guards against a site that has forgotten what it lent or started: its ids would come twice.
+    our own. Guards against a site that has forgotten what it offered or started: its ids would come twice.
     """
     if known[0] and (hello.epoch < known[0] or (hello.epoch == known[0] and hello.token != known[1])):
         return (
