--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -14,7 +14,8 @@
 from weldhatch.consensus.messages import Message
 from weldhatch.coordination.messages import Word
 from weldhatch.net.descriptor_budget import Budget, Share
-from weldhatch.sites.link import Link, LinkHandlers, LinkListener
+from weldhatch.sites.link import Link, LinkHandlers
+from weldhatch.sites.link_listener import LinkListener
 
 LOOK_S = 0.5  # a link looks as often for silence, and acknowledges: a group has many links
 DIALLED_MOST = 64
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -24,7 +24,7 @@
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.scheduling import types as i
 from weldhatch.sites.forwarding import SiteForwarder
-from weldhatch.sites.link import LinkListener
+from weldhatch.sites.link_listener import LinkListener
 from weldhatch.sites.local_site import SiteFrontEnd
 from weldhatch.sites.messages import TransferId, Work
 from weldhatch.sites.routing import Router
--- a/weldhatch/sites/link.py
+++ b/weldhatch/sites/link.py
@@ -12,34 +12,39 @@
 import time
 from collections.abc import Callable, Coroutine
 from dataclasses import dataclass
-from typing import Protocol
-
-from tornado.iostream import IOStream
+from typing import Protocol, cast
 
 from weldhatch.net.connection import Connection, Malformed, connect
 from weldhatch.net.descriptor_budget import Share
-from weldhatch.net.listener import Listener
-from weldhatch.net.rate_limited_log import Sparing
 from weldhatch.net.ring_buffer import Ring
-from weldhatch.net.tls import shake_hands
 from weldhatch.sites import frames
-from weldhatch.sites.session import Frame, Hello, ProtocolError, Session, StreamFullError, stale_store_reason
-
-DIAL_S = 1.0
-HELLO_S = 2.0  # a connection that has not said hello by then is closed
-AGAIN_S, AGAIN_MOST_S = 0.1, 2.0  # between two tries to connect; doubles
+from weldhatch.sites.session import (
+    Frame,
+    Hello,
+    ProtocolError,
+    Session,
+    StreamFullError,
+    stale_store_reason,
+)
+
+CONNECT_TIMEOUT_S = 1.0
+HELLO_TIMEOUT_S = 2.0  # a connection that has not said hello by then is closed
+MIN_BACKOFF_S = 0.1  # between two attempts to connect; doubles
+MAX_BACKOFF_S = 2.0
 TICK_S = 0.02
-LAST_S = 0.2  # what was said before a fault may still leave for so long: the other side learns why
-UNSENT_MOST = 48 * 1024  # bytes that wait in a connection before frames wait in their streams instead
+LINGER_S = 0.2  # what was said before a fault may still leave for so long: the other side learns why
+MAX_UNSENT_BYTES = 48 * 1024  # that wait in a connection, before frames wait in their streams instead
 
 
 class EpochRegistry(Protocol):
     """What this site's store says of itself, and what it has written down of others."""
 
     @property
-    def own_epoch(self) -> tuple[int, str]: ...
+    def own_epoch(self) -> tuple[int, str]:
+        """Epoch and token of this site's store."""
 
-    def known_epoch(self, site: str) -> tuple[int, str]: ...
+    def known_epoch(self, site: str) -> tuple[int, str]:
+        """Return epoch and token of another site's store, as last written down; (0, '') for never."""
 
     async def record_epoch(self, site: str, epoch: int, token: str) -> None:
         """Write down what another site's store said; done once it is on the disk."""
@@ -47,18 +52,40 @@
 
 @dataclass(slots=True, frozen=True)
 class LinkHandlers:
-    """Who hears what a link tells."""
+    """Who receives what a link reports. All get the other site's name first.
+
+    `on_message` gets the stream and the payload as well, and may raise ProtocolError.
+    """
 
     on_up: Callable[[str], None]
     on_down: Callable[[str], None]
-    on_message: Callable[[str, int, bytes], None]  # site, stream, payload; may raise Faulty
+    on_message: Callable[[str, int, bytes], None]
 
 
-def _parse(ring: Ring) -> Frame | None:
+def parse(ring: Ring) -> Frame | None:
+    """Take the next whole frame of a connection; None where there is none yet. Raises Malformed."""
     try:
         return frames.parse(ring)
-    except ProtocolError as fault:
-        raise Malformed(str(fault)) from None
+    except ProtocolError as error:
+        raise Malformed(str(error)) from None
+
+
+async def _connect(
+    site: str,
+    endpoint: tuple[str, int],
+    share: Share,
+    tls: ssl.SSLContext | None,
+    log: Callable[[str], None],
+) -> Connection | None:
+    if not share.take():
+        return None
+    try:
+        return await connect(endpoint, CONNECT_TIMEOUT_S, share, f"site {site}", log, tls)
+    except ssl.SSLError as error:
+        log(f"site {site}: no TLS: {error}")
+    except (OSError, TimeoutError):
+        pass  # the next attempt follows; a link that is down is told by `sites status`
+    return None
 
 
 class Link:
@@ -66,16 +93,23 @@
 
     def __init__(
         self,
-        ours: str,
+        own_name: str,
         site: str,
         epochs: EpochRegistry,
         handlers: LinkHandlers,
         log: Callable[[str], None],
         tick_s: float = TICK_S,
     ) -> None:
-        """`tick_s`: how often it looks for silence, and for what is owed with nothing else to send."""
+        """Begin without a connection. Needs a running event loop.
+
+        `tick_s`: how often it looks for silence, and for what is owed with nothing else to send.
+        """
+        self.site = site
+        self._own_name = own_name
+        self._epochs = epochs
+        self._handlers = handlers
+        self._log = log
         self._tick_s = tick_s
-        self._ours, self.site, self._epochs, self._handlers, self._log = ours, site, epochs, handlers, log
         self._session_count = 0
         self.session = Session(self._new_session_name())
         self._connection: Connection | None = None  # the one that has said hello
@@ -83,11 +117,11 @@
         self.up = False
         self.stale_reason = ""  # why no work may pass, though the other side can be reached
         self.break_count = 0
-        self._tasks: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self._flush_scheduled = False
         self._spawn(self._tick())
 
-    def _spawn(self, work: Coroutine) -> None:
+    def _spawn(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -95,40 +129,36 @@
     def _new_session_name(self) -> str:
         self._session_count += 1
         epoch, token = self._epochs.own_epoch
-        return f"{self._ours}.{epoch}.{token}.{self._session_count}"
-
-    # ---- connections ---------------------------------------------------------------------------------------
+        return f"{self._own_name}.{epoch}.{token}.{self._session_count}"
 
     def dial(self, endpoint: tuple[str, int], share: Share, tls: ssl.SSLContext | None = None) -> None:
-        """Connect, and again whenever the connection ends."""
+        """Connect, and again whenever the connection ends. `share`: of descriptors, one while it stands."""
         self._spawn(self._dial(endpoint, share, tls))
 
     async def _dial(self, endpoint: tuple[str, int], share: Share, tls: ssl.SSLContext | None) -> None:
-        wait = AGAIN_S
+        backoff_s = MIN_BACKOFF_S
         while True:
-            if share.take():
-                try:
-                    connection = await connect(endpoint, DIAL_S, share, f"site {self.site}", self._log, tls)
-                except ssl.SSLError as fault:
-                    self._log(f"site {self.site}: no TLS: {fault}")
-                except (OSError, TimeoutError):
-                    pass
-                else:
-                    breaks = self.break_count
-                    connection.send(frames.encode(self._hello()))
-                    await self.serve(connection, lambda frame, at=connection: self.receive(at, frame, True))
-                    if self.break_count != breaks:  # it had come up
-                        wait = AGAIN_S
-            await asyncio.sleep(wait)
-            wait = min(2 * wait, AGAIN_MOST_S)
-
-    async def serve(self, connection: Connection, handle: Callable[[Frame], None]) -> None:
+            break_count = self.break_count
+            connection = await _connect(self.site, endpoint, share, tls, self._log)
+            if connection is not None:
+                connection.send(frames.encode(self._hello()))
+                await self._serve_dialled(connection)
+                if self.break_count != break_count:  # it had come up
+                    backoff_s = MIN_BACKOFF_S
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
+
+    async def _serve_dialled(self, connection: Connection) -> None:
         """Read a connection until it ends; one that does not say hello in time is closed."""
         guard = asyncio.get_running_loop().call_later(
-            HELLO_S, lambda: None if self._connection is connection else connection.close()
+            HELLO_TIMEOUT_S, lambda: None if self._connection is connection else connection.close()
         )
         try:
-            await connection.pump(_parse, handle, lambda: connection.finish(LAST_S))
+            await connection.pump(
+                parse,
+                lambda frame: self.receive(connection, cast(Frame, frame), dialled=True),
+                lambda: connection.finish(LINGER_S),
+            )
         finally:
             guard.cancel()
             self.connection_ended(connection)
@@ -136,18 +166,21 @@
     def _hello(self) -> Hello:
         epoch, token = self._epochs.own_epoch
         return Hello(
-            frames.VERSION,
-            self._ours,
-            epoch,
-            token,
-            self._epochs.known_epoch(self.site),
-            self.session.name,
-            self.session.received,
-            self.session.fresh,
+            version=frames.VERSION,
+            site=self._own_name,
+            epoch=epoch,
+            token=token,
+            known_peer_epoch=self._epochs.known_epoch(self.site),
+            session=self.session.name,
+            received=self.session.received,
+            is_new=self.session.fresh,
         )
 
     def receive(self, connection: Connection, frame: Frame, dialled: bool) -> None:
-        """One frame of a connection: its hello first. Raises Malformed, which ends the connection."""
+        """Take one frame of a connection: its hello first. `dialled`: by this side.
+
+        Raises Malformed, which ends the connection.
+        """
         try:
             if connection is not self._connection:
                 if not isinstance(frame, Hello):
@@ -157,73 +190,89 @@
                 self._early_frames.append(frame)
             else:
                 self._handle_frame(frame)
-        except ProtocolError as fault:
-            raise Malformed(str(fault)) from None
+        except ProtocolError as error:
+            raise Malformed(str(error)) from None
 
     def _handle_frame(self, frame: Frame) -> None:
-        if (brought := self.session.receive(time.monotonic(), frame)) is not None:
-            self._handlers.on_message(self.site, *brought)
+        if (message := self.session.receive(time.monotonic(), frame)) is not None:
+            self._handlers.on_message(self.site, *message)
         self.flush()
 
     def _handle_hello(self, connection: Connection, hello: Hello, dialled: bool) -> None:
-        """Take the other side's hello, and go on with the session or begin a new one. Raises Faulty."""
-        if hello.version != frames.VERSION:
-            raise ProtocolError(f"version {hello.version} of the link, and {frames.VERSION} is spoken here")
-        if hello.site != self.site:
-            raise ProtocolError(f"it is site {hello.site!r}, and {self.site!r} was expected")
-        doubt = stale_store_reason(hello, self._epochs.known_epoch(self.site), self._epochs.own_epoch)
-        if doubt and doubt != self.stale_reason:
-            self._log(f"site {self.site}: no work passes: {doubt}")
-        self.stale_reason = doubt
-        if not dialled and doubt:
-            connection.send(frames.encode(self._hello()))  # so that it can tell as well
-        if doubt:
-            raise ProtocolError("a store is an older copy")
-        now = time.monotonic()
+        """Go on with the session or begin a new one, and take the connection. Raises ProtocolError."""
+        self._check_hello(connection, hello, dialled)
         if dialled:
-            if hello.session != self.session.name:
-                raise ProtocolError("it answers with another session")
-            try:
-                # Guards against a side that began anew under our session: its numbers begin anew too.
-                if hello.is_new and not self.session.fresh:
-                    raise ProtocolError("it has forgotten the session")
-                self.session.resume(now, hello.received)
-            except ProtocolError:
-                self.session = Session(
-                    self._new_session_name()
-                )  # the next connection has a session of its own
-                raise
-        else:
-            if hello.session != self.session.name:
-                self.session = Session(hello.session)
-            connection.send(frames.encode(self._hello()))
-            if self.session.fresh and not hello.is_new:
-                return  # it hears that this side has forgotten, and comes again with a new session
-            self.session.resume(now, hello.received)
+            self._resume_own_session(hello)
+        elif not self._resume_their_session(connection, hello):
+            return
         if self._connection is not None:  # the other side has given the old one up
             self._connection.close()
             self._mark_down()
-        self._connection, self._early_frames = connection, []
+        self._connection = connection
+        self._early_frames = []
         self._spawn(self._complete_handshake(connection, hello))
 
+    def _check_hello(self, connection: Connection, hello: Hello, dialled: bool) -> None:
+        """Raise ProtocolError for a wrong version or site, or where a store is an older copy."""
+        if hello.version != frames.VERSION:
+            raise ProtocolError(f"version {hello.version} of the link, and {frames.VERSION} is spoken here")
+        if hello.site != self.site:
+            raise ProtocolError(f"it is site {hello.site!r}, and {self.site!r} was expected")
+        reason = stale_store_reason(hello, self._epochs.known_epoch(self.site), self._epochs.own_epoch)
+        if reason and reason != self.stale_reason:
+            self._log(f"site {self.site}: no work passes: {reason}")
+        self.stale_reason = reason
+        if reason:
+            if not dialled:
+                connection.send(frames.encode(self._hello()))  # so that the other side can tell as well
+            raise ProtocolError("a store is an older copy")
+
+    def _resume_own_session(self, hello: Hello) -> None:
+        """Go on with the session that this side has named. Raises ProtocolError where the other can't."""
+        if hello.session != self.session.name:
+            raise ProtocolError("it answers with another session")
+        try:
+            # Guards against a side that began anew under our session: its numbers begin anew too.
+            if hello.is_new and not self.session.fresh:
+                raise ProtocolError("it has forgotten the session")
+            self.session.resume(time.monotonic(), hello.received)
+        except ProtocolError:
+            self.session = Session(self._new_session_name())  # the next connection has a session of its own
+            raise
+
+    def _resume_their_session(self, connection: Connection, hello: Hello) -> bool:
+        """Answer a hello, and go on with the session that it names; False where that one is forgotten here.
+
+        The other side learns from the answer that it is forgotten, and comes again with a new session.
+        """
+        if hello.session != self.session.name:
+            self.session = Session(hello.session)
+        connection.send(frames.encode(self._hello()))
+        if self.session.fresh and not hello.is_new:
+            return False
+        self.session.resume(time.monotonic(), hello.received)
+        return True
+
     async def _complete_handshake(self, connection: Connection, hello: Hello) -> None:
-        """No work passes before the other side's epoch is on the disk: a restart could not tell it stale."""
+        """Write down the other side's epoch, then let work pass: a restart could not tell it stale before."""
         await self._epochs.record_epoch(self.site, hello.epoch, hello.token)
         if self._connection is not connection or connection.closed:
             return
         self.up = True
         self._log(f"site {self.site}: up, session {self.session.name}, epoch {hello.epoch}")
         self._handlers.on_up(self.site)
-        early, self._early_frames = self._early_frames, []
+        early = self._early_frames
+        self._early_frames = []
         try:
             for frame in early:
                 self._handle_frame(frame)
-        except ProtocolError as fault:
-            self._log(f"site {self.site}: closed: {fault}")
+        except ProtocolError as error:
+            self._log(f"site {self.site}: closed: {error}")
             connection.close()
         self.flush()
 
     def connection_ended(self, connection: Connection) -> None:
+        """Take note that a connection has ended: the link is down, if it was on that one."""
         if self._connection is connection:
             self._connection = None
             self._mark_down()
@@ -240,41 +289,40 @@
         if self._connection is not None:
             self._connection.close()
 
-    # ---- sending ------------------------------------------------------------------------------------------
+    # ---- sending -------------------------------------------------------------------------------------------
 
     def send(self, stream: int, payload: bytes) -> bool:
-        """Queue one message for the session; False where the link is down or the stream's line is full.
+        """Queue one message for the session; False where the link is down or the stream's queue is full.
 
-        What is not taken is not kept: whoever must be heard says it again once the link is up.
+        What is not taken is not kept: whoever must be heard sends it again once the link is up.
         """
         if not self.up:
             return False
         try:
             self.session.send(stream, payload)
-        except StreamFullError as fault:
-            self._log(f"site {self.site}: {fault}")
+        except StreamFullError as error:
+            self._log(f"site {self.site}: {error}")
             return False
         if not self._flush_scheduled:
             self._flush_scheduled = True
-            asyncio.get_running_loop().call_soon(self._flush_soon)
+            asyncio.get_running_loop().call_soon(self._flush_now)
         return True
 
-    def _flush_soon(self) -> None:
+    def _flush_now(self) -> None:
         self._flush_scheduled = False
         self.flush()
 
     def flush(self) -> None:
         """Send what may go out: no more than the connection can hold, the rest stays in its streams."""
         connection = self._connection
-        while (
-            self.up and connection is not None and not connection.closed and connection.unsent < UNSENT_MOST
-        ):
+        if connection is None:
+            return
+        while self.up and not connection.closed and connection.unsent < MAX_UNSENT_BYTES:
             out = [frames.encode(frame) for frame in self.session.outgoing_frames(time.monotonic(), 2)]
             if not out:
                 break
             connection.queue(b"".join(out))
-        if connection is not None:
-            connection.push()
+        connection.push()
 
     async def _tick(self) -> None:
         while True:
@@ -285,72 +333,7 @@
             self.flush()
 
     def close(self) -> None:
+        """End the connection and all tasks; the link comes up no more."""
         for task in self._tasks:
             task.cancel()
         self.drop_connection()
-
-
-class LinkListener:
-    """Where other sites connect. A connection is nobody's until it has said which site it is."""
-
-    def __init__(
-        self,
-        address: tuple[str, int],
-        links: dict[str, Link],
-        share: Share,
-        log: Callable[[str], None],
-        tls: ssl.SSLContext | None = None,
-    ) -> None:
-        """`tls`: who connects has to show the certificate of the site that it says it is."""
-        self._links, self._share, self._log, self._tls = links, share, Sparing(log), tls
-        self._tasks: set[asyncio.Task] = set()
-        self.listener = Listener(address, share, self._taken)
-
-    def _taken(self, stream: IOStream, host: str) -> None:
-        task = asyncio.get_running_loop().create_task(self._serve(stream, host))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
-    async def _serve(self, stream: IOStream, host: str) -> None:
-        certified = ""
-        if self._tls is not None:
-            try:
-                stream, certified = await shake_hands(stream, self._tls)
-            except OSError as fault:
-                self._log(f"site at {host}: closed: {fault}")
-                self._share.give_back()
-                return
-        connection = Connection(stream, self._share, f"site at {host}", self._log)
-        link: Link | None = None
-
-        def handle(frame: Frame) -> None:
-            nonlocal link
-            if link is None:
-                if not isinstance(frame, Hello) or frame.site not in self._links:
-                    raise Malformed(
-                        f"site {frame.site!r} is not configured here"
-                        if isinstance(frame, Hello)
-                        else "it does not say which site it is"
-                    )
-                if self._tls is not None and certified != frame.site:
-                    raise Malformed(
-                        f"it says that it is {frame.site!r}, and shows the certificate of " f"{certified!r}"
-                    )
-                link = self._links[frame.site]
-                connection.name = f"site {link.site}"
-            link.receive(connection, frame, dialled=False)
-
-        guard = asyncio.get_running_loop().call_later(
-            HELLO_S, lambda: None if link is not None else connection.close()
-        )
-        try:
-            await connection.pump(_parse, handle, lambda: connection.finish(LAST_S))
-        finally:
-            guard.cancel()
-            if link is not None:
-                link.connection_ended(connection)
-
-    def close(self) -> None:
-        self.listener.close()
-        for task in self._tasks:
-            task.cancel()
--- /dev/null
+++ b/weldhatch/sites/link_listener.py
@@ -0,0 +1,92 @@
+"""Where other sites connect: who a connection comes from, and handing it to that site's link."""
+
+from __future__ import annotations
+
+import asyncio
+import ssl
+from collections.abc import Callable
+from typing import cast
+
+from tornado.iostream import IOStream
+
+from weldhatch.net.connection import Connection, Malformed
+from weldhatch.net.descriptor_budget import Share
+from weldhatch.net.listener import Listener
+from weldhatch.net.rate_limited_log import Sparing
+from weldhatch.net.tls import shake_hands
+from weldhatch.sites.link import HELLO_TIMEOUT_S, LINGER_S, Link, parse
+from weldhatch.sites.session import Frame, Hello
+
+
+class LinkListener:
+    """Where other sites connect. A connection is nobody's until it has said which site it is."""
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        links: dict[str, Link],
+        share: Share,
+        log: Callable[[str], None],
+        tls: ssl.SSLContext | None = None,
+    ) -> None:
+        """Listen. `tls`: who connects has to show the certificate of the site that it says it is.
+
+        Raises OSError for the address.
+        """
+        self._links = links
+        self._share = share
+        self._log = Sparing(log)
+        self._tls = tls
+        self._tasks: set[asyncio.Task[None]] = set()
+        self.listener = Listener(address, share, self._accept)
+
+    def _accept(self, stream: IOStream, host: str) -> None:
+        task = asyncio.get_running_loop().create_task(self._serve(stream, host))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _serve(self, stream: IOStream, host: str) -> None:
+        """Read one connection until it ends."""
+        certified = ""
+        if self._tls is not None:
+            try:
+                stream, certified = await shake_hands(stream, self._tls)
+            except OSError as error:
+                self._log(f"site at {host}: closed: {error}")
+                self._share.give_back()
+                return
+        connection = Connection(stream, self._share, f"site at {host}", self._log)
+        link: Link | None = None
+
+        def handle(frame: object) -> None:
+            nonlocal link
+            if link is None:
+                link = self._identify(frame, certified)
+                connection.name = f"site {link.site}"
+            link.receive(connection, cast(Frame, frame), dialled=False)
+
+        guard = asyncio.get_running_loop().call_later(
+            HELLO_TIMEOUT_S, lambda: None if link is not None else connection.close()
+        )
+        try:
+            await connection.pump(parse, handle, lambda: connection.finish(LINGER_S))
+        finally:
+            guard.cancel()
+            if link is not None:
+                link.connection_ended(connection)
+
+    def _identify(self, frame: object, certified: str) -> Link:
+        """Return the link of the site that a first frame names. Raises Malformed."""
+        if not isinstance(frame, Hello):
+            raise Malformed("it does not say which site it is")
+        if frame.site not in self._links:
+            raise Malformed(f"site {frame.site!r} is not configured here")
+        if self._tls is not None and certified != frame.site:
+            raise Malformed(f"it says that it is {frame.site!r}, and shows the certificate of {certified!r}")
+        return self._links[frame.site]
+
+    def close(self) -> None:
+        """Stop listening, and end the connections that are served."""
+        self.listener.close()
+        for task in self._tasks:
+            task.cancel()
--- a/weldhatch/sites/session.py
+++ b/weldhatch/sites/session.py
@@ -67,7 +67,7 @@
 
 
 class Ack(Struct, frozen=True, rename={"received": "heard"}):
-    """All up to `received` were received; `credit`: by stream, how many of its messages may be sent in all."""
+    """All up to `received` have come; `credit`: by stream, how many of its messages may be sent in all."""
 
     received: int
     credit: tuple[tuple[int, int], ...] = ()
@@ -88,7 +88,7 @@
     """One stream, as its sender sees it and as its receiver does. All counts begin with the session.
 
     `sent`: messages that have been given a number; `send_limit`: how many the other side has allowed;
-    `receive_limit`: how many we have allowed; `announced_limit`: how many of those the other side was told of.
+    `receive_limit`: how many we have allowed; `announced_limit`: how many of those the other side knows of.
     """
 
     waiting: deque[bytes] = field(default_factory=deque)
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -22,7 +22,7 @@
 from weldhatch.scheduling import types as i
 from weldhatch.scheduling.policy import Policy
 from weldhatch.sites.forwarding import SiteForwarder
-from weldhatch.sites.link import LinkListener
+from weldhatch.sites.link_listener import LinkListener
 from weldhatch.sites.messages import TransferId, Work
 from weldhatch.sites.routing import Router
 from weldhatch.sites.storage import SiteStorage
