--- a/tests/test_abroad.py
+++ b/tests/test_abroad.py
@@ -139,12 +139,12 @@
             "a has heard of b's room",
         )
         await self.at(self.a, f"c1 send POST tasks | {task(left=1500)}")
-        await self.until(lambda: self.b.sites.incoming, "it is on its way to b's machine")
+        await self.until(lambda: self.b.sites.incoming.tasks, "it is on its way to b's machine")
         self.b.operate(word("b1"))
         await self.at(self.b, "p1 send PATCH $session X-Server-Timeout=1 | {}\np1 expect 200 leases=[]")
         await self.at(self.a, "c1 expect 200 answer=refused")
         await self.until(
-            lambda: not self.a.sites.source.transfers and not self.b.sites.incoming, "all is settled"
+            lambda: not self.a.sites.source.transfers and not self.b.sites.incoming.tasks, "all is settled"
         )
 
     async def weldhatch(self, *words):
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -547,7 +547,7 @@
             await asyncio.wait_for(stands.answered.wait(), 20)
             region.now["b"].hall.look_s = 0.5
             doubt = region.ask("a", 2, left_s=0.5)
-            await region.until(lambda: len(region.now["b"].sites.incoming) == 2)
+            await region.until(lambda: len(region.now["b"].sites.incoming.tasks) == 2)
             next(iter(region.wires.values())).cut()
             await asyncio.wait_for(doubt.answered.wait(), 20)
             there = await asyncio.to_thread(lambda: region.now["b"].sites.status())
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -7,9 +7,11 @@
 from random import Random
 from unittest import mock
 
-from weldhatch.sites import forwarding, session
+from weldhatch.core import ports
+from weldhatch.sites import session
 from weldhatch.sites.handoff_source import OutgoingPhase
 from weldhatch.sites.handoff_target import IncomingPhase
+from weldhatch.sites.routing import CapacitySummary
 from weldhatch.testbed.multi_site import Region
 
 LOOKUP, IMPORT, WRITER = range(3)
@@ -58,7 +60,7 @@
     async def test_an_owners_release_is_relayed_and_its_machine_stops(self):
         owner = self.region.ask("a", IMPORT)
         await self.answered(owner)
-        owner.life.tell(forwarding.ports.Released(16))
+        owner.life.tell(ports.Released(16))
         await self.region.until(lambda: not self.region.now["b"].hall.busy)
         await self.region.settled()
         self.assertEqual(0, owner.ends)  # it brought the end about itself
@@ -67,7 +69,7 @@
         self.region.now["b"].hall.look_s = 0.3
         owner = self.region.ask("a", WRITER)
         await self.region.until(lambda: IncomingPhase.PLACING in self.taken())
-        owner.life.tell(forwarding.ports.GivenUp())
+        owner.life.tell(ports.GivenUp())
         await self.region.settled()
         self.assertEqual([], owner.answers)
         self.assertEqual(0, sum(self.region.tally.running.values()))
@@ -199,11 +201,9 @@
     async def test_a_task_that_nobody_can_place_goes_round_within_its_hops_and_is_refused(self):
         """No site has room, though each has told of some: no loop, no ping-pong, one answer."""
         for one in self.region.now.values():
-            one.sites.summary = lambda: forwarding.CapacitySummary(
-                {"lookup": 9, "import": 9, "writer": 9}, 100
-            )
+            one.sites.summary = lambda: CapacitySummary({"lookup": 9, "import": 9, "writer": 9}, 100)
             for site in one.sites.links:
-                one.sites._tell(site)
+                one.sites.send_summary(site)
         owner = self.region.ask("a", WRITER, left_s=1.5)
         self.assertEqual("refused", await self.answered(owner))
         await self.region.settled()
--- a/tests/test_sites_routing.py
+++ b/tests/test_sites_routing.py
@@ -74,7 +74,7 @@
     r = router(1)
     r.transfer_returned(0.0, "s0", WORK)
     assert r.choose(0.1, Work("lookup", "SAFE", 1, 1, 0.5, 1.0), FULL, 5.0) == "s0"
-    assert r.choose(0.1 + routing.REFUSAL_TTL_S, WORK, FULL, 5.0) == "s0"
+    assert r.choose(0.1 + routing.REJECTION_TTL_S, WORK, FULL, 5.0) == "s0"
 
 
 def test_what_went_over_counts_until_the_site_can_have_counted_it():
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -117,7 +117,7 @@
         self.bots.rule(settings, rules)
         self.tasks.rule(settings)
         if self.sites is not None:
-            self.sites.rule(settings)
+            self.sites.reconfigure(settings)
 
     def operate(self, word: Word) -> None:
         """Take an operator's word: on the disk first, then in force. Raises WordError, or OSError for the
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -125,7 +125,7 @@
     except BaseException:
         sites_book.close()
         raise
-    driver.watches.append(lambda event: sites.room.watch(time.monotonic(), event))
+    driver.watches.append(lambda event: sites.capacity.watch(time.monotonic(), event))
     for name, endpoint in told.sites.peers.items():
         if told.sites.name < name:
             sites.links[name].dial(endpoint, share, dials)
--- a/weldhatch/sites/capacity.py
+++ b/weldhatch/sites/capacity.py
@@ -4,80 +4,105 @@
 
 from dataclasses import dataclass, field
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import (
+    AttemptEnded,
+    Event,
+    ListForm,
+    Machine,
+    MachineKind,
+    MachinesChanged,
+    MachineState,
+    ProbeAnswered,
+    Settings,
+)
 from weldhatch.sites.routing import CapacitySummary
 
-HEARD_S = 10.0  # an older report of a machine counts as the average of the others
-LEAST = 0.01  # of a core, or of a unit of memory: a class that asks for nothing still fills something
+REPORT_TTL_S = 10.0  # a machine whose report is older counts as the average of the others
+MIN_SIZE = 0.01  # of a core, or of a unit of memory: a class that asks for nothing still fills something
 
 
 @dataclass(slots=True)
 class MachineCapacity:
-    entry: i.Machine
-    free: tuple[float, float] | None = None  # cores and memory that nobody has asked for
-    at: float = 0.0
-    open: float = 0.0  # cores placed there since
+    """One machine: its entry in the endpoint list, and what it last reported.
+
+    `free`: cores and memory that nobody has asked for; `reported_at`: seconds of the caller's clock.
+    """
+
+    entry: Machine
+    free: tuple[float, float] | None = None
+    reported_at: float = 0.0
 
 
 @dataclass(slots=True)
 class CapacityTracker:
     """Watches the events that the module gets, and adds up. Times in seconds."""
 
-    settings: i.Settings
+    settings: Settings
     machines: dict[int, MachineCapacity] = field(default_factory=dict)
 
-    def watch(self, now: float, event: i.Event) -> None:
+    def watch(self, now: float, event: Event) -> None:
+        """Take an event of the module."""
         match event:
-            case i.MachinesChanged(form, entries):
-                if form in (i.ListForm.FULL, i.ListForm.CACHED):
-                    named = {entry.id for entry in entries}
-                    self.machines = {id: one for id, one in self.machines.items() if id in named}
-                for entry in entries:
-                    if entry.state == i.MachineState.GONE:
-                        self.machines.pop(entry.id, None)
-                    else:
-                        self.machines.setdefault(entry.id, MachineCapacity(entry)).entry = entry
-                    if entry.free_cores is not None and entry.id in self.machines:
-                        self._hear(now, entry.id, (entry.free_cores, entry.free_memory or 0.0))
-            case i.ProbeAnswered(machine, _, _, report) | i.AttemptEnded(machine=machine, report=report):
+            case MachinesChanged(form, entries):
+                self._update_machines(now, form, entries)
+            case ProbeAnswered(machine, _, _, report) | AttemptEnded(machine=machine, report=report):
                 values = dict(zip(self.settings.report_fields, report, strict=False))
                 if "x0" in values and "x1" in values and machine in self.machines:
-                    self._hear(now, machine, (values["x0"], values["x1"]))
+                    self._receive_report(now, machine, (values["x0"], values["x1"]))
+
+    def _update_machines(self, now: float, form: ListForm, entries: tuple[Machine, ...]) -> None:
+        if form in (ListForm.FULL, ListForm.CACHED):
+            named = {entry.id for entry in entries}
+            self.machines = {id: machine for id, machine in self.machines.items() if id in named}
+        for entry in entries:
+            if entry.state == MachineState.GONE:
+                self.machines.pop(entry.id, None)
+            else:
+                self.machines.setdefault(entry.id, MachineCapacity(entry)).entry = entry
+            if entry.free_cores is not None and entry.id in self.machines:
+                self._receive_report(now, entry.id, (entry.free_cores, entry.free_memory or 0.0))
 
-    def _hear(self, now: float, machine: int, free: tuple[float, float]) -> None:
-        seen = self.machines[machine]
-        seen.free, seen.at = free, now
+    def _receive_report(self, now: float, machine: int, free: tuple[float, float]) -> None:
+        known = self.machines[machine]
+        known.free = free
+        known.reported_at = now
 
     def summary(self, now: float, waiting: int, standing: int, draining: bool = False) -> CapacitySummary:
-        """What to tell other sites. `waiting`: requests not placed; `standing`: tasks of ours that stand.
+        """Return what to tell other sites.
 
-        A task of usual size asks for `usual_cores` and `usual_memory`; a machine that has told nothing is
-        taken for an average one, and where none has, for one that shares the tasks we know of.
+        `waiting`: requests not placed; `standing`: tasks of ours that are placed. A task of usual size asks
+        for `usual_cores` and `usual_memory`; a machine that has told nothing is taken for an average one, and
+        where none has, for one that shares the tasks we know of.
         """
-        s = self.settings
-        cores_each, memory_each = max(LEAST, s.usual_cores), max(LEAST, s.usual_memory)
-        size = free = unheard = heard = 0
-        for seen in self.machines.values():
-            if seen.entry.state != i.MachineState.READY:
+        settings = self.settings
+        usual_cores = max(MIN_SIZE, settings.usual_cores)
+        usual_memory = max(MIN_SIZE, settings.usual_memory)
+        size = 0
+        size_reported = 0
+        free = 0
+        for machine in self.machines.values():  # for each request that may cross: kept in one loop
+            if machine.entry.state != MachineState.READY:
                 continue
-            cores, memory = self._whole(seen.entry)
-            most = int(min(cores * s.cores_booking / cores_each, memory * s.memory_booking / memory_each))
-            size += most
-            if seen.free is None or now - seen.at > HEARD_S:
-                unheard += most
+            cores, memory = self._dimensions(machine.entry)
+            booked_cores = cores * settings.cores_booking
+            booked_memory = memory * settings.memory_booking
+            machine_size = int(min(booked_cores / usual_cores, booked_memory / usual_memory))
+            size += machine_size
+            if machine.free is None or now - machine.reported_at > REPORT_TTL_S:
                 continue
-            heard += most
-            free_cores = seen.free[0] + (s.cores_booking - 1) * cores
-            free_memory = seen.free[1] + (s.memory_booking - 1) * memory
-            free += max(0, int(min(free_cores / cores_each, free_memory / memory_each)))
-        if heard:
-            free += int(unheard * free / heard)
+            size_reported += machine_size
+            free_cores = machine.free[0] + (settings.cores_booking - 1) * cores
+            free_memory = machine.free[1] + (settings.memory_booking - 1) * memory
+            free += max(0, int(min(free_cores / usual_cores, free_memory / usual_memory)))
+        if size_reported:
+            free += int((size - size_reported) * free / size_reported)
         else:
             free = max(0, size - standing)
         left = max(0, free - waiting)
-        return CapacitySummary({cls.name: left for cls in s.classes}, size, waiting, draining)
+        return CapacitySummary({cls.name: left for cls in settings.classes}, size, waiting, draining)
 
-    def _whole(self, entry: i.Machine) -> tuple[float, float]:
+    def _dimensions(self, entry: Machine) -> tuple[float, float]:
+        """Return cores and memory of a machine: its own, or those of its kind."""
         kinds = self.settings.kinds
-        kind = kinds[entry.kind] if 0 <= entry.kind < len(kinds) else i.MachineKind("", 1.0, 1.0)
+        kind = kinds[entry.kind] if 0 <= entry.kind < len(kinds) else MachineKind("", 1.0, 1.0)
         return entry.cores or kind.cores, entry.memory or kind.memory
--- /dev/null
+++ b/weldhatch/sites/forwarded_request.py
@@ -0,0 +1,239 @@
+"""One request of an owner here that may cross to other sites: a coroutine, from its arrival to its end."""
+
+from __future__ import annotations
+
+import traceback
+from collections.abc import Callable, Collection, Coroutine
+from dataclasses import replace
+from typing import Protocol
+
+from weldhatch.core import ports
+from weldhatch.core.mailbox import Mailbox
+from weldhatch.core.policy_driver import unix_us
+from weldhatch.core.request_lifecycle import Core, Life
+from weldhatch.sites.background import BackgroundTasks, call_after
+from weldhatch.sites.handoff_source import (
+    Answer,
+    AnswerOwner,
+    HandoffSource,
+    ReclaimTask,
+    ReportEnd,
+    TaskBusyError,
+)
+from weldhatch.sites.local_site import LocalAnswer, LocalEnd, LocalOwner, SiteFrontEnd
+from weldhatch.sites.messages import TransferId, Work
+from weldhatch.sites.outgoing import OutgoingHandoffs
+from weldhatch.sites.routing import KeepLocal
+from weldhatch.sites.task_translation import TaskTranslator
+
+LOCAL_TIME_FRACTION = 0.4  # of the time left, that the local site has before other sites are looked at again
+MIN_SPLIT_US = 200_000  # with less time left than this the local site has all of it
+SPARE_US = 30_000  # an answer from another site has to be here so long before the deadline
+BUSY_WAIT_US = 1_000_000  # when to come back, for a task whose key is in doubt
+
+Outcome = LocalAnswer | AnswerOwner | ReclaimTask | TaskBusyError | None  # None: the owner gave up
+
+
+class ForwardingSite(Protocol):
+    """What a request needs of its site."""
+
+    core: Core
+    front: SiteFrontEnd
+    source: HandoffSource
+    outgoing: OutgoingHandoffs
+    translator: TaskTranslator
+    background: BackgroundTasks
+    draining: bool
+
+    @property
+    def log(self) -> Callable[[str], None]:
+        """Who gets a line of the log."""
+
+    @property
+    def site_names(self) -> Collection[str]:
+        """The other sites."""
+
+    def choose(self, work: Work, left_us: int, visited: frozenset[str]) -> str | KeepLocal:
+        """Return the site that a task goes to, or why it stays; `visited`: those that have had it."""
+
+    def spawn_settled(self, lifecycle: Life, then: Callable[[], None]) -> None:
+        """Call `then` once a task that was given up, or failed, can't run any more."""
+
+    def begin_request(self, request: ForwardedRequest) -> None:
+        """Take note of a request that is owed an answer."""
+
+    def count_answered(self) -> None:
+        """Take note that a request has had its answer."""
+
+    def end_request(self, request: ForwardedRequest) -> None:
+        """Take note that nothing of a request is left."""
+
+
+class ForwardedRequest(Mailbox):
+    """One request of an owner here. Exactly one final answer: `_decide` is the only place that gives it."""
+
+    def __init__(self, site: ForwardingSite, task: ports.Task, owner: ports.Owner) -> None:
+        """Begin at once, as a task of its own."""
+        super().__init__()
+        self._site = site
+        self._owner = owner
+        self._lifecycle: Life | None = None  # of the latest attempt at this site
+        self.task = task
+        self.work = site.translator.work_of(task)
+        self.answered = False
+        site.begin_request(self)
+        self.running = self._loop.create_task(self._run())
+
+    def _left_us(self) -> int:
+        return self.task.deadline_us - unix_us()
+
+    async def _run(self) -> None:
+        try:
+            watch = await self._decide()
+            self._answer_done()
+            if watch is not None:
+                await watch
+        except Exception:
+            # Guards the owner against a fault of ours: its request still gets its one final answer.
+            self._site.log("a crossing: " + traceback.format_exc().replace("\n", " | "))
+            if not self.answered:
+                self._answer_done()
+                self._owner.failed()
+        finally:
+            self._site.end_request(self)
+
+    def _answer_done(self) -> None:
+        if not self.answered:
+            self.answered = True
+            self._site.count_answered()
+
+    # ---- from the arrival to the final answer ----------------------------------------------------------
+
+    async def _decide(self) -> Coroutine[object, object, None] | None:
+        """Answer the owner; return what watches the task where it was placed, None where it was not.
+
+        It goes where there is room, else stays here for a part of the time that is left: then it is looked
+        again. Sites that have had it get it no second time.
+        """
+        # A task that may go to certain machines only stays with them.
+        visited = set() if self.task.only is None else set(self._site.site_names)
+        wait_us = 0
+        while self._left_us() > SPARE_US:
+            choice = self._site.choose(self.work, self._left_us(), frozenset(visited))
+            last = False
+            if isinstance(choice, KeepLocal):
+                if self._site.draining:
+                    break
+                last = len(visited) >= len(self._site.site_names) or self._left_us() < MIN_SPLIT_US
+                fraction = 1.0 if last else LOCAL_TIME_FRACTION
+                outcome: Outcome = await self._place_here(int(self._left_us() * fraction))
+            else:
+                visited.add(choice)
+                outcome = await self._hand_off(choice)
+            match outcome:
+                case LocalAnswer(Answer.REJECTED) | ReclaimTask():
+                    wait_us = max(wait_us, outcome.wait_us)
+                    if last:
+                        break
+                case _:
+                    return self._answer(outcome)
+        self._owner.refused(wait_us)
+        return None
+
+    def _answer(self, outcome: Outcome) -> Coroutine[object, object, None] | None:
+        """Give the owner its one answer."""
+        match outcome:
+            case LocalAnswer(Answer.PLACED, description):
+                self._owner.placed(description)
+                return self._watch_here()
+            case AnswerOwner(id, Answer.PLACED, description):
+                self._owner.placed(description)
+                return self._watch_there(id)
+            case AnswerOwner(_, Answer.REJECTED, _, wait_us):
+                self._owner.refused(wait_us)
+            case LocalAnswer() | AnswerOwner():
+                self._owner.failed()
+            case TaskBusyError():
+                self._owner.refused(BUSY_WAIT_US)
+            case _:
+                pass  # the owner gave up, and is owed none
+        return None
+
+    async def _place_here(self, within_us: int) -> LocalAnswer | TaskBusyError | None:
+        """Let this site's module decide, within so much time."""
+        try:
+            self._site.source.reserve_key(self.work)
+        except TaskBusyError as error:
+            return error
+        self._lifecycle = lifecycle = self._site.core.arrive(
+            replace(self.task, deadline_us=unix_us() + within_us), LocalOwner(self.tell)
+        )
+        while True:
+            match await self._next():
+                case LocalAnswer(answer) as here:
+                    if answer is Answer.REJECTED:
+                        self._release_key()
+                    elif answer is Answer.FAILED:  # it may run: its key is not free before that is over
+                        self._site.spawn_settled(lifecycle, self._release_key)
+                    return here
+                case ports.GivenUp():
+                    lifecycle.tell(ports.GivenUp())
+                    self._site.spawn_settled(lifecycle, self._release_key)
+                    return None
+
+    def _release_key(self) -> None:
+        self._site.source.release_key(self.work)
+
+    async def _hand_off(self, site: str) -> AnswerOwner | ReclaimTask | TaskBusyError | None:
+        """Hand the task to another site and wait for what comes of it."""
+        outgoing = self._site.outgoing
+        try:
+            id = await outgoing.offer(site, self.work, self._left_us() - SPARE_US, self)
+        except TaskBusyError as error:
+            return error
+        wait_s = max(0, self._left_us() - SPARE_US) / 1e6
+        timer = self._loop.call_later(wait_s, outgoing.deadline_passed, id)
+        try:
+            while True:
+                match await self._next():
+                    case AnswerOwner() | ReclaimTask() as outcome if outcome.id == id:
+                        return outcome
+                    case ports.GivenUp():
+                        outgoing.abandon(id)
+                        return None
+        finally:
+            timer.cancel()
+
+    # ---- while the task stands -------------------------------------------------------------------------
+
+    async def _watch_here(self) -> None:
+        """Wait for the end of a task that was placed at this site; its key is free then."""
+        assert self._lifecycle is not None
+        try:
+            while True:
+                match await self._next():
+                    case LocalEnd(cause, migrated):
+                        if migrated:
+                            self._owner.moved()
+                        else:
+                            self._owner.released(cause)
+                        return
+                    case ports.Released(cause):
+                        self._lifecycle.tell(ports.Released(cause))
+                        await call_after(self._lifecycle, 0.0, lambda: None)
+                        return
+        finally:
+            self._release_key()
+
+    async def _watch_there(self, id: TransferId) -> None:
+        """Wait for the end of a task that was placed at another site."""
+        while True:
+            match await self._next():
+                case ReportEnd(which, cause, result) if which == id:
+                    if result:
+                        self._site.front.came_to(self.task, result)
+                    self._owner.released(cause)
+                    return
+                case ports.Released(cause):
+                    self._site.outgoing.release(id, cause)
+                    return
--- /dev/null
+++ b/weldhatch/sites/incoming.py
@@ -0,0 +1,177 @@
+"""Tasks of other sites at this site's core, and what the source is told of them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from weldhatch.core import ports
+from weldhatch.core.request_lifecycle import Core
+from weldhatch.sites import messages
+from weldhatch.sites.background import BackgroundTasks, Lifecycle
+from weldhatch.sites.effects import EffectRunner, TaskEffect
+from weldhatch.sites.handoff_source import HandoffSource, TaskBusyError
+from weldhatch.sites.handoff_target import AbandonTask, HandoffTarget, ReleaseTask, StartTask
+from weldhatch.sites.messages import TransferId
+from weldhatch.sites.storage import SiteStorage
+from weldhatch.sites.task_translation import TaskTranslator
+
+MAX_RESULT_CHARS = 12 * 1024  # of what a task has come to; a longer text stays where it ran
+FAILED = 47  # the cause of a task that may have run
+
+
+class IncomingTask:
+    """A task of another site, at this site's core: the core's owner of it."""
+
+    def __init__(self, tasks: IncomingTasks, offer: StartTask) -> None:
+        """Hand the task to the core. Raises ValueError where the front can't read it."""
+        self._tasks = tasks
+        self.site = offer.site
+        self.id = offer.id
+        self.work = offer.work
+        self.placed_here = False
+        self._result = ""
+        self._lifecycle = tasks.core.arrive(
+            tasks.translator.task_of(offer.site, offer.id, offer.work, offer.left_us, self._keep_result), self
+        )
+
+    def _keep_result(self, result: str) -> None:
+        """Keep what its machine says that it has come to; its end follows."""
+        if len(result) <= MAX_RESULT_CHARS:
+            self._result = result
+        else:
+            self._tasks.log(f"site {self.site}: a result of {len(result)} characters does not cross")
+
+    def placed(self, description: str | None) -> None:
+        """Take note that a machine holds it."""
+        self.placed_here = True
+        effects = self._target.placed(self.id, description or "")
+        self._tasks.effects.run_target(self.site, effects)
+
+    def refused(self, wait_us: int) -> None:
+        """Return it: the module has rejected it, and nothing ran."""
+        self._tasks.remove(self)
+        self._tasks.effects.run_target(self.site, self._target.returned(self.id, wait_us))
+
+    def failed(self) -> None:
+        """Take note that it failed: it may have run, and may still."""
+        self._tasks.spawn_settled(self._lifecycle, lambda: self._ended(FAILED))
+
+    def released(self, cause: int) -> None:
+        """Take note that it is over at its machine."""
+        self._ended(cause)
+
+    def moved(self) -> None:
+        """End it: a migration inside this site is no answer to another one."""
+        self._ended(ports.CALLED_OFF)
+
+    def abandon(self) -> None:
+        """Give it up: nobody waits for it. It may have run, so it ends once it can't run any more."""
+        self._lifecycle.tell(ports.GivenUp())
+        self._tasks.spawn_settled(self._lifecycle, lambda: self._ended(ports.GIVEN_UP))
+
+    def release(self, cause: int) -> None:
+        """End it. The core tells an owner nothing of an end that the owner asked for: it is waited for."""
+        self._lifecycle.tell(ports.Released(cause))
+        self._tasks.background.spawn_after(self._lifecycle, 0.0, lambda: self._ended(cause))
+
+    @property
+    def _target(self) -> HandoffTarget:
+        return self._tasks.target(self.site)
+
+    def _ended(self, cause: int) -> None:
+        self._tasks.remove(self)
+        self._tasks.effects.run_target(self.site, self._target.ended(self.id, cause, self._result))
+
+
+class IncomingTasks:
+    """All tasks of other sites. `tasks`: by site and transfer."""
+
+    def __init__(
+        self,
+        core: Core,
+        storage: SiteStorage,
+        effects: EffectRunner,
+        translator: TaskTranslator,
+        background: BackgroundTasks,
+        settle_s: float,
+        log: Callable[[str], None],
+    ) -> None:
+        """`settle_s`: for how long a task that was given up, or whose gateway died, may still run."""
+        self.core = core
+        self.effects = effects
+        self.translator = translator
+        self.background = background
+        self.log = log
+        self.tasks: dict[tuple[str, TransferId], IncomingTask] = {}
+        self._storage = storage
+        self._keys: HandoffSource = storage.source
+        self._settle_s = settle_s
+
+    @property
+    def undecided(self) -> int:
+        """How many are neither placed nor over."""
+        return sum(not task.placed_here for task in self.tasks.values())
+
+    def target(self, site: str) -> HandoffTarget:
+        """Return the target's side of all hand-offs from a site."""
+        return self._storage.target(site)
+
+    def spawn_settled(self, lifecycle: Lifecycle, then: Callable[[], None]) -> None:
+        """Call `then` once a task that was given up, or failed, can't run any more."""
+        self.background.spawn_after(lifecycle, self._settle_s, then)
+
+    def recover(self) -> None:
+        """End what a former gateway had here, once nothing that it started can run any more."""
+        before = {site: list(target.transfers) for site, target in self._storage.targets.items()}
+        asyncio.get_running_loop().call_later(self._settle_s, self._end_all, before)
+
+    def _end_all(self, before: dict[str, list[TransferId]]) -> None:
+        for site, ids in before.items():
+            self.effects.run_target(site, self.target(site).recover(ids))
+
+    def receive(self, site: str, message: messages.ToTarget, draining: bool) -> None:
+        """Take one message of a source. `draining`: this site takes nothing new."""
+        if isinstance(message, messages.Offer) and self._storage.write_error:
+            return  # it will be sent again
+        self.effects.run_target(site, self.target(site).receive(message, draining))
+
+    def run_effect(self, effect: TaskEffect) -> None:
+        """Start, give up or end a task."""
+        match effect:
+            case StartTask():
+                self._start(effect)
+            case AbandonTask(site, id):
+                if task := self.tasks.get((site, id)):
+                    task.abandon()
+            case ReleaseTask(site, id, cause):
+                if task := self.tasks.get((site, id)):
+                    task.release(cause)
+
+    def _start(self, offer: StartTask) -> None:
+        """Hand a task of another site to this site's core, or return it where it can't start here."""
+        reason = self._try_start(offer)
+        if reason:
+            epoch, serial = offer.id
+            self.log(f"site {offer.site}: transfer {epoch}-{serial} is returned: {reason}")
+            self.effects.run_target(offer.site, self.target(offer.site).returned(offer.id))
+
+    def _try_start(self, offer: StartTask) -> str:
+        """Return why a task can't start here; '' where the core has it."""
+        if reason := self.translator.why_not_admitted(offer.work):
+            return reason
+        try:
+            self._keys.reserve_key(offer.work)
+        except TaskBusyError as error:
+            return str(error)
+        try:
+            self.tasks[offer.site, offer.id] = IncomingTask(self, offer)
+        except ValueError as error:
+            self._keys.release_key(offer.work)
+            return str(error)
+        return ""
+
+    def remove(self, task: IncomingTask) -> None:
+        """Forget a task that is over here, and free its key."""
+        if self.tasks.pop((task.site, task.id), None) is not None:
+            self._keys.release_key(task.work)
--- a/weldhatch/sites/local_site.py
+++ b/weldhatch/sites/local_site.py
@@ -1,4 +1,4 @@
-"""What the sites need of the front, and what home's core answers a request that may cross."""
+"""What the sites need of the front, and what this site's core answers a request that may cross."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from typing import Protocol
 
 from weldhatch.core import ports
+from weldhatch.sites.handoff_source import Answer
 from weldhatch.sites.messages import TransferId, Work
 
 
@@ -14,63 +15,70 @@
     """What the sites need of the front whose requests cross."""
 
     def names_of(self, task: ports.Task) -> tuple[str, ...]:
-        """What another site's front needs of a task, as text that crosses unread."""
+        """Return what another site's front needs of a task, as text that crosses unread."""
 
     def guest(
         self, site: str, id: TransferId, work: Work, came_to: Callable[[str], None]
     ) -> tuple[object, object]:
-        """A guest task's label, and what is passed on with it to a machine. ValueError: it can't be read.
+        """Return the label of another site's task, and what is passed on with it to a machine.
 
-        `came_to` is to hear, before its end, what its machine says that it has come to.
+        `came_to` is to be told, before its end, what its machine says that it has come to. Raises ValueError
+        where the task can't be read.
         """
 
     def came_to(self, task: ports.Task, result: str) -> None:
-        """What a task that was lent has come to at another site; its end follows."""
+        """Take what a task has come to at another site; its end follows."""
 
     def admits(self, work: Work) -> str:
-        """Why a guest task may not start here; '' where it may."""
+        """Return why another site's task may not start here; '' where it may."""
 
     def ran(self, work: Work) -> None:
-        """A task that was lent has run, or may have, at another site."""
+        """Take note that a task has run, or may have, at another site."""
 
 
-# ---- words to a crossing's coroutine ----------------------------------------------------------------------
+# ---- events of a request's coroutine ----------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
 class LocalAnswer:
-    """What home's core answered: placed, refused or failed."""
+    """What this site's core has answered. `wait_us`: when the owner may come back."""
 
-    answer: str
+    answer: Answer
     description: str | None = None
     wait_us: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class LocalEnd:
-    """A task that stood at home is over (`moved`: by a move)."""
+    """A task that was placed at this site is over; `migrated`: by a migration to another machine."""
 
     cause: int
-    moved: bool = False
+    migrated: bool = False
 
 
 class LocalOwner:
-    """The core's owner for a task that this site's core decides on: tells the crossing."""
+    """The core's owner for a task that this site's core decides on: tells the request's coroutine."""
 
-    def __init__(self, tell: Callable[[object], None]) -> None:
-        self._tell = tell
+    def __init__(self, notify: Callable[[object], None]) -> None:
+        """Tell `notify` what the core says."""
+        self._notify = notify
 
     def placed(self, description: str | None) -> None:
-        self._tell(LocalAnswer("placed", description))
+        """Report that a machine holds the task."""
+        self._notify(LocalAnswer(Answer.PLACED, description))
 
     def refused(self, wait_us: int) -> None:
-        self._tell(LocalAnswer("refused", None, wait_us))
+        """Report that the core has rejected it."""
+        self._notify(LocalAnswer(Answer.REJECTED, None, wait_us))
 
     def failed(self) -> None:
-        self._tell(LocalAnswer("failed"))
+        """Report that it failed: it may have run, and may still."""
+        self._notify(LocalAnswer(Answer.FAILED))
 
     def released(self, cause: int) -> None:
-        self._tell(LocalEnd(cause))
+        """Report that it is over."""
+        self._notify(LocalEnd(cause))
 
     def moved(self) -> None:
-        self._tell(LocalEnd(ports.CALLED_OFF, moved=True))
+        """Report that it is over by a migration."""
+        self._notify(LocalEnd(ports.CALLED_OFF, migrated=True))
--- /dev/null
+++ b/weldhatch/sites/outgoing.py
@@ -0,0 +1,133 @@
+"""Hand-offs from this site: who waits for which transfer, and what the target says of it."""
+
+from __future__ import annotations
+
+import time
+from dataclasses import dataclass, replace
+
+from weldhatch.core.policy_driver import unix_us
+from weldhatch.core.ports import Teller
+from weldhatch.sites import messages
+from weldhatch.sites.effects import EffectRunner, OwnerEffect
+from weldhatch.sites.handoff_source import (
+    Answer,
+    AnswerOwner,
+    OutgoingPhase,
+    OutgoingTransfer,
+    SendMessage,
+    TaskBusyError,
+    WriteRecord,
+)
+from weldhatch.sites.local_site import SiteFrontEnd
+from weldhatch.sites.messages import TransferId, Work
+from weldhatch.sites.routing import Router
+from weldhatch.sites.storage import SiteStorage, encode_source_record
+from weldhatch.store.log import LogError
+
+
+@dataclass(slots=True, frozen=True)
+class _Waiting:
+    """A request that waits for its transfer, and until when."""
+
+    request: Teller
+    deadline_us: int
+
+
+class OutgoingHandoffs:
+    """Feeds the source with what happens here and what the targets say, and tells requests what follows."""
+
+    def __init__(
+        self, storage: SiteStorage, effects: EffectRunner, router: Router, front: SiteFrontEnd
+    ) -> None:
+        """Begin with the transfers that the store holds; nobody waits for those."""
+        self.source = storage.source
+        self._storage = storage
+        self._effects = effects
+        self._router = router
+        self._front = front
+        self._waiting: dict[TransferId, _Waiting] = {}
+
+    async def offer(self, site: str, work: Work, left_us: int, request: Teller) -> TransferId:
+        """Hand a task to another site: written down first. Raises TaskBusyError where that can't be done now.
+
+        `request` is told what comes of it; it waits for `left_us` from now on.
+        """
+        work = replace(work, hops=work.hops + 1)
+        id, effects = self.source.offer(site, work, left_us)
+        self._waiting[id] = _Waiting(request, unix_us() + left_us)
+        write, *rest = effects
+        assert isinstance(write, WriteRecord)
+        try:
+            # Not by `effects`: a disk that takes no record here has to be told to the request at once.
+            await self._storage.append([encode_source_record(write.record)])
+        except LogError as error:
+            self.source.cancel_unwritten(id)
+            del self._waiting[id]
+            raise TaskBusyError(f"the store takes nothing: {error}") from None
+        self._router.transfer_sent(time.monotonic(), site, work)
+        self._effects.run_source(rest)
+        return id
+
+    def deadline_passed(self, id: TransferId) -> None:
+        """Answer a request that is still waiting, where the target has said nothing in time."""
+        transfer = self.source.transfers.get(id)
+        if transfer is not None and transfer.phase is OutgoingPhase.OFFERED:
+            self._router.transfer_failed(time.monotonic(), transfer.site)
+            self._effects.run_source(self.source.deadline_passed(id))
+
+    def abandon(self, id: TransferId) -> None:
+        """Recall a task whose owner waits no more."""
+        self._waiting.pop(id, None)
+        self._effects.run_source(self.source.abandoned(id))
+
+    def release(self, id: TransferId, cause: int) -> None:
+        """End a task that was placed there, as its owner does."""
+        self._waiting.pop(id, None)
+        self._effects.run_source(self.source.released(id, cause))
+
+    def notify_request(self, effect: OwnerEffect) -> None:
+        """Tell the request of a transfer what came of it. Once it is placed it waits for the end."""
+        waiting = self._waiting.get(effect.id)
+        if waiting is None:
+            return
+        if not (isinstance(effect, AnswerOwner) and effect.answer is Answer.PLACED):
+            del self._waiting[effect.id]
+        waiting.request.tell(effect)
+
+    def receive(self, site: str, message: messages.ToSource) -> None:
+        """Take one message of a target."""
+        transfer = self.source.transfers.get(message.id)
+        if transfer is not None and transfer.site == site:
+            self._count(site, transfer, message)
+        self._effects.run_source(self.source.receive(site, message))
+
+    def _count(self, site: str, transfer: OutgoingTransfer, message: messages.ToSource) -> None:
+        """Tell front and router what a message says of the site."""
+        now = time.monotonic()
+        if isinstance(message, messages.Placed | messages.Ended):
+            self._front.ran(transfer.work)
+        match message:
+            case messages.Placed() if transfer.phase is OutgoingPhase.OFFERED:
+                self._router.transfer_placed(now, site)
+            case messages.Returned():
+                self._router.transfer_returned(now, site, transfer.work)
+                self._router.transfer_over(site)
+            case messages.Ended():
+                self._router.transfer_over(site)
+
+    def unconfirmed_messages(self, site: str) -> list[SendMessage]:
+        """Return what a target has not confirmed, to be sent again."""
+        now = unix_us()
+        left_us = {id: waiting.deadline_us - now for id, waiting in self._waiting.items()}
+        return list(self.source.unconfirmed_messages(site, left_us))
+
+    def reclaim_silent(self, site: str) -> None:
+        """Take idempotent work back from a site whose link has been down for long."""
+        for id in [id for id, transfer in self.source.transfers.items() if transfer.site == site]:
+            self._effects.run_source(self.source.link_silent(id))
+
+    def forget_site(self, site: str) -> int:
+        """End all that a site holds, as an operator vouches; return how many transfers are over with it."""
+        count = self.source.count_open(site)
+        self._effects.run_source(self.source.forget_site(site))
+        return count
--- a/weldhatch/sites/routing.py
+++ b/weldhatch/sites/routing.py
@@ -1,10 +1,11 @@
 """Which site gets a task that its own can't place now: what goes over and what stays. No I/O.
 
-In the spirit of the design inside a site: filter the sites, draw a few uniformly, and take the roomiest. What
-each site tells of itself comes late, so what went over since counts as there already; a site that fails is
-left out for a while and let back by steps. Inside a site its decision module decides as ever.
+As inside a site: filter the sites, draw a few uniformly, and take the one with the most free capacity (power
+of d choices, Mitzenmacher 2001). What each site tells of itself comes late, so what went over since counts
+as there already; a site that fails is excluded for a while, and then let back by a ramp. Inside a site its
+decision module decides as ever.
 
-Times are in seconds of the caller's clock, rooms in tasks of a class's usual size.
+Times are in seconds of the caller's clock, capacities in tasks of a class's usual size.
 """
 
 from __future__ import annotations
@@ -16,32 +17,38 @@
 
 from weldhatch.sites.messages import Work
 
-SITES_SAMPLED = 2  # sites drawn for a task, as machines are inside a site
+SITES_SAMPLED = 2  # for a task, as machines are inside a site
 SUMMARY_TTL_S = 5.0  # an older summary says nothing of room
 RECENT_TRANSFERS_S = 6.0  # how long what went over is remembered, to be counted against an older summary
-CAPACITY_MARGIN = 1.25  # the other side has to be so much roomier than home: guards against herds
-LOCAL_CAPACITY_RESERVE = 0.05  # a home with more than this part of its room free keeps all that it can place
+CAPACITY_MARGIN = 1.25  # the other site has to have so much more free: guards against herds
+LOCAL_CAPACITY_RESERVE = 0.05  # a site with more than this part of its size free keeps what it can place
 MAX_OPEN_FRACTION = 0.75  # the part of a site's size that one other site may fill: its own work comes on top
-MIN_OPEN_LIMIT = 2  # transfers that may be out at a site whatever it tells, where it is not left out
-DELAY_PRICE = 0.5  # what a second of delay each way costs, in parts of free room
-REFUSAL_TTL_S = 1.0  # a task returned speaks for all of its class that ask as much, for so long
-FAILURES_TO_EXCLUDE = 3  # transfers in a row without a word, or failed, that leave a site out
-EXCLUDE_S, EXCLUDE_MAX_S = 2.0, 60.0  # for so long at first; doubles
+MIN_OPEN_LIMIT = 2  # transfers that a site may hold whatever it tells, where it is not excluded
+DELAY_PRICE = 0.5  # what a second of delay each way costs, in parts of free capacity
+REJECTION_TTL_S = 1.0  # a task returned speaks for all of its class that ask as much, for so long
+FAILURES_TO_EXCLUDE = 3  # transfers in a row without a message, or failed, that exclude a site
+EXCLUDE_S = 2.0  # for so long at first; doubles
+EXCLUDE_MAX_S = 60.0
 RAMP_STEP_S = 1.0  # a site that is let back may have twice as much out after each such step without a failure
 
 
 class RandomSource(Protocol):
     """A source of random choices, such as `random.Random` with a seed."""
 
-    def sample(self, population: list, k: int) -> list: ...
+    def sample(self, population: list[RemoteSite], k: int) -> list[RemoteSite]:
+        """Return k of them, none twice."""
 
-    def shuffle(self, x: list) -> None: ...
+    def shuffle(self, x: list[RemoteSite]) -> None:
+        """Bring them into a random order, in place."""
 
 
 @dataclass(slots=True, frozen=True)
 class CapacitySummary:
-    """What a site tells of itself. `free`: tasks of usual size by class that it would take now; `size`: those
-    it could take empty; `waiting`: requests that its module has not placed; `draining`: takes nothing new."""
+    """What a site tells of itself.
+
+    `free`: tasks of usual size by class that it would take now; `size`: those it could take empty; `waiting`:
+    requests that its module has not placed; `draining`: it takes nothing new.
+    """
 
     free: Mapping[str, int]
     size: int
@@ -49,22 +56,40 @@
     draining: bool = False
 
 
+@dataclass(slots=True, frozen=True)
+class Rejection:
+    """A task that a site has returned: until then it takes none of its class that asks for as much."""
+
+    until: float
+    cores: float
+    memory: float
+
+    def covers(self, now: float, work: Work) -> bool:
+        """Return whether a task of the same class would be returned as well."""
+        return now < self.until and work.cores >= self.cores and work.memory >= self.memory
+
+
 @dataclass(slots=True)
 class RemoteSite:
-    """What is known of one other site."""
+    """What is known of one other site.
+
+    `up`: its link stands, and no store is an older copy; `open_transfers`: what it holds of ours;
+    `recent_transfers`: when, and of which class; `rejections`: by class; `ramp_limit`: how many transfers it
+    may hold while it is let back, None where nothing limits it.
+    """
 
     name: str
     summary: CapacitySummary | None = None
     summary_at: float = 0.0
     delay_s: float = 0.0
-    up: bool = False  # its link stands, and no store is an older copy
-    open_transfers: int = 0  # transfers that it holds
-    recent_transfers: deque[tuple[float, str]] = field(default_factory=deque)  # when, and of which class
-    refusals: dict[str, tuple[float, float, float]] = field(default_factory=dict)  # until, cores, memory
+    up: bool = False
+    open_transfers: int = 0
+    recent_transfers: deque[tuple[float, str]] = field(default_factory=deque)
+    rejections: dict[str, Rejection] = field(default_factory=dict)
     consecutive_failures: int = 0
-    excluded_until: float = 0.0  # until when
+    excluded_until: float = 0.0
     backoff_s: float = EXCLUDE_S
-    ramp_limit: int | None = None  # what may be out while it is let back; None where nothing limits it
+    ramp_limit: int | None = None
     ramp_stepped_at: float = 0.0
 
 
@@ -79,24 +104,28 @@
     """Chooses for one site, among those of these names."""
 
     def __init__(self, names: list[str], draws: RandomSource) -> None:
+        """Begin with all links down and nothing known."""
         self.sites = {name: RemoteSite(name) for name in names}
         self._draws = draws
 
-    # ---- what is heard ----------------------------------------------------------------------------------
+    # ---- what is reported ---------------------------------------------------------------------------------
 
     def link_changed(self, now: float, name: str, up: bool) -> None:
-        """Its link has come up or gone down. What it told before a break is old news."""
+        """Take note of a link that has come up or gone down. What the site told before a break is void."""
         site = self.sites[name]
         if site.up and not up:
             site.summary = None
         site.up = up
 
     def receive_summary(self, now: float, name: str, summary: CapacitySummary, delay_s: float) -> None:
+        """Take what a site tells of itself; `delay_s`: of its link, one way."""
         site = self.sites[name]
-        site.summary, site.summary_at, site.delay_s = summary, now, delay_s
+        site.summary = summary
+        site.summary_at = now
+        site.delay_s = delay_s
 
     def transfer_sent(self, now: float, name: str, work: Work) -> None:
-        """A task went over."""
+        """Take note of a task that went over."""
         site = self.sites[name]
         site.open_transfers += 1
         site.recent_transfers.append((now, work.class_name))
@@ -104,32 +133,37 @@
             site.recent_transfers.popleft()
 
     def transfer_placed(self, now: float, name: str) -> None:
-        """It stands there: the site works."""
+        """Take note that a task was placed there: the site works."""
         site = self.sites[name]
-        site.consecutive_failures, site.backoff_s = 0, EXCLUDE_S
+        site.consecutive_failures = 0
+        site.backoff_s = EXCLUDE_S
         if site.ramp_limit is not None and now - site.ramp_stepped_at >= RAMP_STEP_S:
-            site.ramp_limit, site.ramp_stepped_at = 2 * site.ramp_limit, now
+            site.ramp_limit = 2 * site.ramp_limit
+            site.ramp_stepped_at = now
             if site.summary is not None and site.ramp_limit > site.summary.size:
                 site.ramp_limit = None
 
     def transfer_returned(self, now: float, name: str, work: Work) -> None:
-        """It took nothing of that kind: it would turn away the next one as well."""
-        self.sites[name].refusals[work.class_name] = (now + REFUSAL_TTL_S, work.cores, work.memory)
-        self.sites[name].consecutive_failures = 0
+        """Take note that it took nothing of that kind: it would reject the next one as well."""
+        site = self.sites[name]
+        site.rejections[work.class_name] = Rejection(now + REJECTION_TTL_S, work.cores, work.memory)
+        site.consecutive_failures = 0
 
     def transfer_failed(self, now: float, name: str) -> None:
-        """No word in time, or it failed there. Several in a row leave the site out for a while."""
+        """Take note of a task without a message in time, or failed there. Several in a row exclude a site."""
         site = self.sites[name]
         site.consecutive_failures += 1
         if (
             site.consecutive_failures >= FAILURES_TO_EXCLUDE or site.ramp_limit is not None
         ) and now >= site.excluded_until:
-            site.excluded_until, site.consecutive_failures = now + site.backoff_s, 0
+            site.excluded_until = now + site.backoff_s
+            site.consecutive_failures = 0
             site.backoff_s = min(2 * site.backoff_s, EXCLUDE_MAX_S)
-            site.ramp_limit, site.ramp_stepped_at = 1, site.excluded_until
+            site.ramp_limit = 1
+            site.ramp_stepped_at = site.excluded_until
 
     def transfer_over(self, name: str) -> None:
-        """The site holds one transfer less."""
+        """Take note that the site holds one transfer less."""
         site = self.sites[name]
         site.open_transfers = max(0, site.open_transfers - 1)
 
@@ -143,32 +177,34 @@
         left_s: float,
         visited: frozenset[str] = frozenset(),
     ) -> str | KeepLocal:
-        """The site that a task goes to, or why it stays. `crossed`: sites that have had it already."""
-        if (
-            local.size
-            and local.free.get(work.class_name, 0) > LOCAL_CAPACITY_RESERVE * local.size
-            and not local.draining
-        ):
+        """Return the site that a task goes to, or why it stays.
+
+        `local`: what this site tells of itself; `left_s`: how long the owner waits; `visited`: sites that
+        have had the task already.
+        """
+        local_free = local.free.get(work.class_name, 0)
+        local_fraction = 0.0 if local.draining or not local.size else local_free / local.size
+        if not local.draining and local.size and local_free > LOCAL_CAPACITY_RESERVE * local.size:
             return KeepLocal("home has room")
-        fit, whys = [], []
+        fit: list[RemoteSite] = []
+        reasons: list[str] = []
         for site in self.sites.values():
-            why = "it was there" if site.name in visited else self._why_unfit(now, site, work, left_s)
-            if why:
-                whys.append(f"{site.name}: {why}")
+            reason = "it was there" if site.name in visited else self._why_unfit(now, site, work, left_s)
+            if reason:
+                reasons.append(f"{site.name}: {reason}")
             else:
                 fit.append(site)
         if not fit:
-            return KeepLocal("; ".join(whys) or "there is no other site")
+            return KeepLocal("; ".join(reasons) or "there is no other site")
         drawn = self._draws.sample(fit, min(SITES_SAMPLED, len(fit)))
         self._draws.shuffle(drawn)
         best = max(drawn, key=lambda site: self._free_fraction(now, site, work))
-        at_home = 0.0 if local.draining or not local.size else local.free.get(work.class_name, 0) / local.size
-        if self._free_fraction(now, best, work) < CAPACITY_MARGIN * at_home:
+        if self._free_fraction(now, best, work) < CAPACITY_MARGIN * local_fraction:
             return KeepLocal(f"{best.name}: hardly roomier than home")
         return best.name
 
     def free_capacity(self, now: float, site: RemoteSite, class_name: str) -> int:
-        """What a site told it would take, less what went there since it can have counted it."""
+        """Return what a site told it would take, less what went there since it can have counted it."""
         if site.summary is None or now - site.summary_at > SUMMARY_TTL_S:
             return 0
         since = site.summary_at - 2 * site.delay_s
@@ -189,8 +225,8 @@
             return "it is drained"
         if left_s <= 2 * site.delay_s:
             return "it is too far for the time left"
-        until, cores, memory = site.refusals.get(work.class_name, (0.0, 0.0, 0.0))
-        if now < until and work.cores >= cores and work.memory >= memory:
+        rejection = site.rejections.get(work.class_name)
+        if rejection is not None and rejection.covers(now, work):
             return "it returned such a task lately"
         if self.free_capacity(now, site, work.class_name) <= 0:
             return "it has no room for the class"
@@ -199,8 +235,6 @@
         return ""
 
     def _free_fraction(self, now: float, site: RemoteSite, work: Work) -> float:
-        """The part of its size that is free for the class, less the price of the way."""
-        return (
-            self.free_capacity(now, site, work.class_name) / max(1, site.summary.size)
-            - DELAY_PRICE * site.delay_s
-        )
+        """Return the part of its size that is free for the class, less the price of the way."""
+        size = site.summary.size if site.summary is not None else 1
+        return self.free_capacity(now, site, work.class_name) / max(1, size) - DELAY_PRICE * site.delay_s
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -165,7 +165,7 @@
             self.settle_s,
             self.log,
         )
-        driver.watches.append(lambda event: sites.room.watch(time.monotonic(), event))
+        driver.watches.append(lambda event: sites.capacity.watch(time.monotonic(), event))
         driver.post(i.MachinesChanged(i.ListForm.CACHED, hall.entries()))
         budget = Budget(400)
         door = LinkListener(("127.0.0.1", 0), sites.links, Share(budget, 200), self.log)
@@ -217,7 +217,7 @@
         """Wait until nothing is lent, taken or running any more."""
         await self.until(
             lambda: not any(
-                one.sites.source.transfers or one.sites.incoming or one.sites.requests or one.hall.busy
+                one.sites.source.transfers or one.sites.incoming.tasks or one.sites.requests or one.hall.busy
                 for one in self.now.values()
             ),
             within,
