--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -27,7 +27,7 @@
 from weldhatch.pullqueue.security import Security
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.tasks import Tasks
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 from weldhatch.store.log import Log
 
 PREFIX = "/v1test2/"
@@ -49,7 +49,7 @@
     def __init__(self, told: PullQueueFile, policy: Decider, log: Callable[[str], None]) -> None:
         self._log, self._told, settings = log, told, told.settings
         self.settings = settings  # those that are in force
-        self.roll = None  # machines make themselves known here
+        self.endpoint_list = None  # machines make themselves known here
         self.driver = Driver(policy, log)
         self.book = QueueStorage(told.store, time.time(), log) if told.store else NoStorage(time.time_ns())
         ledger = self._ledger = Ledger(told.remember, "" if told.store else told.ledger)
@@ -108,7 +108,7 @@
             raise ConfigError(f"states: {fault}") from None
         return words
 
-    def rule(self, settings: i.Settings, rules: Rules) -> None:
+    def apply_rules(self, settings: Settings, rules: Rules) -> None:
         """Decide by settings that a group of gateways has agreed on, as far as `rules` lets anything
         start."""
         self.settings = settings
@@ -135,7 +135,7 @@
     def on_break(self, broke: Callable[[int], None]) -> None:
         """Machines come by themselves: none has a connection of its own that could end."""
 
-    def agreed(self, machine: str, state: str, fence: int, op: str) -> None:
+    def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
         """What a group of gateways acts on for a machine, by its operators' words."""
         last = self.operators.words.get(machine)
         if last is None or (last.state, last.fence) != (state, fence):
--- a/weldhatch/scheduling/types.py
+++ b/weldhatch/scheduling/types.py
@@ -1,4 +1,4 @@
-"""The interface of weldhatch: settings, events and actions. Types only, no decisions.
+"""The settings of a policy and the terms that its events and actions share. Types only, no decisions.
 
 Times are integer microseconds on the host program's clock. Machines, requests and services are
 opaque integers: the policy hands them back unchanged and reads nothing into them.
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Container
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 
@@ -30,10 +29,17 @@
 
 
 class MachineState(IntEnum):
-    GONE = 0
+    """What the endpoint list says of a machine. A removed one is no longer in the list."""
+
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
+    @property
+    def label(self) -> str:
+        """The state's name in endpoint lists, in what the cluster has agreed on and in logs."""
+        return "gone" if self is MachineState.REMOVED else self.name.lower()
+
 
 class ListForm(IntEnum):
     """How a list of machines was come by; FAILED carries none."""
@@ -60,14 +66,14 @@
 class Reason(IntEnum):
     """Why an attempt ended so, where the machine tells."""
 
-    NOT_TOLD = 0
+    UNSPECIFIED = 0
     NO_CORES = 1
     NO_MEMORY = 2
-    LINE_FULL = 3
-    NOT_HERE = 4
+    QUEUE_FULL = 3
+    NOT_ACCEPTING = 4
     EVICTED = 5
-    PUSHED_OUT = 6
-    SENT_AWAY = 7
+    PREEMPTED = 6
+    DRAINED = 7
 
 
 class Topic(IntEnum):
@@ -83,14 +89,14 @@
 @dataclass(slots=True, frozen=True)
 class RequestClass:
     name: str
-    aim_us: int
+    latency_objective_us: int
     deadline_us: int
     effect: Effect = Effect.SAFE
     group: Scope = Scope.ALL
     window_us: int = 0
-    worth: float = 1.0
-    late_worth: float = 0.0
-    start_worth_s: float = 0.0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    start_priority_weight_s: float = 0.0
     calm: float = 1.0
     fade: float = 1.0
     kind: int = -1
@@ -138,16 +144,16 @@
     max_attempts: int = 1
     may_probe: bool = True
     may_cancel: bool = True
-    second_copies: bool = False
+    hedged_requests: bool = False
     retry_after: bool = False
     max_retry_after_us: int = 0
     subscribe: bool = False
     tick_us: int = 1000
     drain_grace_us: int = 0
     answer_slack_us: int = 0
-    must_ask_us: int = 0
-    cold_us: int = 0
-    cold_sends: float = 1.0
+    poll_within_us: int = 0
+    warm_up_us: int = 0
+    warm_up_offers: float = 1.0
     start_capacity: float = 1.0
     tip_multiple: float = 1.0
     fall_us: int = 1_000_000
@@ -158,20 +164,17 @@
     report_fields: tuple[str, ...] = ()
     by_service: bool = False
     confirms_running: bool = True
-    makes_room: bool = False
-    tells_use: bool = False
+    preempts_tasks: bool = False
+    reports_usage: bool = False
     pressure_notes: bool = False
     owner_wait_us: int = 0
     usual_cores: float = 1.0
     usual_memory: float = 1.0
-    over_share_worth: float = 1.0
+    over_quota_priority_weight: float = 1.0
     tenants: tuple[Tenant, ...] = ()
     prices: Prices = field(default_factory=Prices)
 
 
-# ---- events ---------------------------------------------------------------------------------------------
-
-
 @dataclass(slots=True, frozen=True)
 class Machine:
     """One entry of a list of machines; the free room is None where lists do not tell it."""
@@ -187,178 +190,3 @@
     weight: float = 1.0
     cores: float = 0.0  # its own size, where it is not that of its kind
     memory: float = 0.0
-
-
-@dataclass(slots=True, frozen=True)
-class MachinesChanged:
-    form: ListForm
-    machines: tuple[Machine, ...] = ()
-    version: int = 0
-
-
-@dataclass(slots=True, frozen=True)
-class RequestArrived:
-    """A task to place. It is owed exactly one final answer before its deadline."""
-
-    request: int
-    class_index: int
-    deadline_us: int
-    service: int
-    cores: float
-    memory: float
-    key: int = 0
-    tenant: int = 0
-    run_us: int | None = None
-    again: bool = False
-    only: Container[int] | None = None  # the machines that it may go to; None for all
-
-
-@dataclass(slots=True, frozen=True)
-class TaskAdopted:
-    """A task that already runs on a machine and is in this instance's care from now on."""
-
-    request: int
-    class_index: int
-    service: int
-    cores: float
-    memory: float
-    machine: int
-    key: int = 0
-    tenant: int = 0
-    run_us: int | None = None
-
-
-@dataclass(slots=True, frozen=True)
-class Placed:
-    request: int
-    attempt: int
-    machine: int
-    took_us: int
-
-
-@dataclass(slots=True, frozen=True)
-class Note:
-    request: int
-    attempt: int
-    machine: int
-    topic: int
-    value: float
-
-
-@dataclass(slots=True, frozen=True)
-class AttemptEnded:
-    """The one outcome of an attempt; `closed` tells that the request is over with it."""
-
-    request: int
-    attempt: int
-    machine: int
-    outcome: Outcome
-    took_us: int = 0
-    reason: int = 0
-    closed: bool = False
-    report: tuple[float, ...] = ()
-
-
-@dataclass(slots=True, frozen=True)
-class RequestGone:
-    request: int
-
-
-@dataclass(slots=True, frozen=True)
-class ProbeAnswered:
-    """The result of one probe; the report holds the values of `Settings.report_fields`, or nothing.
-
-    A report that a machine gave when the module asked for none comes as this too.
-    """
-
-    machine: int
-    outcome: Outcome
-    took_us: int = 0
-    report: tuple[float, ...] = ()
-
-
-@dataclass(slots=True, frozen=True)
-class TimerFired:
-    timer: int
-
-
-# ---- actions --------------------------------------------------------------------------------------------
-
-
-@dataclass(slots=True, frozen=True)
-class Offer:
-    """Offer a request to a machine; attempts count from 0. No time-out (0) means until the deadline.
-
-    An offer that has not left by `start_by_us` must not leave any more; 0 where it may at any time.
-    """
-
-    request: int
-    machine: int
-    give_up_us: int = 0
-    start_by_us: int = 0
-
-
-@dataclass(slots=True, frozen=True)
-class Cancel:
-    request: int
-    attempt: int
-
-
-@dataclass(slots=True, frozen=True)
-class Refuse:
-    """Final answer: not placed, and trying again is harmless."""
-
-    request: int
-    retry_after_us: int = 0
-
-
-@dataclass(slots=True, frozen=True)
-class Fail:
-    """Final answer: not placed, with no promise about its effect."""
-
-    request: int
-
-
-@dataclass(slots=True, frozen=True)
-class Move:
-    request: int
-
-
-@dataclass(slots=True, frozen=True)
-class Probe:
-    machine: int
-
-
-@dataclass(slots=True, frozen=True)
-class SetTimer:
-    after_us: int
-    timer: int
-
-
-@dataclass(slots=True, frozen=True)
-class Subscribe:
-    on: bool = True
-
-
-@dataclass(slots=True, frozen=True)
-class FetchList:
-    pass
-
-
-@dataclass(slots=True, frozen=True)
-class Log:
-    text: str
-
-
-Event = (
-    MachinesChanged
-    | RequestArrived
-    | TaskAdopted
-    | Placed
-    | Note
-    | AttemptEnded
-    | RequestGone
-    | ProbeAnswered
-    | TimerFired
-)
-Action = Offer | Cancel | Refuse | Fail | Move | Probe | SetTimer | Subscribe | FetchList | Log
--- a/weldhatch/sites/capacity.py
+++ b/weldhatch/sites/capacity.py
@@ -4,17 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from weldhatch.scheduling.types import (
-    AttemptEnded,
-    Event,
-    ListForm,
-    Machine,
-    MachineKind,
-    MachinesChanged,
-    MachineState,
-    ProbeAnswered,
-    Settings,
-)
+from weldhatch.scheduling.events import AttemptEnded, Event, MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, MachineKind, MachineState, Settings
 from weldhatch.sites.routing import CapacitySummary
 
 REPORT_TTL_S = 10.0  # a machine whose report is older counts as the average of the others
@@ -55,7 +46,7 @@
             named = {entry.id for entry in entries}
             self.machines = {id: machine for id, machine in self.machines.items() if id in named}
         for entry in entries:
-            if entry.state == MachineState.GONE:
+            if entry.state == MachineState.REMOVED:
                 self.machines.pop(entry.id, None)
             else:
                 self.machines.setdefault(entry.id, MachineCapacity(entry)).entry = entry
