--- a/tests/test_handover.py
+++ b/tests/test_handoff.py
@@ -37,11 +37,11 @@
     return mock.patch.object(HandoffTarget, name, do)
 
 
-def offered_twice(self, word, draining=False, hear=HandoffTarget.receive):
-    if isinstance(word, messages.Offer) and self.transfers.get(word.id):
-        self.transfers[word.id] = handoff_target.IncomingTransfer(word.id, word.work)
-        return [handoff_target.StartTask(self.site, word.id, word.work, word.left_us)]
-    return hear(self, word, draining)
+def offered_twice(self, message, draining=False, receive=HandoffTarget.receive):
+    if isinstance(message, messages.Offer) and self.transfers.get(message.id):
+        self.transfers[message.id] = handoff_target.IncomingTransfer(message.id, message.work)
+        return [handoff_target.StartTask(self.site, message.id, message.work, message.left_us)]
+    return receive(self, message, draining)
 
 
 def buried_without_a_tomb(self, id):
@@ -111,13 +111,13 @@
 # ---- single cases that the small sizes do not reach -------------------------------------------------------
 
 
-def hand_over(to="b"):
+def hand_off(to="b"):
     source, target = HandoffSource(3), HandoffTarget("a")
     id, (_, say) = source.offer(to, UNSAFE, 500_000)
     return source, target, id, say.message
 
 
-def said(effects):
+def sent_messages(effects):
     return [
         effect.message
         for effect in effects
@@ -125,40 +125,42 @@
     ]
 
 
-def test_a_task_that_crossed_too_many_sites_is_returned_and_never_passed_on():
+def test_a_task_that_crossed_too_many_sites_is_returned_and_not_forwarded():
     target = HandoffTarget("a")
     effects = target.receive(messages.Offer((1, 1), work(hops=handoff_target.MAX_HOPS), 500_000))
-    assert said(effects) == [messages.Returned((1, 1))]
+    assert sent_messages(effects) == [messages.Returned((1, 1))]
 
 
-def test_a_draining_site_takes_nothing_new_and_still_answers_for_what_it_took():
-    _, target, id, offer = hand_over()
+def test_a_draining_site_accepts_no_offer_and_still_confirms_what_it_accepted():
+    _, target, id, offer = hand_off()
     target.receive(offer)
-    assert said(target.receive(messages.Offer((3, 9), UNSAFE, 500_000), draining=True)) == [
+    assert sent_messages(target.receive(messages.Offer((3, 9), UNSAFE, 500_000), draining=True)) == [
         messages.Returned((3, 9))
     ]
-    assert said(target.receive(offer, draining=True)) == [messages.Accepted(id)]
+    assert sent_messages(target.receive(offer, draining=True)) == [messages.Accepted(id)]
 
 
 def test_an_offer_without_time_is_returned():
-    assert said(HandoffTarget("a").receive(messages.Offer((1, 1), UNSAFE, 0))) == [messages.Returned((1, 1))]
+    assert sent_messages(HandoffTarget("a").receive(messages.Offer((1, 1), UNSAFE, 0))) == [
+        messages.Returned((1, 1))
+    ]
 
 
-def test_words_of_a_site_that_it_was_not_lent_to_change_nothing():
-    source, _, id, _ = hand_over(to="b")
+def test_messages_of_a_site_that_was_offered_nothing_change_nothing():
+    source, _, id, _ = hand_off(to="b")
     assert source.receive("c", messages.Returned(id)) == []
     assert source.transfers[id].phase is OutgoingPhase.OFFERED
 
 
-def test_a_word_that_it_never_started_after_it_stood_changes_nothing():
-    source, _, id, _ = hand_over()
+def test_a_message_that_it_was_returned_after_it_was_placed_changes_nothing():
+    source, _, id, _ = hand_off()
     source.receive("b", messages.Placed(id, "d"))
     assert source.receive("b", messages.Returned(id)) == []
     assert source.transfers[id].phase is OutgoingPhase.PLACED
 
 
-def test_the_floor_forgets_what_is_over_and_calls_back_what_is_not():
-    _, target, id, offer = hand_over()
+def test_the_low_watermark_forgets_what_is_over_and_recalls_what_is_not():
+    _, target, id, offer = hand_off()
     target.receive(offer)
     target.placed(id, "d")
     effects = target.receive(messages.LowWatermark((3, 2)))
@@ -169,8 +171,8 @@
     assert target.receive(offer) == []  # a copy that was long under way
 
 
-def test_an_operators_word_ends_what_is_in_doubt_and_frees_its_key():
-    source, _, id, _ = hand_over()
+def test_forgetting_a_site_ends_what_is_in_doubt_and_frees_its_key():
+    source, _, id, _ = hand_off()
     with pytest.raises(TaskBusyError):
         source.reserve_key(UNSAFE)
     assert handoff_source.AnswerOwner(id, "failed") in source.forget_site("b")
@@ -179,8 +181,8 @@
         source.offer("b", UNSAFE, 1)
 
 
-def test_records_fold_to_the_same_and_a_record_of_no_kind_is_refused():
-    source, target, id, offer = hand_over()
+def test_snapshot_records_fold_to_the_same_state_and_a_record_of_no_kind_is_an_error():
+    source, target, id, offer = hand_off()
     source.receive("b", messages.Placed(id, "d"))
     source.released(id, 16)
     other, _ = source.offer("b", work(key=8), 1)
@@ -210,8 +212,8 @@
             one.apply(("nonsense", id))
 
 
-def test_too_many_transfers_after_an_open_one_are_refused():
-    source, _, _, _ = hand_over()
+def test_too_many_transfers_after_an_open_one_are_an_error():
+    source, _, _, _ = hand_off()
     with mock.patch.object(handoff_source, "MAX_ID_SPAN", 5):
         for n in range(100, 104):
             source.offer("b", work(key=n), 1)
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -119,8 +119,8 @@
         cross(now)
     here.send(1, b"lost")
     out += [frames.encode(frame).hex() for frame in here.outgoing_frames(1.4)]
-    for side, heard in ((here, there.received), (there, here.received)):
-        side.resume(2.0, heard)
+    for side, received in ((here, there.received), (there, here.received)):
+        side.resume(2.0, received)
     for now in (2.0, 2.1, 3.2):
         cross(now)
     return [*out, f"delay {here.delay_s:.3f} {there.delay_s:.3f}"]
@@ -135,8 +135,8 @@
         case handoff_target.WriteRecord(record):
             data = sites_records.encode_target_record(site, record)
             return f"write {data.decode()}", data
-        case handoff_source.SendMessage(to, word) | handoff_target.SendMessage(to, word):
-            return f"say {to} {frames.encode_message(word).hex()}", None
+        case handoff_source.SendMessage(to, message) | handoff_target.SendMessage(to, message):
+            return f"say {to} {frames.encode_message(message).hex()}", None
     return f"{EFFECTS[type(effect)]} {json.dumps(astuple(effect))}", None
 
 
@@ -155,70 +155,70 @@
     def offer(id, work, **more):
         add(target.receive(messages.Offer(id, work, 900_000), **more))
 
-    def hear(word, site="b"):
-        add(source.receive(site, word))
+    def receive(message, site="b"):
+        add(source.receive(site, message))
 
     # placed there, ended there, closed
     one = lend(FULL)
     offer(one, FULL)
     offer(one, FULL)
-    hear(messages.Accepted(one))
+    receive(messages.Accepted(one))
     add(target.placed(one, "host:1"))
-    hear(messages.Placed(one, "host:1"))
+    receive(messages.Placed(one, "host:1"))
     add(target.ended(one, 16, "result"))
-    hear(messages.Ended(one, 16, True, "result"))
-    hear(messages.Ended(one, 16, True, "result"))
+    receive(messages.Ended(one, 16, True, "result"))
+    receive(messages.Ended(one, 16, True, "result"))
     add(target.receive(messages.Close(one)))
     # refused there, and taken back
     two = lend(KEYED)
     offer(two, KEYED)
     add(target.returned(two, 5000))
-    hear(messages.Returned(two, 5000))
+    receive(messages.Returned(two, 5000))
     # ended by its owner
     three = lend(KEYED)
     offer(three, KEYED)
     add(target.placed(three, "d"))
-    hear(messages.Placed(three, "d"))
+    receive(messages.Placed(three, "d"))
     add(source.released(three, 16))
-    hear(messages.Placed(three, "d"))
+    receive(messages.Placed(three, "d"))
     add(target.receive(messages.Release(three, 16)))
     add(source.unconfirmed_messages("b", {}))
     add(target.ended(three, 16))
-    hear(messages.Ended(three, 16, True))
+    receive(messages.Ended(three, 16, True))
     # the owner's time is over before anything is heard; its call-back comes first
     four = lend(FULL)
     add(source.deadline_passed(four))
     add(target.receive(messages.Withdraw(four)))
     offer(four, FULL)
-    hear(messages.Returned(four))
+    receive(messages.Returned(four))
     five = lend(PLAIN)
     offer(five, PLAIN)
     add(source.link_silent(five))
     add(target.receive(messages.Withdraw(five)))
     add(target.ended(five, 47))
-    hear(messages.Ended(five, 47, False))
+    receive(messages.Ended(five, 47, False))
     # failed there, and known to have run
     six = lend(PLAIN)
     offer(six, PLAIN)
     add(target.ended(six, 47))
-    hear(messages.Ended(six, 47, False))
+    receive(messages.Ended(six, 47, False))
     # called back while it is tried, and placed all the same
     seven = lend(FULL)
     offer(seven, FULL)
     add(source.abandoned(seven))
     add(target.receive(messages.Withdraw(seven)))
     add(target.placed(seven, "late"))
-    hear(messages.Placed(seven, "late"))
+    receive(messages.Placed(seven, "late"))
     add(target.unconfirmed_messages())
     # left open, in each phase
     eight, nine, ten, eleven = (lend(replaced(n)) for n in range(4))
     for id, n in ((eight, 0), (nine, 1), (ten, 2)):
         offer(id, replaced(n))
         add(target.placed(id, f"d{n}"))
-        hear(messages.Placed(id, f"d{n}"))
+        receive(messages.Placed(id, f"d{n}"))
     add(source.released(nine, 16))
     twelve = lend(PLAIN, "c")
-    hear(messages.Accepted(twelve), "c")
+    receive(messages.Accepted(twelve), "c")
     offer((1, 1), PLAIN, draining=True)
     offer((9, 9), Work("c", "SAFE", 0, 0, 0.0, 0.0, hops=2))
     add(target.receive(messages.LowWatermark(seven)))
@@ -289,31 +289,35 @@
 async def write_sites(folder):
     """The first run of a site's store."""
     with tokens("0badcafe"):
-        book = SiteStorage(str(folder), 1000.0, print)
-    await book.record_epoch("b", 5, "feed")
-    await book.record_epoch("b", 6, "beef")
-    await book.record_epoch("c", 1, "c0de")
-    await book.append_with_retry(
-        [record for _, record in handoff_trace(book.source, book.target("a")) if record]
+        storage = SiteStorage(str(folder), 1000.0, print)
+    await storage.record_epoch("b", 5, "feed")
+    await storage.record_epoch("b", 6, "beef")
+    await storage.record_epoch("c", 1, "c0de")
+    await storage.append_with_retry(
+        [record for _, record in handoff_trace(storage.source, storage.target("a")) if record]
     )
-    await book.flush()
-    book.close()
+    await storage.flush()
+    storage.close()
 
 
 async def go_on_with_sites(folder):
     """The second run: what it says of the first, and the log that it leaves."""
     with tokens("12345678"):
-        book = SiteStorage(str(folder), 2000.0, print)
-    told = {
-        "ours": list(book.own_epoch),
-        "known": [list(book.known_epoch(name)) for name in "abc"],
-        "records": [record.decode() for record in book.disk.snapshot_records()],
+        storage = SiteStorage(str(folder), 2000.0, print)
+    report = {
+        "ours": list(storage.own_epoch),
+        "known": [list(storage.known_epoch(name)) for name in "abc"],
+        "records": [record.decode() for record in storage.disk.snapshot_records()],
     }
-    effects = [*book.source.recover(), *book.source.offer("c", KEYED, 5)[1], *book.target("a").recover()]
+    effects = [
+        *storage.source.recover(),
+        *storage.source.offer("c", KEYED, 5)[1],
+        *storage.target("a").recover(),
+    ]
     lines = [line_of(effect, "a") for effect in effects]
-    await book.append([record for _, record in lines if record])
-    book.close()
-    return {**told, "effects": [line for line, _ in lines], "log": logged(folder / "sites.log")}
+    await storage.append([record for _, record in lines if record])
+    storage.close()
+    return {**report, "effects": [line for line, _ in lines], "log": logged(folder / "sites.log")}
 
 
 def logged(path):
@@ -330,21 +334,21 @@
 async def write_queue(folder):
     """The first run of a pull queue's store: each kind of record, as the queue writes it."""
     with tokens("0badcafe"):
-        book = QueueStorage(str(folder), 1000.0, print)
+        storage = QueueStorage(str(folder), 1000.0, print)
     encode = durable_state.encode
     for n in range(1, 6):
         name = f"tasks/1.0badcafe-{n}"
-        await book.append(
+        await storage.append(
             encode("asked", name, {**ASKED, "key": f"a{n}"}, "blob é", {**META, "request": f"r-{n}"})
         )
-    await book.append(
+    await storage.append(
         encode("spent", [161, 162]),
         *(
             encode("handed", f"leases/1.0badcafe-{n}", f"tasks/1.0badcafe-{n}", "b1", PLACE, n)
             for n in range(1, 5)
         ),
     )
-    await book.append_with_retry(
+    await storage.append_with_retry(
         encode("running", "leases/1.0badcafe-1"),
         encode("answer", "tasks/1.0badcafe-1", PLACED),
         encode("running", "leases/1.0badcafe-2"),
@@ -359,26 +363,26 @@
         encode("spent", [163]),
         commit.NO_OP_RECORD,
     )
-    book.close()
+    storage.close()
 
 
 async def go_on_with_queue(folder):
     with tokens("12345678"):
-        book = QueueStorage(str(folder), 2000.0, print)
-    told = {
-        "epoch": book.epoch_name,
-        "fresh": book.fresh,
-        "operations": {name: list(astuple(one)) for name, one in book.state.operations.items()},
-        "leases": {name: list(astuple(one)) for name, one in book.state.leases.items()},
-        "spent": list(book.state.spent),
-        "size": book.state.snapshot_size,
-        "records": [record.decode() for record in book.state.snapshot_records()],
+        storage = QueueStorage(str(folder), 2000.0, print)
+    report = {
+        "epoch": storage.epoch_name,
+        "fresh": storage.fresh,
+        "operations": {name: list(astuple(one)) for name, one in storage.state.operations.items()},
+        "leases": {name: list(astuple(one)) for name, one in storage.state.leases.items()},
+        "spent": list(storage.state.spent),
+        "size": storage.state.snapshot_size,
+        "records": [record.decode() for record in storage.state.snapshot_records()],
         "later": durable_state.from_later(["leases/2.12345678-1", "leases/3.x-1"], 2, "12345678"),
     }
-    await book.append(durable_state.encode("seen", "leases/1.0badcafe-1"))
-    await book.append_with_retry(durable_state.encode("over", "leases/1.0badcafe-4"))
-    book.close()
-    return {**told, "log": logged(folder / "queue.log")}
+    await storage.append(durable_state.encode("seen", "leases/1.0badcafe-1"))
+    await storage.append_with_retry(durable_state.encode("over", "leases/1.0badcafe-4"))
+    storage.close()
+    return {**report, "log": logged(folder / "queue.log")}
 
 
 def write_applies(folder):
@@ -412,11 +416,11 @@
 
 
 def go_on_with_applies(folder):
-    told = shown(story(folder))
+    report = shown(story(folder))
     journal = Journal(folder, "a second apply", 2000.0)
     last = journal.story.last.plan
-    told["begun"] = shown(journal.story)
-    told["held by"] = lock_owner(folder / "apply.lock").replace(str(os.getpid()), "PID")
+    report["begun"] = shown(journal.story)
+    report["held by"] = lock_owner(folder / "apply.lock").replace(str(os.getpid()), "PID")
     r = apply_records
     step = last.steps[1]
     journal.append(
@@ -427,10 +431,10 @@
         ]
     )
     journal.close()
-    return {**told, "after": shown(story(folder)), "log": logged(folder / "applies.log")}
+    return {**report, "after": shown(story(folder)), "log": logged(folder / "applies.log")}
 
 
-def shown(told):
+def shown(report):
     return {
         name: [
             one.fence,
@@ -444,7 +448,7 @@
                 for step, state in one.steps.items()
             },
         ]
-        for name, one in told.applies.items()
+        for name, one in report.applies.items()
     }
 
 
@@ -471,7 +475,7 @@
 
 
 @pytest.mark.parametrize("kind", STORE_KINDS)
-def test_a_recorded_store_is_opened_read_and_gone_on_with(kind, tmp_path, pins):
+def test_a_recorded_store_is_opened_read_and_continued(kind, tmp_path, pins):
     folder = tmp_path / "copy"
     shutil.copytree(STORES / kind, folder)
     assert json.loads(json.dumps(STORE_KINDS[kind][1](folder))) == pins[f"store {kind}"]
@@ -525,8 +529,8 @@
         await self.again()
         await self.play(f"p2 send POST botSessions | {self.back(held)}\np2 expect 200 leases.0.state=ACTIVE")
         await self.gateway.book.flush()
-        told = [json.loads(record) for record in logged(self.store / "queue.log")]
-        shapes = sorted({json.dumps([one[0], *map(shape, one[1:])]) for one in told if one[0] != "probe"})
+        report = [json.loads(record) for record in logged(self.store / "queue.log")]
+        shapes = sorted({json.dumps([one[0], *map(shape, one[1:])]) for one in report if one[0] != "probe"})
         self.recorded(shapes)
 
     def recorded(self, shapes):
@@ -554,23 +558,23 @@
             here = region.now["a"].sites.status()
         finally:
             await region.close()
-    told = here["sites"]["b"]
-    (in_doubt,) = told["in_doubt"]
+    report = here["sites"]["b"]
+    (in_doubt,) = report["in_doubt"]
     return {
-        "keys": [list(here), list(told), list(in_doubt)],
+        "keys": [list(here), list(report), list(in_doubt)],
         "site": [here["site"], here["epoch"], here["draining"]],
-        "lent": told["lent"],
+        "lent": report["lent"],
         "doubt": [in_doubt["id"], in_doubt["class"], in_doubt["key"], in_doubt["phase"], in_doubt["why"]],
-        "up": [told["up"], told["doubt"], told["breaks"], told["told"]],
+        "up": [report["up"], report["doubt"], report["breaks"], report["told"]],
         "there": [list(there["sites"]), shape({**there["sites"]["a"], "told": None})],
     }
 
 
-def test_a_site_tells_its_status_under_the_recorded_keys(pins):
+def test_a_site_reports_its_status_under_the_recorded_keys(pins):
     assert asyncio.run(status_shape()) == pins["status"]
 
 
-TOLD = {
+STATUS = {
     "site": "a",
     "epoch": 4,
     "draining": True,
@@ -611,7 +615,7 @@
     sent = ()
 
     def do_GET(self):
-        self.answer(TOLD)
+        self.answer(STATUS)
 
     def do_POST(self):
         body = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
--- a/tests/test_abroad.py
+++ b/tests/test_remote_sites.py
@@ -32,7 +32,7 @@
 PLAIN = {"name": "a", "listen": "127.0.0.1:0", "store": "s", "peers": {"b": "127.0.0.1:1"}}
 
 
-class Abroad(Scenario):
+class RemoteSites(Scenario):
     newcomer = Client
     timing: ClassVar = {"lease": 30, "grace": 0.2, "session": 60, "pickup": 10, "poll": 10, "settle": 0}
 
@@ -56,7 +56,7 @@
     def begin(self, name, peers, **more):
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue(
+        settings_file = config.pull_queue(
             {
                 "enabled": True,
                 "listen": "127.0.0.1:0",
@@ -72,18 +72,18 @@
                 },
             }
         )
-        return PullQueue(told, Policy(told.settings, 5), self.logged.append)
+        return PullQueue(settings_file, Policy(settings_file.settings, 5), self.logged.append)
 
     async def at(self, gateway, text):
         self.gateway = gateway
         await self.play(text)
 
-    async def crosses(self, cls="unsafe", key="a1"):
+    async def place_remotely(self, cls="unsafe", key="a1"):
         """Placed at b for a submitter at a."""
         await self.at(self.b, f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.until(
-            lambda: (told := self.a.sites.router.sites["b"].summary) and told.free["safe"],
-            "a has heard of b's room",
+            lambda: (summary := self.a.sites.router.sites["b"].summary) and summary.free["safe"],
+            "a has received b's summary",
         )
         await self.at(self.b, "p1 send PATCH $session X-Server-Timeout=9 | {}")
         await self.at(self.a, f"c1 send POST tasks | {task(cls, key, left=4000)}")
@@ -97,13 +97,13 @@
         )
         await self.at(self.a, "c1 expect 200 answer=placed")
 
-    async def test_a_task_submitted_here_runs_at_a_machine_there_and_its_end_is_told_here(self):
-        await self.crosses()
+    async def test_a_task_submitted_here_runs_at_a_machine_there_and_its_end_is_reported_here(self):
+        await self.place_remotely()
         await self.at(self.b, f"p1 send PATCH $session | {lease('COMPLETED')}\np1 expect 200 leases=[]")
         await self.at(self.a, "c1 send GET $task X-Server-Timeout=9\nc1 expect 200 state=DONE")
 
-    async def test_what_a_task_came_to_there_is_told_here(self):
-        await self.crosses("safe")
+    async def test_the_result_of_a_task_there_is_reported_here(self):
+        await self.place_remotely("safe")
         ended = json.dumps({"leases": [{"id": "$lease", "state": "COMPLETED", "result": {"files": 3}}]})
         await self.at(self.b, f"p1 send PATCH $session | {ended}\np1 expect 200 leases=[]")
         name = self.parties["c1"].seen["task"].replace("tasks", "operations")
@@ -111,18 +111,18 @@
         await self.at(self.a, "c1 expect 200 done=True response.result.files=3")
 
     async def test_a_task_that_may_not_start_twice_is_spent_at_both_sites(self):
-        await self.crosses()
+        await self.place_remotely()
         await self.at(self.b, f"p1 send PATCH $session | {lease('COMPLETED')}\np1 expect 200 leases=[]")
         await self.at(self.a, "c1 send GET $task X-Server-Timeout=9\nc1 expect 200 state=DONE")
         await self.at(self.a, f"c1 send POST tasks | {task('unsafe')}\nc1 expect 200 answer=failed")
         await self.at(self.b, f"c2 send POST tasks | {task('unsafe')}\nc2 expect 200 answer=failed")
 
-    async def test_a_key_that_stands_at_the_other_site_can_not_be_asked_for_there(self):
-        await self.crosses("keyed")
+    async def test_a_key_that_is_placed_at_the_other_site_can_not_be_asked_for_there(self):
+        await self.place_remotely("keyed")
         await self.at(self.b, f"c2 send POST tasks | {task('keyed')}\nc2 expect 200 answer=refused")
 
     async def test_a_submitter_ends_a_task_at_the_other_site(self):
-        await self.crosses("safe")
+        await self.place_remotely("safe")
         await self.at(self.a, "c1 send DELETE $task | {}\nc1 expect 200")
         await self.at(
             self.b,
@@ -131,12 +131,12 @@
         )
         await self.at(self.b, "p1 expect 200 leases.0.state=CANCELLED")
 
-    async def test_a_site_drained_by_an_apply_while_work_is_on_its_way_starts_none_of_it(self):
-        """The word is the one that a fleet's apply sends to the gateway before it drains a node."""
+    async def test_a_site_drained_by_an_apply_while_an_offer_is_in_flight_starts_nothing(self):
+        """The order is the one that a fleet's apply sends to the gateway before it drains a node."""
         await self.at(self.b, f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.until(
-            lambda: (told := self.a.sites.router.sites["b"].summary) and told.free["safe"],
-            "a has heard of b's room",
+            lambda: (summary := self.a.sites.router.sites["b"].summary) and summary.free["safe"],
+            "a has received b's summary",
         )
         await self.at(self.a, f"c1 send POST tasks | {task(left=1500)}")
         await self.until(lambda: self.b.sites.incoming.tasks, "it is on its way to b's machine")
@@ -147,25 +147,29 @@
             lambda: not self.a.sites.source.transfers and not self.b.sites.incoming.tasks, "all is settled"
         )
 
-    async def weldhatch(self, *words):
+    async def weldhatch(self, *arguments):
         """A command against a's control address, as its own process would run it."""
         control = Control({}, ("127.0.0.1", 0), self.a, lambda tree: None, self.logged.append, time.time)
         host, port = control.listener.address
         try:
-            return await asyncio.to_thread(CliRunner().invoke, sites, [*words, "--control", f"{host}:{port}"])
+            return await asyncio.to_thread(
+                CliRunner().invoke, sites, [*arguments, "--control", f"{host}:{port}"]
+            )
         finally:
             control.abort()
 
-    async def test_the_command_line_tells_what_is_out_and_ends_with_0_where_all_is_well(self):
-        await self.crosses()
+    async def test_sites_status_reports_open_transfers_and_ends_with_0_where_all_is_well(self):
+        await self.place_remotely()
         result = await self.weldhatch("status", "--json")
-        told = json.loads(result.output)["sites"]["b"]
-        self.assertEqual((0, True, {"stands": 1}), (result.exit_code, told["up"], told["lent"]))
+        settings_file = json.loads(result.output)["sites"]["b"]
+        self.assertEqual(
+            (0, True, {"stands": 1}), (result.exit_code, settings_file["up"], settings_file["lent"])
+        )
         shown = await self.weldhatch("status")
         self.assertIn("site a, epoch 1", shown.output)
 
-    async def test_a_link_that_is_down_and_a_task_in_doubt_are_told_and_end_with_1(self):
-        await self.crosses()
+    async def test_sites_status_reports_a_link_that_is_down_and_a_task_in_doubt_and_ends_with_1(self):
+        await self.place_remotely()
         self.b.abort()
         await self.until(lambda: not self.a.sites.links["b"].up, "the link is down")
         (one,) = self.a.sites.source.transfers.values()
@@ -175,7 +179,7 @@
         self.assertIn("in doubt at b: 1-1, unsafe key a1: its link is down", result.output.replace("\n", " "))
 
     async def test_an_operator_drains_a_site_and_forgets_another_only_when_sure(self):
-        await self.crosses()
+        await self.place_remotely()
         self.assertIn("nothing new", (await self.weldhatch("drain")).output)
         self.assertTrue(self.a.sites.draining)
         await self.weldhatch("drain", "--undo")
@@ -188,7 +192,7 @@
         self.assertIn("no site is named 'nowhere'", str(result.exception))
 
 
-class Certified(Abroad):
+class Certified(RemoteSites):
     """Both sites have certificates of one authority; each shows its own."""
 
     async def asyncSetUp(self):
@@ -203,30 +207,30 @@
     def begin(self, name, peers, **more):
         return super().begin(name, peers, keys=str(self.keys), **more)
 
-    async def test_a_site_that_shows_the_certificate_of_another_is_turned_away(self):
+    async def test_a_site_that_shows_the_certificate_of_another_is_rejected(self):
         folder = Folder(self.keys)
         link = self.a.sites.links["b"]
         link.close()
         share = Share(Budget(64), 8)
         other = Link("a", "b", self.a._sites_book, link._handlers, self.logged.append)
         other.dial(self.b._door.listener.address, share, folder.client_context("c"))
-        await self.until(lambda: "shows the certificate of 'c'" in " ".join(self.logged), "it is turned away")
+        await self.until(lambda: "shows the certificate of 'c'" in " ".join(self.logged), "it is rejected")
         self.assertFalse(self.b.sites.links["a"].up)
         other.close()
 
-    async def test_a_site_without_a_certificate_is_turned_away(self):
+    async def test_a_site_without_a_certificate_is_rejected(self):
         self.a.sites.links["b"].close()
         await self.until(lambda: not self.b.sites.links["a"].up, "the link is down")
         held = self.b._door._share.held
         _, writer = await asyncio.open_connection(*self.b._door.listener.address)
         writer.write(frames.encode(Hello(1, "a", 9, "t", (0, ""), "s", 0, True)))
-        await self.until(lambda: "no TLS" in " ".join(self.logged), "it is turned away")
+        await self.until(lambda: "no TLS" in " ".join(self.logged), "it is rejected")
         await self.until(lambda: self.b._door._share.held == held, "its descriptor is given back")
         writer.close()
 
 
 def test_a_missing_certificate_is_named(tmp_path):
-    told = config.pull_queue(
+    settings_file = config.pull_queue(
         {
             "enabled": True,
             "listen": "127.0.0.1:0",
@@ -235,7 +239,7 @@
         }
     )
     with pytest.raises(ConfigError, match=r"sites.keys: .*server.pem"):
-        remote_sites.link_contexts(told.sites.keys, told.sites.name, "sites.keys")
+        remote_sites.link_contexts(settings_file.sites.keys, settings_file.sites.name, "sites.keys")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -46,8 +46,8 @@
         return [one.phase for one in self.region.now[site].book.target(of).transfers.values()]
 
 
-class Crossing(Sites):
-    async def test_what_home_can_not_place_is_placed_at_the_other_site_and_its_end_comes_back(self):
+class Forwarding(Sites):
+    async def test_what_the_local_site_can_not_place_is_placed_at_the_other_and_its_end_comes_back(self):
         owner = self.region.ask("a", WRITER)
         self.assertEqual("placed", await self.answered(owner))
         self.assertRegex(owner.description, "m[1-4]")
@@ -65,7 +65,7 @@
         await self.region.settled()
         self.assertEqual(0, owner.ends)  # it brought the end about itself
 
-    async def test_an_owner_that_gives_up_leaves_nothing_standing(self):
+    async def test_an_owner_that_gives_up_leaves_nothing_running(self):
         self.region.now["b"].hall.look_s = 0.3
         owner = self.region.ask("a", WRITER)
         await self.region.until(lambda: IncomingPhase.PLACING in self.taken())
@@ -74,7 +74,7 @@
         self.assertEqual([], owner.answers)
         self.assertEqual(0, sum(self.region.tally.running.values()))
 
-    async def test_a_key_that_is_out_at_the_other_site_is_refused_until_it_is_over(self):
+    async def test_a_key_that_is_at_the_other_site_is_rejected_until_its_task_is_over(self):
         first = self.region.ask("a", WRITER, key=9)
         self.assertEqual("placed", await self.answered(first))
         self.assertEqual("refused", await self.answered(self.region.ask("a", WRITER, key=9)))
@@ -84,7 +84,7 @@
         self.assertEqual("placed", await self.answered(self.region.ask("a", WRITER, key=9)))
         self.assertEqual([], self.region.tally.doubled)
 
-    async def test_a_drained_site_takes_nothing_new_and_keeps_what_stands(self):
+    async def test_a_draining_site_accepts_nothing_new_and_keeps_what_is_placed(self):
         owner = self.region.ask("a", WRITER)
         await self.answered(owner)
         self.region.now["b"].sites.draining = True
@@ -92,8 +92,8 @@
         self.assertEqual(1, self.region.now["b"].hall.busy)
 
 
-class Breaking(Sites):
-    async def test_a_link_cut_right_after_a_start_was_sent_starts_it_once_and_tells_how_it_went(self):
+class BrokenLinks(Sites):
+    async def test_a_link_cut_right_after_an_offer_starts_it_once_and_answers_its_owner(self):
         """The offer is out, the answer under way: the owner of a writer waits, or hears that it failed."""
         self.region.now["b"].hall.look_s = 0.2
         owner = self.region.ask("a", WRITER, left_s=1.0)
@@ -108,7 +108,7 @@
         self.assertLessEqual(self.region.tally.starts[owner.task.key], 1)
         self.assertEqual([], self.region.tally.doubled)
 
-    async def test_an_acknowledgement_that_is_lost_is_heard_after_the_link_heals(self):
+    async def test_an_acknowledgement_that_is_lost_is_received_after_the_link_heals(self):
         self.wire.deaf.add("from")  # a dials b: b's words are lost
         owner = self.region.ask("a", WRITER, left_s=8.0)
         await self.region.until(lambda: self.region.now["b"].hall.busy)
@@ -118,7 +118,7 @@
         self.assertEqual("placed", await self.answered(owner))
         self.assertEqual(1, self.region.tally.starts[owner.task.key])
 
-    async def test_safe_work_comes_home_from_a_site_that_is_silent_and_its_twin_is_called_off(self):
+    async def test_idempotent_work_is_reclaimed_from_a_silent_site_and_its_copy_recalled(self):
         self.region.now["b"].hall.look_s = 0.1
         owner = self.region.ask("a", LOOKUP, left_s=8.0)
         await self.region.until(lambda: IncomingPhase.PLACING in self.taken())
@@ -129,7 +129,7 @@
         self.wire.heal()
         await self.region.until(lambda: not self.region.now["b"].hall.busy and not self.transfers())
 
-    async def test_a_site_that_takes_no_answers_is_given_up_and_left_out(self):
+    async def test_a_site_that_receives_nothing_is_given_up_and_excluded(self):
         """Each believes the other dead, or one alone does: silence both ways, then one way."""
         with (
             mock.patch.object(session, "SILENCE_TIMEOUT_S", 0.3),
@@ -151,7 +151,7 @@
         self.assertEqual("placed", await self.answered(self.region.ask("a", WRITER)))
 
 
-class Dying(Sites):
+class Restarts(Sites):
     async def test_a_site_that_dies_with_a_task_of_another_ends_it_once_and_frees_its_key(self):
         owner = self.region.ask("a", WRITER)
         await self.answered(owner)
@@ -163,7 +163,7 @@
         self.assertEqual("placed", await self.answered(self.region.ask("a", WRITER, key=owner.task.key)))
         self.assertEqual([], self.region.tally.doubled)
 
-    async def test_a_site_that_dies_before_it_heard_calls_back_what_it_lent(self):
+    async def test_a_site_that_dies_before_an_answer_recalls_what_it_offered(self):
         self.region.now["b"].hall.look_s = 0.2
         owner = self.region.ask("a", WRITER)
         await self.region.until(lambda: IncomingPhase.PLACING in self.taken())
@@ -198,7 +198,7 @@
     names = ("a", "b", "c")
     machines = (0, 0, 0)
 
-    async def test_a_task_that_nobody_can_place_goes_round_within_its_hops_and_is_refused(self):
+    async def test_a_task_that_nobody_can_place_is_forwarded_within_its_hops_and_rejected(self):
         """No site has room, though each has told of some: no loop, no ping-pong, one answer."""
         for one in self.region.now.values():
             one.sites.summary = lambda: CapacitySummary({"lookup": 9, "import": 9, "writer": 9}, 100)
--- a/tests/test_sites_wire.py
+++ b/tests/test_sites_link.py
@@ -56,12 +56,12 @@
                 got[other.name].append(brought)
         if come < len(out) or rnd.random() < 0.2:  # the connection breaks, and what was under way is lost
             list(a.outgoing_frames(now)), list(b.outgoing_frames(now))
-            heard = a.received, b.received
-            a.resume(now, heard[1])
-            b.resume(now, heard[0])
-    heard = a.received, b.received
-    a.resume(now, heard[1])
-    b.resume(now, heard[0])
+            received = a.received, b.received
+            a.resume(now, received[1])
+            b.resume(now, received[0])
+    received = a.received, b.received
+    a.resume(now, received[1])
+    b.resume(now, received[0])
     for _ in range(60):
         now += session.ACK_S
         pass_all(a, b, now, got)
@@ -79,7 +79,7 @@
     assert [frame.payload for frame in a.outgoing_frames(0.0)] == [b"urgent"]
 
 
-def test_streams_take_turns():
+def test_streams_are_sent_in_rotation():
     a, _, _ = pair()
     for n in range(6):
         a.send(0, b"x%d" % n)
@@ -129,7 +129,7 @@
         a.resume(2.0, 41)
 
 
-def test_a_full_line_takes_nothing_and_says_so():
+def test_a_full_stream_queue_takes_nothing_and_raises():
     a, _, _ = pair()
     for _ in range(session.MAX_QUEUED_MESSAGES):
         a.send(2, b"")
@@ -137,10 +137,10 @@
         a.send(2, b"")
 
 
-def test_beats_tell_the_delay_and_silence_the_death_of_a_connection():
+def test_heartbeats_measure_the_delay_and_silence_ends_a_connection():
     a, b, _ = pair()
-    (beat,) = a.outgoing_frames(session.HEARTBEAT_INTERVAL_S)
-    b.receive(1.2, beat)
+    (heartbeat,) = a.outgoing_frames(session.HEARTBEAT_INTERVAL_S)
+    b.receive(1.2, heartbeat)
     echo = next(frame for frame in b.outgoing_frames(1.2) if isinstance(frame, Heartbeat))
     a.receive(1.4, echo)
     assert a.delay_s == pytest.approx(0.2)
@@ -161,20 +161,20 @@
         ((5, "x", (3, "m")), (5, "x"), (3, "k"), "our store"),
     ],
 )
-def test_an_older_copy_of_a_store_is_told_on_both_sides(hello, known, ours, fault):
+def test_an_older_copy_of_a_store_is_detected_on_both_sides(hello, known, ours, fault):
     epoch, token, yours = hello
-    told = stale_store_reason(Hello(1, "b", epoch, token, yours, "", 0, True), known, ours)
-    assert (fault in told) if fault else told == ""
+    reason = stale_store_reason(Hello(1, "b", epoch, token, yours, "", 0, True), known, ours)
+    assert (fault in reason) if fault else reason == ""
 
 
 WORK = messages.Work("c", "UNSAFE", 7, 1, 0.5, 2.0, "t", ("a", "b"), 1)
-ALL = [
+FRAMES = [
     Hello(1, "a", 3, "t", (2, "u"), "s", 9, False),
     Message(1, 2, b"\0x"),
     Ack(4, ((0, 9),)),
     Heartbeat(5, 6),
 ]
-WORDS = [
+MESSAGES = [
     messages.Offer((1, 2), WORK, 5),
     messages.Withdraw((1, 2)),
     messages.Release((1, 2), 16),
@@ -187,14 +187,14 @@
 ]
 
 
-def test_frames_and_words_come_back_as_they_went():
+def test_frames_and_messages_are_decoded_as_they_were_encoded():
     ring = Ring(64 * 1024)
-    for frame in ALL:
+    for frame in FRAMES:
         ring.put(frames.encode(frame)[:3])
         assert frames.parse(ring) is None
         ring.put(frames.encode(frame)[3:])
         assert frames.parse(ring) == frame
-    assert [frames.decode_message(frames.encode_message(word)) for word in WORDS] == WORDS
+    assert [frames.decode_message(frames.encode_message(message)) for message in MESSAGES] == MESSAGES
 
 
 @pytest.mark.parametrize(
@@ -227,7 +227,7 @@
         assert "can't be read" in str(fault)
 
 
-def test_a_frame_that_is_too_long_is_refused_at_its_length():
+def test_a_frame_that_is_too_long_is_an_error_at_its_length():
     ring = Ring(1024)
     ring.put(b"\xff\xff\xff\xff")
     with pytest.raises(ProtocolError, match="are the most"):
--- a/tests/test_sites_routing.py
+++ b/tests/test_sites_routing.py
@@ -13,20 +13,20 @@
 FULL, ROOMY = CapacitySummary({"lookup": 0}, 100, waiting=9), CapacitySummary({"lookup": 60}, 100)
 
 
-def router(count=2, seed=3, told=ROOMY, delay_s=0.0):
+def router(count=2, seed=3, summary=ROOMY, delay_s=0.0):
     names = [f"s{n}" for n in range(count)]
     out = Router(names, Random(seed))
     for name in names:
         out.link_changed(0.0, name, True)
-        out.receive_summary(0.0, name, told, delay_s)
+        out.receive_summary(0.0, name, summary, delay_s)
     return out
 
 
-def test_what_home_has_room_for_stays():
+def test_a_task_stays_where_the_local_site_has_capacity():
     assert router().choose(0.0, WORK, ROOMY, 5.0) == KeepLocal("home has room")
 
 
-def test_a_full_home_sends_to_the_roomier_of_two_drawn_and_not_always_to_one():
+def test_a_full_site_forwards_to_the_freer_of_two_sampled_and_not_always_to_one():
     r = router(6)
     r.receive_summary(0.0, "s0", CapacitySummary({"lookup": 90}, 100), 0.0)
     chosen = Counter(r.choose(0.0, WORK, FULL, 5.0) for _ in range(3000))
@@ -59,7 +59,7 @@
         ),
     ],
 )
-def test_a_site_is_left_alone_with_a_reason(spoil, why):
+def test_a_site_is_not_chosen_with_a_reason(spoil, why):
     r = router(1)
     assert r.choose(0.0, WORK, FULL, 5.0) == "s0"
     spoil(r)
@@ -70,7 +70,7 @@
     assert router(1).choose(0.0, WORK, FULL, 5.0, frozenset({"s0"})) == KeepLocal("s0: it was there")
 
 
-def test_a_returned_task_speaks_for_bigger_ones_only_and_not_for_ever():
+def test_a_returned_task_stands_for_bigger_ones_only_and_not_for_ever():
     r = router(1)
     r.transfer_returned(0.0, "s0", WORK)
     assert r.choose(0.1, Work("lookup", "SAFE", 1, 1, 0.5, 1.0), FULL, 5.0) == "s0"
@@ -79,7 +79,7 @@
 
 def test_what_went_over_counts_until_the_site_can_have_counted_it():
     """Guards against a herd: a summary that is a second old would draw all that comes meanwhile."""
-    r = router(1, told=CapacitySummary({"lookup": 3}, 10), delay_s=0.1)
+    r = router(1, summary=CapacitySummary({"lookup": 3}, 10), delay_s=0.1)
     for _ in range(3):
         assert r.choose(0.5, WORK, FULL, 5.0) == "s0"
         r.transfer_sent(0.5, "s0", WORK)
@@ -115,7 +115,7 @@
     assert r.sites["s0"].ramp_limit is None
 
 
-def test_a_link_that_breaks_takes_what_was_told_with_it():
+def test_a_link_that_breaks_voids_the_summary():
     r = router(1)
     r.link_changed(1.0, "s0", False)
     r.link_changed(2.0, "s0", True)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -60,7 +60,7 @@
     log.close()
 
 
-def test_a_flipped_bit_is_told_with_its_place_and_nothing_is_dropped(path):
+def test_a_flipped_bit_is_reported_with_its_place_and_nothing_is_dropped(path):
     data = path.read_bytes()
     for at in range(len(data)):
         spoilt = bytearray(data)
@@ -173,7 +173,7 @@
         assert found == whole[: len(found)]
 
 
-def test_a_second_holder_is_refused_and_told_who_since_when(tmp_path):
+def test_a_second_owner_is_rejected_and_shown_who_since_when(tmp_path):
     path = tmp_path / "lock"
     assert lock_owner(path) == ""
     lock = Lock(path, "an apply of spring", "noon")
