--- a/weldhatch/cli/sites.py
+++ b/weldhatch/cli/sites.py
@@ -1,8 +1,12 @@
-"""`weldhatch sites`: what crosses between this gateway's site and the others, and operators' words on it."""
+"""`weldhatch sites`: what crosses between this gateway's site and the others, and operators' orders on it.
+
+The keys of the gateway's JSON, and what the columns are called, are fixed.
+"""
 
 from __future__ import annotations
 
 import json
+from typing import Any
 
 import click
 from rich.console import Console
@@ -11,6 +15,7 @@
 
 from weldhatch import config
 from weldhatch.pullqueue import reconfiguration
+from weldhatch.pullqueue.reconfiguration import Gateway
 
 control = click.option(
     "--control",
@@ -26,6 +31,7 @@
     show_default=True,
     help="The file that names the control address.",
 )
+COLUMNS = ("site", "link", "delay ms", "breaks", "epoch", "lent", "taken", "room told", "left out")
 
 
 @click.group()
@@ -33,10 +39,10 @@
     """Other sites: what is lent and taken, what is in doubt, and draining."""
 
 
-def gateway(file: str, address: str | None) -> reconfiguration.Gateway:
-    return reconfiguration.Gateway(
-        reconfiguration.address({} if address else config.pull_queue_tree(file), address)
-    )
+def gateway(file: str, address: str | None) -> Gateway:
+    """Return the gateway at an address, or else at the one that a pull queue's file names."""
+    tree = {} if address else config.pull_queue_tree(file)
+    return Gateway(reconfiguration.address(tree, address))
 
 
 @sites.command()
@@ -48,54 +54,66 @@
 
     Ends with 0 where every link is up and nothing is in doubt, with 1 otherwise.
     """
-    told = gateway(file, control).sites()
+    report = gateway(file, control).sites()
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(report))
     else:
-        show(Console(), told)
-    if not all(one["up"] and not one["doubt"] and not one["in_doubt"] for one in told["sites"].values()):
+        show(Console(), report)
+    if not all(one["up"] and not one["doubt"] and not one["in_doubt"] for one in report["sites"].values()):
         raise click.exceptions.Exit(1)
 
 
-def show(console: Console, told: dict) -> None:
-    """The status as a person reads it."""
-    state = "  [yellow]draining: takes nothing new[/]" if told["draining"] else ""
-    console.print(f"site {escape(told['site'])}, epoch {told['epoch']}{state}")
-    table = Table("site", "link", "delay ms", "breaks", "epoch", "lent", "taken", "room told", "left out")
-    for name, one in told["sites"].items():
-        link = "[green]up[/]" if one["up"] else "[red]older copy[/]" if one["doubt"] else "[red]down[/]"
-        lent = ", ".join(f"{count} {phase}" for phase, count in one["lent"].items()) or "-"
-        room = (
-            "-"
-            if one["told"] is None
-            else (
-                f"{max(one['told']['free'].values(), default=0)} of {one['told']['size']}, "
-                f"{one['told']['age_s']:.0f} s ago" + (", draining" if one["told"]["draining"] else "")
-            )
-        )
-        left_out = f"{one['left_out_s']:.0f} s" if one["left_out_s"] else "-"
-        table.add_row(
-            escape(name),
-            link,
-            str(one["delay_ms"]),
-            str(one["breaks"]),
-            str(one["epoch"]),
-            lent,
-            str(one["taken"]),
-            room,
-            left_out,
-        )
+def show(console: Console, report: dict[str, Any]) -> None:
+    """Print the status as a person reads it."""
+    state = "  [yellow]draining: takes nothing new[/]" if report["draining"] else ""
+    console.print(f"site {escape(report['site'])}, epoch {report['epoch']}{state}")
+    table = Table(*COLUMNS)
+    for name, site in report["sites"].items():
+        table.add_row(*_row(name, site))
     console.print(table)
-    for name, one in told["sites"].items():
-        if one["doubt"]:
-            console.print(f"[red]{escape(name)}: no work passes: {escape(one['doubt'])}[/]")
-        for doubt in one["in_doubt"]:
+    for name, site in report["sites"].items():
+        if site["doubt"]:
+            console.print(f"[red]{escape(name)}: no work passes: {escape(site['doubt'])}[/]")
+        for transfer in site["in_doubt"]:
             console.print(
-                f"in doubt at {escape(name)}: {doubt['id']}, {escape(doubt['class'])} "
-                f"key {doubt['key']}: {escape(doubt['why'])}"
+                f"in doubt at {escape(name)}: {transfer['id']}, {escape(transfer['class'])} "
+                f"key {transfer['key']}: {escape(transfer['why'])}"
             )
 
 
+def _row(name: str, site: dict[str, Any]) -> tuple[str, ...]:
+    """Return the row of one site."""
+    lent = ", ".join(f"{count} {phase}" for phase, count in site["lent"].items()) or "-"
+    left_out = f"{site['left_out_s']:.0f} s" if site["left_out_s"] else "-"
+    return (
+        escape(name),
+        _link(site),
+        str(site["delay_ms"]),
+        str(site["breaks"]),
+        str(site["epoch"]),
+        lent,
+        str(site["taken"]),
+        _summary(site["told"]),
+        left_out,
+    )
+
+
+def _link(site: dict[str, Any]) -> str:
+    """Return the state of a site's link."""
+    if site["up"]:
+        return "[green]up[/]"
+    return "[red]older copy[/]" if site["doubt"] else "[red]down[/]"
+
+
+def _summary(summary: dict[str, Any] | None) -> str:
+    """Return what a site has told of its room, and when."""
+    if summary is None:
+        return "-"
+    free = max(summary["free"].values(), default=0)
+    draining = ", draining" if summary["draining"] else ""
+    return f"{free} of {summary['size']}, {summary['age_s']:.0f} s ago{draining}"
+
+
 @sites.command()
 @pull_file
 @control
@@ -122,5 +140,5 @@
             "a task that still runs there could start a second time here: make sure that "
             "none does, then say --yes"
         )
-    told = gateway(file, control).sites_word({"forget": site})
-    click.echo(f"{told['forgotten']} transfers to {site} are over")
+    answer = gateway(file, control).sites_word({"forget": site})
+    click.echo(f"{answer['forgotten']} transfers to {site} are over")
