--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -24,7 +24,7 @@
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.scheduling.types import Effect, Settings
 from weldhatch.sites.forwarding import SiteForwarder
-from weldhatch.sites.link import LinkListener
+from weldhatch.sites.link_listener import LinkListener
 from weldhatch.sites.local_site import SiteFrontEnd
 from weldhatch.sites.messages import TransferId, Work
 from weldhatch.sites.routing import Router
@@ -121,7 +121,7 @@
     except BaseException:
         sites_book.close()
         raise
-    driver.watchers.append(lambda event: sites.room.watch(time.monotonic(), event))
+    driver.watchers.append(lambda event: sites.capacity.watch(time.monotonic(), event))
     for name, endpoint in told.sites.peers.items():
         if told.sites.name < name:
             sites.links[name].dial(endpoint, share, dials)
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -24,7 +24,7 @@
 from weldhatch.scheduling.policy import Policy
 from weldhatch.scheduling.types import Effect, ListForm, MachineKind, RequestClass, Scope, Settings
 from weldhatch.sites.forwarding import SiteForwarder
-from weldhatch.sites.link import LinkListener
+from weldhatch.sites.link_listener import LinkListener
 from weldhatch.sites.messages import TransferId, Work
 from weldhatch.sites.routing import Router
 from weldhatch.sites.storage import SiteStorage
@@ -167,7 +167,7 @@
             self.settle_s,
             self.log,
         )
-        driver.watchers.append(lambda event: sites.room.watch(time.monotonic(), event))
+        driver.watchers.append(lambda event: sites.capacity.watch(time.monotonic(), event))
         driver.post(MachinesChanged(ListForm.CACHED, hall.entries()))
         budget = Budget(400)
         door = LinkListener(("127.0.0.1", 0), sites.links, Share(budget, 200), self.log)
@@ -219,7 +219,7 @@
         """Wait until nothing is lent, taken or running any more."""
         await self.until(
             lambda: not any(
-                one.sites.source.transfers or one.sites.incoming or one.sites.requests or one.hall.busy
+                one.sites.source.transfers or one.sites.incoming.tasks or one.sites.requests or one.hall.busy
                 for one in self.now.values()
             ),
             within,
