--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -263,7 +263,7 @@
     again = ClusterRecords()
     for record in fold.records():
         again.take(record)
-    assert (again.epoch, again.met, again.state, again.saved.term, again.saved.writes) == (
+    assert (again.epoch, again.met, again.state, again.saved.term, again.saved.record_count) == (
         3,
         {"g2": (5, "u")},
         "{}",
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -6,21 +6,18 @@
 
 import pytest
 
-from weldhatch.consensus import raft
-from weldhatch.consensus.messages import LogEntry
+from weldhatch.consensus import leadership, replication
+from weldhatch.consensus.effects import Commit, EntryPersisted, LoadSnapshot, Send, WriteRecord
+from weldhatch.consensus.election import Election
+from weldhatch.consensus.errors import BusyError, NotLeaderError
+from weldhatch.consensus.leadership import Leadership
+from weldhatch.consensus.messages import LogEntry, LogPosition
 from weldhatch.consensus.persistent_state import PersistentState
-from weldhatch.consensus.raft import (
-    BusyError,
-    Commit,
-    EntryPersisted,
-    LoadSnapshot,
-    NotLeaderError,
-    Raft,
-    Send,
-    Timing,
-    WriteRecord,
-)
+from weldhatch.consensus.raft import Raft
+from weldhatch.consensus.records import record_from_list
 from weldhatch.consensus.rejoin import RejoinGuard
+from weldhatch.consensus.replication import Replication
+from weldhatch.consensus.voter_state import Timing, VoterState
 
 
 class Voters:
@@ -37,12 +34,12 @@
 
     def boot(self, name):
         saved = PersistentState()
-        for word in self.disks[name]:
-            saved.apply(*json.loads(json.dumps(word)))
+        for record in self.disks[name]:
+            saved.apply_encoded(json.dumps(record).encode())
         node = self.nodes[name] = Raft(name, saved, Timing(), self.random, self.now)
         if not self.disks[name]:
-            node.begin(dict.fromkeys(self.names, ""))
-        self.applied[name] = saved.base
+            node.bootstrap(dict.fromkeys(self.names, ""))
+        self.applied[name] = saved.snapshot_index
         for other in self.names:
             if other != name and other in self.nodes:
                 self.nodes[other].greet(name)
@@ -50,7 +47,7 @@
 
     def crash(self, name, back):
         self.down[name] = back
-        self.nodes[name].out.clear()
+        self.nodes[name].effects.clear()
 
     def step(self, loss=0.0, double=0.0):
         self.now += 0.01
@@ -70,30 +67,30 @@
             if to in self.down or (name, to) in self.cut or self.random.random() < loss:
                 continue
             for _ in range(2 if self.random.random() < double else 1):
-                self.nodes[to].hear(self.now, name, message)
+                self.nodes[to].receive(self.now, name, message)
         leaders = [
-            self.nodes[name].saved.lineage
+            self.nodes[name].persistent.lineage
             for name in self.names
-            if name not in self.down and self.nodes[name].leads_until(self.now) > self.now
+            if name not in self.down and self.nodes[name].leadership_guaranteed_until(self.now) > self.now
         ]
         assert len(leaders) == len(set(leaders)), leaders  # two that could both grant leases
         for name in self.names:
             if name not in self.down and self.nodes[name].role == "leader":
-                saved = self.nodes[name].saved
+                saved = self.nodes[name].persistent
                 assert self.leaders.setdefault((saved.lineage, saved.term), name) == name
 
     def carry(self, name, most):
         node = self.nodes[name]
         for _ in range(most):
-            if not node.out:
+            if not node.effects:
                 return
-            match effect := node.out.pop(0):
-                case WriteRecord(word):
-                    self.disks[name].append(word)
+            match effect := node.effects.pop(0):
+                case WriteRecord(record):
+                    self.disks[name].append(record.to_list())
                 case Send(to, message):
                     self.net.append((self.now + self.random.uniform(*self.delay), name, to, message))
                 case EntryPersisted():
-                    node.stored(effect)
+                    node.entry_persisted(effect)
                 case Commit(index, entry):
                     assert index == self.applied[name] + 1
                     self.applied[name] = index
@@ -106,7 +103,7 @@
         while self.now < end:
             for name in self.names:
                 node = self.nodes[name]
-                if name not in self.down and node.leads_until(self.now) > self.now:
+                if name not in self.down and node.leadership_guaranteed_until(self.now) > self.now:
                     return node
             self.step()
         raise AssertionError("nobody leads")
@@ -139,9 +136,9 @@
                 except BusyError:
                     pass
             if rnd.random() < 0.003:
-                node.hand_over(voters.now, rnd.choice([one for one in voters.names if one != name]))
-            if rnd.random() < 0.01 and node.applied:
-                node.snapshot(str(node.applied), node.applied)
+                node.transfer_leadership(voters.now, rnd.choice([one for one in voters.names if one != name]))
+            if rnd.random() < 0.01 and node.applied_index:
+                node.compact(str(node.applied_index), node.applied_index)
         voters.step(loss=0.02, double=0.02)
     voters.cut.clear()
     leader = voters.leader(20)
@@ -156,11 +153,11 @@
     leader = voters.leader()
     other = next(name for name in voters.names if name != leader.name)
     voters.cut |= {(leader.name, other)}
-    term = leader.saved.term
+    term = leader.persistent.term
     for _ in range(300):
         voters.step()
     assert leader.role == "leader"
-    assert leader.saved.term == term
+    assert leader.persistent.term == term
 
 
 def test_a_leader_without_a_majority_promises_nothing_and_steps_down():
@@ -168,13 +165,13 @@
     leader = voters.leader()
     voters.cut |= {(a, b) for a in voters.names for b in voters.names if leader.name in (a, b)}
     voters.until(lambda: leader.role != "leader", 1.0)
-    assert leader.leads_until(voters.now) == float("-inf")
+    assert leader.leadership_guaranteed_until(voters.now) == float("-inf")
     with pytest.raises(NotLeaderError):
         leader.propose(voters.now, "x")
 
 
 def terms(voters):
-    return max(node.saved.term for node in voters.nodes.values())
+    return max(node.persistent.term for node in voters.nodes.values())
 
 
 def test_one_that_stood_once_and_one_that_has_more_entries_elect():
@@ -228,9 +225,9 @@
     leader = voters.leader()
     other = next(name for name in voters.names if name != leader.name)
     voters.down[other] = float("inf")
-    leader.hand_over(voters.now, other)
+    leader.transfer_leadership(voters.now, other)
     voters.step()
-    assert leader.leads_until(voters.now) == float("-inf")
+    assert leader.leadership_guaranteed_until(voters.now) == float("-inf")
     voters.until(lambda: leader.role != "leader", 1.0)
 
 
@@ -238,10 +235,10 @@
     voters = Voters()
     leader = voters.leader()
     other = next(name for name in voters.names if name != leader.name)
-    leader.hand_over(voters.now, other)
+    leader.transfer_leadership(voters.now, other)
     voters.until(lambda: voters.nodes[other].role == "leader", 1.0)
     with pytest.raises(ValueError, match="no other voter"):
-        voters.nodes[other].hand_over(voters.now, "nobody")
+        voters.nodes[other].transfer_leadership(voters.now, "nobody")
 
 
 def decide(voters, count, start=0):
@@ -257,11 +254,11 @@
     voters.down[behind] = float("inf")
     index = decide(voters, 5)
     leader = voters.leader()
-    leader.snapshot("all of it", index)
-    assert not leader.saved.entries
+    leader.compact("all of it", index)
+    assert not leader.persistent.entries
     voters.down[behind] = voters.now
     voters.until(lambda: voters.applied[behind] >= index)
-    assert voters.nodes[behind].saved.state == "all of it"
+    assert voters.nodes[behind].persistent.snapshot_state == "all of it"
 
 
 def test_a_store_that_lost_its_end_votes_no_more():
@@ -274,15 +271,15 @@
     voters.crash(loser, voters.now + 0.1)
     del voters.disks[loser][-2:]
     voters.until(lambda: loser not in voters.down)
-    voters.until(lambda: voters.nodes[loser].lost)
-    assert "lost its end" in voters.nodes[loser].lost
+    voters.until(lambda: voters.nodes[loser].lost_reason)
+    assert "lost its end" in voters.nodes[loser].lost_reason
     voters.crash(leader.name, float("inf"))
     for _ in range(400):
         voters.step()
     assert voters.nodes[loser].role == "follower"  # two of three are not there: nobody decides
     voters.crash(loser, voters.now + 0.1)
     voters.until(lambda: loser not in voters.down)
-    assert voters.nodes[loser].lost  # it is kept on the disk
+    assert voters.nodes[loser].lost_reason  # it is kept on the disk
 
 
 def test_voters_come_and_go_one_at_a_time():
@@ -298,7 +295,7 @@
     with pytest.raises(BusyError, match="not decided"):
         leader.change_voters(voters.now, {name: "" for name in voters.names if name != "a"})
     voters.until(lambda: voters.applied["d"] >= index)
-    assert voters.nodes["d"].votes
+    assert voters.nodes["d"].can_vote
     gone = next(name for name in voters.names if name != voters.leader().name)
     index = voters.leader().change_voters(
         voters.now, {name: "" for name in voters.leader().voters if name != gone}
@@ -324,22 +321,22 @@
     for name in others:
         voters.crash(name, float("inf"))
     survivor.recover(voters.now, "here:1")
-    voters.until(lambda: survivor.leads_until(voters.now) > voters.now)
+    voters.until(lambda: survivor.leadership_guaranteed_until(voters.now) > voters.now)
     assert list(survivor.voters) == [survivor.name]
     for name in others:  # the lost ones come back after all: nobody hears them, and they can't decide
         voters.down[name] = voters.now
     voters.nodes[others[0]].greet(survivor.name)
     voters.nodes[others[1]].greet(survivor.name)
-    voters.until(lambda: all(voters.nodes[name].lost for name in others))  # they hear of it, and stop
+    voters.until(lambda: all(voters.nodes[name].lost_reason for name in others))  # they hear of it, and stop
     assert survivor.role == "leader"
     index = survivor.change_voters(voters.now, {**survivor.voters, others[0]: ""})
-    voters.until(lambda: voters.nodes[others[0]].saved.lineage == 1)
-    voters.until(lambda: voters.nodes[others[0]].applied >= index)
-    assert voters.nodes[others[0]].votes
+    voters.until(lambda: voters.nodes[others[0]].persistent.lineage == 1)
+    voters.until(lambda: voters.nodes[others[0]].applied_index >= index)
+    assert voters.nodes[others[0]].can_vote
 
 
-def forgetful(self, now, who, ask, real=Raft._asked):
-    self.saved.vote = ""
+def forgetful(self, now, who, ask, real=Election.handle_request):
+    self._state.persistent.voted_for = ""
     real(self, now, who, ask)
 
 
@@ -349,33 +346,40 @@
 
 
 @pytest.mark.parametrize(
-    "name, put, check",
+    "owner, name, put, check",
     [
-        ("_majority", lambda self, names: bool(names), many_seeds),
-        ("_asked", forgetful, many_seeds),  # more than one vote a term
+        (VoterState, "is_majority", lambda self, names: bool(names), many_seeds),
+        (Election, "handle_request", forgetful, many_seeds),  # more than one vote a term
         (
-            "_heard",
+            VoterState,
+            "last_leader_contact",
             property(lambda self: float("-inf"), lambda self, value: None),
             test_nobody_is_elected_while_a_leader_is_heard,
         ),
         (
-            "_quorum_at",
+            Replication,
+            "quorum_acknowledged_at",
             lambda self, now: now,
             test_a_leader_without_a_majority_promises_nothing_and_steps_down,
         ),
-        ("lost", property(lambda self: ""), test_a_store_that_lost_its_end_votes_no_more),
-        ("_forgive", lambda self, now: None, test_voters_that_were_held_up_hear_what_waits_before_they_judge),
+        (VoterState, "lost_reason", property(lambda self: ""), test_a_store_that_lost_its_end_votes_no_more),
+        (
+            Leadership,
+            "forgive_late_tick",
+            lambda self, now: None,
+            test_voters_that_were_held_up_hear_what_waits_before_they_judge,
+        ),
     ],
 )
-def test_without_a_guard_a_check_complains(monkeypatch, name, put, check):
+def test_without_a_guard_a_check_complains(monkeypatch, owner, name, put, check):
     """Each guard taken out breaks a promise, and the checks above do find that."""
-    monkeypatch.setattr(Raft, name, put, raising=False)
+    monkeypatch.setattr(owner, name, put, raising=False)
     with pytest.raises(AssertionError):
         check()
 
 
 def test_without_patience_late_answers_bring_one_election_after_another(monkeypatch):
-    monkeypatch.setattr(raft, "UNHEARD", 1.0)
+    monkeypatch.setattr(leadership, "QUORUM_PATIENCE", 1.0)
     with pytest.raises(AssertionError):
         test_a_leader_lasts_where_answers_are_late()
 
@@ -390,39 +394,46 @@
         ("entry", 2, 2, "command", "y"),
         ("lost", "why"),
     ):
-        saved.apply(*word)
+        saved.apply(record_from_list(list(word)))
     again = PersistentState()
     for record in saved.records():
-        again.take(record)
-    assert (again.term, again.vote, again.entries, again.lost, again.writes, again.voters) == (
+        again.apply(record)
+    assert (
+        again.term,
+        again.voted_for,
+        again.entries,
+        again.lost_reason,
+        again.record_count,
+        again.snapshot_voters,
+    ) == (
         saved.term,
-        saved.vote,
+        saved.voted_for,
         saved.entries,
-        saved.lost,
-        saved.writes,
-        saved.voters,
+        saved.lost_reason,
+        saved.record_count,
+        saved.snapshot_voters,
     )
     assert again.entries[1] == LogEntry(2, "command", "y")
     for bad in (b"[]", b'["entry", 9, 1, "command", "x"]', b'["vote", 1]', b"\xff", b'["what"]', b"7"):
         with pytest.raises(ValueError):
-            again.take(bad)
-    assert raft.ENTRIES_MOST
+            again.apply_encoded(bad)
+    assert replication.MAX_ENTRIES
 
 
 def test_a_voter_that_comes_back_hears_enough_others_before_it_votes():
     five = ("a", "b", "c", "d", "e")
     one = RejoinGuard(10.0)
     assert one.required_log(0.0, "a", five) is None
-    one.heard("b", 3, (2, 7))
-    one.heard("c", 4, (3, 1))
-    one.heard("z", 9, (9, 9))  # no voter of ours
+    one.note_peer("b", 3, LogPosition(2, 7))
+    one.note_peer("c", 4, LogPosition(3, 1))
+    one.note_peer("z", 9, LogPosition(9, 9))  # no voter of ours
     assert one.required_log(1.0, "a", five) is None  # two others may be a majority's that did not count it
-    one.heard("d", 4, (1, 50))
+    one.note_peer("d", 4, LogPosition(1, 50))
     assert one.required_log(1.0, "a", five) == (3, 1)
     assert one.required_log(1.0, "a", ("a", "b")) == (2, 7) and one.required_log(1.0, "a", ("a",)) == (0, 0)
     assert one.required_log(1.0, "a", ("a", "b", "y")) is None  # of three, both
-    assert one.spent(1.0, 4) and not one.spent(1.0, 10)
-    assert one.required_log(10.0, "a", five) == (0, 0) and not one.spent(
+    assert one.may_have_voted(1.0, 4) and not one.may_have_voted(1.0, 10)
+    assert one.required_log(10.0, "a", five) == (0, 0) and not one.may_have_voted(
         10.0, 4
     )  # it has waited for long enough
 
@@ -462,16 +473,16 @@
     for _ in range(300):
         voters.step()
     back, other = voters.names[:2]
-    assert not [say for say in voters.nodes[other].out if isinstance(say, Send)]
+    assert not [say for say in voters.nodes[other].effects if isinstance(say, Send)]
     saved = PersistentState()
-    for word in voters.disks[back]:
-        saved.apply(*json.loads(json.dumps(word)))
+    for record in voters.disks[back]:
+        saved.apply_encoded(json.dumps(record).encode())
     one = Raft(back, saved, Timing(), voters.random, voters.now)
     one.greet(other)
-    (asked,) = [say.message for say in one.out]
-    assert asked.asks
-    voters.nodes[other].hear(voters.now, back, asked)
-    told = voters.nodes[other].out[-1].message
-    assert (told.asks, told.last_index) == (False, voters.nodes[other].saved.last)
+    (asked,) = [say.message for say in one.effects]
+    assert asked.wants_reply
+    voters.nodes[other].receive(voters.now, back, asked)
+    told = voters.nodes[other].effects[-1].message
+    assert (told.wants_reply, told.last_index) == (False, voters.nodes[other].persistent.last_index)
     voters.nodes[other].greet(back)
-    assert not voters.nodes[other].out[-1].message.asks  # it has never been down
+    assert not voters.nodes[other].effects[-1].message.wants_reply  # it has never been down
--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -22,6 +22,8 @@
 from weldhatch.cluster.control_api import ControlApi
 from weldhatch.cluster.node import ClusterNode
 from weldhatch.cluster.storage import ClusterRecords, ClusterStore
+from weldhatch.consensus.effects import Commit, EntryPersisted, LoadSnapshot, Send, WriteRecord
+from weldhatch.consensus.errors import BusyError
 from weldhatch.consensus.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -33,16 +35,8 @@
     TimeoutNow,
 )
 from weldhatch.consensus.persistent_state import PersistentState
-from weldhatch.consensus.raft import (
-    BusyError,
-    Commit,
-    EntryPersisted,
-    LoadSnapshot,
-    Raft,
-    Send,
-    Timing,
-    WriteRecord,
-)
+from weldhatch.consensus.raft import Raft
+from weldhatch.consensus.voter_state import Timing
 from weldhatch.coordination import effects
 from weldhatch.coordination.leader import LeaseTiming
 from weldhatch.coordination.messages import CommandRequest, CommandResult, LeaseRequest, LeaseResponse
@@ -157,7 +151,7 @@
 
 
 def fields_of(effect):
-    return [getattr(effect, name) for name in effect.__dataclass_fields__]
+    return [getattr(effect, name) for name in type(effect).__match_args__]
 
 
 class Transcript:
@@ -178,7 +172,7 @@
 
 def record_text(record):
     """A voter's record as it stands in the store, behind its first word."""
-    return json.dumps(record)
+    return json.dumps(record.to_list())
 
 
 class Voters:
@@ -194,10 +188,10 @@
     def boot(self, name):
         saved = PersistentState()
         for record in self.disks[name]:
-            saved.take(record.encode())
+            saved.apply_encoded(record.encode())
         node = self.nodes[name] = Raft(name, saved, Timing(), Random(self.random.getrandbits(32)), self.now)
         if not self.disks[name] and name in VOTERS:
-            node.begin({one: f"{one}:1" for one in VOTERS})
+            node.bootstrap({one: f"{one}:1" for one in VOTERS})
         for other in self.nodes:
             if other != name:
                 self.nodes[other].greet(name)
@@ -205,8 +199,8 @@
 
     def carry(self, name):
         node = self.nodes[name]
-        while node.out:
-            effect = node.out.pop(0)
+        while node.effects:
+            effect = node.effects.pop(0)
             match effect:
                 case WriteRecord(record):
                     text = record_text(record)
@@ -218,7 +212,7 @@
                     self.net.append((name, to, stream, data))
                 case EntryPersisted(index, term):
                     self.transcript.add("stored", name, index, term)
-                    node.stored(effect)
+                    node.entry_persisted(effect)
                 case Commit(index, entry):
                     self.transcript.add("commit", name, index, fields_of(entry))
                 case LoadSnapshot(index, state):
@@ -238,7 +232,7 @@
         for name, to, stream, data in net:
             fate = self.random.random()
             for _ in range(0 if to in self.down or fate < 0.03 else 2 if fate < 0.06 else 1):
-                self.nodes[to].hear(self.now, name, decode(stream, data))
+                self.nodes[to].receive(self.now, name, decode(stream, data))
                 self.carry(to)
 
     def play(self, steps):
@@ -251,7 +245,7 @@
                 self.older = {name: list(disk) for name, disk in self.disks.items()}
             if rnd.random() < 0.006 and not self.down:
                 name = rnd.choice(NAMES)
-                self.nodes[name].out.clear()
+                self.nodes[name].effects.clear()
                 if rnd.random() < 0.2:
                     self.disks[name] = list(self.older[name])
                 self.down[name] = self.now + rnd.random()
@@ -259,7 +253,8 @@
                 if name not in self.down and node.role == "leader":
                     self.lead(node, rnd)
             self.transcript.add(
-                "now", [(one.role, one.leader, one.commit, one.lost) for one in self.nodes.values()]
+                "now",
+                [(one.role, one.leader, one.commit_index, one.lost_reason) for one in self.nodes.values()],
             )
         return self.transcript.told()
 
@@ -273,11 +268,13 @@
                     voters.pop(name, None)
                 node.change_voters(self.now, voters)
             if rnd.random() < 0.005 and len(node.voters) > 1:
-                node.hand_over(self.now, rnd.choice([one for one in node.voters if one != node.name]))
+                node.transfer_leadership(
+                    self.now, rnd.choice([one for one in node.voters if one != node.name])
+                )
         except (BusyError, ValueError) as fault:
             self.transcript.add("refused", str(fault))
-        if rnd.random() < 0.01 and node.applied:
-            node.snapshot(f"state {node.applied}", node.applied)
+        if rnd.random() < 0.01 and node.applied_index:
+            node.compact(f"state {node.applied_index}", node.applied_index)
 
 
 SEEDS = (1, 2, 3, 4)
@@ -322,7 +319,7 @@
         if seat.name in VOTERS:
             saved = PersistentState()
             for record in seat.disk:
-                saved.take(record.encode())
+                saved.apply_encoded(record.encode())
 
         def read(told):
             return replace(config.settings_of_json(told), zone=0)
@@ -542,22 +539,22 @@
             "epoch": book.epoch,
             "held": [book.lineage, book.state],
             "met": list(book.known("g2")),
-            "saved": [record.decode() for record in book.saved.records()],
+            "saved": [record_text(record) for record in book.saved.records()],
         }
         raft = Raft("g1", book.saved, Timing(), Random(book.epoch), 0.0)
         if book.fresh:
-            raft.begin({"g1": "h:1"})
+            raft.bootstrap({"g1": "h:1"})
         for n in range(5000):
             raft.tick(0.02 * n)
         if book.epoch > 1:
             raft.recover(103.0, "h:1")
         for text in ("one", "two"):
             raft.propose(103.0, text)
-        for effect in [one for one in raft.out if isinstance(one, EntryPersisted)]:
-            raft.stored(effect)
+        for effect in [one for one in raft.effects if isinstance(one, EntryPersisted)]:
+            raft.entry_persisted(effect)
         if book.epoch == 1:
             raft.change_voters(103.0, {"g1": "h:1", "g2": "h:2"})
-        await book.write([fields_of(effect)[0] for effect in raft.out if isinstance(effect, WriteRecord)])
+        await book.write([fields_of(effect)[0] for effect in raft.effects if isinstance(effect, WriteRecord)])
         await book.met("g2", book.epoch + 4, "t5")
         book.hold(0, json.dumps({"index": 10 * book.epoch}))
         await book.flush()
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -118,8 +118,8 @@
         out, self.member.effects = self.member.effects, []
         for effect in out:
             match effect:
-                case node.WriteRecords(words):
-                    self.book.write(list(words)).add_done_callback(self._wrote)
+                case node.WriteRecords(records):
+                    self.book.write(records).add_done_callback(self._wrote)
                 case node.Send(to, word):
                     self.peers.say(to, word)
                 case node.SaveState(lineage, state):
--- a/weldhatch/cluster/storage.py
+++ b/weldhatch/cluster/storage.py
@@ -9,10 +9,11 @@
 import asyncio
 import json
 import secrets
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 
 from weldhatch.config import ConfigError
 from weldhatch.consensus.persistent_state import PersistentState
+from weldhatch.consensus.records import Record, record_from_list
 from weldhatch.sites.epochs import EpochBook
 from weldhatch.store.commit import PROBE
 from weldhatch.store.folded import FoldedStore
@@ -39,8 +40,8 @@
         except (ValueError, TypeError) as fault:
             raise ValueError(f"a record that can't be read: {payload[:80]!r}: {fault}") from None
         match word, rest:
-            case "raft", [str(one), *values]:
-                self.saved.apply(one, *values)
+            case "raft", values:
+                self.saved.apply(record_from_list(values))
             case "begins", [int(epoch), str(token)]:
                 self.epoch, self.token = epoch, token
             case "met", [str(name), int(epoch), str(token)]:
@@ -58,7 +59,7 @@
         if self.state:
             yield json.dumps(["held", self.lineage, self.state]).encode()
         for record in self.saved.records():
-            yield b'["raft",' + record[1:]
+            yield b'["raft",' + json.dumps(record.to_list()).encode()[1:]
 
     @property
     def size(self) -> int:
@@ -85,9 +86,9 @@
         self.saved = memory.saved
         self.lineage, self.state = memory.lineage, memory.state
 
-    def write(self, words: list[tuple]) -> asyncio.Future:
+    def write(self, records: Iterable[Record]) -> asyncio.Future:
         """A voter's records: done once they are on the disk, however long that takes."""
-        return self._store.must([json.dumps(["raft", *word]).encode() for word in words])
+        return self._store.must([json.dumps(["raft", *record.to_list()]).encode() for record in records])
 
     def hold(self, lineage: int, state: str) -> None:
         """The state that is acted on, for a look after a restart."""
--- /dev/null
+++ b/weldhatch/consensus/log_follower.py
@@ -0,0 +1,107 @@
+"""A follower's part: the leader's entries and snapshots taken in. Source: Ongaro 2014, sections 3.5 and 5."""
+
+from __future__ import annotations
+
+from weldhatch.consensus.effects import LoadSnapshot
+from weldhatch.consensus.messages import AppendEntries, AppendEntriesResponse, InstallSnapshot
+from weldhatch.consensus.records import EntryRecord, LostRecord, SnapshotRecord, VoteRecord
+from weldhatch.consensus.rejoin import RejoinGuard
+from weldhatch.consensus.voter_state import Role, VoterState
+
+
+class LogFollower:
+    """Take in the leader's log."""
+
+    def __init__(self, state: VoterState, rejoin: RejoinGuard) -> None:
+        """Follow for the voter of that state."""
+        self._state = state
+        self._rejoin = rejoin
+
+    # ---- entries ---------------------------------------------------------------------------------------
+
+    def handle_append(self, now: float, name: str, message: AppendEntries) -> None:
+        """Take entries where the log before them is the leader's, and decide what the leader has decided."""
+        state = self._state
+        persistent = state.persistent
+        if message.term < persistent.term:
+            self._refuse(name, message, match_index=0)
+            return
+        state.become_follower(message.term, name, now)
+        previous = message.prev_index
+        if previous > persistent.snapshot_index and persistent.term_at(previous) != message.prev_term:
+            self._refuse(name, message, match_index=min(persistent.last_index, previous - 1))
+            return
+        match_index = self._take_entries(message)
+        self._acknowledge(name, match_index, message.sent_at)
+        state.commit_up_to(min(message.leader_commit, match_index))
+
+    def _take_entries(self, message: AppendEntries) -> int:
+        persistent = self._state.persistent
+        index = message.prev_index
+        for entry in message.entries:
+            index += 1
+            if index <= persistent.snapshot_index:
+                continue  # behind our snapshot: decided long ago
+            if persistent.term_at(index) != entry.term:
+                self._state.write(EntryRecord(index, entry))
+                self._state.refresh_voters()
+        return index
+
+    def _refuse(self, name: str, message: AppendEntries, match_index: int) -> None:
+        persistent = self._state.persistent
+        response = AppendEntriesResponse(
+            persistent.lineage, persistent.term, False, match_index, message.sent_at
+        )
+        self._state.send(name, response)
+
+    def _acknowledge(self, name: str, match_index: int, sent_at: float) -> None:
+        persistent = self._state.persistent
+        response = AppendEntriesResponse(
+            persistent.lineage, persistent.term, True, match_index, sent_at, persistent.record_count
+        )
+        self._state.send(name, response)
+
+    # ---- snapshots -------------------------------------------------------------------------------------
+
+    def handle_snapshot(self, now: float, name: str, message: InstallSnapshot) -> None:
+        """Take a snapshot in the place of the log, also of a later lineage."""
+        state = self._state
+        if message.lineage > state.persistent.lineage:
+            self._join_lineage(now, name, message)
+        elif message.term >= state.persistent.term:
+            state.become_follower(message.term, name, now)
+            if message.last_index > state.commit_index:
+                self._install(message)
+                self._load(name, message)
+            else:
+                self._acknowledge(name, state.commit_index, message.sent_at)
+
+    def _join_lineage(self, now: float, name: str, message: InstallSnapshot) -> None:
+        state = self._state
+        state.role = Role.FOLLOWER
+        state.leader = name
+        state.last_leader_contact = now
+        state.election_timer_started = now
+        self._install(message)
+        self._rejoin.trust_store()
+        if state.lost_reason:
+            state.write(LostRecord(""))  # what it may have voted in the lineage before is void
+        self._load(name, message)
+
+    def _install(self, message: InstallSnapshot) -> None:
+        state = self._state
+        state.write(
+            SnapshotRecord(
+                message.lineage, message.last_index, message.last_term, message.voters, message.state
+            )
+        )
+        if message.term > state.persistent.term:
+            state.write(VoteRecord(message.lineage, message.term, ""))
+
+    def _load(self, name: str, message: InstallSnapshot) -> None:
+        state = self._state
+        state.refresh_voters()
+        state.commit_index = message.last_index
+        state.applied_index = message.last_index
+        state.effects.append(LoadSnapshot(message.last_index, message.state))
+        self._acknowledge(name, message.last_index, message.sent_at)
--- a/weldhatch/consensus/messages.py
+++ b/weldhatch/consensus/messages.py
@@ -1,109 +1,153 @@
-"""What voters say to each other. Source: Ongaro, "Consensus: Bridging Theory and Practice", 2014.
+"""Messages between voters, and the names under which links encode their fields.
 
-`term` counts leaders. `lineage` counts recoveries by hand: what a lineage before the last recovery says is
-void. `stored` is how many records the sender's store has taken in all its life: a store that is found
-with fewer later has lost its tail.
+Source: Ongaro 2014, figure 3.1, and sections 3.10 (TimeoutNow), 5.3 (InstallSnapshot) and 9.6 (pre-vote).
+
+Every message names the sender's `lineage`, which counts recoveries by hand: what a lineage before the last
+recovery says is void. `record_count` is how many records the sender's store has taken in during all its
+existence, and `known_record_count` how many the sender has been told of by the receiver: a store that is
+found with fewer later has lost its end.
+
+Links encode fields by name. `rename` keeps the encoded names of version 0.2.0; the order of fields is part of
+the encoding, too.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
+
+import msgspec
+
+_RECORD_COUNTS = {"known_record_count": "seen", "record_count": "stored"}
+
+
+class EntryKind(StrEnum):
+    """What a log entry holds, as it is encoded."""
+
+    COMMAND = "command"
+    VOTERS = "voters"  # a change of the voters: JSON of name to address
+    NO_OP = "first"  # the first entry of a term
+
+
+class LogPosition(NamedTuple):
+    """How far a log is: the greater is the more up-to-date (Ongaro 2014, section 3.6.1)."""
+
+    last_term: int
+    last_index: int
 
 
-@dataclass(slots=True, frozen=True)
-class LogEntry:
-    """One place of the log. `kind`: 'command', 'voters' (data: JSON of name to address), 'first' (of a
-    term)."""
+class LogEntry(msgspec.Struct, frozen=True):
+    """One place of the log. `kind` is one of `EntryKind`."""
 
     term: int
     kind: str
     data: str = ""
 
 
-@dataclass(slots=True, frozen=True)
-class RequestVote:
-    """`pre`: would you vote for me (no term is begun)? `handed`: the leader has asked me to stand."""
+class RequestVote(
+    msgspec.Struct, frozen=True, rename={"pre_vote": "pre", "transfer": "handed", **_RECORD_COUNTS}
+):
+    """Ask for a vote.
+
+    `pre_vote`: would the receiver vote for the sender? No term has begun. `transfer`: the leader has asked
+    the sender to stand for election.
+    """
 
     lineage: int
     term: int
     last_index: int
     last_term: int
-    pre: bool
-    handed: bool = False
-    seen: int = 0  # how many records of the hearer's store the sender has been told of
-    stored: int = 0  # how many records the sender's own store has taken in, in all its life
+    pre_vote: bool
+    transfer: bool = False
+    known_record_count: int = 0
+    record_count: int = 0
+
 
+class RequestVoteResponse(msgspec.Struct, frozen=True, rename={"pre_vote": "pre", "record_count": "stored"}):
+    """Answer a `RequestVote`."""
 
-@dataclass(slots=True, frozen=True)
-class RequestVoteResponse:
     lineage: int
     term: int
     granted: bool
-    pre: bool
-    stored: int = 0
+    pre_vote: bool
+    record_count: int = 0
 
 
-@dataclass(slots=True, frozen=True)
-class AppendEntries:
-    """Entries after `prev_index`; none is a heartbeat. `sent`: the leader's clock, echoed."""
+class AppendEntries(
+    msgspec.Struct, frozen=True, rename={"leader_commit": "commit", "sent_at": "sent", **_RECORD_COUNTS}
+):
+    """Replicate entries that follow `prev_index`; without entries it is a heartbeat.
+
+    `sent_at`: seconds of the leader's clock, echoed in the answer.
+    """
 
     lineage: int
     term: int
     prev_index: int
     prev_term: int
     entries: tuple[LogEntry, ...]
-    commit: int
-    sent: float
-    seen: int = 0  # as in RequestVote
-    stored: int = 0  # as there: a leader's own store may come back as an older copy, too
+    leader_commit: int
+    sent_at: float
+    known_record_count: int = 0
+    record_count: int = 0
 
 
-@dataclass(slots=True, frozen=True)
-class AppendEntriesResponse:
-    """`match`: how far the log is the leader's; where not `ok`, where it may be."""
+class AppendEntriesResponse(
+    msgspec.Struct,
+    frozen=True,
+    rename={"success": "ok", "match_index": "match", "sent_at": "sent", "record_count": "stored"},
+):
+    """Answer an `AppendEntries` or `InstallSnapshot`.
+
+    `match_index`: up to where the log is the leader's; without `success`, up to where it may be.
+    """
 
     lineage: int
     term: int
-    ok: bool
-    match: int
-    sent: float
-    stored: int = 0
+    success: bool
+    match_index: int
+    sent_at: float
+    record_count: int = 0
+
 
+class InstallSnapshot(
+    msgspec.Struct,
+    frozen=True,
+    rename={"last_index": "index", "last_term": "index_term", "sent_at": "sent"},
+):
+    """Bring a log up to date that ends before the first entry that the leader still has.
 
-@dataclass(slots=True, frozen=True)
-class InstallSnapshot:
-    """A snapshot, for a log that ends before what the leader still has."""
+    `last_index`, `last_term`: of the last entry that `state` includes; `voters`: JSON of name to address.
+    """
 
     lineage: int
     term: int
-    index: int
-    index_term: int
+    last_index: int
+    last_term: int
     voters: str
     state: str
-    sent: float
+    sent_at: float
 
 
-@dataclass(slots=True, frozen=True)
-class TimeoutNow:
-    """The leader hands over: the hearer stands for election without waiting."""
+class TimeoutNow(msgspec.Struct, frozen=True):
+    """Transfer leadership: the receiver stands for election without waiting."""
 
     lineage: int
     term: int
 
 
-@dataclass(slots=True, frozen=True)
-class Hello:
-    """The first word on a new link: `seen` as in RequestVote, and how far the sender is.
+class Hello(msgspec.Struct, frozen=True, rename={"known_record_count": "seen", "wants_reply": "asks"}):
+    """Begin a new link: what the sender knows of the receiver's store, and how far its own log is.
 
-    `asks`: it wants to hear the same of the other side, at once.
+    `wants_reply`: the sender wants to hear the same of the receiver, at once.
     """
 
     lineage: int
-    seen: int
+    known_record_count: int
     term: int = 0
     last_term: int = 0
     last_index: int = 0
-    asks: bool = False
+    wants_reply: bool = False
 
 
 Message = (
--- a/weldhatch/consensus/persistent_state.py
+++ b/weldhatch/consensus/persistent_state.py
@@ -1,90 +1,142 @@
-"""What a voter keeps on disk: its term and vote, its log, a snapshot; folded from records.
-
-Records are JSON arrays: ["vote", lineage, term, name], ["entry", index, term, kind, data] (which replaces
-all from its index on), ["snapshot", lineage, index, term, voters, state], ["lost", why], ["writes", count].
-"""
+"""What a voter keeps on disk: its term and vote, its log, a snapshot; folded from records."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Iterator
 
-from weldhatch.consensus.messages import LogEntry
+from weldhatch.consensus.errors import InvalidRecordError
+from weldhatch.consensus.messages import EntryKind, LogEntry, LogPosition
+from weldhatch.consensus.records import (
+    EntryRecord,
+    LostRecord,
+    Record,
+    RecordCountRecord,
+    SnapshotRecord,
+    VoteRecord,
+    record_from_list,
+)
+
+NO_VOTERS = "{}"
 
 
 class PersistentState:
-    """The fold. `entries[0]` has the index `base + 1`."""
+    """The fold of a voter's records. `entries[0]` has the index `snapshot_index + 1`."""
 
     def __init__(self) -> None:
-        self.lineage = self.term = 0
-        self.vote = ""
-        self.base = self.base_term = 0
-        self.voters, self.state = "{}", ""
+        """Begin as an empty store."""
+        self.lineage = 0
+        self.term = 0
+        self.voted_for = ""  # in `term`; '' for nobody yet
+        self.snapshot_index = 0
+        self.snapshot_term = 0
+        self.snapshot_voters = NO_VOTERS  # JSON of name to address
+        self.snapshot_state = ""
         self.entries: list[LogEntry] = []
-        self.lost = ""  # why this store's voter votes no more
-        self.writes = 0  # records taken in all the store's life
+        self.lost_reason = ""  # why this store's voter votes no more
+        self.record_count = 0  # records taken in during all the store's existence
 
-    def take(self, payload: bytes) -> None:
-        """One record. Raises ValueError for what is none."""
+    def apply_encoded(self, payload: bytes) -> None:
+        """Take one record as it is stored. Raises InvalidRecordError for what is none."""
         try:
-            self.apply(*json.loads(payload))
-        except (ValueError, TypeError, IndexError) as fault:
-            raise ValueError(f"a record that can't be read: {payload[:80]!r}: {fault}") from None
-
-    def apply(self, word: str, *rest: object) -> None:
-        self.writes += 1
-        match word, rest:
-            case "vote", [int(lineage), int(term), str(name)]:
-                self.lineage, self.term, self.vote = lineage, term, name
-            case "entry", [int(index), int(term), str(kind), str(data)]:
-                if not self.base < index <= self.last + 1:
-                    raise ValueError(f"entry {index} after {self.last}, of {self.base} on")
-                del self.entries[index - self.base - 1 :]
-                self.entries.append(LogEntry(term, kind, data))
-            case "snapshot", [int(lineage), int(index), int(term), str(voters), str(state)]:
-                keep = (
-                    lineage == self.lineage and self.base <= index < self.last and self.term_at(index) == term
-                )
-                self.entries = self.entries[index - self.base :] if keep else []
-                self.lineage = lineage
-                self.base, self.base_term, self.voters, self.state = index, term, voters, state
-            case "lost", [str(why)]:
-                self.lost = why
-            case "writes", [int(count)]:
-                self.writes = count
-            case _:
-                raise ValueError(f"the unknown word {word!r}")
-
-    def records(self) -> Iterator[bytes]:
-        """The least records that fold to the same."""
-        words = [("vote", self.lineage, self.term, self.vote)]
-        if self.base or self.voters != "{}":
-            words.append(("snapshot", self.lineage, self.base, self.base_term, self.voters, self.state))
-        if self.lost:
-            words.append(("lost", self.lost))
-        words += [
-            ("entry", n, one.term, one.kind, one.data) for n, one in enumerate(self.entries, self.base + 1)
+            self.apply(record_from_list(json.loads(payload)))
+        except (ValueError, TypeError) as error:
+            raise InvalidRecordError(f"a record that can't be read: {payload[:80]!r}: {error}") from None
+
+    def apply(self, record: Record) -> None:
+        """Take one record. Raises InvalidRecordError for an entry that leaves a gap."""
+        match record:
+            case VoteRecord():
+                self.lineage = record.lineage
+                self.term = record.term
+                self.voted_for = record.voted_for
+            case EntryRecord():
+                self._apply_entry(record)
+            case SnapshotRecord():
+                self._apply_snapshot(record)
+            case LostRecord():
+                self.lost_reason = record.reason
+        self.record_count = record.count if isinstance(record, RecordCountRecord) else self.record_count + 1
+
+    def _apply_entry(self, record: EntryRecord) -> None:
+        if not self.snapshot_index < record.index <= self.last_index + 1:
+            raise InvalidRecordError(
+                f"entry {record.index} after {self.last_index}, of {self.snapshot_index} on"
+            )
+        del self.entries[record.index - self.snapshot_index - 1 :]
+        self.entries.append(record.entry)
+
+    def _apply_snapshot(self, record: SnapshotRecord) -> None:
+        entries_follow = (
+            record.lineage == self.lineage
+            and self.snapshot_index <= record.index < self.last_index
+            and self.term_at(record.index) == record.term
+        )
+        self.entries = self.entries[record.index - self.snapshot_index :] if entries_follow else []
+        self.lineage = record.lineage
+        self.snapshot_index = record.index
+        self.snapshot_term = record.term
+        self.snapshot_voters = record.voters
+        self.snapshot_state = record.state
+
+    def records(self) -> Iterator[Record]:
+        """Yield the fewest records that fold to the same."""
+        records: list[Record] = [VoteRecord(self.lineage, self.term, self.voted_for)]
+        if self.snapshot_index or self.snapshot_voters != NO_VOTERS:
+            records.append(self._snapshot_record())
+        if self.lost_reason:
+            records.append(LostRecord(self.lost_reason))
+        records += [
+            EntryRecord(index, entry) for index, entry in enumerate(self.entries, self.snapshot_index + 1)
         ]
-        for word in [("writes", self.writes - len(words)), *words]:
-            yield json.dumps(word).encode()
+        yield RecordCountRecord(self.record_count - len(records))
+        yield from records
+
+    def _snapshot_record(self) -> SnapshotRecord:
+        return SnapshotRecord(
+            self.lineage, self.snapshot_index, self.snapshot_term, self.snapshot_voters, self.snapshot_state
+        )
 
     @property
     def size(self) -> int:
+        """About how many records `records` yields."""
         return 3 + len(self.entries)
 
     @property
-    def last(self) -> int:
-        return self.base + len(self.entries)
+    def last_index(self) -> int:
+        """The index of the last entry."""
+        return self.snapshot_index + len(self.entries)
+
+    @property
+    def last_position(self) -> LogPosition:
+        """How up-to-date the log is."""
+        return LogPosition(self.term_at(self.last_index), self.last_index)
 
     def term_at(self, index: int) -> int:
-        """The term of an entry; -1 where it is no longer, or not yet, there."""
-        if index == self.base:
-            return self.base_term
-        return self.entries[index - self.base - 1].term if self.base < index <= self.last else -1
+        """Return the term of an entry; -1 where it is no longer, or not yet, there."""
+        if index == self.snapshot_index:
+            return self.snapshot_term
+        if self.snapshot_index < index <= self.last_index:
+            return self.entries[index - self.snapshot_index - 1].term
+        return -1
+
+    def entry_at(self, index: int) -> LogEntry:
+        """Return an entry that follows the snapshot."""
+        return self.entries[index - self.snapshot_index - 1]
 
-    def voters_now(self) -> dict[str, str]:
-        """The newest voters of the log, in force as soon as they stand in it: name to address."""
+    def entries_from(self, index: int, limit: int) -> tuple[LogEntry, ...]:
+        """Return at most `limit` entries from `index` on, which follows the snapshot."""
+        start = index - self.snapshot_index - 1
+        return tuple(self.entries[start : start + limit])
+
+    def current_voters(self) -> dict[str, str]:
+        """Return the newest voters of the log, name to address: in force as soon as they stand in it."""
         for entry in reversed(self.entries):
-            if entry.kind == "voters":
-                return json.loads(entry.data)
-        return json.loads(self.voters)
+            if entry.kind == EntryKind.VOTERS:
+                return _voters_from_json(entry.data)
+        return _voters_from_json(self.snapshot_voters)
+
+
+def _voters_from_json(text: str) -> dict[str, str]:
+    voters: dict[str, str] = json.loads(text)
+    return voters
--- a/weldhatch/consensus/rejoin.py
+++ b/weldhatch/consensus/rejoin.py
@@ -11,40 +11,44 @@
 
 from collections.abc import Collection
 
-Log = tuple[int, int]  # the last entry's term and index: the greater, the further
+from weldhatch.consensus.messages import LogPosition
+
+_NO_LOG = LogPosition(0, 0)
+_TRUSTED = float("-inf")
 
 
 class RejoinGuard:
-    """`until`: from when on the store is taken for what it says, whoever was heard."""
+    """Remember what other voters have said of their logs since this process started."""
 
-    def __init__(self, until: float) -> None:
-        self._until = until
-        self._heard: dict[str, Log] = {}
-        self.term = 0  # the greatest that anybody has reached
+    def __init__(self, trusted_from: float) -> None:
+        """Take the store for what it says from `trusted_from` on (seconds), whoever was heard."""
+        self._trusted_from = trusted_from
+        self._positions: dict[str, LogPosition] = {}
+        self.highest_term = 0  # that anybody has reached
 
     @property
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether it wants to hear of others: it came back with a store that holds something."""
-        return self._until != float("-inf")
+        return self._trusted_from != _TRUSTED
 
-    def trust(self) -> None:
-        """There is nothing that the store could have lost: it is new, or counts from now on."""
-        self._until = float("-inf")
+    def trust_store(self) -> None:
+        """Note that there is nothing that the store could have lost: it is new, or counts from now on."""
+        self._trusted_from = _TRUSTED
 
-    def heard(self, name: str, term: int, log: Log) -> None:
+    def note_peer(self, name: str, term: int, position: LogPosition) -> None:
         """Another voter has said how far it is."""
-        self.term = max(self.term, term)
-        self._heard[name] = max(self._heard.get(name, (0, 0)), log)
-
-    def required_log(self, now: float, name: str, voters: Collection[str]) -> Log | None:
-        """How far a log has to be that `name` may vote for, its own too; None where that is not known yet."""
-        if now >= self._until:
-            return 0, 0
-        others = [self._heard[one] for one in voters if one != name and one in self._heard]
+        self.highest_term = max(self.highest_term, term)
+        self._positions[name] = max(self._positions.get(name, _NO_LOG), position)
+
+    def required_log(self, now: float, name: str, voters: Collection[str]) -> LogPosition | None:
+        """Return how far a log has to be that `name` may vote for, its own too; None: not known yet."""
+        if now >= self._trusted_from:
+            return _NO_LOG
+        others = [self._positions[voter] for voter in voters if voter != name and voter in self._positions]
         if len(others) < min(len(voters) - len(voters) // 2, len(voters) - 1):
             return None
-        return max(others, default=(0, 0))
+        return max(others, default=_NO_LOG)
 
-    def spent(self, now: float, term: int) -> bool:
+    def may_have_voted(self, now: float, term: int) -> bool:
         """Whether it may have voted in that term, and forgotten it."""
-        return now < self._until and term <= self.term
+        return now < self._trusted_from and term <= self.highest_term
--- a/weldhatch/coordination/effects.py
+++ b/weldhatch/coordination/effects.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 
 from weldhatch.consensus import messages
+from weldhatch.consensus.records import Record
 from weldhatch.coordination.messages import GroupMessage
 
 
@@ -12,7 +13,7 @@
 class WriteRecords:
     """Records of the voter: call `wrote` once they are on the disk. One `WriteRecords` is out at a time."""
 
-    words: tuple[tuple, ...]
+    records: tuple[Record, ...]
 
 
 @dataclass(slots=True, frozen=True)
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -11,8 +11,13 @@
 from collections.abc import Callable
 from random import Random
 
-from weldhatch.consensus import messages, raft
+from weldhatch.consensus import effects as voter_effects
+from weldhatch.consensus import messages
+from weldhatch.consensus.errors import BusyError, InvalidChangeError, NotLeaderError
 from weldhatch.consensus.persistent_state import PersistentState
+from weldhatch.consensus.raft import Raft
+from weldhatch.consensus.records import VoteRecord
+from weldhatch.consensus.voter_state import Timing
 from weldhatch.coordination.effects import (
     CommandCompleted,
     ConnectVoters,
@@ -83,7 +88,7 @@
         self._epoch, self._token = epoch, token
         self.lease_holder = LeaseHolder(name, epoch, token, spans, read, fits)
         self.state_machine = StateMachine()  # as the voter here has it
-        self.raft: raft.Raft | None = None
+        self.raft: Raft | None = None
         self.coordinator: Leader | None = None
         self._zone_times, self.zoning = zones, None  # the leader's, while it leads
         self.observe_zones: Callable[[float], str] = (
@@ -91,7 +96,7 @@
         )  # what is told of the zones with each question
         self.effects: list[Effect] = []
         self.leader = ""
-        self._queue: deque[raft.Effect] = deque()
+        self._queue: deque[voter_effects.Effect] = deque()
         self._writing = False
         self._own: deque[GroupMessage] = deque()  # what it says to itself
         self._asked: dict[str, str] = {}  # commands in the log, by id: who is to hear the result
@@ -102,17 +107,17 @@
         self._reaching: dict[str, str] = {}
         self.reached: set[str] = set()  # voters that this process can say something to
         if saved is not None:
-            times = raft.Timing(spans.beat, spans.election, spans.drift)
-            self.raft = raft.Raft(name, saved, times, random, now)
+            times = Timing(spans.beat, spans.election, spans.drift)
+            self.raft = Raft(name, saved, times, random, now)
             if begin is not None:
-                self.raft.begin(begin)
-            if saved.state:
-                self.state_machine.load(saved.state)
+                self.raft.bootstrap(begin)
+            if saved.snapshot_state:
+                self.state_machine.load(saved.snapshot_state)
             self._carry(now)
 
     @property
     def is_leader(self) -> bool:
-        return self.raft is not None and self.raft.role == "leader"
+        return self.raft is not None and self.raft.is_leader
 
     # ---- time ------------------------------------------------------------------------------------------
 
@@ -147,15 +152,15 @@
                 self.coordinator = self.zoning = None
                 self._asked.clear()  # what was not decided yet may never be: its senders say it again
                 self._voting.clear()
-                self._event("leads_no_more", term=self.raft.saved.term, leader=self.raft.leader)
+                self._event("leads_no_more", term=self.raft.persistent.term, leader=self.raft.leader)
             return
         if self.coordinator is None:
             self.coordinator = Leader(self.spans, now, self._read)
             if self._zone_times is not None:
                 self.zoning = ZoneLeader(
-                    now, self.name, self.raft.saved.term, self._zone_times, self.coordinator, self._read
+                    now, self.name, self.raft.persistent.term, self._zone_times, self.coordinator, self._read
                 )
-            self._event("leads", term=self.raft.saved.term)
+            self._event("leads", term=self.raft.persistent.term)
         if now >= self.sure_until(now):
             return
         if not self.state_machine.number and self.state_machine.members:
@@ -182,8 +187,8 @@
         Guards against a leader whose own state is not yet what leaders before it have decided, because its
         disk is slow: it would grant a lease on rules that others have moved on from.
         """
-        behind = self.state_machine.index < self.raft.first
-        return float("-inf") if behind else self.raft.leads_until(now)
+        behind = self.state_machine.index < self.raft.first_index_of_term
+        return float("-inf") if behind else self.raft.leadership_guaranteed_until(now)
 
     def _enter(self, now: float, command: dict, who: str = "") -> None:
         """One command into the log, once under its id."""
@@ -193,7 +198,7 @@
             return
         try:
             self.raft.propose(now, json.dumps(command, separators=(",", ":")))
-        except (raft.NotLeaderError, raft.BusyError):
+        except (NotLeaderError, BusyError):
             return
         self._asked[id] = who
         self._carry(now)
@@ -208,11 +213,12 @@
         self._fetch()
         while self._queue and not self._writing:
             words = []
-            while self._queue and isinstance(self._queue[0], raft.WriteRecord):
-                words.append(self._queue.popleft().word)
+            while self._queue and isinstance(self._queue[0], voter_effects.WriteRecord):
+                words.append(self._queue.popleft().record)
             if words:
-                for _, lineage, term, name in (word for word in words if word[0] == "vote" and word[3]):
-                    self._event("votes", lineage=lineage, term=term, for_=name)
+                for record in words:
+                    if isinstance(record, VoteRecord) and record.voted_for:
+                        self._event("votes", lineage=record.lineage, term=record.term, for_=record.voted_for)
                 self._writing = True
                 self.effects.append(WriteRecords(tuple(words)))
                 return
@@ -220,8 +226,8 @@
             self._fetch()
 
     def _fetch(self) -> None:
-        self._queue += self.raft.out
-        self.raft.out.clear()
+        self._queue += self.raft.effects
+        self.raft.effects.clear()
         if self.name in self.raft.voters:  # those in its log count as soon as they stand there
             self._reach(dict(self.raft.voters))
 
@@ -237,15 +243,15 @@
         self._lead(now)
         self._settle(now)
 
-    def _do(self, now: float, effect: raft.Effect) -> None:
+    def _do(self, now: float, effect: voter_effects.Effect) -> None:
         match effect:
-            case raft.Send(to, message):
+            case voter_effects.Send(to, message):
                 self.effects.append(Send(to, message))
-            case raft.EntryPersisted():
-                self.raft.stored(effect)
-            case raft.Commit(index, entry):
+            case voter_effects.EntryPersisted():
+                self.raft.entry_persisted(effect)
+            case voter_effects.Commit(index, entry):
                 self._decided(index, entry)
-            case raft.LoadSnapshot(_, state):
+            case voter_effects.LoadSnapshot(_, state):
                 self.state_machine = StateMachine()
                 if state:
                     self.state_machine.load(state)
@@ -272,13 +278,13 @@
             self.coordinator.decided(index, data)
             if self.is_leader:
                 self._push(index, data)
-        if index - self.raft.saved.base >= SNAPSHOT_EVERY:
-            self.raft.snapshot(self.state_machine.state(), index)
+        if index - self.raft.persistent.snapshot_index >= SNAPSHOT_EVERY:
+            self.raft.compact(self.state_machine.state(), index)
 
     def _push(self, index: int, data: str) -> None:
         """News goes out at once, so that everybody asks at once and is known to hold it."""
         told = LeaseResponse(
-            self.raft.saved.lineage,
+            self.raft.persistent.lineage,
             0.0,
             False,
             "",
@@ -322,10 +328,10 @@
         """One word of another process."""
         if isinstance(word, messages.Message):
             if self.raft is not None and len(self._queue) < BACKLOG_MOST:
-                was = self.raft.lost
-                self.raft.hear(now, name, word)
-                if self.raft.lost and not was:
-                    self._event("lost", why=self.raft.lost)
+                was = self.raft.lost_reason
+                self.raft.receive(now, name, word)
+                if self.raft.lost_reason and not was:
+                    self._event("lost", why=self.raft.lost_reason)
                 self._carry(now)
                 self._lead(now)
         else:
@@ -351,7 +357,7 @@
                 self._tell(
                     name,
                     LeaseResponse(
-                        self.raft.saved.lineage,
+                        self.raft.persistent.lineage,
                         ask.sent,
                         False,
                         "",
@@ -372,7 +378,7 @@
             )
             return
         until, shares = self.sure_until(now), ""
-        told = self.coordinator.asked(now, self.state_machine, ask, self.raft.saved.lineage, until)
+        told = self.coordinator.asked(now, self.state_machine, ask, self.raft.persistent.lineage, until)
         if told.why.startswith("unknown"):
             key = ask.name, ask.epoch, ask.token
             if now - self._joining.get(key, float("-inf")) > JOIN_AGAIN_S:
@@ -483,9 +489,9 @@
                 self._zone_word(now, name, command)
             case "hand":
                 try:
-                    self.raft.hand_over(now, command["to"])
+                    self.raft.transfer_leadership(now, command["to"])
                     self._tell(name, CommandResult(id, '{"ok": true}'))
-                except (raft.NotLeaderError, ValueError) as fault:
+                except (NotLeaderError, InvalidChangeError) as fault:
                     self._tell(name, CommandResult(id, json.dumps({"error": "refused", "text": str(fault)})))
                 self._carry(now)
             case _:
@@ -511,7 +517,7 @@
             return
         try:
             self._voting[self.raft.change_voters(now, voters)] = (id, name)
-        except (raft.NotLeaderError, raft.BusyError, ValueError) as fault:
+        except (NotLeaderError, BusyError, InvalidChangeError) as fault:
             self._tell(name, CommandResult(id, json.dumps({"error": "refused", "text": str(fault)})))
         self._carry(now)
 
@@ -530,14 +536,14 @@
             now,
             {
                 "do": "recovered",
-                "id": f"recovered-{self.raft.saved.lineage}",
+                "id": f"recovered-{self.raft.persistent.lineage}",
                 "by": by,
                 "why": why,
                 "at": unix,
             },
         )
-        self._event("recovered", by=by, why=why, lineage=self.raft.saved.lineage)
-        return {"ok": True, "lineage": self.raft.saved.lineage}
+        self._event("recovered", by=by, why=why, lineage=self.raft.persistent.lineage)
+        return {"ok": True, "lineage": self.raft.persistent.lineage}
 
     def leader_status(self, now: float) -> dict:
         """What only the leader knows: who holds what, and what is waited for."""
@@ -585,13 +591,13 @@
             "digest": group.digest,
             "rev": group.rev,
             "leader": self.name if self.is_leader else (voter.leader if voter else "") or self.leader,
-            "term": voter.saved.term if voter else 0,
+            "term": voter.persistent.term if voter else 0,
             "role": voter.role if voter else "learner",
             "zones": {
                 name: {"phase": one.phase.value, "step": one.step, "held": one.held}
                 for name, one in group.zones.entries.items()
             },
-            "lost": voter.lost if voter else "",
+            "lost": voter.lost_reason if voter else "",
             "members": sorted(group.members),
             "narrowed": len(group.lists.entries),  # machines that somebody's list takes out for all
             "conflicts": [*holder.conflicts, *group.lists.conflicts],
--- a/weldhatch/simulation/seeded_defects.py
+++ b/weldhatch/simulation/seeded_defects.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from unittest import mock
 
-from weldhatch.consensus.raft import Raft
 from weldhatch.consensus.rejoin import RejoinGuard
+from weldhatch.consensus.voter_state import VoterState
 from weldhatch.coordination.lease_holder import LeaseHolder, LeaseStatus
 from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.net.connection import Connection
@@ -42,7 +42,7 @@
 
 
 def _one_is_enough() -> AbstractContextManager:
-    return mock.patch.object(Raft, "_majority", lambda self, names: len(names) >= 1)
+    return mock.patch.object(VoterState, "is_majority", lambda self, names: len(names) >= 1)
 
 
 def _trusts_its_store() -> AbstractContextManager:
--- a/weldhatch/testbed/simulated_cluster.py
+++ b/weldhatch/testbed/simulated_cluster.py
@@ -15,6 +15,7 @@
 
 from weldhatch import config
 from weldhatch.consensus.persistent_state import PersistentState
+from weldhatch.consensus.records import Record
 from weldhatch.coordination import compatibility
 from weldhatch.coordination.leader import LeaseTiming
 from weldhatch.coordination.node import (
@@ -62,8 +63,8 @@
     name: str
     rate: float  # of its clock
     votes: bool
-    disk: list[tuple] = field(default_factory=list)
-    older: list[tuple] = field(default_factory=list)  # a copy of the disk
+    disk: list[Record] = field(default_factory=list)
+    older: list[Record] = field(default_factory=list)  # a copy of the disk
     epoch: int = 0
     member: CoordinationNode | None = None
     stopped: bool = False
@@ -127,8 +128,8 @@
         saved = None
         if seat.votes:
             saved = PersistentState()
-            for word in seat.disk:
-                saved.apply(*word)
+            for record in seat.disk:
+                saved.apply(record)
         own = config.settings_of_json(settings())
 
         def read(tree: dict) -> i.Settings:
@@ -225,8 +226,8 @@
             self._carry(seat)
 
     def _wrote(self, seat: Seat) -> None:
-        words, seat.writing = seat.writing.words, None
-        seat.disk += words
+        records, seat.writing = seat.writing.records, None
+        seat.disk += records
         seat.member.records_written(seat.now(self.time))
         self._carry(seat)
 
@@ -305,7 +306,7 @@
                     else (
                         seat.stopped,
                         seat.member.raft.role if seat.member.raft else "",
-                        seat.member.raft.saved.term if seat.member.raft else 0,
+                        seat.member.raft.persistent.term if seat.member.raft else 0,
                         seat.member.lease_holder.state_machine.index,
                         seat.member.lease_holder.lease_status(seat.now(self.time)).value,
                     )
