--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -18,9 +18,10 @@
 from weldhatch.cluster.node import ClusterNode
 from weldhatch.cluster.storage import ClusterRecords, ClusterStore
 from weldhatch.consensus.messages import AppendEntries, LogEntry
-from weldhatch.coordination import compatibility, drain_reports
-from weldhatch.coordination.compatibility import IncompatibleChangeError, Overlap
+from weldhatch.coordination import compatibility, drain_reports, setting_rules
+from weldhatch.coordination.errors import IncompatibleChangeError
 from weldhatch.coordination.messages import LeaseRequest, LeaseResponse
+from weldhatch.coordination.setting_rules import Overlap
 from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.pullqueue.operator_states import STATES
 from weldhatch.scheduling import types as i
@@ -121,8 +122,8 @@
         bold: bool = False
 
     with pytest.raises(AssertionError, match="bold"):
-        compatibility.check_complete(More, compatibility.CLASSES)
-    assert {one.name for one in fields(i.Settings)} == compatibility.SETTINGS.keys() | compatibility.LISTS
+        setting_rules.check_complete(More, setting_rules.CLASSES)
+    assert {one.name for one in fields(i.Settings)} == setting_rules.SETTINGS.keys() | setting_rules.LISTS
 
 
 # ---- the group's state -----------------------------------------------------------------------------------
@@ -149,11 +150,11 @@
     for n, data in enumerate(log, 1):
         one.apply(n, data)
         again = StateMachine()
-        again.load(one.state())
+        again.load(one.snapshot())
         other.apply(n, data)
         assert again.digest == one.digest == other.digest
-        other.load(other.state())
-    assert [(told["number"], told["came"]) for told in one.history] == [
+        other.load(other.snapshot())
+    assert [(told["number"], told["came"]) for told in one.versions.history] == [
         (1, "proposed"),
         (1, "active"),
         (2, "proposed"),
@@ -163,7 +164,7 @@
         "ok": True,
         "number": 1,
     }  # said again: carried out once
-    assert one.number == 2
+    assert one.versions.last_number == 2
 
 
 @pytest.mark.parametrize(
@@ -181,9 +182,9 @@
     group = StateMachine()
     group.apply(1, command(do="join", name="g", epoch=2, token="t"))
     group.apply(2, command(do="word", machine="m", state="off", fence=5, op=""))
-    before = json.loads(group.state())
+    before = json.loads(group.snapshot())
     assert group.apply(3, command(**it))["error"] == error
-    assert json.loads(group.state()) == {**before, "index": 3}
+    assert json.loads(group.snapshot()) == {**before, "index": 3}
 
 
 def test_operators_states_are_ordered():
@@ -195,37 +196,37 @@
 
 def test_what_one_list_narrows_counts_for_those_with_an_older_one():
     told = drain_reports.DrainReports()
-    told.take(7, {"s1": "draining", "s2": "gone", "s3": "ready"}, "g1")
-    assert [told.acts(uid, 6) for uid in ("s1", "s2", "s3")] == ["draining", "gone", "ready"]
-    assert told.acts("s1", 8) == "ready"  # its own list is newer
-    told.take(5, {"s1": "ready"}, "g2")  # an older one changes nothing
-    assert told.acts("s1", 5) == "draining"
-    told.take(9, {"s1": "ready"}, "g2")
-    assert told.acts("s1", 5) == "ready"
+    told.merge(7, {"s1": "draining", "s2": "gone", "s3": "ready"}, "g1")
+    assert [told.effective_state(uid, 6) for uid in ("s1", "s2", "s3")] == ["draining", "gone", "ready"]
+    assert told.effective_state("s1", 8) == "ready"  # its own list is newer
+    told.merge(5, {"s1": "ready"}, "g2")  # an older one changes nothing
+    assert told.effective_state("s1", 5) == "draining"
+    told.merge(9, {"s1": "ready"}, "g2")
+    assert told.effective_state("s1", 5) == "ready"
 
 
 def test_two_lists_of_one_revision_the_narrower_acts_and_it_is_told():
     told = drain_reports.DrainReports()
-    told.take(7, {"s1": "draining"}, "g1")
-    told.take(7, {"s1": "ready"}, "g2")
-    assert told.acts("s1", 7, "ready") == "draining"
+    told.merge(7, {"s1": "draining"}, "g1")
+    told.merge(7, {"s1": "ready"}, "g2")
+    assert told.effective_state("s1", 7, "ready") == "draining"
     assert "s1: draining and, by g2, ready, both in a list of revision 7" in told.conflicts
-    told.take(7, {"s1": "gone"}, "g3")
-    assert told.acts("s1", 7) == "gone"
+    told.merge(7, {"s1": "gone"}, "g3")
+    assert told.effective_state("s1", 7) == "gone"
 
 
 def test_a_dispatcher_tells_only_what_is_news():
     told = drain_reports.DrainReports()
     states = {"s1": "draining", "s2": "ready"}
-    assert told.news(3, states) == {"s1": "draining"}
-    told.take(3, told.news(3, states), "g1")
-    assert told.news(3, states) == {}
-    assert told.news(4, {"s1": "ready", "s2": "ready"}) == {"s1": "ready"}
-    assert told.news(2, {"s1": "ready"}) == {}
-    for n in range(drain_reports.ENTRIES_MOST + 5):
-        told.entries[f"x{n}"] = [n, "gone"]
-    told.take(9, {"y": "gone"}, "g1")
-    assert len(told.entries) == drain_reports.ENTRIES_MOST
+    assert told.unreported(3, states) == {"s1": "draining"}
+    told.merge(3, told.unreported(3, states), "g1")
+    assert told.unreported(3, states) == {}
+    assert told.unreported(4, {"s1": "ready", "s2": "ready"}) == {"s1": "ready"}
+    assert told.unreported(2, {"s1": "ready"}) == {}
+    for n in range(drain_reports.MAX_ENTRIES + 5):
+        told.entries[f"x{n}"] = drain_reports.DrainReport(n, "gone")
+    told.merge(9, {"y": "gone"}, "g1")
+    assert len(told.entries) == drain_reports.MAX_ENTRIES
     assert "x0" not in told.entries
 
 
@@ -448,7 +449,7 @@
         )
         self.closes.append(again.close)
         self.assertEqual(again.status()["number"], 2)
-        cls = again.lease_holder.rules.narrow.settings.classes[0]
+        cls = again.lease_holder.rules.restricted.settings.classes[0]
         self.assertTrue(again.lease_holder.refusal_reason(again._now(), cls))
         await until(
             lambda: not again.lease_holder.refusal_reason(again._now(), cls), 10, "it has its lease again"
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.coordination.leader import Leader
+from weldhatch.coordination.lease_grants import LeaseGrants
 from weldhatch.coordination.lease_holder import LeaseHolder, LeaseStatus
-from weldhatch.coordination.state_machine import MachineDirective
+from weldhatch.coordination.machine_directives import MachineDirective
 from weldhatch.testbed import simulated_cluster
 from weldhatch.testbed.simulated_cluster import KINDS, Contradiction, Council, scenario, settings, settled
 
@@ -94,7 +94,7 @@
     for _ in range(120):
         done.step()
         holder, now = seat.member.lease_holder, seat.now(done.time)
-        lookup, keyed, writer = holder.rules.narrow.settings.classes
+        lookup, keyed, writer = holder.rules.restricted.settings.classes
         footing = holder.lease_status(now)
         seen.add(footing)
         assert (not holder.refusal_reason(now, lookup)) == (footing is not LeaseStatus.EXPIRED)
@@ -120,7 +120,7 @@
     while 2 not in done.active:
         done.step()
         assert seat.stopped
-    cls = seat.member.lease_holder.rules.narrow.settings.classes[1]
+    cls = seat.member.lease_holder.rules.restricted.settings.classes[1]
     assert seat.member.lease_holder.refusal_reason(
         seat.now(done.time), cls
     )  # asked before it has heard anything
@@ -136,7 +136,7 @@
     tree = settings(effect="read_like")
     done.give("n0", "p1", {"do": "propose", "base": 1, "tree": tree, "why": "x", "by": "x"})
     done.run(60)
-    history = done.seats["n0"].member.state_machine.history
+    history = done.seats["n0"].member.state_machine.versions.history
     assert history[-1]["came"] == "dropped"
     assert "n3 refuses: classes.import.effect" in history[-1]["why"]
     done.give(
@@ -199,7 +199,7 @@
     seat = done.seats["n3"]
     done.seats["n3"].member, seat.member = old, old
     done.run(60)
-    assert "fenced" in old.lease_holder.why
+    assert "fenced" in old.lease_holder.denial
     assert old.lease_holder.lease_status(seat.now(done.time)) is LeaseStatus.EXPIRED
 
 
@@ -211,11 +211,11 @@
             "lease_status",
             lambda self, now: LeaseStatus.VALID,
         ),  # the lease check, when a decision acts
-        (Leader, "waits", lambda self, *args, **more: {}),  # the wait for all who hold a lease
+        (LeaseGrants, "pending", lambda self, *args, **more: {}),  # the wait for all who hold a lease
         (
             LeaseHolder,
-            "_narrowed",
-            lambda self, real=LeaseHolder._narrowed: _only_active(self, real),
+            "_derive_rules",
+            lambda self, real=LeaseHolder._derive_rules: _only_active(self, real),
         ),  # the narrower
     ],
 )
@@ -230,15 +230,15 @@
 
 
 def _only_active(self, real):
-    prepared, self.state_machine.prepared = self.state_machine.prepared, None
+    prepared, self.state_machine.versions.prepared = self.state_machine.versions.prepared, None
     try:
         return real(self)
     finally:
-        self.state_machine.prepared = prepared
+        self.state_machine.versions.prepared = prepared
 
 
 def test_without_the_narrower_word_a_machine_is_used_too_early(monkeypatch):
-    monkeypatch.setattr(MachineDirective, "acts", property(lambda self: self.state))
+    monkeypatch.setattr(MachineDirective, "effective_state", property(lambda self: self.state))
     with pytest.raises(AssertionError):
         test_a_drain_acts_at_once_and_its_undoing_once_everybody_holds_it()
 
--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -38,10 +38,12 @@
 from weldhatch.consensus.raft import Raft
 from weldhatch.consensus.voter_state import Timing
 from weldhatch.coordination import effects
-from weldhatch.coordination.leader import LeaseTiming
+from weldhatch.coordination.incarnation import Incarnation
 from weldhatch.coordination.messages import CommandRequest, CommandResult, LeaseRequest, LeaseResponse
 from weldhatch.coordination.node import CoordinationNode
+from weldhatch.coordination.node_setup import NodeSetup
 from weldhatch.coordination.state_machine import StateMachine
+from weldhatch.coordination.timing import LeaseTiming
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 from weldhatch.store.log import Log
@@ -325,20 +327,20 @@
             return replace(config.settings_of_json(told), zone=0)
 
         seat.member = CoordinationNode(
-            seat.name,
-            seat.epoch,
-            f"t{seat.epoch}",
-            LeaseTiming(),
-            read,
-            lambda settings: "import: not here" if settings.classes[0].spread_most == 13 else "",
-            tree(),
+            NodeSetup(
+                Incarnation(seat.name, seat.epoch, f"t{seat.epoch}"),
+                LeaseTiming(),
+                read,
+                lambda settings: "import: not here" if settings.classes[0].spread_most == 13 else "",
+                tree(),
+                ZoneTimes(quorum=2),
+            ),
             Random(self.random.getrandbits(32)),
             seat.now(self.time),
             saved,
             {name: f"{name}:1" for name in VOTERS} if seat.name in VOTERS and not seat.disk else None,
-            ZoneTimes(quorum=2),
         )
-        seat.member.observe_zones = lambda now: self.report(seat)
+        seat.member.report_zones_by(lambda now: self.report(seat))
         if seat.held[1]:
             seat.member.lease_holder.restore(seat.held[1], seat.held[0])
         for other in self.seats.values():
@@ -365,8 +367,7 @@
         )
 
     def carry(self, seat):
-        out, seat.member.effects = seat.member.effects, []
-        for effect in out:
+        for effect in seat.member.take_effects():
             match effect:
                 case effects.WriteRecords(records):
                     seat.writing = [record_text(record) for record in records]
@@ -654,7 +655,7 @@
     for index, command in enumerate(STATE_COMMANDS, 1):
         data = json.dumps(command) if command is not None else ""
         out.append([json.dumps(group.apply(index, data)), group.digest])
-    return {"applied": out, "state": group.state()}
+    return {"applied": out, "state": group.snapshot()}
 
 
 def test_the_state_of_the_group_has_the_text_that_was_recorded():
@@ -664,13 +665,13 @@
 def test_a_snapshot_of_version_0_2_0_is_read_and_gone_on_with():
     group = StateMachine()
     group.load(recorded("state")["state"])
-    assert group.state() == recorded("state")["state"]
+    assert group.snapshot() == recorded("state")["state"]
     assert group.digest == recorded("state")["applied"][-1][1]
-    told = json.loads(group.state())
+    told = json.loads(group.snapshot())
     del told["zones"]  # a version before them
     group.load(json.dumps(told))
-    assert json.loads(group.state())["zones"] == {"entries": {}, "fenced": {}, "history": [], "number": 0}
-    assert json.loads(group.state()) | {"zones": 0} == told | {"zones": 0}
+    assert json.loads(group.snapshot())["zones"] == {"entries": {}, "fenced": {}, "history": [], "number": 0}
+    assert json.loads(group.snapshot()) | {"zones": 0} == told | {"zones": 0}
 
 
 # ---- the control address ---------------------------------------------------------------------------------
@@ -772,7 +773,7 @@
                 except HttpError as fault:
                     out.append([method, path, fault.body()])
                 if (method, path) == ("POST", "/v1/rules/propose") and isinstance(out[-1][2], dict):
-                    number = agreement.lease_holder.state_machine.number
+                    number = agreement.lease_holder.state_machine.versions.last_number
                     while agreement.lease_holder.state_machine.active.number < number:
                         await asyncio.sleep(0.01)
         finally:
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -29,9 +29,10 @@
 from weldhatch.cli import zones as cli_zones
 from weldhatch.cli.main import root
 from weldhatch.cluster import codec
-from weldhatch.coordination.leader import Leader, LeaseTiming
+from weldhatch.coordination.leader import Leader
 from weldhatch.coordination.messages import LeaseRequest, LeaseResponse
 from weldhatch.coordination.state_machine import StateMachine
+from weldhatch.coordination.timing import LeaseTiming
 from weldhatch.coordination.zone_leader import ZoneLeader
 from weldhatch.scheduling import types as events
 from weldhatch.simulation.scenario_runner import SCENARIOS, play
@@ -663,19 +664,21 @@
                         events.ProbeAnswered(probed, events.Outcome.TIMEOUT if silent else events.Outcome.OK),
                     )
             if step % 4 == n % 4:
-                ask = LeaseRequest(7, f"d{n}", 1, "t", now, group.index, "x", sight=report_text(one, now))
-                zoning.hear(now, group, ask)
-                shares = zoning.shares(now, group, ask)
-                learn = LeaseResponse(7, now, True, "", "", 0, (), "", group.index, "x", shares=shares)
+                ask = LeaseRequest(
+                    7, f"d{n}", 1, "t", now, group.index, "x", zone_report=report_text(one, now)
+                )
+                zoning.receive_report(now, group, ask)
+                shares = zoning.start_quotas(now, group, ask)
+                learn = LeaseResponse(7, now, True, "", "", 0, (), "", group.index, "x", start_quotas=shares)
                 for word in (ask, learn):
                     stream, data = codec.encode(word)
                     record.add("word", stream, data.hex())
-        for command in zoning.todo(now, group):
+        for command in zoning.due_commands(now, group):
             record.add("command", json.dumps(command), group.apply(group.index + 1, json.dumps(command)))
             for one in members:
                 one.agreed(now, zones)
     record.add("status", json.dumps(zoning.status(now, group)))
-    record.add("group", group.state())
+    record.add("group", group.snapshot())
 
 
 def simulation(name, *seeds):
--- a/tests/test_zone_verdicts.py
+++ b/tests/test_zone_verdicts.py
@@ -5,9 +5,10 @@
 import unittest
 from dataclasses import replace
 
-from weldhatch.coordination.leader import Leader, LeaseTiming
+from weldhatch.coordination.leader import Leader
 from weldhatch.coordination.messages import LeaseRequest
 from weldhatch.coordination.state_machine import StateMachine
+from weldhatch.coordination.timing import LeaseTiming
 from weldhatch.coordination.zone_leader import ZoneLeader
 from weldhatch.scheduling import types as i
 from weldhatch.testbed.simulated_zones import settings as realm_settings
@@ -300,7 +301,7 @@
             self.assertIn("ok", self.group.apply(index, json.dumps({**command, "id": str(index)})))
 
     def ask(self, name, sight):
-        return LeaseRequest(0, name, 1, "t", 0.0, 0, "", sight=sight)
+        return LeaseRequest(0, name, 1, "t", 0.0, 0, "", zone_report=sight)
 
     def test_reports_that_can_not_be_read_harm_nobody(self):
         self.activate()
@@ -316,20 +317,21 @@
             '{"zone": "z0", "cut": "", "looks": {}, "tenants": {"lookup": {"acme": NaN}}}',
             '{"zone": "z0", "cut": "", "looks": {}, "tenants": {"lookup": 5}}',
         ):
-            self.zoning.hear(1.0, self.group, self.ask("d0", text))
+            self.zoning.receive_report(1.0, self.group, self.ask("d0", text))
         self.assertEqual(self.zoning.status(1.0, self.group)["reports"], {})
-        self.zoning.hear(1.0, self.group, self.ask("d0", json.dumps(told("z0", {"z1": "down"}))))
+        self.zoning.receive_report(1.0, self.group, self.ask("d0", json.dumps(told("z0", {"z1": "down"}))))
         self.assertIn("d0", self.zoning.status(1.0, self.group)["reports"])
 
     def test_before_a_version_is_in_force_there_are_no_zones(self):
-        self.assertEqual(self.zoning.todo(1.0, self.group), [])
+        self.assertEqual(self.zoning.due_commands(1.0, self.group), [])
         self.assertEqual(
-            self.zoning.operator(1.0, self.group, {"place": "z1", "word": "leave"})["error"], "unknown"
+            self.zoning.operator_command(1.0, self.group, {"place": "z1", "word": "leave"})["error"],
+            "unknown",
         )
 
     def test_a_state_of_a_version_before_zones_is_read(self):
         self.activate()
-        state = json.loads(self.group.state())
+        state = json.loads(self.group.snapshot())
         del state["zones"]
         again = StateMachine()
         again.load(json.dumps(state))
--- a/weldhatch/cluster/admission.py
+++ b/weldhatch/cluster/admission.py
@@ -29,9 +29,9 @@
 
     def _refusal(self, class_index: int, machine: str) -> str:
         rules = self._holder.rules
-        if rules is None or class_index >= len(rules.narrow.settings.classes):
+        if rules is None or class_index >= len(rules.restricted.settings.classes):
             return "no rules are in force here" if rules is None else "its class is not in force yet"
-        cls = rules.narrow.settings.classes[class_index]
+        cls = rules.restricted.settings.classes[class_index]
         return self._holder.refusal_reason(self._now(), cls, machine, self._rev())
 
     def away_us(self, task: Task) -> int | None:
@@ -44,7 +44,7 @@
                 return None
             wait = max(1, int(1e6 * away.wait_s))
         self.refused += 1
-        told: i.Settings | None = self._holder.rules and self._holder.rules.narrow.settings
+        told: i.Settings | None = self._holder.rules and self._holder.rules.restricted.settings
         most = told.max_retry_after_us if told is not None and told.retry_after else WAIT_US
         return min(wait, most)
 
--- a/weldhatch/cluster/control_api.py
+++ b/weldhatch/cluster/control_api.py
@@ -40,7 +40,7 @@
             case "GET", "/v1/rules/held":  # of this process alone: answers where no leader does
                 return self.agreement.status(), {}
             case "GET", "/v1/rules/history":
-                return {"history": group.history, "recoveries": group.recoveries}, {}
+                return {"history": group.versions.history, "recoveries": group.recoveries}, {}
             case "GET", path if path.startswith("/v1/rules/versions/"):
                 return self._version(path.rpartition("/")[2]), {}
             case "POST", "/v1/rules/diff":
@@ -56,14 +56,14 @@
                     "machines": {
                         name: {
                             "state": word.state,
-                            "acts": word.acts,
+                            "acts": word.effective_state,
                             "fence": word.fence,
-                            "op": word.op,
-                            "rev": word.rev,
+                            "op": word.operation,
+                            "rev": word.revision,
                         }
-                        for name, word in group.words.items()
+                        for name, word in group.directives.entries.items()
                     },
-                    "rev": group.rev,
+                    "rev": group.directives.revision,
                 }, {}
             case "PUT", path if path.startswith("/v1/machines/"):
                 return await self.set_machine_state(path.removeprefix("/v1/machines/"), request.json()), {}
@@ -155,7 +155,7 @@
         while asyncio.get_running_loop().time() < end:
             if group.active is not None and group.active.number >= number:
                 return number
-            for one in group.history:
+            for one in group.versions.history:
                 if one["number"] == number and one["came"] == "dropped":
                     raise HttpError(409, f"version {number} was dropped: {one['why']}", "settings")
             await asyncio.sleep(LOOK_S)
@@ -164,7 +164,7 @@
         )
 
     def _version(self, text: str) -> dict:
-        trees = self.agreement.lease_holder.state_machine.trees
+        trees = self.agreement.lease_holder.state_machine.versions.trees
         if not text.isdigit() or int(text) not in trees:
             raise HttpError(404, f"version: the settings of version {text!r} are not kept", "version")
         return {"number": int(text), "tree": trees[int(text)]}
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -52,7 +52,7 @@
 
     def news(self, holder: LeaseHolder) -> dict[str, str]:
         """What the group should hear of our list."""
-        return holder.state_machine.lists.news(self.rev, self.states)
+        return holder.state_machine.drain_reports.unreported(self.rev, self.states)
 
     def narrow(self, holder: LeaseHolder, zoned: Callable[[int], str] | None = None) -> tuple[i.Machine, ...]:
         """Machines of which the module should hear another state than it was told last.
@@ -64,7 +64,9 @@
             ids = list(self._uids)
         else:
             ids = [
-                self._ids[uid] for uid in group.lists.entries.keys() | group.words.keys() if uid in self._ids
+                self._ids[uid]
+                for uid in group.drain_reports.entries.keys() | group.directives.entries.keys()
+                if uid in self._ids
             ]
 
         def acts(machine: i.Machine) -> str:
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -20,6 +20,7 @@
 from weldhatch.cluster.node import ClusterNode, GroupUnreachableError, boot_clock
 from weldhatch.cluster.zone_agent import ZoneAgent
 from weldhatch.coordination import compatibility
+from weldhatch.coordination.errors import IncompatibleChangeError
 from weldhatch.coordination.lease_holder import LeaseStatus
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
@@ -86,7 +87,7 @@
         def fits(settings: i.Settings) -> str:
             try:
                 compatibility.find_changes(front.settings, settings)
-            except compatibility.IncompatibleChangeError as unfit:
+            except IncompatibleChangeError as unfit:
                 return str(unfit)
             return ""
 
@@ -133,12 +134,12 @@
     def _changed(self) -> None:
         """Something else is held: the module decides by it from its next batch on."""
         rules = self.node.lease_holder.rules
-        if rules is not None and rules.narrow.settings != self._front.settings:
-            self._front.apply_rules(rules.narrow.settings, self._gate)
+        if rules is not None and rules.restricted.settings != self._front.settings:
+            self._front.apply_rules(rules.restricted.settings, self._gate)
             if self.zone_agent is not None:
-                self.zone_agent.keeper.settle(rules.narrow.settings)
-        for machine, word in self.node.lease_holder.state_machine.words.items():
-            self._front.apply_directive(machine, word.acts, word.fence, word.op)
+                self.zone_agent.keeper.settle(rules.restricted.settings)
+        for machine, word in self.node.lease_holder.state_machine.directives.entries.items():
+            self._front.apply_directive(machine, word.effective_state, word.fence, word.operation)
         if self.zone_agent is not None:
             self.zone_agent.agreed()
         self._narrow()
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -12,9 +12,12 @@
 from weldhatch.cluster.storage import ClusterStore
 from weldhatch.config import AgreementFile, ConfigError
 from weldhatch.consensus.messages import Message
-from weldhatch.coordination import node
-from weldhatch.coordination.leader import LeaseTiming
+from weldhatch.coordination import effects
+from weldhatch.coordination.incarnation import Incarnation
 from weldhatch.coordination.messages import GroupMessage
+from weldhatch.coordination.node import CoordinationNode
+from weldhatch.coordination.node_setup import NodeSetup
+from weldhatch.coordination.timing import LeaseTiming
 from weldhatch.scheduling import types as i
 from weldhatch.zones.failover_leader import Times
 
@@ -56,19 +59,19 @@
         begin = None
         if self.book.fresh and told.name in told.voters and told.listen is not None:
             begin = {name: f"{host}:{port}" for name, (host, port) in told.voters.items()}
-        self.member = node.CoordinationNode(
-            told.name,
-            self.book.epoch,
-            self.book.token,
-            LeaseTiming(told.stated, told.drift),
-            read,
-            fits,
-            first,
+        self.member = CoordinationNode(
+            NodeSetup(
+                Incarnation(told.name, self.book.epoch, self.book.token),
+                LeaseTiming(told.stated, told.drift),
+                read,
+                fits,
+                first,
+                zones,
+            ),
             Random(),
             now(),
             self.book.saved if told.listen is not None else None,
             begin,
-            zones,
         )
         self.lease_holder = self.member.lease_holder
         if self.book.state:
@@ -113,27 +116,26 @@
     def _carry(self) -> None:
         """Carry out what the member wants, in order."""
         if self._closed:
-            self.member.effects.clear()
+            self.member.take_effects()
             return
-        out, self.member.effects = self.member.effects, []
-        for effect in out:
+        for effect in self.member.take_effects():
             match effect:
-                case node.WriteRecords(records):
+                case effects.WriteRecords(records):
                     self.book.write(records).add_done_callback(self._wrote)
-                case node.Send(to, word):
+                case effects.Send(to, word):
                     self.peers.say(to, word)
-                case node.SaveState(lineage, state):
+                case effects.SaveState(lineage, state):
                     self.book.hold(lineage, state)
                     self._changed()
-                case node.ConnectVoters(voters):
+                case effects.ConnectVoters(voters):
                     self.peers.dial(voters)
-                case node.CommandCompleted(id, result):
-                    waiting = self._waiting.get(id)
+                case effects.CommandCompleted(command_id, result):
+                    waiting = self._waiting.get(command_id)
                     if waiting is not None and not waiting.done():
                         waiting.set_result(result)
-                case node.QuotaReceived(shares, asked):
+                case effects.QuotaReceived(shares, asked):
                     self._shared(shares, asked)
-                case node.LogEvent(name, fields):
+                case effects.LogEvent(name, fields):
                     self._event(name, **fields)
                     if name == "footing":
                         self._changed()
@@ -206,7 +208,7 @@
                 await asyncio.sleep(LEAVE_S)
             except GroupUnreachableError:
                 pass
-        self.member.request_lease(self._now(), leaves=True)
+        self.member.request_lease(self._now(), leaving=True)
         self._carry()
         await asyncio.sleep(0.05)
         await self.book.flush()
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -49,7 +49,7 @@
         """`machines`: those that the module heard of before we listened to what it hears."""
         self.keeper.heard(self._now(), i.MachinesChanged(i.ListForm.DELTA, machines))
         self._agreement = agreement
-        agreement.member.observe_zones = self.sight
+        agreement.member.report_zones_by(self.sight)
 
     def sight(self, now: float) -> str:
         """What the leader is to hear with the next question; '' where it was told lately."""
--- a/weldhatch/coordination/__init__.py
+++ b/weldhatch/coordination/__init__.py
@@ -1,1 +1,4 @@
-"""The rules that a group of dispatchers agrees on: versions, lists, leases, and what each may act on."""
+"""What a group of dispatchers agrees on: versions of settings, lists, leases, and what each may act on. Pure.
+
+`node.CoordinationNode` is one process as a whole; nothing here waits or does I/O.
+"""
--- /dev/null
+++ b/weldhatch/coordination/command_log.py
@@ -0,0 +1,117 @@
+"""Commands on their way through the log: entered once, and their results sent to who gave them. Pure."""
+
+from __future__ import annotations
+
+import json
+from dataclasses import dataclass
+
+from weldhatch.consensus.errors import BusyError, InvalidChangeError, NotLeaderError
+from weldhatch.consensus.messages import EntryKind, LogEntry
+from weldhatch.coordination.commands import CommandKind
+from weldhatch.coordination.json_types import JsonObject
+from weldhatch.coordination.messages import CommandResult
+from weldhatch.coordination.outbox import Outbox
+from weldhatch.coordination.results import error_result, ok_result
+from weldhatch.coordination.voter import Voter
+
+LOGGED_KEYS = (  # of a command, in the log of events
+    "number",
+    "machine",
+    "state",
+    "why",
+    "by",
+    "place",
+    "phase",
+    "step",
+    "witnesses",
+    "shed",
+    "tenants",
+    "inside",
+    "flaps",
+    "held",
+)
+
+
+@dataclass(slots=True, frozen=True)
+class Requester:
+    """Who waits for the result of a command."""
+
+    name: str
+    command_id: str
+
+
+class CommandLog:
+    """Knows who waits for which entry of the log."""
+
+    def __init__(self, outbox: Outbox) -> None:
+        """Wait for nothing yet."""
+        self._outbox = outbox
+        self._requesters: dict[str, str] = {}  # commands in the log, by id: who is to hear the result
+        self._voter_changes: dict[int, Requester] = {}  # by index
+
+    def clear(self) -> None:
+        """Forget all: what is not decided yet may never be. Its senders send it again."""
+        self._requesters.clear()
+        self._voter_changes.clear()
+
+    def forget_commands(self) -> None:
+        """Forget commands, but not changes of the voters."""
+        self._requesters.clear()
+
+    def enter(self, voter: Voter, now: float, command: JsonObject, requester: str = "") -> None:
+        """Enter one command into the log, once under its id."""
+        command_id = command["id"]
+        if command_id in self._requesters:
+            self._requesters[command_id] = requester or self._requesters[command_id]
+            return
+        try:
+            voter.raft.propose(now, json.dumps(command, separators=(",", ":")))
+        except (NotLeaderError, BusyError):
+            return
+        self._requesters[command_id] = requester
+        voter.carry_out()
+
+    def change_voters(self, voter: Voter, now: float, requester: Requester, command: JsonObject) -> None:
+        """Add or remove voters, as a command says."""
+        if requester.command_id in (one.command_id for one in self._voter_changes.values()):
+            return
+        before = voter.raft.voters
+        voters = {**before, **command.get("add", {})}
+        voters = {name: at for name, at in voters.items() if name not in command.get("remove", [])}
+        if voters == before:
+            self.send_result(requester, ok_result(voters=voters))
+            return
+        try:
+            self._voter_changes[voter.raft.change_voters(now, voters)] = requester
+        except (NotLeaderError, BusyError, InvalidChangeError) as error:
+            self.send_result(requester, error_result("refused", str(error)))
+        voter.carry_out()
+
+    def send_result(self, requester: Requester, result: JsonObject) -> None:
+        """Send a result to who waits for it."""
+        self._outbox.send(requester.name, CommandResult(requester.command_id, json.dumps(result)))
+
+    # ---- what is decided -------------------------------------------------------------------------------
+
+    def handle_commit(self, index: int, entry: LogEntry, result: JsonObject) -> None:
+        """Send the result of a decided entry to who waits for it, and log what has happened."""
+        if entry.kind == EntryKind.VOTERS:
+            self._handle_voters(index, json.loads(entry.data))
+        elif entry.kind == EntryKind.COMMAND and entry.data:
+            self._handle_command(index, json.loads(entry.data), result)
+
+    def _handle_voters(self, index: int, voters: dict[str, str]) -> None:
+        self._outbox.event("voters", voters=sorted(voters), index=index)
+        requester = self._voter_changes.pop(index, None)
+        if requester is not None:
+            self.send_result(requester, ok_result(voters=voters))
+
+    def _handle_command(self, index: int, command: JsonObject, result: JsonObject) -> None:
+        if name := self._requesters.pop(command["id"], ""):
+            self.send_result(Requester(name, command["id"]), result)
+        if command["do"] in (CommandKind.JOIN, CommandKind.LEAVE):
+            return
+        logged = {key: value for key, value in command.items() if key in LOGGED_KEYS}
+        self._outbox.event(command["do"], index=index, **logged, result=result.get("error", "ok"))
+        for text in result.get("conflicts", ()):
+            self._outbox.event("conflict", text=text)
--- a/weldhatch/coordination/effects.py
+++ b/weldhatch/coordination/effects.py
@@ -1,30 +1,36 @@
-"""What a member wants done outside, in order. Types only."""
+"""What a node wants done outside, in order. Types only."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from weldhatch.consensus import messages
+from weldhatch.consensus.messages import Message
 from weldhatch.consensus.records import Record
+from weldhatch.coordination.json_types import JsonObject
 from weldhatch.coordination.messages import GroupMessage
 
 
 @dataclass(slots=True, frozen=True)
 class WriteRecords:
-    """Records of the voter: call `wrote` once they are on the disk. One `WriteRecords` is out at a time."""
+    """Write records of the voter, and call `records_written` once they are on the disk.
+
+    One `WriteRecords` is out at a time.
+    """
 
     records: tuple[Record, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
+    """Send a message to another process. It may be lost, doubled or late."""
+
     to: str
-    word: messages.Message | GroupMessage
+    message: Message | GroupMessage
 
 
 @dataclass(slots=True, frozen=True)
 class SaveState:
-    """What is acted on has changed; the state, for a look after a restart."""
+    """Keep the state that is acted on, for a look after a restart: it has changed."""
 
     lineage: int
     state: str
@@ -32,33 +38,33 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectVoters:
-    """Who votes, and where: processes to be reached."""
+    """Keep links to these voters, name to address."""
 
     voters: dict[str, str]
 
 
 @dataclass(slots=True, frozen=True)
 class CommandCompleted:
-    """The result of a command that was given here, by its id."""
+    """The result of a command that was submitted here."""
 
-    id: str
-    result: dict
+    command_id: str
+    result: JsonObject
 
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """For the log."""
+    """Log an event."""
 
     name: str
-    fields: dict = field(default_factory=dict)
+    fields: JsonObject = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaReceived:
-    """Starts on machines that return, from `asked` on, by our own clock."""
+    """Starts on machines that return (JSON), from `asked_at` on, in seconds of our own clock."""
 
-    shares: str
-    asked: float
+    quotas: str
+    asked_at: float
 
 
 Effect = WriteRecords | Send | SaveState | ConnectVoters | CommandCompleted | LogEvent | QuotaReceived
--- /dev/null
+++ b/weldhatch/coordination/lease_grants.py
@@ -0,0 +1,199 @@
+"""The leader's part in leases: who has one, and what each member is known to hold. Pure.
+
+A lease is a span of the holder's own clock from the moment it asked; here it is counted from the moment it
+was granted, which is later, and stretched by the drift between clocks. A new leader knows of no grant that
+the one before gave: to it, every member has one from the moment of its election.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from weldhatch.coordination.commands import CommandKind
+from weldhatch.coordination.incarnation import Incarnation
+from weldhatch.coordination.messages import DenialKind, LeaseRequest, LeaseResponse
+from weldhatch.coordination.state_machine import StateMachine
+from weldhatch.coordination.timing import LeaseTiming
+
+MAX_COMMANDS = 200  # that are sent as a difference; more, and the whole state goes
+_DIRECTIVE = f'"do":"{CommandKind.DIRECT_MACHINE}"'
+
+
+@dataclass(slots=True)
+class Grant:
+    """What this leader has heard of one incarnation of a member."""
+
+    granted_at: float
+    applied_index: int = 0
+    reviewed_version: int = 0  # the prepared version that it has looked at
+    rejection: str = ""
+
+
+@dataclass(slots=True, frozen=True)
+class News:
+    """What a dispatcher lacks: commands after those it has, or the whole state."""
+
+    commands: tuple[str, ...] = ()
+    snapshot: str = ""
+
+
+class LeaseGrants:
+    """Made anew at each election."""
+
+    def __init__(self, timing: LeaseTiming, elected_at: float) -> None:
+        """Take every member for one that was granted a lease at `elected_at`."""
+        self._timing = timing
+        self._elected_at = elected_at
+        self.entries: dict[Incarnation, Grant] = {}
+        self._commands: dict[int, str] = {}  # the last ones, by index
+
+    # ---- commands --------------------------------------------------------------------------------------
+
+    def note_commit(self, index: int, data: str) -> None:
+        """Keep a decided command: members that are a little behind get it from here."""
+        self._commands[index] = data
+        self._commands.pop(index - MAX_COMMANDS, None)
+
+    def last_directive_index(self, machine: StateMachine) -> int:
+        """Return from which index on a member holds the newest directive: that of the directive, or later."""
+        for index in sorted(self._commands, reverse=True):
+            if _DIRECTIVE in self._commands[index].replace(" ", ""):  # parsed, it would take long
+                return index
+        return machine.index
+
+    # ---- granting --------------------------------------------------------------------------------------
+
+    def answer(
+        self, now: float, machine: StateMachine, request: LeaseRequest, lineage: int, sure_until: float
+    ) -> LeaseResponse:
+        """Answer one dispatcher. `sure_until`: no other voter can lead before then."""
+        denial = self._denial(now, machine, request, lineage, sure_until)
+        news = self._news(machine, request, lineage)
+        if not denial or DenialKind.of(denial) is DenialKind.REFUSES:
+            grant = self._grant_of(Incarnation.of(request))
+            grant.applied_index = request.applied_index
+            grant.reviewed_version = request.reviewed_version
+            grant.rejection = request.rejection
+            if not denial:
+                grant.granted_at = now
+        return LeaseResponse(
+            lineage=lineage,
+            sent_at=request.sent_at,
+            granted=not denial,
+            denial=denial,
+            leader="",
+            base_index=request.applied_index if not news.snapshot else 0,
+            commands=news.commands,
+            snapshot=news.snapshot,
+            applied_index=machine.index,
+            digest=machine.digest,
+        )
+
+    @staticmethod
+    def _denial(
+        now: float, machine: StateMachine, request: LeaseRequest, lineage: int, sure_until: float
+    ) -> str:
+        """Return why there is no lease, beginning with a `DenialKind`; '' where there is one."""
+        known = machine.members.get(request.name)
+        if request.lineage > lineage:
+            return "it is of a later recovery than we are"
+        if known is None:
+            return "unknown: it has not joined yet"
+        if (known.epoch, known.token) != (request.epoch, request.token):
+            if known.epoch > request.epoch:
+                return f"fenced: another process has come under the name {request.name}, epoch {known.epoch}"
+            return "unknown: a new life of it has not joined yet"
+        if now >= sure_until:
+            return "the leader is not sure that it still leads"
+        if request.rejection and _rejection_counts(machine, request):
+            # Guards the group against one that goes on by the old rules: it has what it holds until then.
+            return f"refuses version {request.reviewed_version}: {request.rejection}"
+        return ""
+
+    def _news(self, machine: StateMachine, request: LeaseRequest, lineage: int) -> News:
+        same_lineage = request.lineage == lineage
+        if same_lineage and (request.applied_index, request.digest) == (machine.index, machine.digest):
+            return News()
+        lacking = range(request.applied_index + 1, machine.index + 1)
+        is_known = len(lacking) and all(index in self._commands for index in lacking)
+        if same_lineage and request.applied_index and is_known:
+            return News(commands=tuple(self._commands[index] for index in lacking))
+        return News(snapshot=machine.snapshot())
+
+    def _grant_of(self, incarnation: Incarnation) -> Grant:
+        if incarnation not in self.entries:
+            self.entries[incarnation] = Grant(self._elected_at)
+        return self.entries[incarnation]
+
+    # ---- who may act on what ---------------------------------------------------------------------------
+
+    def pending(
+        self, now: float, machine: StateMachine, index: int, span: float, version: int = 0
+    ) -> dict[str, str]:
+        """Return who does not hold the state at `index` yet and may have a lease of that span.
+
+        Name to reason, for people to read. `version`: one that each has to have looked at, too.
+        """
+        pending = self._pending_members(now, machine, index, span, version)
+        lapsed = self._timing.by_granter_clock(span)
+        for incarnation, grant in self.entries.items():
+            if (
+                not _is_current(machine, incarnation)
+                and grant.applied_index < index
+                and now - grant.granted_at <= lapsed
+            ):
+                left = lapsed - (now - grant.granted_at)
+                pending[incarnation.name] = f"an earlier life of it may have a lease for {left:.2f} s"
+        return pending
+
+    def _pending_members(
+        self, now: float, machine: StateMachine, index: int, span: float, version: int
+    ) -> dict[str, str]:
+        pending = {}
+        lapsed = self._timing.by_granter_clock(span)
+        may_refuse = machine.prepared.may_refuse if machine.prepared is not None else []
+        for name, member in machine.members.items():
+            grant = self.entries.get(Incarnation(name, member.epoch, member.token))
+            granted_at = grant.granted_at if grant is not None else self._elected_at
+            reason = "has not said that it holds it"
+            if grant is not None and _holds(grant, index, version):
+                if not grant.rejection:
+                    continue
+                reason = f"refuses: {grant.rejection}"
+            if now - granted_at <= lapsed:
+                pending[name] = f"{reason}; its lease ends in {lapsed - (now - granted_at):.2f} s"
+            elif grant is not None and grant.rejection and version and name not in may_refuse:
+                pending[name] = reason
+        return pending
+
+    def rejections(self, machine: StateMachine) -> dict[str, str]:
+        """Return members that can't act on the prepared version, but for those that may refuse it.
+
+        Name to the key that is at fault and the reason.
+        """
+        prepared = machine.prepared
+        if prepared is None:
+            return {}
+        return {
+            incarnation.name: grant.rejection
+            for incarnation, grant in self.entries.items()
+            if grant.rejection
+            and grant.reviewed_version == prepared.number
+            and incarnation.name not in prepared.may_refuse
+            and _is_current(machine, incarnation)
+        }
+
+
+def _rejection_counts(machine: StateMachine, request: LeaseRequest) -> bool:
+    was_left_out = machine.active is not None and request.name in machine.active.may_refuse
+    is_of_prepared = machine.prepared is not None and request.reviewed_version == machine.prepared.number
+    return was_left_out or is_of_prepared
+
+
+def _is_current(machine: StateMachine, incarnation: Incarnation) -> bool:
+    member = machine.members.get(incarnation.name)
+    return member is not None and (member.epoch, member.token) == (incarnation.epoch, incarnation.token)
+
+
+def _holds(grant: Grant, index: int, version: int) -> bool:
+    return grant.applied_index >= index and (not version or grant.reviewed_version == version)
--- /dev/null
+++ b/weldhatch/coordination/machine_directives.py
@@ -0,0 +1,83 @@
+"""What operators have said of machines, for every dispatcher. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from weldhatch.coordination.drain_reports import PERMISSIVENESS, stricter
+from weldhatch.coordination.json_types import JsonObject
+from weldhatch.coordination.results import error_result
+
+MAX_MACHINES = 20_000
+
+
+@dataclass(slots=True)
+class MachineDirective:
+    """What operators last said of a machine.
+
+    Until it is settled, the stricter of `state` and `previous` acts. `fence` orders what operators say,
+    `operation` names what said it, and `revision` counts directives of all machines.
+    """
+
+    state: str
+    fence: int
+    operation: str
+    revision: int
+    previous: str = ""  # '' once settled
+
+    @property
+    def effective_state(self) -> str:
+        """The state that counts for new work."""
+        return stricter(self.state, self.previous) if self.previous else self.state
+
+    def to_tree(self) -> JsonObject:
+        """Return the directive as a snapshot holds it."""
+        return {
+            "state": self.state,
+            "fence": self.fence,
+            "op": self.operation,
+            "rev": self.revision,
+            "before": self.previous,
+        }
+
+    @classmethod
+    def from_tree(cls, tree: JsonObject) -> MachineDirective:
+        """Decode what `to_tree` gave. Raises KeyError for anything else."""
+        return cls(tree["state"], tree["fence"], tree["op"], tree["rev"], tree.get("before", ""))
+
+
+class MachineDirectives:
+    """As agreed, by the machine's name."""
+
+    def __init__(self) -> None:
+        """Begin with no directive."""
+        self.entries: dict[str, MachineDirective] = {}
+        self.revision = 0  # of the last directive
+        self.unsettled = 0  # the newest revision that widens and is not settled; 0 for none
+
+    def direct(self, command: JsonObject) -> JsonObject:
+        """Carry out an operator's word on a machine; its result."""
+        machine = command["machine"]
+        last = self.entries.get(machine)
+        if last is not None and command["fence"] < last.fence:
+            error = error_result("FENCE", f"{last.fence} has been heard, this is {command['fence']}")
+            return {**error, "fence": last.fence}
+        if last is None and len(self.entries) >= MAX_MACHINES:
+            return error_result("REFUSED", f"words are kept of {MAX_MACHINES} machines at the most")
+        current = last.effective_state if last is not None else "ready"
+        widens = PERMISSIVENESS[command["state"]] > PERMISSIVENESS[current]
+        self.revision += 1
+        self.entries[machine] = MachineDirective(
+            command["state"], command["fence"], command["op"], self.revision, current if widens else ""
+        )
+        if widens:
+            self.unsettled = self.revision
+        return {"ok": True, "rev": self.revision}
+
+    def settle(self, revision: int) -> None:
+        """Note that everybody holds the directives up to this revision."""
+        for directive in self.entries.values():
+            if directive.revision <= revision:
+                directive.previous = ""
+        if self.unsettled <= revision:
+            self.unsettled = 0
--- /dev/null
+++ b/weldhatch/coordination/node_status.py
@@ -0,0 +1,40 @@
+"""What a process holds and may act on, as the control address shows it. Names of keys are fixed."""
+
+from __future__ import annotations
+
+from weldhatch.consensus.raft import Raft
+from weldhatch.coordination.json_types import JsonObject
+from weldhatch.coordination.lease_holder import LeaseHolder
+
+
+def status_of(holder: LeaseHolder, raft: Raft | None, leader: str, now: float) -> JsonObject:
+    """Return the status of one process, as JSON."""
+    machine = holder.state_machine
+    zones = {
+        name: {"phase": place.phase.value, "step": place.step, "held": place.held}
+        for name, place in machine.zones.entries.items()
+    }
+    return {
+        "name": holder.incarnation.name,
+        "epoch": holder.incarnation.epoch,
+        "lineage": holder.lineage,
+        "footing": holder.lease_status(now).value,
+        "why": holder.denial,
+        "lease_s": round(max(0.0, holder.lease_ends - now), 3),
+        "ground_s": round(max(0.0, holder.grace_ends - now), 3),
+        "stated_s": holder.timing.consistency_bound,
+        "number": machine.active.number if machine.active else 0,
+        "prepared": machine.prepared.number if machine.prepared else 0,
+        "index": machine.index,
+        "digest": machine.digest,
+        "rev": machine.directives.revision,
+        "leader": leader,
+        "term": raft.persistent.term if raft else 0,
+        "role": raft.role if raft else "learner",
+        "zones": zones,
+        "lost": raft.lost_reason if raft else "",
+        "members": sorted(machine.members),
+        "narrowed": len(machine.drain_reports.entries),  # machines that somebody's list takes out for all
+        "conflicts": [*holder.conflicts, *machine.drain_reports.conflicts],
+        "recoveries": list(machine.recoveries),
+    }
--- /dev/null
+++ b/weldhatch/coordination/results.py
@@ -0,0 +1,20 @@
+"""Results of commands, as they are encoded and replicated."""
+
+from __future__ import annotations
+
+from weldhatch.coordination.json_types import JsonObject
+
+
+def error_result(code: str, text: str) -> JsonObject:
+    """Return the result of a command that was not carried out. `text` is for people to read."""
+    return {"error": code, "text": text}
+
+
+def ok_result(**values: object) -> JsonObject:
+    """Return the result of a command that was carried out."""
+    return {"ok": True, **values}
+
+
+def is_error(result: JsonObject) -> bool:
+    """Whether a command was not carried out."""
+    return "error" in result
--- /dev/null
+++ b/weldhatch/coordination/setting_rules.py
@@ -0,0 +1,160 @@
+"""How two values of each setting may overlap while dispatchers move from one version to the next.
+
+One row for each field of `scheduling.types.Settings` and of its classes, kinds and tenants. A field without a
+row is an error at import, so that nobody adds a setting without saying what two values of it come to. Pure.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Set
+from dataclasses import fields
+from enum import Enum
+from typing import Any, NamedTuple
+
+from weldhatch.scheduling.types import MachineKind, RequestClass, Settings, Tenant
+
+LARGE_GROUP = 8  # dispatchers from which on a service starts at its first home, as the policy has it
+
+
+class Overlap(Enum):
+    """How a change of a value may be acted on."""
+
+    FREE = "free"  # dispatchers may differ: it changes what is preferred, not what is allowed
+    TIGHTENS = "tightens"  # whoever hears of it acts on it at once
+    WIDENS = "widens"  # acted on only once everybody holds it
+    SWITCHES = "switches"  # neither the old nor the new is acted on until everybody holds it
+
+
+OverlapRule = Callable[[Any, Any], Overlap]
+
+
+class SettingRule(NamedTuple):
+    """One setting: its `key` in files, and how an old and a new value of it overlap."""
+
+    key: str
+    overlap: OverlapRule
+
+
+def is_free(old: Any, new: Any) -> Overlap:
+    """Dispatchers may differ."""
+    return Overlap.FREE
+
+
+def switches(old: Any, new: Any) -> Overlap:
+    """Neither value allows less than the other."""
+    return Overlap.SWITCHES
+
+
+def lower_is_stricter(old: Any, new: Any) -> Overlap:
+    """The lower value allows less."""
+    return Overlap.TIGHTENS if new < old else Overlap.WIDENS
+
+
+def higher_is_stricter(old: Any, new: Any) -> Overlap:
+    """The higher value allows less."""
+    return Overlap.TIGHTENS if new > old else Overlap.WIDENS
+
+
+def lower_bound_is_stricter(old: int, new: int) -> Overlap:
+    """The lower value allows less, and 0 is no bound at all."""
+    return lower_is_stricter(old or float("inf"), new or float("inf"))
+
+
+def one_kind_is_stricter(old: int, new: int) -> Overlap:
+    """-1 is any kind of machine."""
+    if -1 in (old, new):
+        return Overlap.TIGHTENS if old == -1 else Overlap.WIDENS
+    return Overlap.SWITCHES
+
+
+def group_size_overlap(old: int, new: int) -> Overlap:
+    """A larger group gives each a smaller share of a cold machine; homes change where it becomes many."""
+    return Overlap.SWITCHES if (old >= LARGE_GROUP) != (new >= LARGE_GROUP) else higher_is_stricter(old, new)
+
+
+def is_local(old: Any, new: Any) -> Overlap:
+    """Each dispatcher's own: it is taken from its own file, whatever a version says."""
+    return Overlap.FREE
+
+
+SETTINGS: dict[str, SettingRule] = {  # by field
+    "zone": SettingRule("locality", is_local),
+    "me": SettingRule("me", is_local),
+    "tick_us": SettingRule("resolutionUs", is_local),
+    "group_size": SettingRule("groupSize", group_size_overlap),
+    "max_attempts": SettingRule("limits.mostTries", lower_is_stricter),
+    "may_probe": SettingRule("limits.probes", is_free),
+    "may_cancel": SettingRule("limits.mayCancel", lower_is_stricter),
+    "second_copies": SettingRule("limits.secondCopies", lower_is_stricter),
+    "retry_after": SettingRule("limits.retryAfter", is_free),
+    "max_retry_after_us": SettingRule("limits.maxRetryAfterUs", is_free),
+    "subscribe": SettingRule("registryMode", is_free),
+    "drain_grace_us": SettingRule("rules.drainGraceUs", lower_is_stricter),
+    "answer_slack_us": SettingRule("rules.answerSlackUs", is_free),
+    "must_ask_us": SettingRule("rules.mustAskInUs", is_free),
+    "cold_us": SettingRule("rules.coldUs", higher_is_stricter),
+    "cold_sends": SettingRule("extra.coldSends", lower_is_stricter),
+    "start_capacity": SettingRule("rules.startCapacity", lower_is_stricter),
+    "tip_multiple": SettingRule("rules.tipMultiple", lower_is_stricter),
+    "fall_us": SettingRule("rules.fallUs", higher_is_stricter),
+    "cores_booking": SettingRule("extra.cpuBooking", lower_is_stricter),
+    "memory_booking": SettingRule("extra.memBooking", lower_is_stricter),
+    "lists_free": SettingRule("extra.listsFree", is_free),
+    "reports_asked": SettingRule("extra.measuredBy", switches),
+    "report_fields": SettingRule("stats.fields", is_free),
+    "by_service": SettingRule("extra.byService", switches),
+    "confirms_running": SettingRule("extra.confirms", switches),
+    "makes_room": SettingRule("extra.makesRoom", is_free),
+    "tells_use": SettingRule("extra.tellsUse", is_free),
+    "pressure_notes": SettingRule("extra.pressureNotes", is_free),
+    "owner_wait_us": SettingRule("extra.ownerWaitUs", is_free),
+    "usual_cores": SettingRule("extra.usualCores", is_free),
+    "usual_memory": SettingRule("extra.usualMemory", is_free),
+    "over_share_worth": SettingRule("overShareWorth", is_free),
+    "prices": SettingRule("prices", is_free),
+}
+CLASSES: dict[str, SettingRule] = {
+    "name": SettingRule("name", switches),
+    "aim_us": SettingRule("aimUs", is_free),
+    "deadline_us": SettingRule("hardLimitUs", lower_is_stricter),
+    "effect": SettingRule("effect", switches),
+    "group": SettingRule("group", switches),
+    "window_us": SettingRule("dedupWindowUs", switches),
+    "worth": SettingRule("worth", is_free),
+    "late_worth": SettingRule("lateWorth", is_free),
+    "start_worth_s": SettingRule("extra.promptStartS", is_free),
+    "calm": SettingRule("extra.calmLevel", is_free),
+    "fade": SettingRule("extra.fadeSpan", is_free),
+    "kind": SettingRule("extra.kindByClass", one_kind_is_stricter),
+    "priority": SettingRule("extra.priorityByClass", is_free),
+    "spread_over": SettingRule("extra.spreadOver", switches),
+    "spread_most": SettingRule("extra.spreadMost", lower_bound_is_stricter),
+}
+KINDS: dict[str, SettingRule] = {
+    "name": SettingRule("kinds", switches),
+    "cores": SettingRule("extra.sizeCores", lower_is_stricter),
+    "memory": SettingRule("extra.memOfKind", lower_is_stricter),
+}
+TENANTS: dict[str, SettingRule] = {
+    "name": SettingRule("name", is_free),
+    "quota_per_s": SettingRule("quotaPerS", is_free),
+    "portion": SettingRule("portion", is_free),
+    "cores": SettingRule("extra.shareCores", is_free),
+}
+LISTS = {"classes", "kinds", "zones", "tenants"}  # handled item by item, below
+
+
+def check_complete(kind: type, rows: dict[str, SettingRule], besides: Set[str] = frozenset()) -> None:
+    """Raise AssertionError for a field of `kind` that has no row and is not handled `besides`.
+
+    Guards against a setting that nobody said anything of.
+    """
+    known = {field.name for field in fields(kind)}
+    if known != rows.keys() | besides:
+        raise AssertionError(f"setting_rules: {kind.__name__}: {sorted(known ^ (rows.keys() | besides))}")
+
+
+check_complete(Settings, SETTINGS, LISTS)
+check_complete(RequestClass, CLASSES)
+check_complete(MachineKind, KINDS)
+check_complete(Tenant, TENANTS)
--- a/weldhatch/coordination/state_machine.py
+++ b/weldhatch/coordination/state_machine.py
@@ -1,4 +1,4 @@
-"""What a group of dispatchers has agreed on: members, versions, operators' words. A state machine; pure.
+"""What a group of dispatchers has agreed on: a state machine under commands that voters decide. Pure.
 
 Commands are JSON objects, decided in one order by the voters; every dispatcher applies the same ones and
 comes to the same state (its `digest` tells). A command that can't be carried out changes nothing and its
@@ -9,223 +9,144 @@
 
 import hashlib
 import json
-from dataclasses import asdict, dataclass, field
-
-from weldhatch.coordination.drain_reports import PERMISSIVENESS, DrainReports, stricter
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from weldhatch.coordination.commands import CommandKind
+from weldhatch.coordination.drain_reports import DrainReports
+from weldhatch.coordination.errors import UnknownCommandError
+from weldhatch.coordination.json_types import JsonObject
+from weldhatch.coordination.machine_directives import MachineDirective, MachineDirectives
+from weldhatch.coordination.results import error_result, ok_result
+from weldhatch.coordination.settings_versions import SettingsVersion, SettingsVersions
 from weldhatch.zones.state import Zones
 
-HISTORY_MOST = 100
-TREES_MOST = 20  # versions whose settings are kept, to tell what moved
-RESULTS_MOST = 200  # commands whose results are kept: one that is said twice is carried out once
-ENTRIES_MOST = 20_000
+MAX_RESULTS = 200  # commands whose results are kept: one that is sent twice is carried out once
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, frozen=True)
 class GroupMember:
-    """A dispatcher: `epoch` and `token` of its store tell one life of it from another."""
+    """A dispatcher: `epoch` and `token` of its store tell one incarnation of it from another."""
 
     epoch: int
     token: str
 
 
-@dataclass(slots=True)
-class SettingsVersion:
-    number: int
-    base: int
-    tree: dict  # the `settings` of a file
-    why: str
-    by: str
-    despite: list[str] = field(default_factory=list)  # members that may refuse it, and get no lease then
-
-
-@dataclass(slots=True)
-class MachineDirective:
-    """What operators last said of a machine. Until `settled`, the stricter of `state` and `before` acts."""
-
-    state: str
-    fence: int
-    op: str
-    rev: int
-    before: str = ""  # '' once settled
-
-    @property
-    def acts(self) -> str:
-        return stricter(self.state, self.before) if self.before else self.state
-
-
 class StateMachine:
     """Apply commands in order by `apply`; `index` is the place of the last one in the log."""
 
     def __init__(self) -> None:
+        """Begin with nothing agreed on."""
         self.index = 0
         self.members: dict[str, GroupMember] = {}
-        self.active: SettingsVersion | None = None
-        self.prepared: SettingsVersion | None = None
-        self.prepared_at = 0  # the index at which it was proposed
-        self.number = 0  # the last version's, whatever became of it
-        self.trees: dict[int, dict] = {}
-        self.history: list[dict] = []
-        self.words: dict[str, MachineDirective] = {}
-        self.rev = 0  # of the list of words
-        self.unsettled = 0  # the newest rev that widens and is not settled; 0 for none
-        self.lists = DrainReports()  # what dispatchers' own lists of machines have told
+        self.versions = SettingsVersions()
+        self.directives = MachineDirectives()
+        self.drain_reports = DrainReports()
         self.zones = Zones()  # zones and racks that are left, or return
-        self.recoveries: list[dict] = []
-        self.results: dict[str, dict] = {}
+        self.recoveries: list[JsonObject] = []
+        self.results: dict[str, JsonObject] = {}
         self._digest = ""
 
+    @property
+    def active(self) -> SettingsVersion | None:
+        """The version of the settings that is in force."""
+        return self.versions.active
+
+    @property
+    def prepared(self) -> SettingsVersion | None:
+        """The version that is being prepared."""
+        return self.versions.prepared
+
     # ---- commands --------------------------------------------------------------------------------------
 
-    def apply(self, index: int, data: str) -> dict:
-        """One command; its result: {"ok": True, ...} or {"error": code, "text": ...}."""
-        self.index, self._digest = index, ""
+    def apply(self, index: int, data: str) -> JsonObject:
+        """Apply one command; its result: {"ok": True, ...} or {"error": code, "text": ...}.
+
+        Raises UnknownCommandError.
+        """
+        self.index = index
+        self._digest = ""
         if not data:
-            return {"ok": True}
+            return ok_result()
         command = json.loads(data)
-        id = command.get("id", "")
-        if id and id in self.results:
-            return self.results[id]  # said again by one that did not hear the result
-        result = getattr(self, f"_do_{command['do']}")(command)
-        if id:
-            self.results[id] = result
-            while len(self.results) > RESULTS_MOST:
+        command_id = command.get("id", "")
+        if command_id and command_id in self.results:
+            return self.results[command_id]  # sent again by one that did not hear the result
+        handler = _HANDLERS.get(command["do"])
+        if handler is None:
+            raise UnknownCommandError(command["do"])
+        result = handler(self, command)
+        if command_id:
+            self.results[command_id] = result
+            while len(self.results) > MAX_RESULTS:
                 del self.results[next(iter(self.results))]
         return result
 
-    def _do_join(self, it: dict) -> dict:
-        known = self.members.get(it["name"])
-        if known is not None and known.epoch > it["epoch"]:
-            return _error("fenced", f"{it['name']}: a later life of it has joined, epoch {known.epoch}")
-        self.members[it["name"]] = GroupMember(it["epoch"], it["token"])
-        return {"ok": True}
-
-    def _do_leave(self, it: dict) -> dict:
-        known = self.members.get(it["name"])
-        if known is None or (it.get("token") and known.token != it["token"]):
-            return _error("unknown", f"{it['name']}: no such member")
-        del self.members[it["name"]]
-        return {"ok": True}
-
-    def _do_propose(self, it: dict) -> dict:
-        if self.prepared is not None:
-            return _error("busy", f"version {self.prepared.number} is being prepared: wait, or drop it")
-        base = self.active.number if self.active is not None else 0
-        if it["base"] != base:
-            return {
-                **_error("moved", f"version {base} is in force, and the proposal is on {it['base']}"),
-                "base": base,
-                "then": self.trees.get(it["base"]),
-                "now": self.trees.get(base),
-            }
-        self.number += 1
-        self.prepared = SettingsVersion(
-            self.number, base, it["tree"], it["why"], it["by"], it.get("despite", [])
-        )
-        self.prepared_at = self.index
-        self._note(self.prepared, "proposed", it["why"])
-        return {"ok": True, "number": self.number}
-
-    def _do_activate(self, it: dict) -> dict:
-        """By the leader, once all hold it."""
-        if self.prepared is None or self.prepared.number != it["number"]:
-            return _error("unknown", f"version {it['number']} is not being prepared")
-        self.active, self.prepared = self.prepared, None
-        self.trees[self.active.number] = self.active.tree
-        for old in sorted(self.trees)[:-TREES_MOST]:
-            del self.trees[old]
-        self._note(self.active, "active", it.get("why", ""))
-        return {"ok": True}
-
-    def _do_drop(self, it: dict) -> dict:
-        """By the leader where a dispatcher can't act on it, or by an operator."""
-        if self.prepared is None or self.prepared.number != it["number"]:
-            return _error("unknown", f"version {it['number']} is not being prepared")
-        dropped, self.prepared = self.prepared, None
-        self._note(dropped, "dropped", it["why"])
-        return {"ok": True}
-
-    def _do_word(self, it: dict) -> dict:
-        machine, last = it["machine"], self.words.get(it["machine"])
-        if last is not None and it["fence"] < last.fence:
-            return {
-                **_error("FENCE", f"{last.fence} has been heard, this is {it['fence']}"),
-                "fence": last.fence,
-            }
-        if last is None and len(self.words) >= ENTRIES_MOST:
-            return _error("REFUSED", f"words are kept of {ENTRIES_MOST} machines at the most")
-        acts = last.acts if last is not None else "ready"
-        widens = PERMISSIVENESS[it["state"]] > PERMISSIVENESS[acts]
-        self.rev += 1
-        self.words[machine] = MachineDirective(
-            it["state"], it["fence"], it["op"], self.rev, acts if widens else ""
-        )
-        if widens:
-            self.unsettled = self.rev
-        return {"ok": True, "rev": self.rev}
-
-    def _do_listed(self, it: dict) -> dict:
-        """What one dispatcher's list says that narrows, or that ends what an older list said."""
-        before = len(self.lists.conflicts)
-        self.lists.take(it["rev"], it["entries"], it["by"])
-        return {"ok": True, "index": self.index, "conflicts": self.lists.conflicts[before:]}
-
-    def _do_zone(self, it: dict) -> dict:
-        """By the leader on its witnesses' word, or by an operator through the leader."""
-        return self.zones.take(self.index, it, self.active.tree.get("zones", []) if self.active else [])
-
-    def _do_zone_hold(self, it: dict) -> dict:
-        return self.zones.hold(self.index, it)
-
-    def _do_fence(self, it: dict) -> dict:
-        """By a dispatcher that has left a place: tasks of its own that may still run there."""
-        return {**self.zones.fence(it["place"], it["keys"], it["by"]), "index": self.index}
-
-    def _do_settled(self, it: dict) -> dict:
-        """By the leader: everybody holds the list up to this revision."""
-        for word in self.words.values():
-            if word.rev <= it["rev"]:
-                word.before = ""
-        if self.unsettled <= it["rev"]:
-            self.unsettled = 0
-        return {"ok": True}
-
-    def _do_recovered(self, it: dict) -> dict:
+    def _join(self, command: JsonObject) -> JsonObject:
+        name = command["name"]
+        known = self.members.get(name)
+        if known is not None and known.epoch > command["epoch"]:
+            return error_result("fenced", f"{name}: a later life of it has joined, epoch {known.epoch}")
+        self.members[name] = GroupMember(command["epoch"], command["token"])
+        return ok_result()
+
+    def _leave(self, command: JsonObject) -> JsonObject:
+        name = command["name"]
+        known = self.members.get(name)
+        if known is None or (command.get("token") and known.token != command["token"]):
+            return error_result("unknown", f"{name}: no such member")
+        del self.members[name]
+        return ok_result()
+
+    def _settle_directives(self, command: JsonObject) -> JsonObject:
+        self.directives.settle(command["rev"])
+        return ok_result()
+
+    def _report_drains(self, command: JsonObject) -> JsonObject:
+        """One dispatcher's list says what restricts, or what ends that an older list said."""
+        before = len(self.drain_reports.conflicts)
+        self.drain_reports.merge(command["rev"], command["entries"], command["by"])
+        return ok_result(index=self.index, conflicts=self.drain_reports.conflicts[before:])
+
+    def _change_zone(self, command: JsonObject) -> JsonObject:
+        """The leader changes a zone on its witnesses' word, or an operator through the leader."""
+        names = self.active.tree.get("zones", []) if self.active else []
+        return self.zones.take(self.index, command, names)
+
+    def _fence(self, command: JsonObject) -> JsonObject:
+        """A dispatcher that has left a place names tasks of its own that may still run there."""
+        result = self.zones.fence(command["place"], command["keys"], command["by"])
+        return {**result, "index": self.index}
+
+    def _recovered(self, command: JsonObject) -> JsonObject:
         """An operator has had one voter go on alone: kept and shown for ever after."""
-        self.recoveries.append({"by": it["by"], "why": it["why"], "at": it["at"], "index": self.index})
-        return {"ok": True}
-
-    def _note(self, version: SettingsVersion, came: str, why: str) -> None:
-        self.history.append(
-            {
-                "number": version.number,
-                "base": version.base,
-                "came": came,
-                "why": why,
-                "by": version.by,
-                "index": self.index,
-            }
-        )
-        del self.history[:-HISTORY_MOST]
+        recovery = {key: command[key] for key in ("by", "why", "at")}
+        self.recoveries.append({**recovery, "index": self.index})
+        return ok_result()
 
     # ---- the state as a whole --------------------------------------------------------------------------
 
-    def state(self) -> str:
-        """All of it, as JSON: what a snapshot holds."""
+    def snapshot(self) -> str:
+        """Return all of it, as JSON. Names of keys are those of version 0.2.0."""
+        versions = self.versions
         return json.dumps(
             {
                 "index": self.index,
-                "members": {n: asdict(one) for n, one in self.members.items()},
-                "active": asdict(self.active) if self.active else None,
-                "prepared": asdict(self.prepared) if self.prepared else None,
-                "prepared_at": self.prepared_at,
-                "number": self.number,
-                "trees": {str(n): tree for n, tree in self.trees.items()},
-                "history": self.history,
-                "words": {n: asdict(word) for n, word in self.words.items()},
-                "rev": self.rev,
-                "unsettled": self.unsettled,
+                "members": {
+                    name: {"epoch": member.epoch, "token": member.token}
+                    for name, member in self.members.items()
+                },
+                "active": versions.active.to_tree() if versions.active else None,
+                "prepared": versions.prepared.to_tree() if versions.prepared else None,
+                "prepared_at": versions.prepared_at,
+                "number": versions.last_number,
+                "trees": {str(number): tree for number, tree in versions.trees.items()},
+                "history": versions.history,
+                "words": {name: one.to_tree() for name, one in self.directives.entries.items()},
+                "rev": self.directives.revision,
+                "unsettled": self.directives.unsettled,
                 "recoveries": self.recoveries,
-                "lists": asdict(self.lists),
+                "lists": self.drain_reports.to_tree(),
                 "zones": self.zones.state(),
                 "results": list(self.results.items()),
             },
@@ -233,29 +154,55 @@
             separators=(",", ":"),
         )
 
-    def load(self, state: str) -> None:
-        """Take what `state` gave. Raises ValueError, KeyError or TypeError for anything else."""
-        told = json.loads(state)
-        self.index, self.number, self.rev = told["index"], told["number"], told["rev"]
-        self.members = {n: GroupMember(**one) for n, one in told["members"].items()}
-        self.active = SettingsVersion(**told["active"]) if told["active"] else None
-        self.prepared = SettingsVersion(**told["prepared"]) if told["prepared"] else None
-        self.prepared_at, self.unsettled = told["prepared_at"], told["unsettled"]
-        self.trees = {int(n): tree for n, tree in told["trees"].items()}
-        self.history, self.recoveries = told["history"], told["recoveries"]
-        self.results = dict(told["results"])  # pairs: their order says which are the oldest
-        self.lists = DrainReports(**told["lists"])
-        self.zones = Zones.of(told["zones"]) if "zones" in told else Zones()  # of a version before them
-        self.words = {n: MachineDirective(**word) for n, word in told["words"].items()}
+    def load(self, snapshot: str) -> None:
+        """Take what `snapshot` gave. Raises ValueError, KeyError or TypeError for anything else."""
+        tree = json.loads(snapshot)
+        self.index = tree["index"]
+        self.members = {
+            name: GroupMember(member["epoch"], member["token"]) for name, member in tree["members"].items()
+        }
+        self.versions = _versions_from_tree(tree)
+        self.directives.entries = {
+            name: MachineDirective.from_tree(one) for name, one in tree["words"].items()
+        }
+        self.directives.revision = tree["rev"]
+        self.directives.unsettled = tree["unsettled"]
+        self.drain_reports = DrainReports.from_tree(tree["lists"])
+        self.zones = Zones.of(tree["zones"]) if "zones" in tree else Zones()  # of a version before them
+        self.recoveries = tree["recoveries"]
+        self.results = dict(tree["results"])  # pairs: their order says which are the oldest
         self._digest = ""
 
     @property
     def digest(self) -> str:
         """Two dispatchers at one index have the same, or something is wrong."""
         if not self._digest:
-            self._digest = hashlib.blake2b(self.state().encode(), digest_size=8).hexdigest()
+            self._digest = hashlib.blake2b(self.snapshot().encode(), digest_size=8).hexdigest()
         return self._digest
 
 
-def _error(code: str, text: str) -> dict:
-    return {"error": code, "text": text}
+_HANDLERS: dict[str, Callable[[StateMachine, JsonObject], JsonObject]] = {
+    CommandKind.JOIN: StateMachine._join,
+    CommandKind.LEAVE: StateMachine._leave,
+    CommandKind.PROPOSE: lambda machine, command: machine.versions.propose(machine.index, command),
+    CommandKind.ACTIVATE: lambda machine, command: machine.versions.activate(machine.index, command),
+    CommandKind.DROP: lambda machine, command: machine.versions.drop(machine.index, command),
+    CommandKind.DIRECT_MACHINE: lambda machine, command: machine.directives.direct(command),
+    CommandKind.SETTLE_DIRECTIVES: StateMachine._settle_directives,
+    CommandKind.REPORT_DRAINS: StateMachine._report_drains,
+    CommandKind.CHANGE_ZONE: StateMachine._change_zone,
+    CommandKind.HOLD_ZONE: lambda machine, command: machine.zones.hold(machine.index, command),
+    CommandKind.FENCE: StateMachine._fence,
+    CommandKind.RECOVERED: StateMachine._recovered,
+}
+
+
+def _versions_from_tree(tree: JsonObject) -> SettingsVersions:
+    versions = SettingsVersions()
+    versions.active = SettingsVersion.from_tree(tree["active"]) if tree["active"] else None
+    versions.prepared = SettingsVersion.from_tree(tree["prepared"]) if tree["prepared"] else None
+    versions.prepared_at = tree["prepared_at"]
+    versions.last_number = tree["number"]
+    versions.trees = {int(number): settings for number, settings in tree["trees"].items()}
+    versions.history = tree["history"]
+    return versions
--- /dev/null
+++ b/weldhatch/coordination/voter.py
@@ -0,0 +1,117 @@
+"""The voter of a process: its effects carried out in order, and the state as it has it. Pure.
+
+What follows a record in the voter's order waits here until it is on the disk.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from itertools import takewhile
+
+from weldhatch.consensus import effects as voter_effects
+from weldhatch.consensus.messages import EntryKind, LogEntry, Message
+from weldhatch.consensus.raft import Raft
+from weldhatch.consensus.records import Record, VoteRecord
+from weldhatch.coordination.effects import Send, WriteRecords
+from weldhatch.coordination.json_types import JsonObject
+from weldhatch.coordination.outbox import Outbox
+from weldhatch.coordination.state_machine import StateMachine
+
+SNAPSHOT_INTERVAL = 400  # entries
+MAX_BACKLOG = 2000  # effects that wait for a disk; with more, the voter is silent until it takes records
+
+CommitListener = Callable[[int, LogEntry, JsonObject], None]
+
+
+class Voter:
+    """Owns a `Raft` and the state machine that it feeds."""
+
+    def __init__(self, raft: Raft, outbox: Outbox, on_commit: CommitListener) -> None:
+        """Call `on_commit` with the index, the entry and its result, once an entry is applied."""
+        self.raft = raft
+        self.state_machine = StateMachine()
+        self._outbox = outbox
+        self._on_commit = on_commit
+        self._waiting: deque[voter_effects.Effect] = deque()
+        self._is_writing = False
+        if raft.persistent.snapshot_state:
+            self.state_machine.load(raft.persistent.snapshot_state)
+
+    @property
+    def accepts_more(self) -> bool:
+        """Whether it may act on time and messages: the disk keeps up."""
+        return len(self._waiting) < MAX_BACKLOG
+
+    def tick(self, now: float) -> None:
+        """Act on the time."""
+        self.raft.tick(now)
+        self.carry_out()
+
+    def receive(self, now: float, name: str, message: Message) -> None:
+        """Handle one message of another voter."""
+        before = self.raft.lost_reason
+        self.raft.receive(now, name, message)
+        if self.raft.lost_reason and not before:
+            self._outbox.event("lost", why=self.raft.lost_reason)
+        self.carry_out()
+
+    def records_written(self) -> None:
+        """Go on: the `WriteRecords` that was out is on the disk."""
+        self._is_writing = False
+        self.carry_out()
+
+    def carry_out(self) -> None:
+        """Carry the voter's effects out in order. What follows a record waits until it is on the disk.
+
+        Guards against a vote or an answer that a restart would not remember.
+        """
+        self._collect()
+        while self._waiting and not self._is_writing:
+            records = self._next_records()
+            if records:
+                self._write(records)
+                return
+            self._carry_out_one(self._waiting.popleft())
+            self._collect()
+
+    def _collect(self) -> None:
+        self._waiting += self.raft.effects
+        self.raft.effects.clear()
+        if self.raft.name in self.raft.voters:  # those in its log count as soon as they stand there
+            self._outbox.connect(dict(self.raft.voters))
+
+    def _next_records(self) -> tuple[Record, ...]:
+        """Take the records that come next, all of which may be written at once."""
+        writes = takewhile(lambda effect: isinstance(effect, voter_effects.WriteRecord), self._waiting)
+        records = tuple(effect.record for effect in writes if isinstance(effect, voter_effects.WriteRecord))
+        for _ in records:
+            self._waiting.popleft()
+        return records
+
+    def _write(self, records: tuple[Record, ...]) -> None:
+        for record in records:
+            if isinstance(record, VoteRecord) and record.voted_for:
+                self._outbox.event("votes", lineage=record.lineage, term=record.term, for_=record.voted_for)
+        self._is_writing = True
+        self._outbox.add(WriteRecords(records))
+
+    def _carry_out_one(self, effect: voter_effects.Effect) -> None:
+        match effect:
+            case voter_effects.Send(to, message):
+                self._outbox.add(Send(to, message))
+            case voter_effects.EntryPersisted():
+                self.raft.entry_persisted(effect)
+            case voter_effects.Commit(index, entry):
+                self._commit(index, entry)
+            case voter_effects.LoadSnapshot(_, state):
+                self.state_machine = StateMachine()
+                if state:
+                    self.state_machine.load(state)
+
+    def _commit(self, index: int, entry: LogEntry) -> None:
+        data = entry.data if entry.kind == EntryKind.COMMAND else ""
+        result = self.state_machine.apply(index, data)
+        self._on_commit(index, entry, result)
+        if index - self.raft.persistent.snapshot_index >= SNAPSHOT_INTERVAL:
+            self.raft.compact(self.state_machine.snapshot(), index)
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -1,133 +1,125 @@
-"""The zone part of the leading voter: reports in, commands and quotas. `zones.failover_leader` decides."""
+"""The leading voter's part in zones: reports in, commands and start quotas out. Pure.
+
+`zones.failover_leader` decides.
+"""
 
 from __future__ import annotations
 
 import json
-import math
 from collections.abc import Callable
+from dataclasses import dataclass
 
+from weldhatch.coordination.incarnation import Incarnation
+from weldhatch.coordination.json_types import JsonObject
 from weldhatch.coordination.leader import Leader
 from weldhatch.coordination.messages import LeaseRequest
+from weldhatch.coordination.results import error_result
 from weldhatch.coordination.state_machine import StateMachine
-from weldhatch.scheduling import types as i
+from weldhatch.coordination.zone_reports import decode_zone_report
+from weldhatch.scheduling.types import Settings
 from weldhatch.zones.failover_leader import Marshal, Times
-from weldhatch.zones.start_quota import Share
 
-LOOK_S = 0.05  # witnesses are weighed as often
-PLACES_MOST = 100  # that one report may name
-TENANTS_MOST = 16  # classes of which one report may tell rates by tenant
-SPAN = 0.25  # of the stated time: for which a share holds. Shorter than a lease: shares lapse with it
+REVIEW_INTERVAL_S = 0.05  # witnesses are weighed as often
+QUOTA_SPAN = (
+    0.25  # of the consistency bound: for which a quota holds. Shorter than a lease: it lapses with it
+)
+
+
+@dataclass(slots=True, frozen=True)
+class _Current:
+    """What decides, and the settings in force."""
+
+    failover: Marshal
+    settings: Settings
 
 
 class ZoneLeader:
-    """Made anew at each election, at `now`; `term` tells its epochs of shares from those of other leaders."""
+    """Made anew at each election."""
 
     def __init__(
         self,
-        now: float,
+        elected_at: float,
         name: str,
         term: int,
         times: Times,
-        coordinator: Leader,
-        read: Callable[[dict], i.Settings],
+        leader: Leader,
+        read: Callable[[JsonObject], Settings],
     ) -> None:
-        self._now, self._name, self._times, self._coordinator = now, f"{name}.{term}", times, coordinator
+        """Begin with no report. `term` tells its epochs of quotas from those of other leaders."""
+        self._elected_at = elected_at
+        self._name = f"{name}.{term}"
+        self._times = times
+        self._leader = leader
         self._read = read
-        self._marshal: Marshal | None = None
-        self._settings: tuple[int, i.Settings | None] = (0, None)
-        self._looked = float("-inf")
-
-    def _current(self, group: StateMachine) -> tuple[Marshal, i.Settings] | None:
-        """Nothing before a version is in force: only that names the zones."""
-        if group.active is None:
+        self._failover: Marshal | None = None
+        self._settings: Settings | None = None
+        self._settings_number = 0
+        self._reviewed_at = float("-inf")
+
+    def _current(self, machine: StateMachine) -> _Current | None:
+        """Return nothing before a version is in force: only that names the zones."""
+        active = machine.active
+        if active is None:
             return None
-        if self._settings[0] != group.active.number:
-            self._settings = group.active.number, self._read(group.active.tree)
-            if self._marshal is not None:
-                self._marshal.ledger.bound(self._settings[1].fall_us / 1e6)
-        settings = self._settings[1]
-        if self._marshal is None:
-            spans = self._coordinator.spans
-            self._marshal = Marshal(
-                self._now, self._name, self._times, settings.fall_us / 1e6, SPAN * spans.stated, spans.drift
+        if self._settings is None or self._settings_number != active.number:
+            self._settings_number = active.number
+            self._settings = self._read(active.tree)
+            if self._failover is not None:
+                self._failover.ledger.bound(self._settings.fall_us / 1e6)
+        if self._failover is None:
+            timing = self._leader.timing
+            self._failover = Marshal(
+                self._elected_at,
+                self._name,
+                self._times,
+                self._settings.fall_us / 1e6,
+                QUOTA_SPAN * timing.consistency_bound,
+                timing.clock_drift,
             )
-        return self._marshal, settings
+        return _Current(self._failover, self._settings)
 
-    def hear(self, now: float, group: StateMachine, ask: LeaseRequest) -> None:
-        """A dispatcher's report. One that can't be read is of no use, and harms nobody."""
-        if not ask.sight or (found := self._current(group)) is None:
-            return
-        try:
-            told = json.loads(ask.sight)
-            looks = {
-                str(place): [str(look[0]), *map(int, look[1:])]
-                for place, look in list(told["looks"].items())[:PLACES_MOST]
-            }
-            told = {
-                "zone": str(told["zone"]),
-                "cut": str(told["cut"]),
-                "looks": looks,
-                **{
-                    key: {str(name): _number(value) for name, value in told.get(key, {}).items()}
-                    for key in ("stands", "rates", "size")
-                },
-                "starts": {
-                    str(name): [int(count) for count in counts][:3]
-                    for name, counts in told.get("starts", {}).items()
-                },
-                "tenants": {
-                    str(name): {str(tenant): _number(rate) for tenant, rate in by.items()}
-                    for name, by in list(told.get("tenants", {}).items())[:TENANTS_MOST]
-                },
-                "refused": int(told.get("refused", 0)),
-            }
-        except (ValueError, KeyError, TypeError, AttributeError, IndexError, OverflowError):
+    def receive_report(self, now: float, machine: StateMachine, request: LeaseRequest) -> None:
+        """Take a dispatcher's report. One that can't be read is of no use, and harms nobody."""
+        if not request.zone_report or (current := self._current(machine)) is None:
             return
-        found[0].hear(now, ask.name, f"{ask.name}.{ask.epoch}.{ask.token}", told)
+        report = decode_zone_report(request.zone_report)
+        if report is not None:
+            current.failover.hear(now, request.name, Incarnation.of(request).label, report)
 
-    def todo(self, now: float, group: StateMachine) -> list[dict]:
-        """Commands that are due now."""
-        if now - self._looked < LOOK_S or (found := self._current(group)) is None:
+    def due_commands(self, now: float, machine: StateMachine) -> list[JsonObject]:
+        """Return commands that are due now."""
+        if now - self._reviewed_at < REVIEW_INTERVAL_S or (current := self._current(machine)) is None:
             return []
-        self._looked = now
-        marshal, settings = found
-        marshal.gone(group.members.keys())
+        self._reviewed_at = now
+        current.failover.gone(machine.members.keys())
 
-        def held(index: int) -> bool:
-            return not self._coordinator.waits(now, group, index, self._coordinator.spans.ground)
+        def is_held(index: int) -> bool:
+            return not self._leader.grants.pending(now, machine, index, self._leader.timing.grace)
 
-        return [
-            {**one, "id": f"zone-{one['place']}-{one['number']}-{group.zones.number}-{one['phase']}"}
-            for one in marshal.todo(now, group.zones, settings, held)
-        ]
+        due = current.failover.todo(now, machine.zones, current.settings, is_held)
+        return [{**command, "id": _command_id(machine, command)} for command in due]
 
-    def shares(self, now: float, group: StateMachine, ask: LeaseRequest) -> str:
-        """What one who has just been granted a lease may start on machines that return; '' for nothing."""
-        if (found := self._current(group)) is None:
+    def start_quotas(self, now: float, machine: StateMachine, request: LeaseRequest) -> str:
+        """Return (JSON) what one who was just granted a lease may start on machines that return, or ''."""
+        if (current := self._current(machine)) is None:
             return ""
-        marshal, settings = found
-        life = f"{ask.name}.{ask.epoch}.{ask.token}"
-        shares: list[Share] = marshal.shares(now, life, group.zones, settings)
-        return json.dumps([one.to_tree() for one in shares]) if shares else ""
-
-    def operator(self, now: float, group: StateMachine, told: dict) -> dict:
-        """An operator's word as a command for the log, or an error."""
-        if (found := self._current(group)) is None:
-            return {"error": "unknown", "text": "no rules are in force yet: nothing names the zones"}
-        return found[0].operator(now, told, group.zones, found[1])
-
-    def status(self, now: float, group: StateMachine) -> dict:
-        if (found := self._current(group)) is None:
+        label = Incarnation.of(request).label
+        quotas = current.failover.shares(now, label, machine.zones, current.settings)
+        return json.dumps([quota.to_tree() for quota in quotas]) if quotas else ""
+
+    def operator_command(self, now: float, machine: StateMachine, request: JsonObject) -> JsonObject:
+        """Return an operator's word as a command for the log, or an error."""
+        if (current := self._current(machine)) is None:
+            return error_result("unknown", "no rules are in force yet: nothing names the zones")
+        return current.failover.operator(now, request, machine.zones, current.settings)
+
+    def status(self, now: float, machine: StateMachine) -> JsonObject:
+        """Return what the leader knows of the zones, for operators."""
+        if (current := self._current(machine)) is None:
             return {}
-        marshal, settings = found
-        return {
-            **marshal.status(now, dict.fromkeys([*settings.zones, *group.zones.entries])),
-            "timeline": marshal.timeline,
-        }
-
-
-def _number(value: float) -> float:
-    """Raises ValueError for what is no finite number: one report would spoil the sums of all."""
-    if not math.isfinite(value := float(value)):
-        raise ValueError(f"{value} is no figure")
-    return value
+        names = dict.fromkeys([*current.settings.zones, *machine.zones.entries])
+        return {**current.failover.status(now, names), "timeline": current.failover.timeline}
+
+
+def _command_id(machine: StateMachine, command: JsonObject) -> str:
+    return f"zone-{command['place']}-{command['number']}-{machine.zones.number}-{command['phase']}"
--- a/weldhatch/simulation/scenario_runner.py
+++ b/weldhatch/simulation/scenario_runner.py
@@ -483,9 +483,9 @@
             invariants.writers_once(self.starts),
             invariants.keyed_stand_once(self.starts),
             invariants.drains_kept(self.starts, self.drains, STATED),
-            invariants.one_history({name: one.state_machine.history for name, one in held.items()}),
+            invariants.one_history({name: one.state_machine.versions.history for name, one in held.items()}),
             invariants.kept_versions(
-                self.proposed, {name: one.state_machine.history for name, one in held.items()}
+                self.proposed, {name: one.state_machine.versions.history for name, one in held.items()}
             ),
             invariants.nothing_stands(self.starts, self.world.loop.now),
             linearizability.broken(self.calls),
--- a/weldhatch/testbed/simulated_cluster.py
+++ b/weldhatch/testbed/simulated_cluster.py
@@ -16,16 +16,12 @@
 from weldhatch import config
 from weldhatch.consensus.persistent_state import PersistentState
 from weldhatch.consensus.records import Record
-from weldhatch.coordination import compatibility
-from weldhatch.coordination.leader import LeaseTiming
-from weldhatch.coordination.node import (
-    CommandCompleted,
-    ConnectVoters,
-    CoordinationNode,
-    SaveState,
-    Send,
-    WriteRecords,
-)
+from weldhatch.coordination import compatibility, setting_rules
+from weldhatch.coordination.effects import CommandCompleted, ConnectVoters, SaveState, Send, WriteRecords
+from weldhatch.coordination.incarnation import Incarnation
+from weldhatch.coordination.node import CoordinationNode
+from weldhatch.coordination.node_setup import NodeSetup
+from weldhatch.coordination.timing import LeaseTiming
 from weldhatch.scheduling import types as i
 
 STEP_S = 0.02
@@ -97,7 +93,7 @@
         self.spans, self.random = spans or LeaseTiming(), Random(seed)
         names = list(names)
         self.voters = {name: f"{name}:1" for name in names[:voters]}
-        drift = self.spans.drift * 0.45  # any two differ by less than the bound
+        drift = self.spans.clock_drift * 0.45  # any two differ by less than the bound
         self.seats = {
             name: Seat(name, 1 + drift * (2 * n / max(1, len(names) - 1) - 1), name in self.voters)
             for n, name in enumerate(names)
@@ -136,13 +132,13 @@
             return replace(config.settings_of_json(tree), zone=own.zone)
 
         seat.member = CoordinationNode(
-            name,
-            seat.epoch,
-            f"t{seat.epoch}",
-            self.spans,
-            read,
-            lambda _: self.refusing.get(name, ""),
-            settings(),
+            NodeSetup(
+                Incarnation(name, seat.epoch, f"t{seat.epoch}"),
+                self.spans,
+                read,
+                lambda _: self.refusing.get(name, ""),
+                settings(),
+            ),
             Random(self.random.getrandbits(32)),
             seat.now(self.time),
             saved,
@@ -232,8 +228,7 @@
         self._carry(seat)
 
     def _carry(self, seat: Seat) -> None:
-        out, seat.member.effects = seat.member.effects, []
-        for effect in out:
+        for effect in seat.member.take_effects():
             match effect:
                 case WriteRecords():
                     seat.writing = effect
@@ -333,7 +328,7 @@
         holder, now = seat.member.lease_holder, seat.now(self.time)
         if holder.rules is None:
             return
-        told = holder.rules.narrow.settings
+        told = holder.rules.restricted.settings
         for n, cls in enumerate(told.classes):
             if not holder.refusal_reason(now, cls):
                 acts.setdefault(n, {})[seat.name] = (cls, told.max_attempts, holder)
@@ -346,20 +341,20 @@
                 for b, (other, _, _) in by.items():
                     if a < b and cls != other:
                         for change in compatibility.compare_items(
-                            "classes", compatibility.CLASSES, (cls,), (other,), True
+                            "classes", setting_rules.CLASSES, (cls,), (other,), True
                         ):
-                            if change.overlap is compatibility.Overlap.SWITCHES:
+                            if change.overlap is setting_rules.Overlap.SWITCHES:
                                 raise Contradiction(
                                     f"step {self.steps}: {a} and {b} both start {cls.name}, "
                                     f"{change.key} {change.old!r} and {change.new!r}"
                                 )
-                            if change.overlap is not compatibility.Overlap.FREE:
+                            if change.overlap is not setting_rules.Overlap.FREE:
                                 contradicting.add((n, a, b, change.key))
         for key in contradicting:
             since = self._acts_since.setdefault(key, self.time)
             span = self.time - since + STEP_S
             self.contradicted_s = max(self.contradicted_s, span)
-            if span > self.spans.stated:
+            if span > self.spans.consistency_bound:
                 raise Contradiction(f"step {self.steps}: {key} for {span:.2f} s")
         self._acts_since = {key: at for key, at in self._acts_since.items() if key in contradicting}
 
