--- a/tests/test_agreed_rules.py
+++ b/tests/test_agreed_rules.py
@@ -13,7 +13,7 @@
 
 from weldhatch import config
 from weldhatch.cli.main import main
-from weldhatch.cluster import codec, front_controller
+from weldhatch.cluster import codec, event_log
 from weldhatch.cluster.control_api import ControlApi
 from weldhatch.cluster.node import ClusterNode
 from weldhatch.cluster.storage import ClusterRecords, ClusterStore
@@ -239,14 +239,14 @@
     for word in (learn, LeaseRequest(0, "g1", 1, "t", 2.0, 3, "d"), append):
         stream, data = codec.encode(word)
         parts, held = list(codec.split(data)), codec.Reassembler()
-        assert all(len(part) <= codec.PART + 1 for part in parts)
+        assert all(len(part) <= codec.PART_BYTES + 1 for part in parts)
         assert [held.add(stream, part) for part in parts][:-1] == [None] * (len(parts) - 1)
         for part in parts[:-1]:
             held.add(stream, part)
         assert codec.decode(stream, held.add(stream, parts[-1])) == word
     for bad in (b"", b"\xc1", b"\x92\x00", b"\x92\x63\xc0", b"\x92\x00\xa1x"):
         with pytest.raises(Faulty):
-            codec.decode(codec.WORDS, bad)
+            codec.decode(codec.GROUP_STREAM, bad)
     for bad in (b"", b"\2x"):
         with pytest.raises(Faulty):
             codec.Reassembler().add(0, bad)
@@ -264,7 +264,7 @@
     again = ClusterRecords()
     for record in fold.records():
         again.take(record)
-    assert (again.epoch, again.met, again.state, again.saved.term, again.saved.record_count) == (
+    assert (again.epoch, again.met, again.state, again.persistent.term, again.persistent.record_count) == (
         3,
         {"g2": (5, "u")},
         "{}",
@@ -333,7 +333,7 @@
             }
         )
         self.events = []
-        self.agreement = ClusterNode(
+        self.node = ClusterNode(
             told,
             config.settings_of_json,
             lambda settings: "",
@@ -342,11 +342,11 @@
             lambda text: None,
             lambda name, **fields: self.events.append((name, fields)),
         )
-        self.desk = ControlApi(self.agreement, config.settings_of_json, lambda text: None, time.time)
-        self.closes = [self.desk.abort, self.agreement.close]
-        host, port = self.desk.listener.address
+        self.control_api = ControlApi(self.node, config.settings_of_json, lambda text: None, time.time)
+        self.closes = [self.control_api.abort, self.node.close]
+        host, port = self.control_api.listener.address
         self.at = ["--control", f"{host}:{port}"]
-        await until(lambda: self.agreement.lease_holder.state_machine.active, 10, "version 1")
+        await until(lambda: self.node.lease_holder.state_machine.active, 10, "version 1")
 
     async def asyncTearDown(self):
         for close in self.closes:
@@ -377,7 +377,7 @@
         self.assertEqual((await self.run_("rules", "diff", path))[0], 0)
         code, out = await self.run_("rules", "undo", "--why", "back", "--json")
         self.assertEqual((code, json.loads(out)["state"]), (0, "active"))
-        self.assertEqual(self.agreement.lease_holder.state_machine.active.tree["limits"]["mostTries"], 4)
+        self.assertEqual(self.node.lease_holder.state_machine.active.tree["limits"]["mostTries"], 4)
         code, out = await self.run_("rules", "history", "--json")
         self.assertEqual(
             [one["number"] for one in json.loads(out)["history"] if one["came"] == "active"], [1, 2, 3]
@@ -407,17 +407,17 @@
             code, out = await self.run_(*words)
             self.assertEqual(code, 2, (words, out))
             self.assertIn(said, out)
-        self.assertEqual(self.agreement.lease_holder.state_machine.active.number, 1)
+        self.assertEqual(self.node.lease_holder.state_machine.active.number, 1)
 
     async def test_a_recovery_by_hand_is_seen_for_ever_after(self):
         code, out = await self.run_("rules", "recover", "--why", "the others burnt", "--yes")
         self.assertEqual(code, 0, out)
-        await until(lambda: self.agreement.lease_holder.lineage == 1, 5, "the new lineage is held")
+        await until(lambda: self.node.lease_holder.lineage == 1, 5, "the new lineage is held")
         code, out = await self.run_("rules", "status")
         self.assertIn("the others burnt", out)
 
     async def test_a_disk_that_takes_nothing_stops_what_is_new_and_loses_nothing(self):
-        log = self.agreement.book._store._log
+        log = self.node.store._store._log
         whole = log.append
 
         def full(payloads):
@@ -430,14 +430,14 @@
         self.assertIn("no leader took it", out)
         self.assertIn("No space left", (await self.run_("rules", "status"))[1])
         log.append = whole
-        await until(lambda: self.agreement.lease_holder.state_machine.active.number == 2, 10, "it goes on")
+        await until(lambda: self.node.lease_holder.state_machine.active.number == 2, 10, "it goes on")
 
     async def test_a_restart_shows_what_was_held_and_acts_on_nothing_before_it_is_heard(self):
         code, out = await self.run_("rules", "propose", self.file(limits__mostTries=2), "--why", "x")
         self.assertEqual(code, 0, out)
-        await self.agreement.book.flush()
-        told = self.agreement.told
-        self.agreement.close()
+        await self.node.store.flush()
+        told = self.node.config
+        self.node.close()
         again = ClusterNode(
             told,
             config.settings_of_json,
@@ -450,13 +450,13 @@
         self.closes.append(again.close)
         self.assertEqual(again.status()["number"], 2)
         cls = again.lease_holder.rules.restricted.settings.classes[0]
-        self.assertTrue(again.lease_holder.refusal_reason(again._now(), cls))
+        self.assertTrue(again.lease_holder.refusal_reason(again._clock(), cls))
         await until(
-            lambda: not again.lease_holder.refusal_reason(again._now(), cls), 10, "it has its lease again"
+            lambda: not again.lease_holder.refusal_reason(again._clock(), cls), 10, "it has its lease again"
         )
 
 
 def test_events_are_one_json_object_a_line(capsys):
-    front_controller.event_logger()("leads", term=3)
+    event_log.event_logger()("leads", term=3)
     told = json.loads(capsys.readouterr().err)
     assert (told["event"], told["term"]) == ("agreement.leads", 3)
--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -534,32 +534,34 @@
     """One run on a store: what it finds, and then more of everything."""
 
     async def run():
-        book = ClusterStore(str(folder), 0.0, print)
+        store = ClusterStore(str(folder), 0.0, print)
         found = {
-            "fresh": book.fresh,
-            "epoch": book.epoch,
-            "held": [book.lineage, book.state],
-            "met": list(book.known("g2")),
-            "saved": [record_text(record) for record in book.saved.records()],
+            "fresh": store.is_fresh,
+            "epoch": store.epoch,
+            "held": [store.lineage, store.state],
+            "met": list(store.known("g2")),
+            "saved": [record_text(record) for record in store.persistent.records()],
         }
-        raft = Raft("g1", book.saved, Timing(), Random(book.epoch), 0.0)
-        if book.fresh:
+        raft = Raft("g1", store.persistent, Timing(), Random(store.epoch), 0.0)
+        if store.is_fresh:
             raft.bootstrap({"g1": "h:1"})
         for n in range(5000):
             raft.tick(0.02 * n)
-        if book.epoch > 1:
+        if store.epoch > 1:
             raft.recover(103.0, "h:1")
         for text in ("one", "two"):
             raft.propose(103.0, text)
         for effect in [one for one in raft.effects if isinstance(one, EntryPersisted)]:
             raft.entry_persisted(effect)
-        if book.epoch == 1:
+        if store.epoch == 1:
             raft.change_voters(103.0, {"g1": "h:1", "g2": "h:2"})
-        await book.write([fields_of(effect)[0] for effect in raft.effects if isinstance(effect, WriteRecord)])
-        await book.met("g2", book.epoch + 4, "t5")
-        book.hold(0, json.dumps({"index": 10 * book.epoch}))
-        await book.flush()
-        book.close()
+        await store.write(
+            [fields_of(effect)[0] for effect in raft.effects if isinstance(effect, WriteRecord)]
+        )
+        await store.met("g2", store.epoch + 4, "t5")
+        store.save_state(0, json.dumps({"index": 10 * store.epoch}))
+        await store.flush()
+        store.close()
         return found
 
     found = asyncio.run(run())
@@ -755,7 +757,7 @@
             lambda: None,
             lambda text: None,
             lambda name, **fields: events.append([name, shape(fields)]),
-            zones=ZoneTimes(quorum=1),
+            zone_times=ZoneTimes(quorum=1),
         )
         desk = ControlApi(agreement, read, lambda text: None, lambda: 7.0)
         try:
--- a/weldhatch/cluster/__init__.py
+++ b/weldhatch/cluster/__init__.py
@@ -1,1 +1,4 @@
-"""The agreement of a running dispatcher: links, store, and the gate before its decisions."""
+"""One process of a group of dispatchers: links, store and clock for what `coordination` decides.
+
+Imported only where the configuration has a table `agreement`.
+"""
--- a/weldhatch/cluster/codec.py
+++ b/weldhatch/cluster/codec.py
@@ -1,85 +1,100 @@
-"""The words of the agreement as messages of a link's streams: MessagePack, in parts where they are long.
+"""Messages of the group on a link's streams: MessagePack, in parts where they are long.
 
-    part = first:1 payload     first is 1 for a part that others follow, 0 for the last
+    part = follows:1 payload     follows is 1 for a part that others follow, 0 for the last
 
 A stream brings each part once and in order while its session lives; where a new one has begun, what was half
-heard is dropped (`Reassembler.clear`), and whoever said it says it again.
+received is dropped (`Reassembler.clear`), and whoever sent it sends it again.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 
 import msgspec
 
-from weldhatch.consensus import messages
-from weldhatch.coordination import messages as coordination_messages
+from weldhatch.consensus import messages as raft_messages
+from weldhatch.coordination import messages as group_messages
 from weldhatch.sites.session import Faulty
 
-PART = 8 * 1024
-WHOLE_MOST = 4 << 20
-RAFT, WORDS = 0, 1  # streams of a link
-
-_RAFT = (
-    messages.RequestVote,
-    messages.RequestVoteResponse,
-    messages.AppendEntries,
-    messages.AppendEntriesResponse,
-    messages.InstallSnapshot,
-    messages.TimeoutNow,
-    messages.Hello,
-)
-_WORDS = (
-    coordination_messages.LeaseRequest,
-    coordination_messages.LeaseResponse,
-    coordination_messages.CommandRequest,
-    coordination_messages.CommandResult,
-)
-_KINDS = {RAFT: _RAFT, WORDS: _WORDS}
-_NUMBER = {kind: (stream, number) for stream, kinds in _KINDS.items() for number, kind in enumerate(kinds)}
-_READERS = {at: msgspec.msgpack.Decoder(kind) for kind, at in _NUMBER.items()}
-_pack = msgspec.msgpack.Encoder().encode
-_pair = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
-
-
-def encode(word: messages.Message | coordination_messages.GroupMessage) -> tuple[int, bytes]:
-    """The stream of a word, and its bytes."""
-    stream, number = _NUMBER[type(word)]
-    return stream, _pack((number, word))
-
-
-def decode(stream: int, data: bytes) -> messages.Message | coordination_messages.GroupMessage:
-    """Raises Faulty for what is no word of this stream."""
+PART_BYTES = 8 * 1024
+MAX_MESSAGE_BYTES = 4 << 20
+RAFT_STREAM = 0
+GROUP_STREAM = 1
+
+Message = raft_messages.Message | group_messages.GroupMessage
+
+# The place of a kind in its tuple is its number on the wire.
+_KINDS: dict[int, tuple[type, ...]] = {
+    RAFT_STREAM: (
+        raft_messages.RequestVote,
+        raft_messages.RequestVoteResponse,
+        raft_messages.AppendEntries,
+        raft_messages.AppendEntriesResponse,
+        raft_messages.InstallSnapshot,
+        raft_messages.TimeoutNow,
+        raft_messages.Hello,
+    ),
+    GROUP_STREAM: (
+        group_messages.LeaseRequest,
+        group_messages.LeaseResponse,
+        group_messages.CommandRequest,
+        group_messages.CommandResult,
+    ),
+}
+_NUMBERS = {kind: (stream, number) for stream, kinds in _KINDS.items() for number, kind in enumerate(kinds)}
+_DECODERS: dict[tuple[int, int], msgspec.msgpack.Decoder[Message]] = {
+    place: msgspec.msgpack.Decoder(kind) for kind, place in _NUMBERS.items()
+}
+_encode = msgspec.msgpack.Encoder().encode
+_decode_pair: Callable[[bytes], tuple[int, msgspec.Raw]] = msgspec.msgpack.Decoder(
+    tuple[int, msgspec.Raw]
+).decode
+
+
+def encode(message: Message) -> tuple[int, bytes]:
+    """Return the stream of a message, and its bytes."""
+    stream, number = _NUMBERS[type(message)]
+    return stream, _encode((number, message))
+
+
+def decode(stream: int, data: bytes) -> Message:
+    """Decode what `encode` gave. Raises Faulty for what is no message of this stream."""
     try:
-        number, rest = _pair(data)
-        return _READERS[stream, number].decode(rest)
-    except (msgspec.MsgspecError, KeyError, ValueError, RecursionError) as fault:
-        raise Faulty(f"a word that can't be read: {type(fault).__name__}: {str(fault)[:120]}") from None
+        number, rest = _decode_pair(data)
+        return _DECODERS[stream, number].decode(rest)
+    except (msgspec.MsgspecError, KeyError, ValueError, RecursionError) as error:
+        raise Faulty(f"a word that can't be read: {type(error).__name__}: {str(error)[:120]}") from None
 
 
 def split(data: bytes) -> Iterator[bytes]:
-    for at in range(0, len(data), PART):
-        yield (b"\1" if at + PART < len(data) else b"\0") + data[at : at + PART]
+    """Yield the parts of a message."""
+    for at in range(0, len(data), PART_BYTES):
+        yield (b"\1" if at + PART_BYTES < len(data) else b"\0") + data[at : at + PART_BYTES]
 
 
 class Reassembler:
-    """What has come of a long word, by stream."""
+    """What has come of long messages, by stream."""
 
     def __init__(self) -> None:
-        self._held: dict[int, bytearray] = {}
+        """Begin with nothing."""
+        self._received: dict[int, bytearray] = {}
 
     def add(self, stream: int, part: bytes) -> bytes | None:
-        """One part; the whole once it is there. Raises Faulty for what is none, or too much."""
+        """Add one part; the whole message once it is there.
+
+        Raises Faulty for what is no part, or too much.
+        """
         if not part or part[0] > 1:
             raise Faulty("a part that begins with neither 0 nor 1")
-        held = self._held.setdefault(stream, bytearray())
-        held += part[1:]
-        if len(held) > WHOLE_MOST:
-            raise Faulty(f"a word of over {WHOLE_MOST} bytes")
+        received = self._received.setdefault(stream, bytearray())
+        received += part[1:]
+        if len(received) > MAX_MESSAGE_BYTES:
+            raise Faulty(f"a word of over {MAX_MESSAGE_BYTES} bytes")
         if part[0]:
             return None
-        del self._held[stream]
-        return bytes(held)
+        del self._received[stream]
+        return bytes(received)
 
     def clear(self) -> None:
-        self._held.clear()
+        """Drop what is not complete."""
+        self._received.clear()
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -4,73 +4,76 @@
 
 from collections.abc import Callable
 
+from weldhatch.coordination.json_types import JsonObject
 from weldhatch.coordination.lease_holder import LeaseHolder
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Machine, MachineState
 from weldhatch.zones.endpoint_overlay import Narrowed
 
-GONE_MOST = 5000  # machines that went, and that the group may not know of yet
+REMOVED = "gone"
+MAX_REMOVED = 5000  # machines that were removed, and that the group may not know of yet
 
 
 class LocalEndpointList:
-    """Hears each change of the own list; says what is news to the group, and what the module should hear."""
+    """Receives each change of the own list; says what is news to the group, and to the policy."""
 
     def __init__(self) -> None:
-        self.rev = 0
+        """Begin with an empty list."""
+        self.rev = 0  # the list's revision
         self.states: dict[str, str] = {}  # by uid, as our own list says
-        self._ids: dict[str, int] = {}  # of those that are not gone
+        self._ids: dict[str, int] = {}  # of those that are not removed
         self._uids: dict[int, str] = {}
-        self._told = Narrowed()
-        self.changed: Callable[[], None] = lambda: None
+        self._overlay = Narrowed()
+        self.on_change: Callable[[], None] = lambda: None
 
-    def heard(self, topology: dict, machines: tuple[i.Machine, ...]) -> None:
-        """One event of the bus, with its targets as the module was told of them."""
+    def heard(self, topology: JsonObject, machines: tuple[Machine, ...]) -> None:
+        """Take one event of the event bus, with its targets as the policy was notified of them."""
         self.rev = max(self.rev, int(topology.get("rev") or 0))
         uids = [str(target["uid"]) for target in topology.get("targets") or ()]
         if topology.get("all"):
             for uid in self._ids.keys() - set(uids):
-                self.states[uid] = "gone"
-                self._told.gone(self._ids[uid])
+                self.states[uid] = REMOVED
+                self._overlay.gone(self._ids[uid])
                 self._forget(uid)
         for uid, machine in zip(uids, machines, strict=True):
             self.states[uid] = machine.state.name.lower()
-            self._ids[uid], self._uids[machine.id] = machine.id, uid
-            self._told.heard(machine)
-            if machine.state is i.MachineState.GONE:
+            self._ids[uid] = machine.id
+            self._uids[machine.id] = uid
+            self._overlay.heard(machine)
+            if machine.state is MachineState.GONE:
                 self._forget(uid)
-        gone = [uid for uid, state in self.states.items() if state == "gone"]
-        for uid in gone[: max(0, len(gone) - GONE_MOST)]:
+        removed = [uid for uid, state in self.states.items() if state == REMOVED]
+        for uid in removed[: max(0, len(removed) - MAX_REMOVED)]:
             del self.states[uid]
-        self.changed()
+        self.on_change()
 
     def _forget(self, uid: str) -> None:
         del self._uids[self._ids.pop(uid)]
 
     @property
-    def machines(self) -> tuple[i.Machine, ...]:
-        """All that our own list names and that are not gone."""
-        return tuple(self._told.entries.values())
+    def machines(self) -> tuple[Machine, ...]:
+        """All that our own list names and that are not removed."""
+        return tuple(self._overlay.entries.values())
 
-    def news(self, holder: LeaseHolder) -> dict[str, str]:
-        """What the group should hear of our list."""
+    def unreported(self, holder: LeaseHolder) -> dict[str, str]:
+        """Return what the group should hear of our list, by uid."""
         return holder.state_machine.drain_reports.unreported(self.rev, self.states)
 
-    def narrow(self, holder: LeaseHolder, zoned: Callable[[int], str] | None = None) -> tuple[i.Machine, ...]:
-        """Machines of which the module should hear another state than it was told last.
+    def overlaid_machines(
+        self, holder: LeaseHolder, zone_state: Callable[[int], str] | None = None
+    ) -> tuple[Machine, ...]:
+        """Return machines of which the policy should hear another state than it was notified of last.
 
-        `zoned`: what a machine counts as by its zone, where any zone may count for less.
+        `zone_state`: what a machine counts as by its zone, where any zone may count for less.
         """
-        group = holder.state_machine
-        if zoned is not None:
+        machine = holder.state_machine
+        if zone_state is not None:
             ids = list(self._uids)
         else:
-            ids = [
-                self._ids[uid]
-                for uid in group.drain_reports.entries.keys() | group.directives.entries.keys()
-                if uid in self._ids
-            ]
+            named = machine.drain_reports.entries.keys() | machine.directives.entries.keys()
+            ids = [self._ids[uid] for uid in named if uid in self._ids]
 
-        def acts(machine: i.Machine) -> str:
+        def effective_state(machine: Machine) -> str:
             state = holder.machine_state(self._uids[machine.id], self.rev)
-            return zoned(machine.id) if state == "ready" and zoned is not None else state
+            return zone_state(machine.id) if state == "ready" and zone_state is not None else state
 
-        return self._told.news(ids, acts)
+        return self._overlay.news(ids, effective_state)
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -1,213 +1,226 @@
-"""One front under the rules of a group: what the group agrees on reaches the module, the gate and the lists.
+"""One front under the rules of a group: what the group agrees on reaches the policy, the gate and the lists.
 
 Imported only where `agreement` is configured.
 """
 
 from __future__ import annotations
 
-import asyncio
-import sys
 from collections.abc import Callable
 from dataclasses import replace
 from typing import Protocol
 
-import structlog
-
 from weldhatch import config
 from weldhatch.cluster.admission import AdmissionGate
 from weldhatch.cluster.control_api import ControlApi
+from weldhatch.cluster.drain_reporter import DrainReporter
 from weldhatch.cluster.endpoint_list import LocalEndpointList
-from weldhatch.cluster.node import ClusterNode, GroupUnreachableError, boot_clock
+from weldhatch.cluster.event_log import event_logger
+from weldhatch.cluster.node import ClusterNode, boot_clock
 from weldhatch.cluster.zone_agent import ZoneAgent
 from weldhatch.coordination import compatibility
 from weldhatch.coordination.errors import IncompatibleChangeError
-from weldhatch.coordination.lease_holder import LeaseStatus
+from weldhatch.coordination.json_types import JsonObject
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.remote_sites import link_contexts
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Event, ListForm, Machine, MachinesChanged, Settings
 from weldhatch.zones.endpoint_overlay import Narrowed
 
 
 class Front(Protocol):
-    """What a governor needs of a front."""
+    """What a controller needs of a front."""
 
-    settings: i.Settings
+    settings: Settings
     driver: Driver
     endpoint_list: LocalEndpointList | None  # of a front whose machines come by lists
 
-    def update_machines(self, machines: tuple[i.Machine, ...]) -> None:
-        """Machines that count for less, or for more again, than the front's own list said last."""
+    def update_machines(self, machines: tuple[Machine, ...]) -> None:
+        """Take machines that count for less, or for more again, than the front's own list said last."""
 
-    def apply_rules(self, settings: i.Settings, rules: Rules) -> None:
+    def apply_rules(self, settings: Settings, rules: Rules) -> None:
         """Decide by these settings from now on, as far as `rules` lets anything start."""
 
     def name_of(self, machine: int) -> str:
-        """What operators call a machine; '' for one that is not known."""
+        """Return what operators call a machine; '' for one that is not known."""
 
     def on_break(self, broke: Callable[[int], None]) -> None:
-        """Tell it of machines whose connection has ended, where they have one of their own."""
+        """Notify of machines whose connection has ended, where they have one of their own."""
 
     def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
-        """What the group acts on for a machine, by operators' words."""
-
-
-def event_logger(stream: object = None) -> Callable[..., None]:
-    """Structured log lines, one JSON object each."""
-    logger = structlog.wrap_logger(
-        structlog.PrintLogger(stream or sys.stderr),
-        processors=[
-            structlog.processors.TimeStamper(fmt="iso", utc=True),
-            structlog.processors.JSONRenderer(),
-        ],
-    )
-    return lambda event, **fields: logger.info(f"agreement.{event}", **fields)
+        """Take what the group acts on for a machine, as operators said."""
 
 
 class FrontController:
-    """Owns the process's part in the agreement and its control address."""
+    """Owns the process's part in the group and its control address."""
 
     def __init__(
         self,
-        told: config.AgreementFile,
-        tree: dict,
+        agreement: config.AgreementFile,
+        tree: JsonObject,
         front: Front,
         log: Callable[[str], None],
-        unix: Callable[[], float],
+        unix_clock: Callable[[], float],
         zones: config.ZonesFile | None = None,
     ) -> None:
-        """`tree`: the settings of this process's own file, proposed where a group has none yet; `zones`:
-        where the group leaves zones that fail."""
-        self._front, self._log, own = front, log, front.settings
-
-        def read(tree: dict) -> i.Settings:
-            settings = config.settings_of_json(tree)
-            return replace(settings, zone=own.zone, me=own.me, tick_us=own.tick_us)
-
-        def fits(settings: i.Settings) -> str:
-            try:
-                compatibility.find_changes(front.settings, settings)
-            except IncompatibleChangeError as unfit:
-                return str(unfit)
-            return ""
-
-        contexts = link_contexts(told.keys, told.name, "agreement.keys")
-        self._roll, self.zone_agent, self._known = front.endpoint_list, None, Narrowed()
-        if zones is not None:
-            if self._roll is None:
-                front.driver.watches.append(self._listed)
-            self.zone_agent = ZoneAgent(
-                own, told.drift, told.stated, front.driver, front.name_of, self._narrow, log, boot_clock
-            )
+        """Join the group. Raises ConfigError.
+
+        `tree`: the settings of this process's own file, proposed where a group has none yet. `zones`: where
+        the group leaves zones that fail.
+        """
+        self._front = front
+        self._first_tree = tree
+        self._own_settings = front.settings
+        self._list = front.endpoint_list
+        self._announced = Narrowed()  # machines that made themselves known, as the policy knows them
+        zone_times = zones.times if zones is not None else None
+        contexts = link_contexts(agreement.keys, agreement.name, "agreement.keys")
+        self.zone_agent = self._make_zone_agent(agreement, log) if zones is not None else None
         self.node = ClusterNode(
-            told,
-            read,
-            fits,
+            agreement,
+            self._read,
+            self._fits,
             tree,
-            self._changed,
+            self._state_changed,
             log,
             event_logger(),
             contexts,
-            zones=zones.times if zones is not None else None,
-            shared=self.zone_agent.shared if self.zone_agent is not None else lambda shares, asked: None,
+            zone_times=zone_times,
+            on_quota=self._quota_received,
+        )
+        self._join_zones()
+        self._drain_reporter = self._make_drain_reporter(log)
+        self._gate = self._make_gate()
+        front.apply_rules(self._own_settings, self._gate)
+        self.control_api = ControlApi(self.node, self._read, log, unix_clock)
+        log(
+            f"agreement: {agreement.name} of {len(agreement.voters)} voters, stated time {agreement.stated} s"
         )
+
+    def _join_zones(self) -> None:
         if self.zone_agent is not None:
-            front.on_break(self.zone_agent.keeper.broke)
-            self.zone_agent.join(self.node, self._roll.machines if self._roll is not None else ())
-        rev = (lambda: self._roll.rev) if self._roll is not None else (lambda: 0)
-        self._gate = AdmissionGate(self.node.lease_holder, boot_clock, front.name_of, rev)
-        self._gate.keeper = self.zone_agent.keeper if self.zone_agent is not None else None
-        self._telling: asyncio.Task | None = None
-        if self._roll is not None:
-            self._roll.changed = self._tell
-        self._first = tree
-        front.apply_rules(own, self._gate)
-        self.control_api = ControlApi(self.node, read, log, unix)
-        log(f"agreement: {told.name} of {len(told.voters)} voters, stated time {told.stated} s")
+            self._front.on_break(self.zone_agent.member.broke)
+            self.zone_agent.join(self.node, self._list.machines if self._list is not None else ())
+
+    def _make_drain_reporter(self, log: Callable[[str], None]) -> DrainReporter | None:
+        if self._list is None:
+            return None
+        reporter = DrainReporter(self.node, self._list, log)
+        self._list.on_change = reporter.report_soon
+        return reporter
+
+    def _make_gate(self) -> AdmissionGate:
+        zone_member = self.zone_agent.member if self.zone_agent is not None else None
+        return AdmissionGate(
+            self.node.lease_holder, boot_clock, self._front.name_of, self._list_revision, zone_member
+        )
+
+    def _make_zone_agent(self, agreement: config.AgreementFile, log: Callable[[str], None]) -> ZoneAgent:
+        if self._list is None:
+            self._front.driver.watches.append(self._note_machines)
+        return ZoneAgent(
+            self._own_settings,
+            agreement.drift,
+            agreement.stated,
+            self._front.driver,
+            self._front.name_of,
+            self._overlay_machines,
+            log,
+            boot_clock,
+        )
+
+    def _read(self, tree: JsonObject) -> Settings:
+        """Return a version's settings with this process's own keys. Raises ConfigError."""
+        own = self._own_settings
+        settings = config.settings_of_json(tree)
+        return replace(settings, zone=own.zone, me=own.me, tick_us=own.tick_us)
+
+    def _fits(self, settings: Settings) -> str:
+        """Return '' where this front can act on such settings, or the key and the reason."""
+        try:
+            compatibility.find_changes(self._front.settings, settings)
+        except IncompatibleChangeError as error:
+            return str(error)
+        return ""
+
+    def _list_revision(self) -> int:
+        return self._list.rev if self._list is not None else 0
 
     @property
-    def tree(self) -> dict:
+    def tree(self) -> JsonObject:
         """The settings in force in the group, as a file has them."""
         active = self.node.lease_holder.state_machine.active
-        return active.tree if active is not None else self._first
+        return active.tree if active is not None else self._first_tree
+
+    # ---- what the group says ---------------------------------------------------------------------------
 
-    def _changed(self) -> None:
-        """Something else is held: the module decides by it from its next batch on."""
-        rules = self.node.lease_holder.rules
-        if rules is not None and rules.restricted.settings != self._front.settings:
-            self._front.apply_rules(rules.restricted.settings, self._gate)
+    def _state_changed(self) -> None:
+        """Act on what is held now: the policy decides by it from its next batch on."""
+        holder = self.node.lease_holder
+        if holder.rules is not None and holder.rules.restricted.settings != self._front.settings:
+            settings = holder.rules.restricted.settings
+            self._front.apply_rules(settings, self._gate)
             if self.zone_agent is not None:
-                self.zone_agent.keeper.settle(rules.restricted.settings)
-        for machine, word in self.node.lease_holder.state_machine.directives.entries.items():
-            self._front.apply_directive(machine, word.effective_state, word.fence, word.operation)
+                self.zone_agent.member.settle(settings)
+        for machine, directive in holder.state_machine.directives.entries.items():
+            self._front.apply_directive(
+                machine, directive.effective_state, directive.fence, directive.operation
+            )
         if self.zone_agent is not None:
-            self.zone_agent.agreed()
-        self._narrow()
-        if self._roll is not None:
-            self._tell()
-
-    def _narrow(self) -> None:
-        """Tell the module of machines that count for less, or for more again, than our list says."""
-        zoned, keeper, now = (
-            None,
-            self.zone_agent.keeper if self.zone_agent is not None else None,
-            boot_clock(),
-        )
-        if keeper is not None and (keeper.zones.entries or keeper.hushed):
+            self.zone_agent.state_changed()
+        self._overlay_machines()
+        if self._drain_reporter is not None:
+            self._drain_reporter.report_soon()
 
-            def zoned(machine: int) -> str:
-                return keeper.state(now, machine)
+    def _quota_received(self, quotas: str, asked_at: float) -> None:
+        if self.zone_agent is not None:
+            self.zone_agent.quota_received(quotas, asked_at)
+
+    # ---- machines --------------------------------------------------------------------------------------
 
-        if self._roll is not None:
-            if machines := self._roll.narrow(self.node.lease_holder, zoned):
+    def _overlay_machines(self) -> None:
+        """Notify the policy of machines that count for less, or for more again, than our list says."""
+        zone_state = self._zone_state()
+        if self._list is not None:
+            if machines := self._list.overlaid_machines(self.node.lease_holder, zone_state):
                 self._front.update_machines(machines)
-        elif keeper is not None:
-            known = self._known
-            if machines := known.news(
-                known.entries if zoned else (), lambda machine: zoned(machine.id) if zoned else "ready"
-            ):
-                self._front.driver.tell(i.MachinesChanged(i.ListForm.DELTA, machines))
-
-    def _listed(self, event: i.Event) -> None:
-        """What the module hears of machines that make themselves known."""
-        if isinstance(event, i.MachinesChanged):
+        elif self.zone_agent is not None:
+            announced = self._announced
+            machines = announced.news(
+                announced.entries if zone_state else (),
+                lambda machine: zone_state(machine.id) if zone_state else "ready",
+            )
+            if machines:
+                self._front.driver.tell(MachinesChanged(ListForm.DELTA, machines))
+
+    def _zone_state(self) -> Callable[[int], str] | None:
+        """Return what tells as what a machine counts by its zone; None where no zone counts for less."""
+        if self.zone_agent is None:
+            return None
+        member = self.zone_agent.member
+        if not member.zones.entries and not member.hushed:
+            return None
+        now = boot_clock()
+        return lambda machine: member.state(now, machine)
+
+    def _note_machines(self, event: Event) -> None:
+        """Note what the policy hears of machines that make themselves known."""
+        if isinstance(event, MachinesChanged):
             for machine in event.machines:
-                self._known.heard(machine)
+                self._announced.heard(machine)
 
-    def _tell(self) -> None:
-        """Our own list has news for the group: told once at a time, and again once the group is heard."""
-        holder = self.node.lease_holder
-        if (
-            self._telling is None
-            and holder.lease_status(boot_clock()) is LeaseStatus.VALID
-            and self._roll.news(holder)
-        ):
-            self._telling = asyncio.get_running_loop().create_task(self._tell_all())
-
-    async def _tell_all(self) -> None:
-        try:
-            while news := self._roll.news(self.node.lease_holder):
-                rev = self._roll.rev
-                result = await self.node.command(
-                    {"do": "listed", "rev": rev, "entries": news, "by": self.node.told.name}
-                )
-                for text in result.get("conflicts", ()):
-                    self._log(f"agreement: two lists differ: {text}")
-                await self.node.holds(result["index"])
-        except GroupUnreachableError:
-            pass  # no leader: what is held next, or a lease, brings us here again
-        finally:
-            self._telling = None
+    # ---- the end ---------------------------------------------------------------------------------------
 
     async def end(self) -> None:
+        """Leave the group, so that nobody waits for our lease; then close."""
         await self.control_api.end()
         await self.node.end()
         self.abort()
 
     def abort(self) -> None:
+        """Give back every socket and task at once."""
         if self.zone_agent is not None:
             self.zone_agent.close()
-        if self._telling is not None:
-            self._telling.cancel()
+        if self._drain_reporter is not None:
+            self._drain_reporter.close()
         self.control_api.abort()
         self.node.close()
--- a/weldhatch/cluster/storage.py
+++ b/weldhatch/cluster/storage.py
@@ -1,7 +1,7 @@
-"""What a process keeps of the agreement: its own epoch, whom it has met, a voter's log, the last state.
+"""What a process keeps of the group: its own epoch, whom it has met, a voter's log, the last state.
 
 Records are JSON arrays: ["begins", epoch, token], ["met", name, epoch, token], ["held", lineage, state], and
-["raft", ...] with those of `consensus.persistent_state`.
+["raft", ...] with those of `consensus.records`.
 """
 
 from __future__ import annotations
@@ -22,74 +22,95 @@
 COMPACT_OVER = 500  # records are large here: each may hold a whole state
 
 
+class InvalidClusterRecordError(ValueError):
+    """A record of the store can't be read."""
+
+    def __init__(self, payload: bytes, reason: str = "") -> None:
+        """Carry the `payload` of the record."""
+        text = f"a record that can't be read: {payload[:80]!r}"
+        super().__init__(f"{text}: {reason}" if reason else text)
+        self.payload = payload
+
+
 class ClusterRecords:
     """All records, folded."""
 
     def __init__(self) -> None:
-        self.epoch, self.token = 0, ""
-        self.met: dict[str, tuple[int, str]] = {}
-        self.lineage, self.state = 0, ""
-        self.saved = PersistentState()
+        """Begin as an empty store."""
+        self.epoch = 0
+        self.token = ""
+        self.met: dict[str, tuple[int, str]] = {}  # epoch and token, by name
+        self.lineage = 0
+        self.state = ""  # the agreed state that was acted on last
+        self.persistent = PersistentState()  # the voter's
 
     def take(self, payload: bytes) -> None:
-        """One record. Raises ValueError for what is none."""
+        """Take one record. Raises ValueError for what is none."""
         if payload == PROBE:
             return
         try:
-            word, *rest = json.loads(payload)
-        except (ValueError, TypeError) as fault:
-            raise ValueError(f"a record that can't be read: {payload[:80]!r}: {fault}") from None
-        match word, rest:
-            case "raft", values:
-                self.saved.apply(record_from_list(values))
+            kind, *values = json.loads(payload)
+        except (ValueError, TypeError) as error:
+            raise InvalidClusterRecordError(payload, str(error)) from None
+        match kind, values:
+            case "raft", _:
+                self.persistent.apply(record_from_list(values))
             case "begins", [int(epoch), str(token)]:
-                self.epoch, self.token = epoch, token
+                self.epoch = epoch
+                self.token = token
             case "met", [str(name), int(epoch), str(token)]:
                 self.met[name] = (epoch, token)
             case "held", [int(lineage), str(state)]:
-                self.lineage, self.state = lineage, state
+                self.lineage = lineage
+                self.state = state
             case _:
-                raise ValueError(f"a record that can't be read: {payload[:80]!r}")
+                raise InvalidClusterRecordError(payload)
 
     def records(self) -> Iterator[bytes]:
-        """The least records that fold to the same."""
+        """Yield the fewest records that fold to the same."""
         yield json.dumps(["begins", self.epoch, self.token]).encode()
         for name, (epoch, token) in self.met.items():
             yield json.dumps(["met", name, epoch, token]).encode()
         if self.state:
             yield json.dumps(["held", self.lineage, self.state]).encode()
-        for record in self.saved.records():
+        for record in self.persistent.records():
             yield b'["raft",' + json.dumps(record.to_list()).encode()[1:]
 
     @property
     def size(self) -> int:
-        return 2 + len(self.met) + self.saved.size
+        """About how many records `records` yields."""
+        return 2 + len(self.met) + self.persistent.size
 
 
 class ClusterStore(EpochBook):
-    """The folder of the agreement. Its fold of the disk is one, a voter's log in memory another."""
+    """Owns the folder. Its fold of the disk is one, a voter's log in memory another."""
+
+    def __init__(self, folder: str, now: float, log: Callable[[str], None], disk: Disk | None = None) -> None:
+        """Open the folder. `now`: Unix seconds, for those whom its lock turns away.
 
-    def __init__(self, folder: str, now: float, say: Callable[[str], None], disk: Disk | None = None) -> None:
-        """Raises ConfigError where the folder can't be used, is another's, or holds what can't be read."""
-        on_disk, memory = ClusterRecords(), ClusterRecords()
+        Raises ConfigError where it can't be used, is another's, or holds what can't be read.
+        """
+        on_disk = ClusterRecords()
+        memory = ClusterRecords()
         try:
             self._store = FoldedStore(
-                folder, "agreement.log", "agreement", now, [on_disk, memory], say, disk, COMPACT_OVER
+                folder, "agreement.log", "agreement", now, [on_disk, memory], log, disk, COMPACT_OVER
             )
-            self.fresh = memory.epoch == 0
-            begins = json.dumps(["begins", memory.epoch + 1, secrets.token_hex(4)]).encode()
-            memory.take(begins)
-            self._store.begin([begins])
-        except OSError as fault:
-            raise ConfigError(f"agreement.store: {fault}") from None
+            self.is_fresh = memory.epoch == 0
+            first = json.dumps(["begins", memory.epoch + 1, secrets.token_hex(4)]).encode()
+            memory.take(first)
+            self._store.begin([first])
+        except OSError as error:
+            raise ConfigError(f"agreement.store: {error}") from None
         super().__init__(self._store, memory.epoch, memory.token, memory.met)
-        self.saved = memory.saved
-        self.lineage, self.state = memory.lineage, memory.state
+        self.persistent = memory.persistent
+        self.lineage = memory.lineage
+        self.state = memory.state
 
-    def write(self, records: Iterable[Record]) -> asyncio.Future:
-        """A voter's records: done once they are on the disk, however long that takes."""
+    def write(self, records: Iterable[Record]) -> asyncio.Future[None]:
+        """Write a voter's records: done once they are on the disk, however long that takes."""
         return self._store.must([json.dumps(["raft", *record.to_list()]).encode() for record in records])
 
-    def hold(self, lineage: int, state: str) -> None:
-        """The state that is acted on, for a look after a restart."""
+    def save_state(self, lineage: int, state: str) -> None:
+        """Keep the state that is acted on, for a look after a restart."""
         self._store.must([json.dumps(["held", lineage, state]).encode()])
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -1,4 +1,7 @@
-"""Zones at one front: time, events and probes for what `zones.failover_member` decides. No decisions here."""
+"""Zones at one front: time, events and health checks for what `zones.failover_member` decides.
+
+No decisions here.
+"""
 
 from __future__ import annotations
 
@@ -8,124 +11,154 @@
 from random import Random
 
 from weldhatch.cluster.node import ClusterNode, GroupUnreachableError
+from weldhatch.coordination.commands import CommandKind
+from weldhatch.coordination.json_types import JsonObject
+from weldhatch.coordination.results import is_error
 from weldhatch.core.policy_driver import Driver
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import ListForm, Machine, MachinesChanged, Outcome, ProbeAnswered, Settings
 from weldhatch.zones.failover_member import Keeper
 from weldhatch.zones.start_quota import Share
 from weldhatch.zones.state import Phase
 
 TICK_S = 0.1
-TELL = 0.2  # of the stated time: what is seen is told as often where it stays the same
-READ_MOST = 100  # shares that one answer may bring
+REPORT_INTERVAL = 0.2  # of the consistency bound: a report that stays the same is sent as often
+MAX_QUOTAS = 100  # that one answer may bring
 
 
 class ZoneAgent:
-    """Owns a keeper and its timer. `changed` hears when machines may count for more or less than before."""
+    """Owns the front's part in zone failover, and its timer."""
 
     def __init__(
         self,
-        settings: i.Settings,
-        drift: float,
-        stated: float,
+        settings: Settings,
+        clock_drift: float,
+        consistency_bound: float,
         driver: Driver,
         uid_of: Callable[[int], str],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         log: Callable[[str], None],
-        now: Callable[[], float],
+        clock: Callable[[], float],
     ) -> None:
-        self.keeper = Keeper(settings, drift, Random(), uid_of)
-        self._driver, self._changed, self._log, self._now = driver, changed, log, now
-        self._stated = stated
-        self._agreement: ClusterNode | None = None
-        self._told_at = float("-inf")
-        self._hushed: frozenset[str] = frozenset()
-        self._looks: object = None
+        """Begin to listen to what the policy hears. `on_change`: machines may count for more or less."""
+        self.member = Keeper(settings, clock_drift, Random(), uid_of)
+        self._driver = driver
+        self._on_change = on_change
+        self._log = log
+        self._clock = clock
+        self._consistency_bound = consistency_bound
+        self._node: ClusterNode | None = None
+        self._reported_at = float("-inf")
+        self._silent_zones: frozenset[str] = frozenset()
+        self._reported_looks: object = None
         self._last_looks: object = None
-        self._telling: asyncio.Task | None = None
-        driver.watches.append(lambda event: self.keeper.heard(now(), event))
+        self._fencing: asyncio.Task[None] | None = None
+        driver.watches.append(lambda event: self.member.heard(clock(), event))
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
-    def join(self, agreement: ClusterNode, machines: tuple[i.Machine, ...]) -> None:
-        """`machines`: those that the module heard of before we listened to what it hears."""
-        self.keeper.heard(self._now(), i.MachinesChanged(i.ListForm.DELTA, machines))
-        self._agreement = agreement
-        agreement.member.report_zones_by(self.sight)
+    def join(self, node: ClusterNode, machines: tuple[Machine, ...]) -> None:
+        """Take part in a group. `machines`: those that the policy heard of before we listened to it."""
+        self.member.heard(self._clock(), MachinesChanged(ListForm.DELTA, machines))
+        self._node = node
+        node.coordination.report_zones_by(self.report)
 
-    def sight(self, now: float) -> str:
-        """What the leader is to hear with the next question; '' where it was told lately."""
-        report = self.keeper.report(now)
+    def report(self, now: float) -> str:
+        """Return what the leader is to hear with the next request (JSON); '' where it was sent lately."""
+        report = self.member.report(now)
         looks = [
             report["cut"],
             {place: look[0] for place, look in report["looks"].items()},
             report.get("starts"),
         ]
-        if looks == self._looks and now - self._told_at < TELL * self._stated:
+        interval = REPORT_INTERVAL * self._consistency_bound
+        if looks == self._reported_looks and now - self._reported_at < interval:
             return ""
-        self._looks, self._told_at = looks, now
+        self._reported_looks = looks
+        self._reported_at = now
         return json.dumps(report, separators=(",", ":"))
 
+    # ---- time ------------------------------------------------------------------------------------------
+
     def _tick(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
-        now = self._now()
-        for machine in self.keeper.tick(now):
-            self._driver.site.probe(
-                machine,
-                lambda outcome, report, machine=machine: self.keeper.heard(
-                    self._now(), i.ProbeAnswered(machine, outcome, 0, report)
-                ),
-            )
-        if self._agreement is None:
+        now = self._clock()
+        for machine in self.member.tick(now):
+            self._check_health(machine)
+        if self._node is None:
             return
-        counts = self.keeper.sight.counts(now)
-        looks = {place: counts[place].look() for place in self.keeper.sight.zones}
+        self._ask_where_looks_change(now, self._node)
+        self._update_silent_zones()
+        if any(place.phase is not Phase.SERVING for place in self.member.zones.entries.values()):
+            self._on_change()  # quotas lapse by time alone, and machines are reported anew
+        if self._fencing is None and self.member.fences()[1]:
+            self._fencing = asyncio.get_running_loop().create_task(self._fence(self._node))
+
+    def _check_health(self, machine: int) -> None:
+        def on_answer(outcome: Outcome, report: tuple[float, ...]) -> None:
+            self.member.heard(self._clock(), ProbeAnswered(machine, outcome, 0, report))
+
+        if self._driver.site is not None:
+            self._driver.site.probe(machine, on_answer)
+
+    def _ask_where_looks_change(self, now: float, node: ClusterNode) -> None:
+        counts = self.member.sight.counts(now)
+        looks = {place: counts[place].look() for place in self.member.sight.zones}
         if looks != self._last_looks:
             self._last_looks = looks
-            self._agreement.ask()
-        hushed, self._hushed = self._hushed, self.keeper.hushed
-        if hushed != self._hushed:
-            for zone in sorted(hushed ^ self._hushed):
-                self._log(
-                    f"zones: {zone} says nothing: nothing new goes there from here"
-                    if zone in self._hushed
-                    else f"zones: {zone} is heard again"
-                )
-            self._changed()
-        if any(one.phase is not Phase.SERVING for one in self.keeper.zones.entries.values()):
-            self._changed()  # shares lapse by time alone, and machines are told of anew
-        if self._telling is None and self.keeper.fences()[1]:
-            self._telling = asyncio.get_running_loop().create_task(self._fence())
-
-    async def _fence(self) -> None:
+            node.request_lease()
+
+    def _update_silent_zones(self) -> None:
+        before = self._silent_zones
+        self._silent_zones = self.member.hushed
+        if before == self._silent_zones:
+            return
+        for zone in sorted(before ^ self._silent_zones):
+            self._log(
+                f"zones: {zone} says nothing: nothing new goes there from here"
+                if zone in self._silent_zones
+                else f"zones: {zone} is heard again"
+            )
+        self._on_change()
+
+    async def _fence(self, node: ClusterNode) -> None:
         """Tell the group of tasks that may still run behind a cut."""
         try:
-            while (told := self.keeper.fences())[1]:
-                result = await self._agreement.command(
-                    {"do": "fence", "place": told[0], "keys": told[1], "by": self._agreement.told.name}
-                )
-                if "error" in result:
+            while (fences := self.member.fences())[1]:
+                command: JsonObject = {
+                    "do": CommandKind.FENCE,
+                    "place": fences[0],
+                    "keys": fences[1],
+                    "by": node.config.name,
+                }
+                result = await node.submit(command)
+                if is_error(result):
                     self._log(f"zones: {result['text']}")
                     return
-                await self._agreement.holds(result["index"])
-                self.agreed()
+                await node.wait_for_index(result["index"])
+                self.state_changed()
         except GroupUnreachableError:
             pass  # the next tick tries again
         finally:
-            self._telling = None
+            self._fencing = None
+
+    # ---- what the group says ---------------------------------------------------------------------------
 
-    def agreed(self) -> None:
-        """The group's state has changed here."""
-        self.keeper.agreed(self._now(), self._agreement.lease_holder.state_machine.zones)
+    def state_changed(self) -> None:
+        """Act on the group's state: it has changed here."""
+        if self._node is not None:
+            self.member.agreed(self._clock(), self._node.lease_holder.state_machine.zones)
 
-    def shared(self, shares: str, asked: float) -> None:
+    def quota_received(self, quotas: str, asked_at: float) -> None:
+        """Take starts on machines that return (JSON), from `asked_at` on."""
         try:
-            told = [Share(*one) for one in json.loads(shares)[:READ_MOST]]
+            shares = [Share(*share) for share in json.loads(quotas)[:MAX_QUOTAS]]
         except (ValueError, TypeError):
             self._log("zones: shares that can't be read are left")
             return
-        if self.keeper.take(told, asked):
-            self._changed()
+        if self.member.take(shares, asked_at):
+            self._on_change()
 
     def close(self) -> None:
+        """Give back the timer and the task at once."""
         self._timer.cancel()
-        if self._telling is not None:
-            self._telling.cancel()
+        if self._fencing is not None:
+            self._fencing.cancel()
