--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -47,7 +47,7 @@
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 from weldhatch.store.log import Log
-from weldhatch.zones.failover_leader import Times as ZoneTimes
+from weldhatch.zones.failover_rules import FailoverTiming as ZoneTimes
 
 DATA = Path(__file__).parent / "data" / "coordination"
 STEP_S = 0.02
--- a/weldhatch/cluster/admission.py
+++ b/weldhatch/cluster/admission.py
@@ -6,7 +6,7 @@
 
 from weldhatch.coordination.lease_holder import LeaseHolder
 from weldhatch.core.ports import Task
-from weldhatch.zones.failover_member import Keeper
+from weldhatch.zones.failover_member import FailoverMember
 
 DEFAULT_WAIT_US = 1_000_000  # for an owner whose request is rejected; settings may bound it
 
@@ -20,7 +20,7 @@
         clock: Callable[[], float],
         name_of: Callable[[int], str],
         list_revision: Callable[[], int] = lambda: 0,
-        zone_member: Keeper | None = None,
+        zone_member: FailoverMember | None = None,
     ) -> None:
         """Ask `lease_holder`.
 
@@ -52,12 +52,12 @@
         if not self._refusal_reason(task.class_index, ""):
             away = None
             if self._zone_member is not None:
-                away = self._zone_member.away(
+                away = self._zone_member.rejection(
                     self._clock(), task.class_index, task.key, task.tenant, task.cores
                 )
             if away is None:
                 return None
-            wait = max(1, int(1e6 * away.wait_s))
+            wait = max(1, int(1e6 * away.retry_after_s))
         self.rejected += 1
         return min(wait, self._longest_wait_us())
 
@@ -74,6 +74,6 @@
         """
         reason = self._refusal_reason(class_index, self._name_of(machine))
         if not reason and self._zone_member is not None:
-            reason = self._zone_member.stops(self._clock(), machine, attempt)
+            reason = self._zone_member.start_refusal(self._clock(), machine, attempt)
         self.stopped += bool(reason)
         return reason
--- a/weldhatch/cluster/control_api.py
+++ b/weldhatch/cluster/control_api.py
@@ -110,7 +110,7 @@
 
     async def _zones(self) -> JsonObject:
         """Return what was agreed on zones, and what the leader knows of them."""
-        zones = self._group.state_machine.zones.state()
+        zones = self._group.state_machine.zones.to_tree()
         leader = await self._group.leader_status()
         return {
             **zones,
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -7,7 +7,7 @@
 from weldhatch.coordination.json_types import JsonObject
 from weldhatch.coordination.lease_holder import LeaseHolder
 from weldhatch.scheduling.types import Machine, MachineState
-from weldhatch.zones.endpoint_overlay import Narrowed
+from weldhatch.zones.endpoint_overlay import EndpointOverlay
 
 REMOVED = "gone"
 MAX_REMOVED = 5000  # machines that were removed, and that the group may not know of yet
@@ -22,7 +22,7 @@
         self.states: dict[str, str] = {}  # by uid, as our own list says
         self._ids: dict[str, int] = {}  # of those that are not removed
         self._uids: dict[int, str] = {}
-        self._overlay = Narrowed()
+        self._overlay = EndpointOverlay()
         self.on_change: Callable[[], None] = lambda: None
 
     def heard(self, topology: JsonObject, machines: tuple[Machine, ...]) -> None:
@@ -32,13 +32,13 @@
         if topology.get("all"):
             for uid in self._ids.keys() - set(uids):
                 self.states[uid] = REMOVED
-                self._overlay.gone(self._ids[uid])
+                self._overlay.machine_removed(self._ids[uid])
                 self._forget(uid)
         for uid, machine in zip(uids, machines, strict=True):
             self.states[uid] = machine.state.name.lower()
             self._ids[uid] = machine.id
             self._uids[machine.id] = uid
-            self._overlay.heard(machine)
+            self._overlay.machine_listed(machine)
             if machine.state is MachineState.GONE:
                 self._forget(uid)
         removed = [uid for uid, state in self.states.items() if state == REMOVED]
@@ -76,4 +76,4 @@
             state = holder.machine_state(self._uids[machine.id], self.rev)
             return zone_state(machine.id) if state == "ready" and zone_state is not None else state
 
-        return self._overlay.news(ids, effective_state)
+        return self._overlay.changes(ids, effective_state)
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -24,7 +24,7 @@
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.remote_sites import link_contexts
 from weldhatch.scheduling.types import Event, ListForm, Machine, MachinesChanged, Settings
-from weldhatch.zones.endpoint_overlay import Narrowed
+from weldhatch.zones.endpoint_overlay import EndpointOverlay
 
 
 class Front(Protocol):
@@ -71,7 +71,7 @@
         self._first_tree = tree
         self._own_settings = front.settings
         self._list = front.endpoint_list
-        self._announced = Narrowed()  # machines that made themselves known, as the policy knows them
+        self._announced = EndpointOverlay()  # machines that made themselves known, as the policy knows them
         zone_times = zones.times if zones is not None else None
         contexts = link_contexts(agreement.keys, agreement.name, "agreement.keys")
         self.zone_agent = self._make_zone_agent(agreement, log) if zones is not None else None
@@ -98,7 +98,7 @@
 
     def _join_zones(self) -> None:
         if self.zone_agent is not None:
-            self._front.on_break(self.zone_agent.member.broke)
+            self._front.on_break(self.zone_agent.member.connection_lost)
             self.zone_agent.join(self.node, self._list.machines if self._list is not None else ())
 
     def _make_drain_reporter(self, log: Callable[[str], None]) -> DrainReporter | None:
@@ -160,7 +160,7 @@
             settings = holder.rules.restricted.settings
             self._front.apply_rules(settings, self._gate)
             if self.zone_agent is not None:
-                self.zone_agent.member.settle(settings)
+                self.zone_agent.member.update_settings(settings)
         for machine, directive in holder.state_machine.directives.entries.items():
             self._front.apply_directive(
                 machine, directive.effective_state, directive.fence, directive.operation
@@ -185,7 +185,7 @@
                 self._front.update_machines(machines)
         elif self.zone_agent is not None:
             announced = self._announced
-            machines = announced.news(
+            machines = announced.changes(
                 announced.entries if zone_state else (),
                 lambda machine: zone_state(machine.id) if zone_state else "ready",
             )
@@ -197,16 +197,16 @@
         if self.zone_agent is None:
             return None
         member = self.zone_agent.member
-        if not member.zones.entries and not member.hushed:
+        if not member.zones.entries and not member.silent_zones:
             return None
         now = boot_clock()
-        return lambda machine: member.state(now, machine)
+        return lambda machine: member.effective_state(now, machine)
 
     def _note_machines(self, event: Event) -> None:
         """Note what the policy hears of machines that make themselves known."""
         if isinstance(event, MachinesChanged):
             for machine in event.machines:
-                self._announced.heard(machine)
+                self._announced.machine_listed(machine)
 
     # ---- the end ---------------------------------------------------------------------------------------
 
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -24,7 +24,7 @@
 from weldhatch.coordination.node_setup import NodeSetup
 from weldhatch.coordination.timing import LeaseTiming
 from weldhatch.scheduling.types import Settings
-from weldhatch.zones.failover_leader import Times
+from weldhatch.zones.failover_rules import FailoverTiming
 
 TICK = 0.0375  # of the consistency bound: half of the heartbeat of voters
 POLL_INTERVAL_S = 0.02  # how often it is looked whether a state is held
@@ -55,7 +55,7 @@
         log_event: Callable[..., None],
         tls: tuple[ssl.SSLContext | None, ssl.SSLContext | None] = (None, None),
         clock: Callable[[], float] = boot_clock,
-        zone_times: Times | None = None,
+        zone_times: FailoverTiming | None = None,
         on_quota: Callable[[str, float], None] = lambda quotas, asked_at: None,
     ) -> None:
         """Open the store, listen and dial. Raises ConfigError for a store that can't be used.
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -16,8 +16,8 @@
 from weldhatch.coordination.results import is_error
 from weldhatch.core.policy_driver import Driver
 from weldhatch.scheduling.types import ListForm, Machine, MachinesChanged, Outcome, ProbeAnswered, Settings
-from weldhatch.zones.failover_member import Keeper
-from weldhatch.zones.start_quota import Share
+from weldhatch.zones.failover_member import FailoverMember
+from weldhatch.zones.start_quota import StartQuota
 from weldhatch.zones.state import Phase
 
 TICK_S = 0.1
@@ -40,7 +40,7 @@
         clock: Callable[[], float],
     ) -> None:
         """Begin to listen to what the policy hears. `on_change`: machines may count for more or less."""
-        self.member = Keeper(settings, clock_drift, Random(), uid_of)
+        self.member = FailoverMember(settings, clock_drift, Random(), uid_of)
         self._driver = driver
         self._on_change = on_change
         self._log = log
@@ -52,12 +52,12 @@
         self._reported_looks: object = None
         self._last_looks: object = None
         self._fencing: asyncio.Task[None] | None = None
-        driver.watches.append(lambda event: self.member.heard(clock(), event))
+        driver.watches.append(lambda event: self.member.handle_event(clock(), event))
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def join(self, node: ClusterNode, machines: tuple[Machine, ...]) -> None:
         """Take part in a group. `machines`: those that the policy heard of before we listened to it."""
-        self.member.heard(self._clock(), MachinesChanged(ListForm.DELTA, machines))
+        self.member.handle_event(self._clock(), MachinesChanged(ListForm.DELTA, machines))
         self._node = node
         node.coordination.report_zones_by(self.report)
 
@@ -65,16 +65,16 @@
         """Return what the leader is to hear with the next request (JSON); '' where it was sent lately."""
         report = self.member.report(now)
         looks = [
-            report["cut"],
-            {place: look[0] for place, look in report["looks"].items()},
-            report.get("starts"),
+            report.isolation,
+            {place: one.health for place, one in report.places.items()},
+            report.starts,
         ]
         interval = REPORT_INTERVAL * self._consistency_bound
         if looks == self._reported_looks and now - self._reported_at < interval:
             return ""
         self._reported_looks = looks
         self._reported_at = now
-        return json.dumps(report, separators=(",", ":"))
+        return report.to_json()
 
     # ---- time ------------------------------------------------------------------------------------------
 
@@ -89,26 +89,26 @@
         self._update_silent_zones()
         if any(place.phase is not Phase.SERVING for place in self.member.zones.entries.values()):
             self._on_change()  # quotas lapse by time alone, and machines are reported anew
-        if self._fencing is None and self.member.fences()[1]:
+        if self._fencing is None and self.member.unreported_fences()[1]:
             self._fencing = asyncio.get_running_loop().create_task(self._fence(self._node))
 
     def _check_health(self, machine: int) -> None:
         def on_answer(outcome: Outcome, report: tuple[float, ...]) -> None:
-            self.member.heard(self._clock(), ProbeAnswered(machine, outcome, 0, report))
+            self.member.handle_event(self._clock(), ProbeAnswered(machine, outcome, 0, report))
 
         if self._driver.site is not None:
             self._driver.site.probe(machine, on_answer)
 
     def _ask_where_looks_change(self, now: float, node: ClusterNode) -> None:
-        counts = self.member.sight.counts(now)
-        looks = {place: counts[place].look() for place in self.member.sight.zones}
+        counts = self.member.observations.counts(now)
+        looks = {place: counts[place].health() for place in self.member.observations.zones}
         if looks != self._last_looks:
             self._last_looks = looks
             node.request_lease()
 
     def _update_silent_zones(self) -> None:
         before = self._silent_zones
-        self._silent_zones = self.member.hushed
+        self._silent_zones = self.member.silent_zones
         if before == self._silent_zones:
             return
         for zone in sorted(before ^ self._silent_zones):
@@ -122,7 +122,7 @@
     async def _fence(self, node: ClusterNode) -> None:
         """Tell the group of tasks that may still run behind a cut."""
         try:
-            while (fences := self.member.fences())[1]:
+            while (fences := self.member.unreported_fences())[1]:
                 command: JsonObject = {
                     "do": CommandKind.FENCE,
                     "place": fences[0],
@@ -145,16 +145,16 @@
     def state_changed(self) -> None:
         """Act on the group's state: it has changed here."""
         if self._node is not None:
-            self.member.agreed(self._clock(), self._node.lease_holder.state_machine.zones)
+            self.member.apply_agreed_state(self._clock(), self._node.lease_holder.state_machine.zones)
 
     def quota_received(self, quotas: str, asked_at: float) -> None:
         """Take starts on machines that return (JSON), from `asked_at` on."""
         try:
-            shares = [Share(*share) for share in json.loads(quotas)[:MAX_QUOTAS]]
+            shares = [StartQuota.from_tree(share) for share in json.loads(quotas)[:MAX_QUOTAS]]
         except (ValueError, TypeError):
             self._log("zones: shares that can't be read are left")
             return
-        if self.member.take(shares, asked_at):
+        if self.member.receive_quotas(shares, asked_at):
             self._on_change()
 
     def close(self) -> None:
--- a/weldhatch/coordination/node_setup.py
+++ b/weldhatch/coordination/node_setup.py
@@ -9,7 +9,7 @@
 from weldhatch.coordination.json_types import JsonObject
 from weldhatch.coordination.timing import LeaseTiming
 from weldhatch.scheduling.types import Settings
-from weldhatch.zones.failover_leader import Times
+from weldhatch.zones.failover_rules import FailoverTiming
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,4 +27,4 @@
     read: Callable[[JsonObject], Settings]
     fits: Callable[[Settings], str]
     first_settings: JsonObject
-    zone_times: Times | None = None
+    zone_times: FailoverTiming | None = None
--- a/weldhatch/coordination/state_machine.py
+++ b/weldhatch/coordination/state_machine.py
@@ -19,7 +19,7 @@
 from weldhatch.coordination.machine_directives import MachineDirective, MachineDirectives
 from weldhatch.coordination.results import error_result, ok_result
 from weldhatch.coordination.settings_versions import SettingsVersion, SettingsVersions
-from weldhatch.zones.state import Zones
+from weldhatch.zones.state import ZoneStates
 
 MAX_RESULTS = 200  # commands whose results are kept: one that is sent twice is carried out once
 
@@ -42,7 +42,7 @@
         self.versions = SettingsVersions()
         self.directives = MachineDirectives()
         self.drain_reports = DrainReports()
-        self.zones = Zones()  # zones and racks that are left, or return
+        self.zones = ZoneStates()  # zones and racks that are left, or return
         self.recoveries: list[JsonObject] = []
         self.results: dict[str, JsonObject] = {}
         self._digest = ""
@@ -111,11 +111,11 @@
     def _change_zone(self, command: JsonObject) -> JsonObject:
         """The leader changes a zone on its witnesses' word, or an operator through the leader."""
         names = self.active.tree.get("zones", []) if self.active else []
-        return self.zones.take(self.index, command, names)
+        return self.zones.apply(self.index, command, names)
 
     def _fence(self, command: JsonObject) -> JsonObject:
         """A dispatcher that has left a place names tasks of its own that may still run there."""
-        result = self.zones.fence(command["place"], command["keys"], command["by"])
+        result = self.zones.apply_fence(command["place"], command["keys"], command["by"])
         return {**result, "index": self.index}
 
     def _recovered(self, command: JsonObject) -> JsonObject:
@@ -147,7 +147,7 @@
                 "unsettled": self.directives.unsettled,
                 "recoveries": self.recoveries,
                 "lists": self.drain_reports.to_tree(),
-                "zones": self.zones.state(),
+                "zones": self.zones.to_tree(),
                 "results": list(self.results.items()),
             },
             sort_keys=True,
@@ -168,7 +168,9 @@
         self.directives.revision = tree["rev"]
         self.directives.unsettled = tree["unsettled"]
         self.drain_reports = DrainReports.from_tree(tree["lists"])
-        self.zones = Zones.of(tree["zones"]) if "zones" in tree else Zones()  # of a version before them
+        self.zones = (
+            ZoneStates.from_tree(tree["zones"]) if "zones" in tree else ZoneStates()
+        )  # of a version before them
         self.recoveries = tree["recoveries"]
         self.results = dict(tree["results"])  # pairs: their order says which are the oldest
         self._digest = ""
@@ -191,7 +193,7 @@
     CommandKind.SETTLE_DIRECTIVES: StateMachine._settle_directives,
     CommandKind.REPORT_DRAINS: StateMachine._report_drains,
     CommandKind.CHANGE_ZONE: StateMachine._change_zone,
-    CommandKind.HOLD_ZONE: lambda machine, command: machine.zones.hold(machine.index, command),
+    CommandKind.HOLD_ZONE: lambda machine, command: machine.zones.apply_hold(machine.index, command),
     CommandKind.FENCE: StateMachine._fence,
     CommandKind.RECOVERED: StateMachine._recovered,
 }
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -15,9 +15,11 @@
 from weldhatch.coordination.messages import LeaseRequest
 from weldhatch.coordination.results import error_result
 from weldhatch.coordination.state_machine import StateMachine
-from weldhatch.coordination.zone_reports import decode_zone_report
 from weldhatch.scheduling.types import Settings
-from weldhatch.zones.failover_leader import Marshal, Times
+from weldhatch.zones.failover_leader import FailoverLeader
+from weldhatch.zones.failover_rules import FailoverTiming
+from weldhatch.zones.reports import InvalidReportError, ZoneReport
+from weldhatch.zones.state import ZoneChange
 
 REVIEW_INTERVAL_S = 0.05  # witnesses are weighed as often
 QUOTA_SPAN = (
@@ -29,7 +31,7 @@
 class _Current:
     """What decides, and the settings in force."""
 
-    failover: Marshal
+    failover: FailoverLeader
     settings: Settings
 
 
@@ -41,7 +43,7 @@
         elected_at: float,
         name: str,
         term: int,
-        times: Times,
+        times: FailoverTiming,
         leader: Leader,
         read: Callable[[JsonObject], Settings],
     ) -> None:
@@ -51,7 +53,7 @@
         self._times = times
         self._leader = leader
         self._read = read
-        self._failover: Marshal | None = None
+        self._failover: FailoverLeader | None = None
         self._settings: Settings | None = None
         self._settings_number = 0
         self._reviewed_at = float("-inf")
@@ -65,10 +67,10 @@
             self._settings_number = active.number
             self._settings = self._read(active.tree)
             if self._failover is not None:
-                self._failover.ledger.bound(self._settings.fall_us / 1e6)
+                self._failover.quota_ledger.set_window(self._settings.fall_us / 1e6)
         if self._failover is None:
             timing = self._leader.timing
-            self._failover = Marshal(
+            self._failover = FailoverLeader(
                 self._elected_at,
                 self._name,
                 self._times,
@@ -82,36 +84,38 @@
         """Take a dispatcher's report. One that can't be read is of no use, and harms nobody."""
         if not request.zone_report or (current := self._current(machine)) is None:
             return
-        report = decode_zone_report(request.zone_report)
-        if report is not None:
-            current.failover.hear(now, request.name, Incarnation.of(request).label, report)
+        try:
+            report = ZoneReport.from_json(request.zone_report)
+        except InvalidReportError:
+            return
+        current.failover.receive_report(now, request.name, Incarnation.of(request).label, report)
 
     def due_commands(self, now: float, machine: StateMachine) -> list[JsonObject]:
         """Return commands that are due now."""
         if now - self._reviewed_at < REVIEW_INTERVAL_S or (current := self._current(machine)) is None:
             return []
         self._reviewed_at = now
-        current.failover.gone(machine.members.keys())
+        current.failover.set_members(machine.members.keys())
 
         def is_held(index: int) -> bool:
             return not self._leader.grants.pending(now, machine, index, self._leader.timing.grace)
 
-        due = current.failover.todo(now, machine.zones, current.settings, is_held)
-        return [{**command, "id": _command_id(machine, command)} for command in due]
+        due = current.failover.due_changes(now, machine.zones, current.settings, is_held)
+        return [{**change.to_tree(), "id": _command_id(machine, change)} for change in due]
 
     def start_quotas(self, now: float, machine: StateMachine, request: LeaseRequest) -> str:
         """Return (JSON) what one who was just granted a lease may start on machines that return, or ''."""
         if (current := self._current(machine)) is None:
             return ""
         label = Incarnation.of(request).label
-        quotas = current.failover.shares(now, label, machine.zones, current.settings)
+        quotas = current.failover.quotas_for(now, label, machine.zones, current.settings)
         return json.dumps([quota.to_tree() for quota in quotas]) if quotas else ""
 
     def operator_command(self, now: float, machine: StateMachine, request: JsonObject) -> JsonObject:
         """Return an operator's word as a command for the log, or an error."""
         if (current := self._current(machine)) is None:
             return error_result("unknown", "no rules are in force yet: nothing names the zones")
-        return current.failover.operator(now, request, machine.zones, current.settings)
+        return current.failover.operator_command(now, request, machine.zones, current.settings)
 
     def status(self, now: float, machine: StateMachine) -> JsonObject:
         """Return what the leader knows of the zones, for operators."""
@@ -121,5 +125,5 @@
         return {**current.failover.status(now, names), "timeline": current.failover.timeline}
 
 
-def _command_id(machine: StateMachine, command: JsonObject) -> str:
-    return f"zone-{command['place']}-{command['number']}-{machine.zones.number}-{command['phase']}"
+def _command_id(machine: StateMachine, change: ZoneChange) -> str:
+    return f"zone-{change.place}-{change.number}-{machine.zones.number}-{change.phase.value}"
