--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -47,7 +47,7 @@
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 from weldhatch.store.log import Log
-from weldhatch.zones.failover_rules import FailoverTiming as ZoneTimes
+from weldhatch.zones.failover_rules import FailoverTiming
 
 DATA = Path(__file__).parent / "data" / "coordination"
 STEP_S = 0.02
@@ -333,7 +333,7 @@
                 read,
                 lambda settings: "import: not here" if settings.classes[0].spread_most == 13 else "",
                 tree(),
-                ZoneTimes(quorum=2),
+                FailoverTiming(quorum=2),
             ),
             Random(self.random.getrandbits(32)),
             seat.now(self.time),
@@ -757,7 +757,7 @@
             lambda: None,
             lambda text: None,
             lambda name, **fields: events.append([name, shape(fields)]),
-            zone_times=ZoneTimes(quorum=1),
+            zone_times=FailoverTiming(quorum=1),
         )
         desk = ControlApi(agreement, read, lambda text: None, lambda: 7.0)
         try:
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -39,7 +39,7 @@
             self._ids[uid] = machine.id
             self._uids[machine.id] = uid
             self._overlay.machine_listed(machine)
-            if machine.state is MachineState.GONE:
+            if machine.state is MachineState.REMOVED:
                 self._forget(uid)
         removed = [uid for uid, state in self.states.items() if state == REMOVED]
         for uid in removed[: max(0, len(removed) - MAX_REMOVED)]:
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -23,7 +23,8 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.pullqueue.remote_sites import link_contexts
-from weldhatch.scheduling.types import Event, ListForm, Machine, MachinesChanged, Settings
+from weldhatch.scheduling.events import Event, MachinesChanged
+from weldhatch.scheduling.types import ListForm, Machine, Settings
 from weldhatch.zones.endpoint_overlay import EndpointOverlay
 
 
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -15,7 +15,8 @@
 from weldhatch.coordination.json_types import JsonObject
 from weldhatch.coordination.results import is_error
 from weldhatch.core.policy_driver import Driver
-from weldhatch.scheduling.types import ListForm, Machine, MachinesChanged, Outcome, ProbeAnswered, Settings
+from weldhatch.scheduling.events import MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, Outcome, Settings
 from weldhatch.zones.failover_member import FailoverMember
 from weldhatch.zones.start_quota import StartQuota
 from weldhatch.zones.state import Phase
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -13,15 +13,8 @@
 
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Task
-from weldhatch.scheduling.types import (
-    Event,
-    ListForm,
-    Machine,
-    MachinesChanged,
-    Outcome,
-    ProbeAnswered,
-    Settings,
-)
+from weldhatch.scheduling.events import Event, MachinesChanged, ProbeAnswered
+from weldhatch.scheduling.types import ListForm, Machine, Outcome, Settings
 from weldhatch.zones.endpoint_overlay import EndpointOverlay
 from weldhatch.zones.failover_rules import FailoverTiming
 from weldhatch.zones.standalone import StandaloneFailover
@@ -40,7 +33,7 @@
         self.rev = 0
 
     def heard(self, topology: Mapping[str, Any], machines: tuple[Machine, ...]) -> None:
-        """Take one event of the list, as the policy was told of it; also before `begin` (`ListObserver`)."""
+        """Take one event of the list, as the policy got it; also before `begin` (`server.ListObserver`)."""
         if topology.get("all"):
             for machine_id in self._overlay.entries.keys() - {one.id for one in machines}:
                 self._overlay.machine_removed(machine_id)
--- a/weldhatch/testbed/simulated_cluster.py
+++ b/weldhatch/testbed/simulated_cluster.py
@@ -22,7 +22,7 @@
 from weldhatch.coordination.node import CoordinationNode
 from weldhatch.coordination.node_setup import NodeSetup
 from weldhatch.coordination.timing import LeaseTiming
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.types import Settings
 
 STEP_S = 0.02
 KINDS = ("crash", "stop", "cut", "deaf", "lose", "double", "older", "cut_pair", "slow_disk")
@@ -128,7 +128,7 @@
                 saved.apply(record)
         own = config.settings_of_json(settings())
 
-        def read(tree: dict) -> i.Settings:
+        def read(tree: dict) -> Settings:
             return replace(config.settings_of_json(tree), zone=own.zone)
 
         seat.member = CoordinationNode(
--- a/weldhatch/testbed/simulated_zones.py
+++ b/weldhatch/testbed/simulated_zones.py
@@ -13,7 +13,9 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from weldhatch.scheduling import types as i
+from weldhatch.scheduling.events import AttemptEnded, MachinesChanged, Placed, ProbeAnswered, RequestArrived
+from weldhatch.scheduling.types import Effect, ListForm, MachineKind, Outcome, RequestClass, Settings
+from weldhatch.scheduling.types import Machine as ListedMachine
 from weldhatch.zones.failover_leader import FailoverLeader
 from weldhatch.zones.failover_member import FailoverMember
 from weldhatch.zones.failover_rules import FailoverTiming
@@ -25,18 +27,18 @@
 ASK_S, TICK_S = 0.2, 0.05
 
 
-def settings(zones: int, dispatchers: int, cold_sends: float = 6.0) -> i.Settings:
-    return i.Settings(
+def settings(zones: int, dispatchers: int, warm_up_offers: float = 6.0) -> Settings:
+    return Settings(
         classes=(
-            i.RequestClass("lookup", 700_000, 1_500_000),
-            i.RequestClass("writer", 700_000, 1_500_000, i.Effect.UNSAFE, worth=5.0),
+            RequestClass("lookup", 700_000, 1_500_000),
+            RequestClass("writer", 700_000, 1_500_000, Effect.UNSAFE, priority_weight=5.0),
         ),
-        kinds=(i.MachineKind("std", 40.0, 40.0),),
+        kinds=(MachineKind("std", 40.0, 40.0),),
         zones=tuple(f"z{n}" for n in range(zones)),
         group_size=dispatchers,
-        cold_sends=cold_sends,
+        warm_up_offers=warm_up_offers,
         fall_us=1_000_000,
-        cold_us=6_000_000,
+        warm_up_us=6_000_000,
     )
 
 
@@ -79,7 +81,7 @@
         self.by_zone = [
             [n for n, one in enumerate(self.machines) if one.zone == zone] for zone in range(zones)
         ]
-        listed = tuple(i.Machine(n, one.zone, 0, one.cell) for n, one in enumerate(self.machines))
+        listed = tuple(ListedMachine(n, one.zone, 0, one.cell) for n, one in enumerate(self.machines))
         self.zones, self.changes = ZoneStates(), []
         self.keepers: list[FailoverMember] = []
         self.alive = [True] * dispatchers
@@ -100,7 +102,7 @@
                 Random(seed * 1000 + n),
                 lambda machine: self.machines[machine].uid,
             )
-            keeper.handle_event(0.0, i.MachinesChanged(i.ListForm.FULL, listed))
+            keeper.handle_event(0.0, MachinesChanged(ListForm.FULL, listed))
             self.keepers.append(keeper)
             self._later(self.random.random() * ASK_S, lambda n=n: self._ask(n))
             self._later(self.random.random() * TICK_S, lambda n=n: self._tick(n))
@@ -188,7 +190,7 @@
                 self.now, machine, 0
             ):
                 self._serial += 1
-                keeper.handle_event(self.now, i.RequestArrived(self._serial, 0, 0, 1, 1.0, 1.0))
+                keeper.handle_event(self.now, RequestArrived(self._serial, 0, 0, 1, 1.0, 1.0))
                 self._exchange(n, machine, self._serial)
                 return
 
@@ -209,25 +211,25 @@
         one.starts.append(self.now)
         while self.now - one.starts[0] > 1.0:
             one.starts.popleft()
-        one.worst = max(one.worst, len(one.starts) / self.settings.cold_sends)
+        one.worst = max(one.worst, len(one.starts) / self.settings.warm_up_offers)
 
     def _told(self, n: int, machine: int, request: int, reached: bool) -> None:
         if not self.alive[n]:
             return
         keeper = self.keepers[n]
         if not request:
-            outcome = i.Outcome.OK if reached else i.Outcome.TIMEOUT
-            keeper.handle_event(self.now, i.ProbeAnswered(machine, outcome))
+            outcome = Outcome.OK if reached else Outcome.TIMEOUT
+            keeper.handle_event(self.now, ProbeAnswered(machine, outcome))
         elif reached:
-            keeper.handle_event(self.now, i.Placed(request, 0, machine, 0))
+            keeper.handle_event(self.now, Placed(request, 0, machine, 0))
             self._later(
                 3.0,
                 lambda: keeper.handle_event(
-                    self.now, i.AttemptEnded(request, 0, machine, i.Outcome.OK, closed=True)
+                    self.now, AttemptEnded(request, 0, machine, Outcome.OK, closed=True)
                 ),
             )
         else:
-            keeper.handle_event(self.now, i.AttemptEnded(request, 0, machine, i.Outcome.TIMEOUT, closed=True))
+            keeper.handle_event(self.now, AttemptEnded(request, 0, machine, Outcome.TIMEOUT, closed=True))
 
     # ---- the leader ------------------------------------------------------------------------------------
 
--- a/weldhatch/zones/load_accounting.py
+++ b/weldhatch/zones/load_accounting.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from weldhatch.scheduling.types import RequestArrived, TaskAdopted
+from weldhatch.scheduling.events import RequestArrived, TaskAdopted
 
 RATE_WINDOW_S = 4.0  # new work is counted over so long
 MAX_PENDING = 20_000  # requests remembered until they are placed; the oldest go first
--- a/weldhatch/zones/start_gate.py
+++ b/weldhatch/zones/start_gate.py
@@ -93,7 +93,7 @@
         return (
             entry.phase in NO_NEW_WORK
             and self._view.continues_inside(entry, place)
-            and now - self.answering_since.get(machine, now) < self._view.settings.cold_us / 1e6
+            and now - self.answering_since.get(machine, now) < self._view.settings.warm_up_us / 1e6
         )
 
     def _is_held_back(self, now: float, places: tuple[str, ...]) -> bool:
