--- a/weldhatch/cluster/codec.py
+++ b/weldhatch/cluster/codec.py
@@ -14,7 +14,7 @@
 
 from weldhatch.consensus import messages as raft_messages
 from weldhatch.coordination import messages as group_messages
-from weldhatch.sites.session import Faulty
+from weldhatch.sites.session import ProtocolError
 
 PART_BYTES = 8 * 1024
 MAX_MESSAGE_BYTES = 4 << 20
@@ -58,12 +58,14 @@
 
 
 def decode(stream: int, data: bytes) -> Message:
-    """Decode what `encode` gave. Raises Faulty for what is no message of this stream."""
+    """Decode what `encode` gave. Raises ProtocolError for what is no message of this stream."""
     try:
         number, rest = _decode_pair(data)
         return _DECODERS[stream, number].decode(rest)
     except (msgspec.MsgspecError, KeyError, ValueError, RecursionError) as error:
-        raise Faulty(f"a word that can't be read: {type(error).__name__}: {str(error)[:120]}") from None
+        raise ProtocolError(
+            f"a word that can't be read: {type(error).__name__}: {str(error)[:120]}"
+        ) from None
 
 
 def split(data: bytes) -> Iterator[bytes]:
@@ -82,14 +84,14 @@
     def add(self, stream: int, part: bytes) -> bytes | None:
         """Add one part; the whole message once it is there.
 
-        Raises Faulty for what is no part, or too much.
+        Raises ProtocolError for what is no part, or too much.
         """
         if not part or part[0] > 1:
-            raise Faulty("a part that begins with neither 0 nor 1")
+            raise ProtocolError("a part that begins with neither 0 nor 1")
         received = self._received.setdefault(stream, bytearray())
         received += part[1:]
         if len(received) > MAX_MESSAGE_BYTES:
-            raise Faulty(f"a word of over {MAX_MESSAGE_BYTES} bytes")
+            raise ProtocolError(f"a word of over {MAX_MESSAGE_BYTES} bytes")
         if part[0]:
             return None
         del self._received[stream]
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -208,7 +208,7 @@
         return {
             **self.coordination.status(self._clock()),
             "voters": voters,
-            "full": self.store.full,
+            "full": self.store.write_error,
             "peers": self.peers.status(),
             "bytes_sent": self.peers.bytes_sent,
         }
--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -13,7 +13,7 @@
 from weldhatch.cluster.storage import ClusterStore
 from weldhatch.config import AgreementFile
 from weldhatch.net.descriptor_budget import Budget, Share
-from weldhatch.sites.link import Door, Ears, Link
+from weldhatch.sites.link import Link, LinkHandlers, LinkListener
 
 TICK_S = 0.5  # a link looks as often for silence, and acknowledges: a group has many links
 MAX_DIALLED = 64
@@ -74,9 +74,11 @@
         self._dialled: dict[str, Link] = {}
         self._accepted = _AcceptedLinks(self._is_invited, lambda name: self._make_link(name, dialled=False))
         self._share = Share(Budget(config.sockets), config.sockets)
-        self._door: Door | None = None
+        self._link_listener: LinkListener | None = None
         if config.listen:
-            self._door = Door(config.listen, self._accepted, self._share, log, self._server_tls)
+            self._link_listener = LinkListener(
+                config.listen, self._accepted, self._share, log, self._server_tls
+            )
         self.bytes_sent = 0  # before the link's own
 
     def _is_invited(self, name: str) -> bool:
@@ -99,7 +101,7 @@
                 self._listener.received(peer, codec.decode(stream, whole))
 
         on_down = self._listener.down if dialled else _ignore_down
-        callbacks = Ears(on_up, on_down, on_payload)
+        callbacks = LinkHandlers(on_up, on_down, on_payload)
         link = Link(self._config.name, name, self._store, callbacks, self._log_link, TICK_S)
         return link
 
@@ -149,7 +151,7 @@
         status: dict[str, dict[str, object]] = {}
         for name in sorted(self._dialled.keys() | set(self._accepted.keys())):
             links = list(self._links_with(name))
-            doubts = (link.doubt for link in links if link.doubt)
+            doubts = (link.stale_reason for link in links if link.stale_reason)
             status[name] = {"up": any(link.up for link in links), "doubt": next(doubts, "")}
         return status
 
@@ -157,8 +159,8 @@
         """Give back every socket and task at once."""
         for link in [*self._dialled.values(), *self._accepted.values()]:
             link.close()
-        if self._door is not None:
-            self._door.close()
+        if self._link_listener is not None:
+            self._link_listener.close()
 
 
 def _parse(address: str | Address) -> Address:
--- a/weldhatch/cluster/storage.py
+++ b/weldhatch/cluster/storage.py
@@ -14,8 +14,8 @@
 from weldhatch.config import ConfigError
 from weldhatch.consensus.persistent_state import PersistentState
 from weldhatch.consensus.records import Record, record_from_list
-from weldhatch.sites.epochs import EpochBook
-from weldhatch.store.commit import PROBE
+from weldhatch.sites.epochs import EpochStorage
+from weldhatch.store.commit import NO_OP_RECORD
 from weldhatch.store.folded import FoldedStore
 from weldhatch.store.log import Disk
 
@@ -44,9 +44,9 @@
         self.state = ""  # the agreed state that was acted on last
         self.persistent = PersistentState()  # the voter's
 
-    def take(self, payload: bytes) -> None:
+    def apply(self, payload: bytes) -> None:
         """Take one record. Raises ValueError for what is none."""
-        if payload == PROBE:
+        if payload == NO_OP_RECORD:
             return
         try:
             kind, *values = json.loads(payload)
@@ -66,7 +66,7 @@
             case _:
                 raise InvalidClusterRecordError(payload)
 
-    def records(self) -> Iterator[bytes]:
+    def snapshot_records(self) -> Iterator[bytes]:
         """Yield the fewest records that fold to the same."""
         yield json.dumps(["begins", self.epoch, self.token]).encode()
         for name, (epoch, token) in self.met.items():
@@ -77,12 +77,12 @@
             yield b'["raft",' + json.dumps(record.to_list()).encode()[1:]
 
     @property
-    def size(self) -> int:
-        """About how many records `records` yields."""
+    def snapshot_size(self) -> int:
+        """About how many records `snapshot_records` yields."""
         return 2 + len(self.met) + self.persistent.size
 
 
-class ClusterStore(EpochBook):
+class ClusterStore(EpochStorage):
     """Owns the folder. Its fold of the disk is one, a voter's log in memory another."""
 
     def __init__(self, folder: str, now: float, log: Callable[[str], None], disk: Disk | None = None) -> None:
@@ -98,8 +98,8 @@
             )
             self.is_fresh = memory.epoch == 0
             first = json.dumps(["begins", memory.epoch + 1, secrets.token_hex(4)]).encode()
-            memory.take(first)
-            self._store.begin([first])
+            memory.apply(first)
+            self._store.start([first])
         except OSError as error:
             raise ConfigError(f"agreement.store: {error}") from None
         super().__init__(self._store, memory.epoch, memory.token, memory.met)
@@ -109,8 +109,10 @@
 
     def write(self, records: Iterable[Record]) -> asyncio.Future[None]:
         """Write a voter's records: done once they are on the disk, however long that takes."""
-        return self._store.must([json.dumps(["raft", *record.to_list()]).encode() for record in records])
+        return self._store.append_with_retry(
+            [json.dumps(["raft", *record.to_list()]).encode() for record in records]
+        )
 
     def save_state(self, lineage: int, state: str) -> None:
         """Keep the state that is acted on, for a look after a restart."""
-        self._store.must([json.dumps(["held", lineage, state]).encode()])
+        self._store.append_with_retry([json.dumps(["held", lineage, state]).encode()])
--- a/weldhatch/sites/capacity.py
+++ b/weldhatch/sites/capacity.py
@@ -6,14 +6,14 @@
 
 from weldhatch.scheduling.events import AttemptEnded, Event, MachinesChanged, ProbeAnswered
 from weldhatch.scheduling.types import ListForm, Machine, MachineKind, MachineState, Settings
-from weldhatch.sites.routing import Summary
+from weldhatch.sites.routing import CapacitySummary
 
 HEARD_S = 10.0  # an older report of a machine counts as the average of the others
 LEAST = 0.01  # of a core, or of a unit of memory: a class that asks for nothing still fills something
 
 
 @dataclass(slots=True)
-class Seen:
+class MachineCapacity:
     entry: Machine
     free: tuple[float, float] | None = None  # cores and memory that nobody has asked for
     at: float = 0.0
@@ -21,11 +21,11 @@
 
 
 @dataclass(slots=True)
-class Room:
+class CapacityTracker:
     """Watches the events that the module gets, and adds up. Times in seconds."""
 
     settings: Settings
-    machines: dict[int, Seen] = field(default_factory=dict)
+    machines: dict[int, MachineCapacity] = field(default_factory=dict)
 
     def watch(self, now: float, event: Event) -> None:
         match event:
@@ -37,7 +37,7 @@
                     if entry.state == MachineState.REMOVED:
                         self.machines.pop(entry.id, None)
                     else:
-                        self.machines.setdefault(entry.id, Seen(entry)).entry = entry
+                        self.machines.setdefault(entry.id, MachineCapacity(entry)).entry = entry
                     if entry.free_cores is not None and entry.id in self.machines:
                         self._hear(now, entry.id, (entry.free_cores, entry.free_memory or 0.0))
             case ProbeAnswered(machine, _, _, report) | AttemptEnded(machine=machine, report=report):
@@ -49,7 +49,7 @@
         seen = self.machines[machine]
         seen.free, seen.at = free, now
 
-    def summary(self, now: float, waiting: int, standing: int, draining: bool = False) -> Summary:
+    def summary(self, now: float, waiting: int, standing: int, draining: bool = False) -> CapacitySummary:
         """What to tell other sites. `waiting`: requests not placed; `standing`: tasks of ours that stand.
 
         A task of usual size asks for `usual_cores` and `usual_memory`; a machine that has told nothing is
@@ -76,7 +76,7 @@
         else:
             free = max(0, size - standing)
         left = max(0, free - waiting)
-        return Summary({cls.name: left for cls in s.classes}, size, waiting, draining)
+        return CapacitySummary({cls.name: left for cls in s.classes}, size, waiting, draining)
 
     def _whole(self, entry: Machine) -> tuple[float, float]:
         kinds = self.settings.kinds
