--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -147,7 +147,7 @@
     assert len(voters.decided) >= 20
 
 
-def test_nobody_is_elected_while_a_leader_is_heard():
+def test_nobody_is_elected_while_a_leader_is_received():
     """A voter that can't hear the leader, and comes back with a higher term, would end its promises."""
     voters = Voters()
     leader = voters.leader()
@@ -203,7 +203,7 @@
     assert terms(voters) <= before + 1
 
 
-def test_voters_that_were_held_up_hear_what_waits_before_they_judge():
+def test_voters_that_were_held_up_receive_what_waits_before_they_judge():
     voters = Voters(10)
     leader = voters.leader()
     before = terms(voters)
@@ -354,7 +354,7 @@
             VoterState,
             "last_leader_contact",
             property(lambda self: float("-inf"), lambda self, value: None),
-            test_nobody_is_elected_while_a_leader_is_heard,
+            test_nobody_is_elected_while_a_leader_is_received,
         ),
         (
             Replication,
@@ -367,7 +367,7 @@
             Leadership,
             "forgive_late_tick",
             lambda self, now: None,
-            test_voters_that_were_held_up_hear_what_waits_before_they_judge,
+            test_voters_that_were_held_up_receive_what_waits_before_they_judge,
         ),
     ],
 )
@@ -420,7 +420,7 @@
     assert replication.MAX_ENTRIES
 
 
-def test_a_voter_that_comes_back_hears_enough_others_before_it_votes():
+def test_a_voter_that_comes_back_receives_from_enough_others_before_it_votes():
     five = ("a", "b", "c", "d", "e")
     one = RejoinGuard(10.0)
     assert one.required_log(0.0, "a", five) is None
@@ -461,7 +461,7 @@
     return False
 
 
-def test_an_older_copy_waits_for_those_who_could_tell(monkeypatch):
+def test_an_older_copy_waits_for_those_who_could_report(monkeypatch):
     assert not older_copy_votes()
     monkeypatch.setattr(RejoinGuard, "required_log", lambda *_: (0, 0))
     assert older_copy_votes()
--- a/tests/test_agreed_rules.py
+++ b/tests/test_coordination.py
@@ -209,7 +209,7 @@
     assert told.effective_state("s1", 5) == "ready"
 
 
-def test_two_lists_of_one_revision_the_narrower_acts_and_it_is_told():
+def test_two_lists_of_one_revision_the_stricter_acts_and_operators_are_notified():
     told = drain_reports.DrainReports()
     told.merge(7, {"s1": "draining"}, "g1")
     told.merge(7, {"s1": "ready"}, "g2")
@@ -219,7 +219,7 @@
     assert told.effective_state("s1", 7) == "gone"
 
 
-def test_a_dispatcher_tells_only_what_is_news():
+def test_a_dispatcher_reports_only_what_is_news():
     told = drain_reports.DrainReports()
     states = {"s1": "draining", "s2": "ready"}
     assert told.unreported(3, states) == {"s1": "draining"}
@@ -237,7 +237,7 @@
 # ---- words and records -----------------------------------------------------------------------------------
 
 
-def test_words_cross_whole_also_where_they_are_long():
+def test_messages_cross_complete_also_where_they_are_long():
     learn = LeaseResponse(0, 1.5, True, "", "", 0, ("x" * 50_000, "y"), "", 3, "d")
     append = AppendEntries(0, 1, 0, 0, (LogEntry(1, "command", "z"),), 0, 1.0)
     for word in (learn, LeaseRequest(0, "g1", 1, "t", 2.0, 3, "d"), append):
@@ -256,7 +256,7 @@
             codec.Reassembler().add(0, bad)
 
 
-def test_the_book_folds_to_the_same_and_names_what_it_can_not_read(tmp_path):
+def test_the_store_folds_to_the_same_and_names_what_it_can_not_read(tmp_path):
     fold = ClusterRecords()
     for record in (
         ["begins", 3, "t"],
@@ -436,7 +436,7 @@
         log.append = whole
         await until(lambda: self.node.lease_holder.state_machine.active.number == 2, 10, "it goes on")
 
-    async def test_a_restart_shows_what_was_held_and_acts_on_nothing_before_it_is_heard(self):
+    async def test_a_restart_shows_what_was_held_and_acts_on_nothing_before_the_group_answers(self):
         code, out = await self.run_("rules", "propose", self.file(limits__mostTries=2), "--why", "x")
         self.assertEqual(code, 0, out)
         await self.node.store.flush()
--- a/tests/test_peers.py
+++ b/tests/test_faulty_servers.py
@@ -16,7 +16,7 @@
 GOOD = server_codec.encode(server_codec.ANSWER, tag("a1"), {server_codec.DESCRIPTION: b"v=0 s=9"})
 
 
-class BadPeers(Scenario):
+class FaultyServers(Scenario):
     def write(self, data):
         self.parties["s1"].writers[-1].write(data)
 
@@ -81,7 +81,7 @@
             await self.until(lambda: self.gateway.servers._unclaimed, "the release was kept")
             await self.until(lambda: not self.gateway.servers._unclaimed, "it was dropped")
 
-    async def test_a_release_that_comes_on_the_connection_of_a_trial_is_heard(self):
+    async def test_a_release_that_comes_on_the_connection_of_a_trial_is_received(self):
         """Guards against trials that are closed unread: a release may come on any open connection."""
         await self.play(SEND.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         server = self.parties["s1"]
@@ -96,7 +96,7 @@
 
 
 class ComingAndGoing(Scenario):
-    async def test_nothing_is_kept_of_servers_that_have_gone(self):
+    async def test_nothing_is_kept_of_servers_that_were_removed(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
         await self.play(SEND.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         target = self.target("s1")
@@ -116,7 +116,7 @@
         await self.until(forgotten, "one node")
         await self.play(SEND.format("a2", "unsafe") + "s1 send ANSWER a2\nowner expect STARTED a2")
 
-    async def test_a_process_that_ended_without_a_reset_is_found_out_once_the_list_says_gone(self):
+    async def test_a_process_that_ended_without_a_reset_is_found_out_once_the_list_says_removed(self):
         """Its connection looks open: the test that the list's word brings about is what shows the end."""
         await self.until(lambda: self.bus.writers, "the bus is read")
         await self.play(SEND.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
--- a/tests/test_rules.py
+++ b/tests/test_scheduling_rules.py
@@ -75,7 +75,7 @@
     "warm_up_offers, group, early_s, seed",
     [(0, 3, 0, 1), (1, 5, 0, 2), (2, 9, 5, 3), (5, 12, -5, 4), (20, 21, 0, 5), (21, 4, 9, 6), (30, 70, 0, 7)],
 )
-def test_all_allocators_together_never_push_a_cold_machine_over(warm_up_offers, group, early_s, seed):
+def test_all_allocators_together_never_push_a_warming_machine_over(warm_up_offers, group, early_s, seed):
     """All instances at once, each with more requests than it may send; some hear late of the start."""
     base = make_settings(warm_up_offers=warm_up_offers, group_size=group, may_probe=False, max_attempts=1)
     born, rnd, sent = 100 * SECOND, random.Random(seed), []
@@ -97,7 +97,7 @@
 
 def test_the_same_events_give_the_same_actions_under_any_hash_seed():
     code = (
-        "import sys; sys.path[:0] = ['tests', '.']; from test_rules import *\n"
+        "import sys; sys.path[:0] = ['tests', '.']; from test_scheduling_rules import *\n"
         "s = make_settings(classes=CLASSES, zones=('a', 'b'))\n"
         "print([str(a) for a in Generated(Policy(s, 5), s, 5).run(80)])"
     )
--- a/tests/test_council.py
+++ b/tests/test_simulated_cluster.py
@@ -95,13 +95,13 @@
         done.step()
         holder, now = seat.member.lease_holder, seat.now(done.time)
         lookup, keyed, writer = holder.rules.restricted.settings.classes
-        footing = holder.lease_status(now)
-        seen.add(footing)
-        assert (not holder.refusal_reason(now, lookup)) == (footing is not LeaseStatus.EXPIRED)
+        status = holder.lease_status(now)
+        seen.add(status)
+        assert (not holder.refusal_reason(now, lookup)) == (status is not LeaseStatus.EXPIRED)
         assert (
             (not holder.refusal_reason(now, keyed))
             == (not holder.refusal_reason(now, writer))
-            == (footing is LeaseStatus.VALID)
+            == (status is LeaseStatus.VALID)
         )
     assert seen == set(LeaseStatus)
 
@@ -148,7 +148,7 @@
     assert holder.lease_status(done.seats["n3"].now(done.time)) is LeaseStatus.EXPIRED
 
 
-def test_two_proposals_at_once_one_is_in_and_the_other_hears_so():
+def test_two_proposals_at_once_one_is_in_and_the_other_is_notified():
     done = Council(NAMES, 3)
     while not settled(done):
         done.step()
@@ -188,7 +188,7 @@
     assert done.results["w3"]["error"] == "FENCE"
 
 
-def test_a_new_life_under_the_same_name_fences_the_old_one():
+def test_a_new_incarnation_under_the_same_name_fences_the_old_one():
     done = Council([*NAMES, "n3"], 3)
     while not settled(done):
         done.step()
@@ -237,7 +237,7 @@
         self.state_machine.versions.prepared = prepared
 
 
-def test_without_the_narrower_word_a_machine_is_used_too_early(monkeypatch):
+def test_without_the_stricter_directive_a_machine_is_used_too_early(monkeypatch):
     monkeypatch.setattr(MachineDirective, "effective_state", property(lambda self: self.state))
     with pytest.raises(AssertionError):
         test_a_drain_acts_at_once_and_its_undoing_once_everybody_holds_it()
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -25,7 +25,7 @@
         self._overlay = EndpointOverlay()
         self.on_change: Callable[[], None] = lambda: None
 
-    def heard(self, topology: JsonObject, machines: tuple[Machine, ...]) -> None:
+    def list_changed(self, topology: JsonObject, machines: tuple[Machine, ...]) -> None:
         """Take one event of the event bus, with its targets as the policy was notified of them."""
         self.rev = max(self.rev, int(topology.get("rev") or 0))
         uids = [str(target["uid"]) for target in topology.get("targets") or ()]
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -73,7 +73,6 @@
         self._own_settings = front.settings
         self._list = front.endpoint_list
         self._announced = EndpointOverlay()  # machines that made themselves known, as the policy knows them
-        zone_times = zones.times if zones is not None else None
         contexts = link_contexts(agreement.keys, agreement.name, "agreement.keys")
         self.zone_agent = self._make_zone_agent(agreement, log) if zones is not None else None
         self.node = ClusterNode(
@@ -85,7 +84,7 @@
             log,
             event_logger(),
             contexts,
-            zone_times=zone_times,
+            zone_times=zones.times if zones is not None else None,
             on_quota=self._quota_received,
         )
         self._join_zones()
@@ -93,9 +92,8 @@
         self._gate = self._make_gate()
         front.apply_rules(self._own_settings, self._gate)
         self.control_api = ControlApi(self.node, self._read, log, unix_clock)
-        log(
-            f"agreement: {agreement.name} of {len(agreement.voters)} voters, stated time {agreement.stated} s"
-        )
+        voters = len(agreement.voters)
+        log(f"agreement: {agreement.name} of {voters} voters, stated time {agreement.stated} s")
 
     def _join_zones(self) -> None:
         if self.zone_agent is not None:
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -53,7 +53,7 @@
 
     rev: int
 
-    def heard(self, topology: dict, machines: tuple[Machine, ...]) -> None: ...
+    def list_changed(self, topology: dict, machines: tuple[Machine, ...]) -> None: ...
 
 
 class Gateway:
@@ -110,7 +110,7 @@
         if changed := self.fleet.take(event):
             self.driver.post(changed)
             if self.endpoint_list is not None:
-                self.endpoint_list.heard(event["topology"], changed.machines)
+                self.endpoint_list.list_changed(event["topology"], changed.machines)
 
     def apply_rules(self, settings: Settings, rules: Rules) -> None:
         """Decide by settings that a group has agreed on, as far as `rules` lets anything start."""
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -32,7 +32,7 @@
         self._overlay = EndpointOverlay()
         self.rev = 0
 
-    def heard(self, topology: Mapping[str, Any], machines: tuple[Machine, ...]) -> None:
+    def list_changed(self, topology: Mapping[str, Any], machines: tuple[Machine, ...]) -> None:
         """Take one event of the list, as the policy got it; also before `begin` (`server.ListObserver`)."""
         if topology.get("all"):
             for machine_id in self._overlay.entries.keys() - {one.id for one in machines}:
