--- a/tests/pins.py
+++ b/tests/pins.py
@@ -22,6 +22,7 @@
     "RequestAbandoned": "RequestGone",
     "Reject": "Refuse",
     "Migrate": "Move",
+    "FailoverTiming": "Times",
     ("RequestClass", "latency_objective_us"): "aim_us",
     ("RequestClass", "priority_weight"): "worth",
     ("RequestClass", "late_priority_weight"): "late_worth",
--- a/weldhatch/cluster/storage.py
+++ b/weldhatch/cluster/storage.py
@@ -12,27 +12,27 @@
 from collections.abc import Callable, Iterator
 
 from weldhatch.config import ConfigError
-from weldhatch.consensus.persistent_state import Saved
-from weldhatch.sites.epochs import EpochBook
-from weldhatch.store.commit import PROBE
+from weldhatch.consensus.persistent_state import PersistentState
+from weldhatch.sites.epochs import EpochStorage
+from weldhatch.store.commit import NO_OP_RECORD
 from weldhatch.store.folded import FoldedStore
 from weldhatch.store.log import Disk
 
 COMPACT_OVER = 500  # records are large here: each may hold a whole state
 
 
-class Fold:
+class ClusterRecords:
     """All records, folded."""
 
     def __init__(self) -> None:
         self.epoch, self.token = 0, ""
         self.met: dict[str, tuple[int, str]] = {}
         self.lineage, self.state = 0, ""
-        self.saved = Saved()
+        self.saved = PersistentState()
 
-    def take(self, payload: bytes) -> None:
+    def apply(self, payload: bytes) -> None:
         """One record. Raises ValueError for what is none."""
-        if payload == PROBE:
+        if payload == NO_OP_RECORD:
             return
         try:
             word, *rest = json.loads(payload)
@@ -40,7 +40,7 @@
             raise ValueError(f"a record that can't be read: {payload[:80]!r}: {fault}") from None
         match word, rest:
             case "raft", [str(one), *values]:
-                self.saved.take_word(one, *values)
+                self.saved.apply(one, *values)
             case "begins", [int(epoch), str(token)]:
                 self.epoch, self.token = epoch, token
             case "met", [str(name), int(epoch), str(token)]:
@@ -50,7 +50,7 @@
             case _:
                 raise ValueError(f"a record that can't be read: {payload[:80]!r}")
 
-    def records(self) -> Iterator[bytes]:
+    def snapshot_records(self) -> Iterator[bytes]:
         """The least records that fold to the same."""
         yield json.dumps(["begins", self.epoch, self.token]).encode()
         for name, (epoch, token) in self.met.items():
@@ -61,24 +61,24 @@
             yield b'["raft",' + record[1:]
 
     @property
-    def size(self) -> int:
+    def snapshot_size(self) -> int:
         return 2 + len(self.met) + self.saved.size
 
 
-class AgreementBook(EpochBook):
+class ClusterStore(EpochStorage):
     """The folder of the agreement. Its fold of the disk is one, a voter's log in memory another."""
 
     def __init__(self, folder: str, now: float, say: Callable[[str], None], disk: Disk | None = None) -> None:
         """Raises ConfigError where the folder can't be used, is another's, or holds what can't be read."""
-        on_disk, memory = Fold(), Fold()
+        on_disk, memory = ClusterRecords(), ClusterRecords()
         try:
             self._store = FoldedStore(
                 folder, "agreement.log", "agreement", now, [on_disk, memory], say, disk, COMPACT_OVER
             )
             self.fresh = memory.epoch == 0
             begins = json.dumps(["begins", memory.epoch + 1, secrets.token_hex(4)]).encode()
-            memory.take(begins)
-            self._store.begin([begins])
+            memory.apply(begins)
+            self._store.start([begins])
         except OSError as fault:
             raise ConfigError(f"agreement.store: {fault}") from None
         super().__init__(self._store, memory.epoch, memory.token, memory.met)
@@ -87,8 +87,8 @@
 
     def write(self, words: list[tuple]) -> asyncio.Future:
         """A voter's records: done once they are on the disk, however long that takes."""
-        return self._store.must([json.dumps(["raft", *word]).encode() for word in words])
+        return self._store.append_with_retry([json.dumps(["raft", *word]).encode() for word in words])
 
     def hold(self, lineage: int, state: str) -> None:
         """The state that is acted on, for a look after a restart."""
-        self._store.must([json.dumps(["held", lineage, state]).encode()])
+        self._store.append_with_retry([json.dumps(["held", lineage, state]).encode()])
--- a/weldhatch/core/attempt.py
+++ b/weldhatch/core/attempt.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from weldhatch.core.messages import Answered, Ended, GiveUpResult, GivenUp, Noted, TimeUp
+from weldhatch.core.messages import Answered, Ended, GivenUp, GiveUpResult, Noted, TimeUp
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_state import RequestState
 from weldhatch.scheduling.actions import Cancel, Offer
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -25,7 +25,7 @@
 from weldhatch.pullqueue.operator_states import Operators, Word
 from weldhatch.pullqueue.quotas import Quotas
 from weldhatch.pullqueue.security import Security
-from weldhatch.pullqueue.storage import Book, NoBook
+from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.tasks import Tasks
 from weldhatch.scheduling.types import Settings
 from weldhatch.store.log import Log
@@ -49,9 +49,9 @@
     def __init__(self, told: PullQueueFile, policy: Decider, log: Callable[[str], None]) -> None:
         self._log, self._told, settings = log, told, told.settings
         self.settings = settings  # those that are in force
-        self.roll = None  # machines make themselves known here
+        self.endpoint_list = None  # machines make themselves known here
         self.driver = Driver(policy, log)
-        self.book = Book(told.store, time.time(), log) if told.store else NoBook(time.time_ns())
+        self.book = QueueStorage(told.store, time.time(), log) if told.store else NoStorage(time.time_ns())
         ledger = self._ledger = Ledger(told.remember, "" if told.store else told.ledger)
         ledger.open()
         self.operators = Operators()
@@ -96,16 +96,18 @@
             return None
         try:
             words = Log(path)
-            if words.torn is not None:
-                self._log(f"states: {path}: the last {words.torn.length} bytes were no whole record: dropped")
-            self.operators.restore(words.records())
+            if words.torn_tail is not None:
+                self._log(
+                    f"states: {path}: the last {words.torn_tail.length} bytes were no whole record: dropped"
+                )
+            self.operators.restore(words.recovered_records())
             if words.count > 2 * len(self.operators.words) + 100:
                 words.rewrite(word.encode() for word in self.operators.words.values())
         except (OSError, ValueError) as fault:
             raise ConfigError(f"states: {fault}") from None
         return words
 
-    def rule(self, settings: Settings, rules: Rules) -> None:
+    def apply_rules(self, settings: Settings, rules: Rules) -> None:
         """Decide by settings that a group of gateways has agreed on, as far as `rules` lets anything
         start."""
         self.settings = settings
@@ -132,7 +134,7 @@
     def on_break(self, broke: Callable[[int], None]) -> None:
         """Machines come by themselves: none has a connection of its own that could end."""
 
-    def agreed(self, machine: str, state: str, fence: int, op: str) -> None:
+    def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
         """What a group of gateways acts on for a machine, by its operators' words."""
         last = self.operators.words.get(machine)
         if last is None or (last.state, last.fence) != (state, fence):
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -23,11 +23,11 @@
 from weldhatch.scheduling.events import MachinesChanged
 from weldhatch.scheduling.policy import Policy
 from weldhatch.scheduling.types import Effect, ListForm, MachineKind, RequestClass, Scope, Settings
-from weldhatch.sites.forwarding import Sites
-from weldhatch.sites.link import Door
-from weldhatch.sites.messages import Id, Work
+from weldhatch.sites.forwarding import SiteForwarder
+from weldhatch.sites.link import LinkListener
+from weldhatch.sites.messages import TransferId, Work
 from weldhatch.sites.routing import Router
-from weldhatch.sites.storage import SitesBook
+from weldhatch.sites.storage import SiteStorage
 from weldhatch.testbed.fault_proxy import Wire
 from weldhatch.testbed.in_memory_machines import Hall, Tally
 
@@ -57,7 +57,9 @@
     def names_of(self, task: ports.Task) -> tuple[str, ...]:
         return ("x",)
 
-    def guest(self, site: str, id: Id, work: Work, came_to: Callable[[str], None]) -> tuple[object, object]:
+    def guest(
+        self, site: str, id: TransferId, work: Work, came_to: Callable[[str], None]
+    ) -> tuple[object, object]:
         return f"{site}-{id[0]}-{id[1]}", work.names
 
     def came_to(self, task: ports.Task, result: str) -> None:
@@ -111,10 +113,10 @@
 class SiteNow:
     """One gateway, from its start to its death."""
 
-    sites: Sites
+    sites: SiteForwarder
     hall: Hall
-    book: SitesBook
-    door: Door
+    book: SiteStorage
+    door: LinkListener
     driver: Driver
 
 
@@ -152,9 +154,9 @@
         driver = Driver(Policy(self.told, self.random.getrandbits(32)), self.log)
         driver.site = hall
         core = Core(driver, hall, self.log)
-        book = SitesBook(str(self.folder / name), time.time(), self.log)
+        book = SiteStorage(str(self.folder / name), time.time(), self.log)
         others = [other for other in self.names if other != name]
-        sites = Sites(
+        sites = SiteForwarder(
             name,
             others,
             self.told,
@@ -168,7 +170,7 @@
         driver.watchers.append(lambda event: sites.room.watch(time.monotonic(), event))
         driver.post(MachinesChanged(ListForm.CACHED, hall.entries()))
         budget = Budget(400)
-        door = Door(("127.0.0.1", 0), sites.links, Share(budget, 200), self.log)
+        door = LinkListener(("127.0.0.1", 0), sites.links, Share(budget, 200), self.log)
         for pair, wire in self.wires.items():
             if name == pair[0]:
                 sites.links[pair[1]].dial(self._ends[pair], Share(budget, 4))
@@ -180,7 +182,7 @@
     def kill(self, name: str) -> None:
         """The gateway dies: nothing more is said or written, and its machines stop what they ran for it."""
         one = self.now.pop(name)
-        self.died += sum(not crossing.answered for crossing in one.sites.crossings)
+        self.died += sum(not request.answered for request in one.sites.requests)
         one.hall.die()
         one.sites.close()
         one.door.close()
@@ -190,7 +192,7 @@
         """Wait until all links stand and each site has heard of the others' room."""
         await self.until(
             lambda: all(
-                link.up and one.sites.router.sites[site].told is not None
+                link.up and one.sites.router.sites[site].summary is not None
                 for one in self.now.values()
                 for site, link in one.sites.links.items()
             ),
@@ -217,7 +219,7 @@
         """Wait until nothing is lent, taken or running any more."""
         await self.until(
             lambda: not any(
-                one.sites.lender.lent or one.sites.guests or one.sites.crossings or one.hall.busy
+                one.sites.source.transfers or one.sites.incoming or one.sites.requests or one.hall.busy
                 for one in self.now.values()
             ),
             within,
@@ -229,7 +231,7 @@
         one.hall.free = dict.fromkeys(range(1, count + 1), one.hall.cores)
         one.driver.post(MachinesChanged(ListForm.FULL, one.hall.entries()))
 
-    def guarded(self, key: int) -> bool:
+    def runs_once(self, key: int) -> bool:
         """Whether a key's task may not run twice."""
         return any(
             owner.task.key == key and self.told.classes[owner.task.class_index].effect is not Effect.SAFE
