--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The life of a request beside scripted decisions and a scripted site: no socket, no module."""
+"""One request beside scripted decisions and a scripted machines: no socket, no policy."""
 
 import asyncio
 import time
@@ -62,7 +62,7 @@
         self.answered.set()
 
 
-class Lives(unittest.IsolatedAsyncioTestCase):
+class HeldUp(unittest.IsolatedAsyncioTestCase):
     async def held_up(self, site):
         """What a request is answered whose process gets no processor until all its times have passed."""
         asyncio.get_running_loop().set_debug(False)
@@ -77,10 +77,10 @@
         await asyncio.sleep(0)
         return owner.answers
 
-    async def test_what_the_module_is_told_in_the_moment_of_the_deadline_still_decides(self):
+    async def test_an_event_in_the_moment_of_the_deadline_still_decides(self):
         """Seen in CI: the attempt's time and the request's passed in one moment, and the proof was lost."""
         self.assertEqual(["refused"], await self.held_up(Unreachable()))
 
-    async def test_an_end_told_in_the_moment_that_the_attempts_time_is_up_counts(self):
+    async def test_an_end_in_the_moment_that_the_attempts_time_is_up_counts(self):
         """Seen under load: the offer was withdrawn in time, and was taken for one that may have run."""
         self.assertEqual(["refused"], await self.held_up(Withdrawn()))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -75,7 +75,9 @@
     "warm_up_offers, group, early_s, seed",
     [(0, 3, 0, 1), (1, 5, 0, 2), (2, 9, 5, 3), (5, 12, -5, 4), (20, 21, 0, 5), (21, 4, 9, 6), (30, 70, 0, 7)],
 )
-def test_all_allocators_together_never_push_a_cold_machine_over(warm_up_offers, group, early_s, seed):
+def test_all_dispatchers_together_never_overload_a_machine_that_warms_up(
+    warm_up_offers, group, early_s, seed
+):
     """All instances at once, each with more requests than it may send; some hear late of the start."""
     base = make_settings(warm_up_offers=warm_up_offers, group_size=group, may_probe=False, max_attempts=1)
     born, rnd, sent = 100 * SECOND, random.Random(seed), []
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -52,7 +52,7 @@
     assert max(len(line) for module in modules for line in module.read_text().splitlines()) <= 110
 
 
-def test_two_are_probed_and_the_roomier_one_is_bound(driver):
+def test_two_are_probed_and_the_one_with_more_free_memory_is_bound(driver):
     probes = of(driver.arrive(), Probe)
     assert len(probes) == 2
     low, high = (p.machine for p in probes)
@@ -67,8 +67,8 @@
     assert len(seen) == 6
 
 
-def test_a_machine_heard_lately_is_not_probed_again_and_one_heard_long_ago_is():
-    # Probes are priced, and with sixteen allocators they were the largest loss of a calm day.
+def test_a_machine_that_reported_lately_is_not_probed_again_and_one_that_reported_long_ago_is():
+    # Probes are priced, and with sixteen dispatchers they were the largest loss of a calm day.
     driver = Driver(make_settings(), machines(2))
     [offer] = driver.place(service=4)  # both probed and answered
     driver.send(Placed(1, 0, offer.machine, 1000))
@@ -81,7 +81,7 @@
     assert len(of(late, Probe)) == 2 and not of(late, Offer)
 
 
-def test_only_the_drawn_machine_not_heard_lately_is_probed():
+def test_only_the_drawn_machine_without_a_late_report_is_probed():
     driver = Driver(make_settings(), machines(2))
     [first] = driver.place(service=4)
     driver.wait(STALE_US + 1)
@@ -120,7 +120,7 @@
     assert of(driver.wait(SECOND), Reject) == [Reject(1)]
 
 
-def test_after_two_refusals_for_want_of_room_the_last_attempt_waits():
+def test_after_two_refusals_for_want_of_capacity_the_last_attempt_waits():
     driver = Driver(make_settings(may_probe=False), machines(6))
     driver.arrive()
     for attempt in range(2):
@@ -132,7 +132,7 @@
     assert len(of(driver.log, Offer)) == 3
 
 
-def test_a_line_that_refuses_is_offered_less():
+def test_the_offer_limit_of_a_machine_falls_with_refusals_for_a_full_queue():
     driver = Driver(make_settings(may_probe=False), machines(1))
     for n in range(8):
         driver.arrive(service=n)
@@ -144,7 +144,7 @@
     assert len(of(driver.log, Offer)) == before  # four are open there, and the line has learnt less than that
 
 
-def test_low_priorities_leave_a_part_of_the_line_to_the_highest():
+def test_low_priorities_leave_a_part_of_the_offer_limit_to_the_highest():
     driver = Driver(
         make_settings(classes=(make_class(), make_class(priority=1)), may_probe=False), machines(1)
     )
@@ -154,7 +154,7 @@
     assert of(driver.arrive(service=99, class_index=1), Offer) and low < 30
 
 
-def test_the_cheapest_class_leaves_room_to_the_others():
+def test_the_least_weighty_class_leaves_capacity_to_the_others():
     settings = make_settings(classes=(make_class(priority_weight=1.0), make_class(priority_weight=5.0)))
     report = {1: (1.5, 10.0, 0.5)}
     driver = Driver(settings, machines(1))
@@ -171,7 +171,7 @@
         assert offer.machine == first.machine
 
 
-def test_allocators_agree_on_the_homes_of_a_service_without_any_talk():
+def test_dispatchers_agree_on_the_homes_of_a_service_without_any_talk():
     used = {Driver(make_settings(), machines(20), seed).place(service=77)[0].machine for seed in range(30)}
     assert len(used) == 2
     spread = {Driver(make_settings(), machines(20)).place(service=n)[0].machine for n in range(60)}
@@ -198,8 +198,8 @@
     assert len(calls) > first  # a new machine may rank first: the service is ranked again
 
 
-def test_many_allocators_start_a_service_at_its_first_home_and_few_at_either():
-    """Guards against a cold start at each home: with many allocators few see where the program is."""
+def test_many_dispatchers_start_a_service_at_its_first_home_and_few_at_either():
+    """Guards against a cold start at each home: with many dispatchers few see where the program is."""
 
     def picked(group_size):
         return {
@@ -233,7 +233,9 @@
         (16, 5, (16.0, 32.0, 0.5), 2),
     ],
 )
-def test_many_allocators_believe_told_room_for_longer_and_told_want_not(group_size, seconds, report, probed):
+def test_many_dispatchers_trust_reported_capacity_for_longer_and_reported_want_not(
+    group_size, seconds, report, probed
+):
     driver = Driver(make_settings(group_size=group_size), machines(2))
     for machine in (1, 2):
         driver.send(ProbeAnswered(machine, Outcome.OK, 500, report))
@@ -334,7 +336,7 @@
         (Topic.MACHINE_MEMORY, 0.86, False),
     ],
 )
-def test_a_machine_told_to_serve_poorly_counts_as_crowded(topic, value, avoided):
+def test_a_machine_noted_to_serve_poorly_counts_as_crowded(topic, value, avoided):
     driver = Driver(make_settings(by_service=True), machines(12))
     [offer] = driver.place(service=5)
     driver.send(Placed(1, 0, offer.machine, 1000), Note(1, 0, offer.machine, topic, value))
@@ -354,7 +356,7 @@
     assert later and 1 not in later
 
 
-def test_one_error_or_broken_answer_tells_of_the_request_and_makes_no_suspect():
+def test_one_error_or_broken_answer_may_be_the_requests_and_makes_no_outlier():
     """Guards against clients whose requests no machine can use: they would spoil all machines' names."""
     driver = Driver(make_settings(max_attempts=4), machines(3))
     [first] = driver.place()
@@ -365,7 +367,7 @@
     assert not any(n.faults for n in driver.machine_records.values())
 
 
-def test_a_machine_is_a_suspect_once_another_takes_what_it_answered_with_an_error():
+def test_a_machine_is_an_outlier_once_another_takes_what_it_answered_with_an_error():
     """Guards against a server whose release is bad: it fails what all others take, and has the most room."""
     driver = Driver(make_settings(max_attempts=4), machines(3))
     [first] = driver.place()
@@ -396,7 +398,7 @@
     assert offer.machine in other
 
 
-def test_a_silent_machine_is_not_drawn_and_is_rechecked_until_it_answers():
+def test_an_unresponsive_machine_is_not_drawn_and_is_rechecked_until_it_answers():
     driver = Driver(make_settings(by_service=True), machines(4))
     bad = of(driver.arrive(), Probe)[0].machine
     driver.send(ProbeAnswered(bad, Outcome.TIMEOUT, 250_000))
@@ -409,7 +411,7 @@
     assert bad in {o.machine for n in range(20, 60) for o in driver.place(service=n)}
 
 
-def test_a_probe_refused_for_a_full_line_is_no_silence():
+def test_a_probe_refused_for_a_full_queue_is_no_silence():
     driver = Driver(make_settings(by_service=True), machines(2))
     full, other = (p.machine for p in of(driver.arrive(), Probe))
     driver.send(ProbeAnswered(full, Outcome.FULL, 9_000), ProbeAnswered(other, Outcome.OK, 9_000))
@@ -417,7 +419,7 @@
     assert {o.machine for n in range(2, 9) for o in driver.place(service=n)} == {other}
 
 
-def test_offers_are_called_back_from_a_machine_silent_twice():
+def test_offers_are_cancelled_at_a_machine_that_is_unresponsive_twice():
     driver = Driver(make_settings(classes=(make_class(), make_class(effect=Effect.UNSAFE))), machines(1))
     driver.place(class_index=0)
     driver.place(class_index=1)
@@ -436,7 +438,7 @@
     assert offer.machine not in {o.machine for n in range(2, 20) for o in driver.place(service=n)}
 
 
-def test_a_drain_told_while_probes_are_out_is_kept(driver):
+def test_a_drain_listed_while_probes_are_out_is_kept(driver):
     probes = of(driver.arrive(), Probe)
     driver.send(
         MachinesChanged(
@@ -446,15 +448,15 @@
     assert not of(driver.answer(probes), Offer)
 
 
-def test_a_cold_machine_takes_few_offers():
+def test_a_machine_that_warms_up_takes_few_offers():
     driver = Driver(make_settings(may_probe=False), [Machine(1, born_us=100 * SECOND)])
     for n in range(20):
         driver.arrive(service=n)
     assert len(of(driver.log, Offer)) == 2
 
 
-def test_a_machine_that_started_before_its_allocator_takes_nothing_for_one_span_and_few_offers_then():
-    """An allocator that starts anew does not know what it has sent there in its former life."""
+def test_a_machine_that_started_before_its_dispatcher_takes_nothing_for_one_span_and_few_offers_then():
+    """A dispatcher that restarts does not know what it has sent there before."""
     settings = make_settings(may_probe=False)
     driver = Driver(settings, [Machine(1, born_us=99 * SECOND)])
     for n in range(20):
@@ -465,7 +467,7 @@
     assert len(of(driver.log, Offer)) == 2
 
 
-def test_a_cold_machine_that_leaves_the_list_and_comes_back_takes_no_more():
+def test_a_machine_that_warms_up_leaves_the_list_and_comes_back_takes_no_more():
     machine = Machine(1, born_us=100 * SECOND)
     driver = Driver(make_settings(may_probe=False, warm_up_offers=2), [machine])
     for n in range(1, 20):
@@ -477,7 +479,7 @@
     assert len(of(driver.log, Offer)) == 2
 
 
-def test_a_smaller_share_of_a_cold_machine_holds_for_machines_known_before():
+def test_a_smaller_share_of_a_warming_machine_holds_for_machines_known_before():
     driver = Driver(make_settings(may_probe=False, warm_up_offers=8), [Machine(1, born_us=100 * SECOND)])
     driver.policy.reconfigure(make_settings(may_probe=False, warm_up_offers=8, group_size=8))
     for n in range(1, 20):
@@ -535,14 +537,14 @@
     assert of(driver.log, Offer)
 
 
-def test_a_request_that_is_gone_is_not_answered(driver):
+def test_an_abandoned_request_is_not_answered(driver):
     driver.arrive()
     driver.send(RequestAbandoned(1))
     driver.wait(10 * SECOND)
     assert not of(driver.log, Offer) and not of(driver.log, Reject)
 
 
-def test_no_allocators_zone_price_no_zone_preference_and_the_other_way_round():
+def test_without_a_price_of_crossing_zones_there_is_no_zone_preference_and_the_other_way_round():
     fleet = [Machine(n, zone=n % 2) for n in range(1, 9)]
     priced = make_settings(prices=Prices(cross_zone=0.1), zones=("a", "b"), by_service=True)
     assert {Driver(priced, fleet, seed).place()[0].machine % 2 for seed in range(20)} == {0}
@@ -550,13 +552,13 @@
     assert {Driver(free, fleet, seed).place()[0].machine % 2 for seed in range(20)} == {0, 1}
 
 
-def test_room_used_does_not_tell_room_asked():
+def test_capacity_that_is_not_used_says_nothing_of_what_is_requested():
     driver = Driver(make_settings(reports_asked=False), machines(2))
     busy = {1: (2.0, 2.5, 0.9), 2: (2.0, 2.5, 0.9)}  # guessed from use, more is asked than there is
     assert of(driver.answer(driver.arrive(), busy), Offer)
 
 
-def test_own_tasks_and_offers_fill_a_machine_where_nothing_else_is_told():
+def test_own_tasks_and_offers_fill_a_machine_where_nothing_is_reported():
     driver = Driver(make_settings(reports_asked=False, report_fields=()), machines(1))
     for n in range(6):
         driver.arrive(service=n, cores=8.0, memory=8.0)
@@ -592,7 +594,7 @@
     assert len(of(driver.log, Offer)) == 1
 
 
-def test_a_refusal_tells_when_to_come_back_where_that_is_heard():
+def test_a_rejection_says_when_to_retry_where_callers_heed_that():
     for settings, wait in (
         ({"retry_after": True, "max_retry_after_us": 3 * SECOND}, SECOND),
         ({"retry_after": True, "max_retry_after_us": SECOND // 2}, SECOND // 2),
--- a/tests/test_simulator_link.py
+++ b/tests/test_simulator_link.py
@@ -85,7 +85,7 @@
     assert (task.request, task.machine, task.memory) == (0x0E6F2B19, 0x0A9011F21FBC, 1.5)
 
 
-def test_timer_gone_and_change():
+def test_timer_abandoned_and_change():
     events = decode(
         SWITCH,
         event("82 0000004d"),
--- a/weldhatch/core/attempt.py
+++ b/weldhatch/core/attempt.py
@@ -104,7 +104,7 @@
     def _let_go(self, outcome: Outcome, closed: bool = False) -> bool:
         """Give the attempt up; whether that ends it.
 
-        One that stays out at its machine still ends here at the caller's deadline, since the caller is owed
+        One that stays out at its machine still ends here at the owner's deadline, since the owner is owed
         its answer then, and the policy offers nothing after it.
         """
         task = self._request.task
--- a/weldhatch/core/mailbox.py
+++ b/weldhatch/core/mailbox.py
@@ -7,7 +7,7 @@
 
 
 class Mailbox:
-    """What a request's coroutine is sent, by the policy, machines, callers and timers alike."""
+    """What a request's coroutine is sent, by the policy, machines, owners and timers alike."""
 
     def __init__(self) -> None:
         """Start empty; needs a running event loop."""
--- a/weldhatch/core/messages.py
+++ b/weldhatch/core/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the coroutine of one request, from machines, callers and timers."""
+"""Messages to the coroutine of one request, from machines, owners and timers."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 # Causes of an end, as numbers on the platform's wire.
 GIVEN_UP = 16  # of a request that is given up, and of a task that came to its end
-CALLED_OFF = 31  # of a task that its caller ended or the dispatcher migrated
+CALLED_OFF = 31  # of a task that its owner ended or the dispatcher migrated
 CUT = 41  # of a task that was cut off, or lost with its machine
 
 
 @dataclass(slots=True, frozen=True)
 class Answered:
-    """A machine holds the task now; the description goes to the caller unchanged."""
+    """A machine holds the task now; the description goes to the owner unchanged."""
 
     attempt: int
     description: str | None
@@ -50,17 +50,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Overdue:
-    """The caller's deadline has passed and the policy has not decided."""
+    """The owner's deadline has passed and the policy has not decided."""
 
 
 @dataclass(slots=True, frozen=True)
 class GivenUp:
-    """The caller no longer waits for its answer."""
+    """The owner no longer waits for its answer."""
 
 
 @dataclass(slots=True, frozen=True)
 class Released:
-    """The caller ends a task that stands."""
+    """The owner ends a task that stands."""
 
     cause: int
 
--- a/weldhatch/core/placement.py
+++ b/weldhatch/core/placement.py
@@ -82,7 +82,7 @@
 async def _finish(request: RequestState, end: Reject | Fail | Overdue | GivenUp) -> None:
     """Give the final answer, where one is owed, and take back what is under way without it."""
     if isinstance(end, Overdue):
-        # Guards against a policy that never decides: the caller is owed an answer in time.
+        # Guards against a policy that never decides: the owner is owed an answer in time.
         request.core.log(f"request {request.id}: no decision by the deadline")
     request.answered = True
     if isinstance(end, Reject):
--- a/weldhatch/core/ports.py
+++ b/weldhatch/core/ports.py
@@ -37,7 +37,7 @@
 
 
 class Owner(Protocol):
-    """The caller that asked. Exactly one of placed, refused and failed is called, and only once."""
+    """Who asked: a client, a submitter or another site. Exactly one of placed, refused and failed is called, and only once."""
 
     def placed(self, description: str | None) -> None:
         """Final answer: the task stands; the description is the machine's own."""
@@ -49,10 +49,10 @@
         """Final answer: not placed, with no promise about its effect."""
 
     def released(self, cause: int) -> None:
-        """A task that stood is over; not called where the caller ended it."""
+        """A task that stood is over; not called where the owner ended it."""
 
     def moved(self) -> None:
-        """The task that stood is to be placed anew: the caller should ask again."""
+        """The task that stood is to be placed anew: the owner should ask again."""
 
 
 class Site(Protocol):
@@ -83,7 +83,7 @@
     """What a group of dispatchers has agreed on, where there is one."""
 
     def away_us(self, task: Task) -> int | None:
-        """None where a request may be taken up; else how long its caller should stay away."""
+        """None where a request may be taken up; else how long its owner should stay away."""
 
     def stops(self, class_index: int, machine: int, attempt: int = -1) -> str:
         """Why a start may not leave for that machine at this moment; '' where it may.
--- a/weldhatch/core/request_lifecycle.py
+++ b/weldhatch/core/request_lifecycle.py
@@ -22,14 +22,14 @@
     def arrive(self, task: Task, owner: Owner, behind: Callable[[], bool] = _all_read) -> RequestLifecycle:
         """Take a new request up.
 
-        `behind`: whether the caller has said something, or has left, and nobody has read that yet.
+        `behind`: whether the owner has said something, or has left, and nobody has read that yet.
         """
         return RequestLifecycle(self, task, owner, None, behind=behind)
 
     def adopt(self, task: Task, machine: int, owner: Owner, answered: bool = True) -> RequestLifecycle:
         """Take a task into this dispatcher's care that runs on a machine already, or may.
 
-        Not `answered`: its caller still waits for the one answer, which the machine's message brings, or the
+        Not `answered`: its owner still waits for the one answer, which the machine's message brings, or the
         deadline does.
         """
         return RequestLifecycle(self, task, owner, machine, answered)
@@ -60,7 +60,7 @@
             if attempt is not None:
                 await StandingTask(self, attempt).run()
         except Exception:
-            # Guards the caller against a fault of ours: its request still gets its one final answer.
+            # Guards the owner against a fault of ours: its request still gets its one final answer.
             self.core.log(f"request {self.id}: " + traceback.format_exc().replace("\n", " | "))
             if not self.answered:
                 self.owner.failed()
--- a/weldhatch/core/standing_task.py
+++ b/weldhatch/core/standing_task.py
@@ -33,7 +33,7 @@
 
 
 class StandingTask:
-    """Follows a task to its end, which goes to the caller unless the caller brought it about."""
+    """Follows a task to its end, which goes to the owner unless the owner brought it about."""
 
     __slots__ = ("_attempt", "_overdue", "_owner_knows", "_request")
 
@@ -69,7 +69,7 @@
             case Noted(attempt, topic, value) if attempt == number:
                 self._attempt.note(topic, value)
             case GivenUp() if not self._owner_knows:
-                # The answer crossed the end of its caller's interest: nobody else would end the task.
+                # The answer crossed the end of its owner's interest: nobody else would end the task.
                 self._release(GIVEN_UP)
             case Released(cause) if not self._owner_knows:
                 self._release(cause)
