--- a/weldhatch/core/ports.py
+++ b/weldhatch/core/ports.py
@@ -37,7 +37,10 @@
 
 
 class Owner(Protocol):
-    """Who asked: a client, a submitter or another site. Exactly one of placed, refused and failed is called, and only once."""
+    """Who asked: a client, a submitter or another site.
+
+    Exactly one of placed, refused and failed is called, and only once.
+    """
 
     def placed(self, description: str | None) -> None:
         """Final answer: the task stands; the description is the machine's own."""
--- a/weldhatch/core/request_state.py
+++ b/weldhatch/core/request_state.py
@@ -10,7 +10,7 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Owner, Rules, Site, Task
 
-LOOP_PASSES_TO_READ = 4  # passes of the event loop in which what a owner has sent is read and delivered
+LOOP_PASSES_TO_READ = 4  # passes of the event loop in which what an owner has sent is read and delivered
 
 
 class CoreState:
@@ -64,13 +64,13 @@
         return tuple(self._messages)
 
     def is_given_up(self) -> bool:
-        """Whether the owner's word that it waits no more is to be received."""
+        """Whether the message that the owner waits no more is to be received."""
         return any(isinstance(message, GivenUp) for message in self._messages)
 
     async def is_given_up_by_now(self) -> bool:
         """Whether the owner waits no more, once all that it has sent so far is read.
 
-        Guards against a start for a owner that has left while the loop was busy: its close is read only
+        Guards against a start for an owner that has left while the loop was busy: its close is read only
         passes after what was decided before.
         """
         for _ in range(LOOP_PASSES_TO_READ):
