--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -35,7 +35,7 @@
                 self._overlay.machine_removed(self._ids[uid])
                 self._forget(uid)
         for uid, machine in zip(uids, machines, strict=True):
-            self.states[uid] = machine.state.name.lower()
+            self.states[uid] = machine.state.label
             self._ids[uid] = machine.id
             self._uids[machine.id] = uid
             self._overlay.machine_listed(machine)
--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -13,7 +13,8 @@
 from weldhatch.cluster.storage import ClusterStore
 from weldhatch.config import ClusterConfig
 from weldhatch.net.descriptor_budget import Budget, Share
-from weldhatch.sites.link import Link, LinkHandlers, LinkListener
+from weldhatch.sites.link import Link, LinkHandlers
+from weldhatch.sites.link_listener import LinkListener
 
 TICK_S = 0.5  # a link looks as often for silence, and acknowledges: a group has many links
 MAX_DIALLED = 64
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -347,9 +347,7 @@
 
     def machines(self) -> dict[str, dict]:
         """Each machine that is known, for the control address."""
-        return {
-            bot.id: {"own": bot.state.name.lower(), "leases": len(bot.leases)} for bot in self._bots.values()
-        }
+        return {bot.id: {"own": bot.state.label, "leases": len(bot.leases)} for bot in self._bots.values()}
 
     # ---- what the core asks for ----------------------------------------------------------------------------
 
