--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -346,10 +346,10 @@
 # ---- status, history, drift --------------------------------------------------------------------------------
 
 
-def state_of(progress: Progress, last: Progress | None, lock_owner: str) -> str:
+def state_of(progress: Progress, last: Progress | None, holder: str) -> str:
     if progress.ended:
         return "done"
-    if progress is last and lock_owner:
+    if progress is last and holder:
         return "running"
     return "stopped" if progress.stopped is not None else "interrupted"
 
@@ -361,12 +361,12 @@
 def status(apply_id: str | None, fleet_path: str, as_json: bool) -> None:
     """What is done, half done and not done of an apply (the last one); 4 where it stands half way."""
     told = config.fleet_file(fleet_path)
-    progress, lock_owner = find(told, apply_id), held_by(told.journal)
+    progress, holder = find(told, apply_id), held_by(told.journal)
     if progress is None:
         say(output.StatusShown(apply=""), as_json, render.status)
         return
     last = find(told, None)
-    state = state_of(progress, last if last.plan.id != progress.plan.id else progress, lock_owner)
+    state = state_of(progress, last if last.plan.id != progress.plan.id else progress, holder)
     steps = [
         output.StepShown(
             step=one.step.id,
@@ -389,7 +389,7 @@
             last=progress.last_at,
             fence=progress.fence,
             by=progress.by,
-            lock_owner=lock_owner if state == "running" else "",
+            holder=holder if state == "running" else "",
             reason=stop.reason if stop else "",
             text=stop.text if stop else "",
             half_done=progress.half_nodes,
@@ -407,12 +407,12 @@
 def history(fleet_path: str, as_json: bool) -> None:
     """All applies of the journal, oldest first."""
     told = config.fleet_file(fleet_path)
-    known, lock_owner = story(told.journal), held_by(told.journal)
+    known, holder = story(told.journal), held_by(told.journal)
     entries = [
         output.HistoryEntry(
             apply=name,
             name=one.plan.change.name,
-            state=state_of(one, known.last, lock_owner),
+            state=state_of(one, known.last, holder),
             begun=one.begun_at,
             last=one.last_at,
             by=one.by,
