--- a/tests/test_applies.py
+++ b/tests/test_applies.py
@@ -394,7 +394,7 @@
 
 
 def test_a_journal_of_many_applies_is_cut_down_and_keeps_its_fence(tmp_path, monkeypatch):
-    monkeypatch.setattr("weldhatch.applying.journal.COMPACT_OVER", 30)
+    monkeypatch.setattr("weldhatch.applying.journal.COMPACTION_RECORDS", 30)
     stage = Stage(tmp_path)
 
     async def main():
--- a/weldhatch/applying/journal.py
+++ b/weldhatch/applying/journal.py
@@ -12,13 +12,14 @@
 from weldhatch.store.lock import Lock, lock_owner
 from weldhatch.store.log import Disk, Log, LogCorruptError, read_records
 
-LOG, LOCK = "applies.log", "apply.lock"
-COMPACT_OVER = 50_000  # records; beyond, ended applies are cut down to their beginning and their end
-KEPT_WHOLE = 2  # the last applies stay as they are
+LOG = "applies.log"
+LOCK = "apply.lock"
+COMPACTION_RECORDS = 50_000  # beyond, ended applies are cut down to their beginning and their end
+KEPT_COMPLETE = 2  # the last applies stay as they are
 
 
-def stamp(at: float) -> str:
-    """Unix seconds as a person reads them."""
+def format_time(at: float) -> str:
+    """Return Unix seconds as a person reads them."""
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
@@ -27,42 +28,46 @@
     for number, payload in enumerate(payloads, 1):
         try:
             out.append(decode(payload))
-        except msgspec.MsgspecError as fault:
-            raise LogCorruptError(f"{path}: record {number}: {fault}") from None
+        except msgspec.MsgspecError as error:
+            raise LogCorruptError(f"{path}: record {number}: {error}") from None
     return out
 
 
 def story(folder: str | Path) -> Story:
-    """All applies of a folder, without holding it."""
+    """Return all applies of a folder, without holding it."""
     path = Path(folder) / LOG
     return Story(_records(read_records(path), path))
 
 
-def held_by(folder: str | Path) -> str:
-    """Who is applying just now; '' where nobody is."""
+def current_applier(folder: str | Path) -> str:
+    """Return who is applying just now; '' where nobody is."""
     return lock_owner(Path(folder) / LOCK)
 
 
 class Journal:
-    """The one writer of a folder, from its making to `close`. A second one raises LockHeld."""
+    """The one writer of a folder, from its making to `close`."""
 
     def __init__(self, folder: str | Path, who: str, now: float, disk: Disk | None = None) -> None:
+        """Take the folder and read its applies. `who`: is told to a second writer; `now`: Unix seconds.
+
+        Raises LockHeldError for a second writer, LogError for what can't be read.
+        """
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
-        self._lock = Lock(self.folder / LOCK, who, stamp(now))
+        self._lock = Lock(self.folder / LOCK, who, format_time(now))
         try:
             self._log = Log(self.folder / LOG, disk)
-            self.torn = self._log.torn_tail
+            self.torn_tail = self._log.torn_tail
             records = _records(self._log.recovered_records(), self.folder / LOG)
             self.story = Story(records)
-            if len(records) > COMPACT_OVER:
+            if len(records) > COMPACTION_RECORDS:
                 self._compact(records)
         except BaseException:
             self._lock.close()
             raise
 
     def _compact(self, records: list[AnyRecord]) -> None:
-        kept = list(self.story.applies)[-KEPT_WHOLE:]
+        kept = list(self.story.applies)[-KEPT_COMPLETE:]
         short = {
             name
             for name, progress in self.story.applies.items()
@@ -76,13 +81,13 @@
         self._log.rewrite(map(encode, left))
 
     def append(self, records: Iterable[AnyRecord]) -> None:
-        """Write, wait for the disk, and only then count the records as said. Raises LogError: none was
-        said."""
+        """Write, wait for the disk, and only then apply the records. Raises LogError: none counts then."""
         records = list(records)
         self._log.append(map(encode, records))
         for record in records:
             self.story.take(record)
 
     def close(self) -> None:
+        """Give the log and the folder back."""
         self._log.close()
         self._lock.close()
--- a/weldhatch/applying/runner.py
+++ b/weldhatch/applying/runner.py
@@ -17,7 +17,7 @@
 from weldhatch.planning.fleet import Fleet, Node, State
 from weldhatch.planning.moved import Moved, floors_moved, nodes_moved
 from weldhatch.planning.plan import Plan
-from weldhatch.planning.records import Begin, Heard, Progress, Stopped
+from weldhatch.planning.records import AnyRecord, Begin, Done, Heard, Progress, Stopped
 
 
 class World(Protocol):
@@ -25,11 +25,14 @@
 
     gateways: tuple[str, ...]
 
-    async def look(self, names: Iterable[str]) -> dict[str, Node | None]: ...
+    async def fetch_nodes(self, names: Iterable[str]) -> dict[str, Node | None]:
+        """Return nodes as they say they are; None for one that does not answer."""
 
-    async def held(self) -> dict[str, frozenset[str]]: ...
+    async def draining_machines(self) -> dict[str, frozenset[str]]:
+        """Return the machines that each gateway holds as draining, but for gateways that do not answer."""
 
-    async def send(self, order: Order) -> Answer: ...
+    async def send(self, order: Order) -> Answer:
+        """Send one order to its node or gateway; return what came of it."""
 
 
 class Exit(IntEnum):
@@ -53,12 +56,12 @@
 
 
 async def observe(fleet: Fleet, world: World, names: Iterable[str] | None = None) -> Fleet:
-    """The fleet as it is now: a node that does not answer is LOST, and keeps its place and size as filed.
+    """Return the fleet as it is now: a node that does not answer is LOST, its place and size are as filed.
 
     `fleet` has the nodes as its file names them; `names` picks some of them, for a large fleet.
     """
     chosen = list(fleet.nodes if names is None else names)
-    seen, held = await asyncio.gather(world.look(chosen), world.held())
+    seen, held = await asyncio.gather(world.fetch_nodes(chosen), world.draining_machines())
     every = frozenset().union(*held.values()) if held else frozenset()
     nodes = {}
     for name in chosen:
@@ -69,8 +72,8 @@
     return fleet.with_nodes(nodes)
 
 
-def watched(plan: Plan, fleet: Fleet) -> list[str]:
-    """The nodes that a plan has to see: those it acts on, and those that count for what it keeps."""
+def nodes_to_observe(plan: Plan, fleet: Fleet) -> list[str]:
+    """Return the nodes that a plan has to see: those it acts on, and those that count for what it keeps."""
     acted = {node.id for node in plan.world}
     if plan.change.limits or plan.change.spreads:
         return list(fleet.nodes)
@@ -82,12 +85,7 @@
 
 
 class Runner:
-    """One apply of one plan, by the journal's holder.
-
-    `clock` gives Unix seconds; waiting is by asyncio, so both may be virtual. `tell` hears an event's name
-    and
-    its figures.
-    """
+    """One apply of one plan, by the one who holds the journal."""
 
     def __init__(
         self,
@@ -99,17 +97,29 @@
         *,
         clock: Callable[[], float],
         by: str,
-        tell: Callable[..., None] = lambda *_, **__: None,
+        report_event: Callable[..., None] = lambda *_, **__: None,
     ) -> None:
-        self._plan, self._fleet, self._world, self._journal = plan, fleet, world, journal
-        self._patience, self._clock, self._by, self._tell = patience, clock, by, tell
-        self._names = watched(plan, fleet)
+        """Prepare an apply; nothing is sent yet.
+
+        `clock` gives Unix seconds; waiting is by asyncio, so both may be virtual. `by`: who applies;
+        `report_event` gets an event's name and its figures.
+        """
+        self._plan = plan
+        self._fleet = fleet
+        self._world = world
+        self._journal = journal
+        self._patience = patience
+        self._clock = clock
+        self._by = by
+        self._report_event = report_event
+        self._names = nodes_to_observe(plan, fleet)
         self._overtaken = ""
-        self.stop_asked = False
+        self.stop_requested = False
 
     async def run(self, over: bool = False) -> Result:
         """To the end, or to where it stops. `over`: leave another apply that is half done as it is."""
-        plan, story = self._plan, self._journal.story
+        plan = self._plan
+        story = self._journal.story
         known = story.applies.get(plan.id)
         if known is not None and known.ended:
             return Result(Exit.DONE, "this plan has been applied already: nothing was done")
@@ -134,11 +144,13 @@
         begin = Begin(apply=plan.id, at=self._clock(), plan=None if known else plan, fence=fence, by=self._by)
         self._journal.append([begin])
         progress = story.applies[plan.id]
-        self._tell("apply.resumed" if known else "apply.begun", apply=plan.id, fence=fence, by=self._by)
+        self._report_event(
+            "apply.resumed" if known else "apply.begun", apply=plan.id, fence=fence, by=self._by
+        )
         return await self._loop(progress, fleet)
 
     def _other(self, over: bool) -> Result | None:
-        """An apply that stands half done is finished or taken back before another begins."""
+        """Return why this apply may not begin: another one that is half done is finished or undone first."""
         last = self._journal.story.open
         if last is None or last.plan.id in (self._plan.id, self._plan.undoes) or over or not last.half_nodes:
             return None
@@ -152,16 +164,15 @@
         engine = Engine(progress, self._world.gateways, self._patience)
         while True:
             decision = engine.decide(self._clock(), fleet)
-            if self.stop_asked and not decision.ended and decision.stop is None:
-                decision = Decision(
-                    stop=Stopped(
-                        apply=self._plan.id,
-                        at=self._clock(),
-                        reason=Why.TOLD,
-                        text="told to stop; nothing more was ordered",
-                    )
+            if self.stop_requested and not decision.ended and decision.stop is None:
+                stop = Stopped(
+                    apply=self._plan.id,
+                    at=self._clock(),
+                    reason=Why.TOLD,
+                    text="told to stop; nothing more was ordered",
                 )
-                decision.records.append(decision.stop)
+                decision = Decision(stop=stop)
+                decision.records.append(stop)
             self._journal.append(decision.records)
             self._report(decision)
             if decision.stop is not None:
@@ -170,8 +181,8 @@
                 )
             if decision.ended:
                 return Result(Exit.DONE, "done")
-            if decision.orders and (stop := await self._send(decision.orders)):
-                return stop
+            if decision.orders and (result := await self._send(decision.orders)):
+                return result
             if decision.idle:
                 await asyncio.sleep(self._patience.poll_s)
             fleet = await observe(self._fleet, self._world, self._names)
@@ -179,7 +190,7 @@
     async def _send(self, orders: list[Order]) -> Result | None:
         answers = await asyncio.gather(*(self._world.send(order) for order in orders))
         now = self._clock()
-        heard = [
+        received: list[AnyRecord] = [
             Heard(
                 apply=self._plan.id,
                 at=now,
@@ -196,13 +207,13 @@
             # Guards against an older apply that wakes up late: it writes nothing more that others would read
             # as the newer one's, beside its own end.
             stop = Stopped(apply=self._plan.id, at=now, reason=Why.OVERTAKEN, text=late.reason)
-            self._journal.append([*heard, stop])
+            self._journal.append([*received, stop])
             return Result(
                 Exit.STOPPED, f"{Why.OVERTAKEN}: a later apply has the say: {late.reason}", stopped=stop
             )
-        self._journal.append(heard)
+        self._journal.append(received)
         for order, answer in zip(orders, answers, strict=True):
-            self._tell(
+            self._report_event(
                 "order.answered",
                 step=order.step.id,
                 to=order.gateway or order.step.node,
@@ -213,11 +224,11 @@
 
     def _report(self, decision: Decision) -> None:
         for order in decision.orders:
-            self._tell("order.sent", step=order.step.id, to=order.gateway or order.step.node)
+            self._report_event("order.sent", step=order.step.id, to=order.gateway or order.step.node)
         for record in decision.records:
-            if hasattr(record, "outcome"):
-                self._tell("step.done", step=record.step, outcome=record.outcome, note=record.note)
+            if isinstance(record, Done):
+                self._report_event("step.done", step=record.step, outcome=record.outcome, note=record.note)
         if decision.stop is not None:
-            self._tell("apply.stopped", reason=decision.stop.reason, text=decision.stop.text)
+            self._report_event("apply.stopped", reason=decision.stop.reason, text=decision.stop.text)
         if decision.ended:
-            self._tell("apply.ended", apply=self._plan.id)
+            self._report_event("apply.ended", apply=self._plan.id)
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -20,10 +20,10 @@
 from rich.progress import Progress as Bar
 
 from weldhatch import config
-from weldhatch.applying.journal import Journal, held_by, story
+from weldhatch.applying.journal import Journal, current_applier, story
 from weldhatch.applying.runner import Exit, Result, Runner, observe
 from weldhatch.cli import logs, output, render, settings
-from weldhatch.nodes.client import Wire
+from weldhatch.nodes.client import NodeClient
 from weldhatch.planning import plan as planning
 from weldhatch.planning.change import Change, read_change
 from weldhatch.planning.fleet import Fleet
@@ -85,8 +85,8 @@
 
 
 @contextmanager
-def wire(told: config.FleetFile) -> Iterator[Wire]:
-    made = Wire(told.control, told.gateways, told.patience.answer_s)
+def wire(told: config.FleetFile) -> Iterator[NodeClient]:
+    made = NodeClient(told.control, told.gateways, told.patience.answer_s)
     try:
         yield made
     finally:
@@ -96,7 +96,7 @@
 async def look(told: config.FleetFile) -> tuple[Fleet, dict[str, bool]]:
     """The fleet as it is, and which gateways answer."""
     with wire(told) as world:
-        seen, held = await asyncio.gather(observe(told.fleet, world), world.held())
+        seen, held = await asyncio.gather(observe(told.fleet, world), world.draining_machines())
     return seen, {name: name in held for name in told.gateways}
 
 
@@ -272,8 +272,8 @@
     log = logs.logger("apply")
     by = who()
     journal = Journal(told.journal, f"{by} for apply {plan.id}", time.time())
-    if journal.torn is not None:
-        log.warning("journal.torn", dropped_bytes=journal.torn.length, offset=journal.torn.offset)
+    if journal.torn_tail is not None:
+        log.warning("journal.torn", dropped_bytes=journal.torn_tail.length, offset=journal.torn_tail.offset)
     bar = Bar(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -295,11 +295,11 @@
                     )
 
             runner = Runner(
-                plan, told.fleet, world, journal, told.patience, clock=time.time, by=by, tell=tell
+                plan, told.fleet, world, journal, told.patience, clock=time.time, by=by, report_event=tell
             )
             loop = asyncio.get_running_loop()
             for number in (signal.SIGINT, signal.SIGTERM):
-                loop.add_signal_handler(number, lambda: setattr(runner, "stop_asked", True))
+                loop.add_signal_handler(number, lambda: setattr(runner, "stop_requested", True))
             result = await runner.run(over=over)
         progress = journal.story.applies.get(plan.id)
         return result, progress.half_nodes if progress is not None and result.exit is Exit.STOPPED else []
@@ -361,7 +361,7 @@
 def status(apply_id: str | None, fleet_path: str, as_json: bool) -> None:
     """What is done, half done and not done of an apply (the last one); 4 where it stands half way."""
     told = config.fleet_file(fleet_path)
-    progress, holder = find(told, apply_id), held_by(told.journal)
+    progress, holder = find(told, apply_id), current_applier(told.journal)
     if progress is None:
         say(output.StatusShown(apply=""), as_json, render.status)
         return
@@ -407,7 +407,7 @@
 def history(fleet_path: str, as_json: bool) -> None:
     """All applies of the journal, oldest first."""
     told = config.fleet_file(fleet_path)
-    known, holder = story(told.journal), held_by(told.journal)
+    known, holder = story(told.journal), current_applier(told.journal)
     entries = [
         output.HistoryEntry(
             apply=name,
--- a/weldhatch/cli/render.py
+++ b/weldhatch/cli/render.py
@@ -8,7 +8,7 @@
 from rich.markup import escape
 from rich.table import Table
 
-from weldhatch.applying.journal import stamp
+from weldhatch.applying.journal import format_time
 from weldhatch.cli.output import DriftShown, FleetShown, HistoryShown, StatusShown
 from weldhatch.planning.plan import Plan
 
@@ -122,8 +122,9 @@
         console.print("no apply has been begun here")
         return
     console.print(
-        f"apply {shown.apply} ({escape(shown.name)}): [bold]{shown.state}[/], begun {stamp(shown.begun)} by "
-        f"{escape(shown.by)}, last word {stamp(shown.last)}, fence {shown.fence}"
+        f"apply {shown.apply} ({escape(shown.name)}): [bold]{shown.state}[/], "
+        f"begun {format_time(shown.begun)} by {escape(shown.by)}, "
+        f"last word {format_time(shown.last)}, fence {shown.fence}"
     )
     if shown.holder:
         console.print(f"held by {escape(shown.holder)}")
@@ -146,8 +147,8 @@
             entry.apply,
             escape(entry.name),
             entry.state,
-            stamp(entry.begun),
-            stamp(entry.last),
+            format_time(entry.begun),
+            format_time(entry.last),
             escape(entry.by),
             f"{entry.done} of {entry.steps}",
             entry.undoes,
--- a/weldhatch/cli/settings.py
+++ b/weldhatch/cli/settings.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from weldhatch import config
-from weldhatch.applying.journal import stamp
+from weldhatch.applying.journal import format_time
 from weldhatch.applying.runner import Exit, Result
 from weldhatch.planning.moved import Moved
 from weldhatch.pullqueue import reconfiguration
@@ -51,7 +51,7 @@
 def _apply(path: str, made: dict, gateway: reconfiguration.Gateway) -> Result:
     import time
 
-    lock = Lock(f"{path}.lock", f"an apply of {path}", stamp(time.time()))
+    lock = Lock(f"{path}.lock", f"an apply of {path}", format_time(time.time()))
     try:
         journal = Log(f"{path}.journal")
         try:
--- a/weldhatch/nodes/client.py
+++ b/weldhatch/nodes/client.py
@@ -4,40 +4,52 @@
 
 import asyncio
 from collections.abc import Iterable, Mapping
+from typing import Any
 
 import msgspec
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest, HTTPResponse
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from weldhatch.nodes.protocol import SILENCE, Answer, NodeOrder, Operator, read_node, read_refusal
+from weldhatch.nodes.protocol import SILENCE, Answer, NodeOrder, OperatorOrder, read_node, read_refusal
 from weldhatch.planning.engine import Order
 from weldhatch.planning.fleet import Node, State
 from weldhatch.planning.plan import Kind
 
-AT_ONCE = 64
-BODY_MOST = 1 << 20
+MAX_CONCURRENT_CALLS = 64
+MAX_BODY_BYTES = 1 << 20
+MAX_HEADER_BYTES = 16 << 10
+_Machines = dict[str, dict[str, dict[str, Any]]]
+_MACHINES: msgspec.json.Decoder[_Machines] = msgspec.json.Decoder(_Machines)
 
 
-class Wire:
-    """Calls by HTTP to the control addresses of nodes and gateways.
-
-    nodes: host:port of each node's control address, by its id; gateways: names, which are host:port too.
-    """
+class NodeClient:
+    """Calls by HTTP to the control addresses of nodes and gateways."""
 
     def __init__(self, nodes: Mapping[str, str], gateways: tuple[str, ...], answer_s: float) -> None:
-        self._nodes, self.gateways, self._answer_s = nodes, gateways, answer_s
+        """Open no connection yet.
+
+        `nodes`: host:port of each node's control address, by its id; `gateways`: names, which are host:port
+        too; `answer_s`: how long an answer is waited for.
+        """
+        self._nodes = nodes
+        self.gateways = gateways
+        self._answer_s = answer_s
         AsyncHTTPClient.configure(SimpleAsyncHTTPClient)
         self._client = AsyncHTTPClient(
-            force_instance=True, max_clients=AT_ONCE, max_body_size=BODY_MOST, max_header_size=16 << 10
+            force_instance=True,
+            max_clients=MAX_CONCURRENT_CALLS,
+            max_body_size=MAX_BODY_BYTES,
+            max_header_size=MAX_HEADER_BYTES,
         )
 
     def close(self) -> None:
+        """Give the HTTP client back."""
         self._client.close()
 
     async def _call(
         self, method: str, address: str, path: str, body: bytes | None = None
     ) -> HTTPResponse | None:
-        """The answer, whatever its status; None where there was none in time, or none that is HTTP."""
+        """Return the answer, whatever its status; None where none came in time, or none that is HTTP."""
         request = HTTPRequest(
             f"http://{address}{path}",
             method=method,
@@ -54,7 +66,7 @@
         return None if answer.code == 599 else answer
 
     async def node(self, name: str) -> Node | None:
-        """One node as it says it is; None where it does not answer, or not with sense."""
+        """Return one node as it says it is; None where it does not answer, or not with sense."""
         answer = await self._call("GET", self._nodes[name], f"/v1/nodes/{name}")
         if answer is None or answer.code != 200:
             return None
@@ -63,36 +75,37 @@
         except (ValueError, UnicodeDecodeError):
             return None
 
-    async def look(self, names: Iterable[str]) -> dict[str, Node | None]:
+    async def fetch_nodes(self, names: Iterable[str]) -> dict[str, Node | None]:
+        """Return nodes as they say they are; None for one that does not answer."""
         names = list(names)
         return dict(zip(names, await asyncio.gather(*(self.node(name) for name in names)), strict=True))
 
-    async def held(self) -> dict[str, frozenset[str]]:
-        """The machines that each gateway holds as draining; a gateway that does not answer is left out."""
-
-        async def one(gateway: str) -> frozenset[str] | None:
-            answer = await self._call("GET", gateway, "/v1/machines")
-            if answer is None or answer.code != 200:
-                return None
-            try:
-                tree = msgspec.json.decode(answer.body, type=dict[str, dict[str, dict]])
-                return frozenset(
-                    name
-                    for name, word in tree.get("machines", {}).items()
-                    if word.get("state") == State.DRAINING
-                )
-            except (msgspec.DecodeError, UnicodeDecodeError):
-                return None
-
-        told = await asyncio.gather(*map(one, self.gateways))
-        return {name: held for name, held in zip(self.gateways, told, strict=True) if held is not None}
+    async def draining_machines(self) -> dict[str, frozenset[str]]:
+        """Return the machines that each gateway holds as draining, but for gateways that do not answer."""
+        answers = await asyncio.gather(*map(self._draining_at, self.gateways))
+        return {
+            gateway: draining
+            for gateway, draining in zip(self.gateways, answers, strict=True)
+            if draining is not None
+        }
+
+    async def _draining_at(self, gateway: str) -> frozenset[str] | None:
+        answer = await self._call("GET", gateway, "/v1/machines")
+        if answer is None or answer.code != 200:
+            return None
+        try:
+            tree = _MACHINES.decode(answer.body)
+        except (msgspec.DecodeError, UnicodeDecodeError):
+            return None
+        machines = tree.get("machines", {})
+        return frozenset(name for name, machine in machines.items() if machine.get("state") == State.DRAINING)
 
     async def send(self, order: Order) -> Answer:
-        """One order to its node or gateway, and what came of it."""
+        """Send one order to its node or gateway; return what came of it."""
         step = order.step
         if order.gateway:
             state = State.DRAINING if step.kind is Kind.ANNOUNCE else State.READY
-            body = msgspec.json.encode(Operator(op=order.op, state=state, fence=order.fence))
+            body = msgspec.json.encode(OperatorOrder(op=order.op, state=state, fence=order.fence))
             answer = await self._call("PUT", order.gateway, f"/v1/machines/{step.node}", body)
         else:
             body = msgspec.json.encode(
--- a/weldhatch/testbed/crash_points.py
+++ b/weldhatch/testbed/crash_points.py
@@ -86,12 +86,12 @@
     def __init__(self, world: StandInWorld, points: Points) -> None:
         self._world, self._points, self.gateways = world, points, world.gateways
 
-    async def look(self, names: Iterable[str]) -> dict[str, Node | None]:
+    async def fetch_nodes(self, names: Iterable[str]) -> dict[str, Node | None]:
         self._points.pass_("look")
-        return await self._world.look(names)
+        return await self._world.fetch_nodes(names)
 
-    async def held(self) -> dict[str, frozenset[str]]:
-        return await self._world.held()
+    async def draining_machines(self) -> dict[str, frozenset[str]]:
+        return await self._world.draining_machines()
 
     async def send(self, order: Order) -> Answer:
         self._points.pass_("order: before")
--- a/weldhatch/testbed/fleet.py
+++ b/weldhatch/testbed/fleet.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from weldhatch.nodes.protocol import SILENCE, Answer, NodeOrder, Operator
+from weldhatch.nodes.protocol import SILENCE, Answer, NodeOrder, OperatorOrder
 from weldhatch.planning.change import Change
 from weldhatch.planning.check import floor_faults
 from weldhatch.planning.engine import Order
@@ -34,7 +34,7 @@
     told_at: dict[str, float] = field(default_factory=dict)
     up: bool = True
 
-    def take(self, machine: str, word: Operator, now: float) -> Answer:
+    def take(self, machine: str, word: OperatorOrder, now: float) -> Answer:
         _, fence = self.words.get(machine, (State.READY, 0))
         if word.fence < fence:
             return Answer.refused("FENCE", f"{fence} has been heard, this is {word.fence}")
@@ -96,14 +96,14 @@
     async def _way(self) -> None:
         await asyncio.sleep(self._delay_s * (0.5 + self.random.random()))
 
-    async def look(self, names: Iterable[str]) -> dict[str, Node | None]:
+    async def fetch_nodes(self, names: Iterable[str]) -> dict[str, Node | None]:
         await self._way()
         now = self.clock()
         seen = {name: self.nodes[name].node(now) if self.nodes[name].up else None for name in names}
         await self._way()
         return seen
 
-    async def held(self) -> dict[str, frozenset[str]]:
+    async def draining_machines(self) -> dict[str, frozenset[str]]:
         await self._way()
         return {
             name: frozenset(machine for machine, (state, _) in party.words.items() if state is State.DRAINING)
@@ -133,7 +133,7 @@
             return None
         state = State.DRAINING if order.step.kind is Kind.ANNOUNCE else State.READY
         return party.take(
-            order.step.node, Operator(op=order.op, state=state, fence=order.fence), self.clock()
+            order.step.node, OperatorOrder(op=order.op, state=state, fence=order.fence), self.clock()
         )
 
     def _to_node(self, order: Order) -> Answer | None:
