--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -7,7 +7,7 @@
 from random import Random
 from unittest import mock
 
-from weldhatch.core import ports
+from weldhatch.core.messages import GivenUp, Released
 from weldhatch.sites import session
 from weldhatch.sites.handoff_source import OutgoingPhase
 from weldhatch.sites.handoff_target import IncomingPhase
@@ -60,7 +60,7 @@
     async def test_an_owners_release_is_relayed_and_its_machine_stops(self):
         owner = self.region.ask("a", IMPORT)
         await self.answered(owner)
-        owner.life.tell(ports.Released(16))
+        owner.life.deliver(Released(16))
         await self.region.until(lambda: not self.region.now["b"].hall.busy)
         await self.region.settled()
         self.assertEqual(0, owner.ends)  # it brought the end about itself
@@ -69,7 +69,7 @@
         self.region.now["b"].hall.look_s = 0.3
         owner = self.region.ask("a", WRITER)
         await self.region.until(lambda: IncomingPhase.PLACING in self.taken())
-        owner.life.tell(ports.GivenUp())
+        owner.life.deliver(GivenUp())
         await self.region.settled()
         self.assertEqual([], owner.answers)
         self.assertEqual(0, sum(self.region.tally.running.values()))
--- a/weldhatch/cluster/endpoint_list.py
+++ b/weldhatch/cluster/endpoint_list.py
@@ -32,7 +32,7 @@
                 self._told.machine_removed(self._ids[uid])
                 self._forget(uid)
         for uid, machine in zip(uids, machines, strict=True):
-            self.states[uid] = machine.state.name.lower()
+            self.states[uid] = machine.state.label
             self._ids[uid], self._uids[machine.id] = machine.id, uid
             self._told.machine_listed(machine)
             if machine.state is MachineState.REMOVED:
--- a/weldhatch/sites/forwarding.py
+++ b/weldhatch/sites/forwarding.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Collection
 
 from weldhatch.core import ports
-from weldhatch.core.request_lifecycle import Core, Life
+from weldhatch.core.request_lifecycle import Core, RequestLifecycle
 from weldhatch.scheduling.types import Settings
 from weldhatch.sites import frames, messages
 from weldhatch.sites.background import BackgroundTasks
@@ -100,7 +100,9 @@
         """Take a request; its owner gets one final answer."""
         return ForwardedRequest(self, task, owner)
 
-    def adopt(self, task: ports.Task, machine: int, owner: ports.Owner, answered: bool = True) -> Life:
+    def adopt(
+        self, task: ports.Task, machine: int, owner: ports.Owner, answered: bool = True
+    ) -> RequestLifecycle:
         """Take a task that runs here already: its key is this site's until it is over."""
         work = self.translator.work_of(task)
         lifecycle = self.core.adopt(task, machine, owner, answered)
@@ -117,11 +119,6 @@
         """Requests that are owed an answer: owners' here, and those of other sites."""
         return self._undecided + self.incoming.undecided
 
-    @property
-    def lives(self) -> set[Life]:
-        """The core's requests."""
-        return self.core.lives
-
     def reconfigure(self, settings: Settings) -> None:
         """Go on by other settings; classes keep their places."""
         self.capacity.settings = settings
@@ -151,10 +148,10 @@
     def summary(self) -> CapacitySummary:
         """Return what this site tells others of its room."""
         return self.capacity.summary(
-            time.monotonic(), self.core.unanswered, len(self.core.lives), self.draining
+            time.monotonic(), self.core.unanswered, len(self.core.requests), self.draining
         )
 
-    def spawn_settled(self, lifecycle: Life, then: Callable[[], None]) -> None:
+    def spawn_settled(self, lifecycle: RequestLifecycle, then: Callable[[], None]) -> None:
         """Call `then` once a task that was given up, or failed, can't run any more."""
         self.background.spawn_after(lifecycle, self._settle_s, then)
 
--- a/weldhatch/sites/outgoing.py
+++ b/weldhatch/sites/outgoing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from weldhatch.core.policy_driver import unix_us
-from weldhatch.core.ports import Teller
+from weldhatch.core.ports import Receiver
 from weldhatch.sites import messages
 from weldhatch.sites.effects import EffectRunner, OwnerEffect
 from weldhatch.sites.handoff_source import (
@@ -29,7 +29,7 @@
 class _Waiting:
     """A request that waits for its transfer, and until when."""
 
-    request: Teller
+    request: Receiver
     deadline_us: int
 
 
@@ -47,7 +47,7 @@
         self._front = front
         self._waiting: dict[TransferId, _Waiting] = {}
 
-    async def offer(self, site: str, work: Work, left_us: int, request: Teller) -> TransferId:
+    async def offer(self, site: str, work: Work, left_us: int, request: Receiver) -> TransferId:
         """Hand a task to another site: written down first. Raises TaskBusyError where that can't be done now.
 
         `request` is told what comes of it; it waits for `left_us` from now on.
@@ -92,7 +92,7 @@
             return
         if not (isinstance(effect, AnswerOwner) and effect.answer is Answer.PLACED):
             del self._waiting[effect.id]
-        waiting.request.tell(effect)
+        waiting.request.deliver(effect)
 
     def receive(self, site: str, message: messages.ToSource) -> None:
         """Take one message of a target."""
