--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -9,6 +9,7 @@
 import time
 from collections.abc import Callable
 from random import Random
+from typing import Any, cast
 
 import msgspec
 
@@ -32,97 +33,115 @@
 
 SETTLE_SPARE_S = 0.5
 SOCKETS_A_SITE = 4
+_SETUP: msgspec.json.Decoder[Setup] = msgspec.json.Decoder(Setup)
+_Result = tuple[dict[str, Any] | None, str]
+_RESULT: msgspec.json.Decoder[_Result] = msgspec.json.Decoder(_Result)
 
 
-class Abroad(SiteFrontEnd):
-    """What the sites need of this front."""
+def _passed_on(task: ports.Task) -> Passed:
+    """Return what the pull queue passes on with a task of its own."""
+    return cast(Passed, task.passed_on)
 
-    def __init__(self, settings: Settings, ledger: Ledger, book: QueueStorage | NoStorage) -> None:
-        self._settings, self._ledger, self._book = settings, ledger, book
-        self._names = {cls.name: cls for cls in settings.classes}
 
-    def names_of(self, task: ports.Task) -> tuple[str, ...]:
-        passed: Passed = task.passed_on
+class PullQueueSiteFront(SiteFrontEnd):
+    """The pull queue as the front of its site."""
+
+    def __init__(self, settings: Settings, ledger: Ledger, storage: QueueStorage | NoStorage) -> None:
+        """Ask this ledger, and write spent keys to this store."""
+        self._ledger = ledger
+        self._storage = storage
+        self._classes = {cls.name: cls for cls in settings.classes}
+
+    def encode_passed_on(self, task: ports.Task) -> tuple[str, ...]:
+        """Return the placement request of a task, and its description."""
+        passed = _passed_on(task)
         return msgspec.json.encode(passed.setup).decode(), passed.blob
 
-    def guest(
-        self, site: str, id: TransferId, work: Work, came_to: Callable[[str], None]
+    def decode_passed_on(
+        self, site: str, id: TransferId, work: Work, on_result: Callable[[str], None]
     ) -> tuple[object, object]:
+        """Return the label of another site's task, and what a lease of it gets. Raises ValueError."""
         try:
             setup, blob = work.names
-            read = msgspec.json.decode(setup, type=Setup)
-        except (msgspec.MsgspecError, ValueError) as fault:
-            raise ValueError(f"a task that can't be read: {str(fault)[:120]}") from None
-        return f"crossings/{site}-{id[0]}-{id[1]}", Passed(
-            read, blob, lambda result, message: came_to(msgspec.json.encode((result, message)).decode())
-        )
+            request = _SETUP.decode(setup)
+        except (msgspec.MsgspecError, ValueError) as error:
+            raise ValueError(f"a task that can't be read: {str(error)[:120]}") from None
 
-    def came_to(self, task: ports.Task, result: str) -> None:
+        def encode_result(result: object, message: str) -> None:
+            on_result(msgspec.json.encode((result, message)).decode())
+
+        epoch, serial = id
+        return f"crossings/{site}-{epoch}-{serial}", Passed(request, blob, encode_result)
+
+    def report_result(self, task: ports.Task, result: str) -> None:
+        """Take what a task has come to at another site, as a machine here would say it."""
         try:
-            value, message = msgspec.json.decode(result, type=tuple[dict | None, str])
+            value, message = _RESULT.decode(result)
         except (msgspec.MsgspecError, ValueError):
             return  # another site's fault: the task has ended all the same
-        passed: Passed = task.passed_on
-        passed.told(value, message)
+        _passed_on(task).told(value, message)
 
-    def admits(self, work: Work) -> str:
-        """Guards against a start beside a request, a lease, or an earlier hand-out of this gateway's own."""
-        refusal = self._ledger.refusal(work.key, self._names[work.class_name])
+    def why_not_admitted(self, work: Work) -> str:
+        """Guard against a start beside a request, a lease, or an earlier hand-out of this gateway's own."""
+        refusal = self._ledger.refusal(work.key, self._classes[work.class_name])
         return refusal.value if refusal is not None else ""
 
-    def ran(self, work: Work) -> None:
-        """It was handed out at another site: what may not start twice never goes out again here either."""
-        if work.key and self._names[work.class_name].effect is Effect.UNSAFE and self._ledger.spend(work.key):
-            self._book.append_with_retry(durable_state.encode("spent", [work.key]))
+    def task_ran(self, work: Work) -> None:
+        """Spend the key of a task that another site has handed out, where it may not start twice."""
+        unsafe = self._classes[work.class_name].effect is Effect.UNSAFE
+        if work.key and unsafe and self._ledger.spend(work.key):
+            self._storage.append_with_retry(durable_state.encode("spent", [work.key]))
 
 
 def link_contexts(keys: str, name: str, key: str) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
-    """What links are served and dialled with, from a folder of keys. Raises ConfigError naming the `key`."""
+    """Return what links are served and dialled with, from a folder of keys; None without a folder.
+
+    `name`: of this site. Raises ConfigError naming the `key` of the settings.
+    """
     if not keys:
         return None, None
-    from weldhatch.keys.folder import Folder, KeysError
+    from weldhatch.keys.errors import KeysError
+    from weldhatch.keys.folder import Folder
 
     folder = Folder(keys)
     try:
         return folder.server_context(mutual=True), folder.client_context(name)
-    except KeysError as fault:
-        raise ConfigError(f"{key}: {fault}") from None
+    except KeysError as error:
+        raise ConfigError(f"{key}: {error}") from None
 
 
 def build(
-    told: PullQueueFile,
+    file: PullQueueFile,
     settings: Settings,
     driver: Driver,
     core: Core,
     ledger: Ledger,
-    book: QueueStorage | NoStorage,
+    storage: QueueStorage | NoStorage,
     random: Random,
     log: Callable[[str], None],
 ) -> tuple[SiteForwarder, SiteStorage, LinkListener]:
-    """The sites of this gateway, dialling and listening. Raises ConfigError, or OSError for the address."""
-    sites_book = SiteStorage(told.sites.store, time.time(), log)
-    names = list(told.sites.peers)
-    share = Share(Budget(told.sockets), 2 * SOCKETS_A_SITE * len(names))
+    """Return the sites of this gateway, dialling and listening, their store and their listener.
+
+    Raises ConfigError, or OSError for the address.
+    """
+    assert file.sites is not None, "the caller looks whether there are other sites"
+    site_storage = SiteStorage(file.sites.store, time.time(), log)
+    names = list(file.sites.peers)
+    router = Router(names, random)
+    front = PullQueueSiteFront(settings, ledger, storage)
+    settle_s = file.timing.lease + file.timing.grace + SETTLE_SPARE_S
+    share = Share(Budget(file.sockets), 2 * SOCKETS_A_SITE * len(names))
     try:
-        settle = told.timing.lease + told.timing.grace + SETTLE_SPARE_S
         sites = SiteForwarder(
-            told.sites.name,
-            names,
-            settings,
-            core,
-            sites_book,
-            Router(names, random),
-            Abroad(settings, ledger, book),
-            settle,
-            log,
+            file.sites.name, names, settings, core, site_storage, router, front, settle_s, log
         )
-        serves, dials = link_contexts(told.sites.keys, told.sites.name, "sites.keys")
-        door = LinkListener(told.sites.listen, sites.links, share, log, serves)
+        serves, dials = link_contexts(file.sites.keys, file.sites.name, "sites.keys")
+        listener = LinkListener(file.sites.listen, sites.links, share, log, serves)
     except BaseException:
-        sites_book.close()
+        site_storage.close()
         raise
     driver.watchers.append(lambda event: sites.capacity.watch(time.monotonic(), event))
-    for name, endpoint in told.sites.peers.items():
-        if told.sites.name < name:
+    for name, endpoint in file.sites.peers.items():
+        if file.sites.name < name:  # of two sites the one whose name sorts first dials
             sites.links[name].dial(endpoint, share, dials)
-    return sites, sites_book, door
+    return sites, site_storage, listener
--- a/weldhatch/sites/forwarded_request.py
+++ b/weldhatch/sites/forwarded_request.py
@@ -232,7 +232,7 @@
             match await self.next_message():
                 case ReportEnd(which, cause, result) if which == id:
                     if result:
-                        self._site.front.came_to(self.task, result)
+                        self._site.front.report_result(self.task, result)
                     self._owner.released(cause)
                     return
                 case Released(cause):
--- a/weldhatch/sites/local_site.py
+++ b/weldhatch/sites/local_site.py
@@ -15,25 +15,26 @@
 class SiteFrontEnd(Protocol):
     """What the sites need of the front whose requests cross."""
 
-    def names_of(self, task: ports.Task) -> tuple[str, ...]:
+    def encode_passed_on(self, task: ports.Task) -> tuple[str, ...]:
         """Return what another site's front needs of a task, as text that crosses unread."""
 
-    def guest(
-        self, site: str, id: TransferId, work: Work, came_to: Callable[[str], None]
+    def decode_passed_on(
+        self, site: str, id: TransferId, work: Work, on_result: Callable[[str], None]
     ) -> tuple[object, object]:
         """Return the label of another site's task, and what is passed on with it to a machine.
 
-        `came_to` is to be told, before its end, what its machine says that it has come to. Raises ValueError
-        where the task can't be read.
+        `on_result` is to be told, before its end, what its machine says that it has come to.
+
+        Raises ValueError where the task can't be read.
         """
 
-    def came_to(self, task: ports.Task, result: str) -> None:
+    def report_result(self, task: ports.Task, result: str) -> None:
         """Take what a task has come to at another site; its end follows."""
 
-    def admits(self, work: Work) -> str:
+    def why_not_admitted(self, work: Work) -> str:
         """Return why another site's task may not start here; '' where it may."""
 
-    def ran(self, work: Work) -> None:
+    def task_ran(self, work: Work) -> None:
         """Take note that a task has run, or may have, at another site."""
 
 
--- a/weldhatch/sites/outgoing.py
+++ b/weldhatch/sites/outgoing.py
@@ -105,7 +105,7 @@
         """Tell front and router what a message says of the site."""
         now = time.monotonic()
         if isinstance(message, messages.Placed | messages.Ended):
-            self._front.ran(transfer.work)
+            self._front.task_ran(transfer.work)
         match message:
             case messages.Placed() if transfer.phase is OutgoingPhase.OFFERED:
                 self._router.transfer_placed(now, site)
--- a/weldhatch/sites/task_translation.py
+++ b/weldhatch/sites/task_translation.py
@@ -36,7 +36,7 @@
             cores=task.cores,
             memory=task.memory,
             tenant=tenants[task.tenant].name if tenants else "",
-            names=self._front.names_of(task),
+            names=self._front.encode_passed_on(task),
         )
 
     def task_of(
@@ -47,7 +47,7 @@
         `left_us`: how long its owner waits from now on; `on_result` gets what its machine says of it.
         """
         tenants = [tenant.name for tenant in self._settings.tenants]
-        label, passed_on = self._front.guest(site, id, work, on_result)
+        label, passed_on = self._front.decode_passed_on(site, id, work, on_result)
         return ports.Task(
             label,
             self._class_indexes[work.class_name],
@@ -67,4 +67,4 @@
             return f"no class is named {work.class_name!r} here"
         if self._settings.classes[index].effect.name != work.effect:
             return f"class {work.class_name!r} has another effect here"
-        return self._front.admits(work)
+        return self._front.why_not_admitted(work)
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -54,21 +54,21 @@
 class PlainFront:
     """A front that passes nothing on, and has no ledger of its own."""
 
-    def names_of(self, task: ports.Task) -> tuple[str, ...]:
+    def encode_passed_on(self, task: ports.Task) -> tuple[str, ...]:
         return ("x",)
 
-    def guest(
-        self, site: str, id: TransferId, work: Work, came_to: Callable[[str], None]
+    def decode_passed_on(
+        self, site: str, id: TransferId, work: Work, on_result: Callable[[str], None]
     ) -> tuple[object, object]:
         return f"{site}-{id[0]}-{id[1]}", work.names
 
-    def came_to(self, task: ports.Task, result: str) -> None:
+    def report_result(self, task: ports.Task, result: str) -> None:
         pass
 
-    def admits(self, work: Work) -> str:
+    def why_not_admitted(self, work: Work) -> str:
         return ""
 
-    def ran(self, work: Work) -> None:
+    def task_ran(self, work: Work) -> None:
         pass
 
 
