--- a/weldhatch/sites/forwarding.py
+++ b/weldhatch/sites/forwarding.py
@@ -119,11 +119,6 @@
         """Requests that are owed an answer: owners' here, and those of other sites."""
         return self._undecided + self.incoming.undecided
 
-    @property
-    def lives(self) -> set[RequestLifecycle]:
-        """The core's requests."""
-        return self.core.requests
-
     def reconfigure(self, settings: Settings) -> None:
         """Go on by other settings; classes keep their places."""
         self.capacity.settings = settings
