--- a/tests/test_abroad.py
+++ b/tests/test_abroad.py
@@ -19,7 +19,7 @@
 from weldhatch.cli.sites import sites
 from weldhatch.config import ConfigError
 from weldhatch.keys.folder import Folder
-from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.pullqueue import remote_sites
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
@@ -207,7 +207,7 @@
         folder = Folder(self.keys)
         link = self.a.sites.links["b"]
         link.close()
-        share = Share(Budget(64), 8)
+        share = DescriptorShare(DescriptorBudget(64), 8)
         other = Link("a", "b", self.a._sites_book, link._handlers, self.logged.append)
         other.dial(self.b._door.listener.address, share, folder.client_context("c"))
         await self.until(lambda: "shows the certificate of 'c'" in " ".join(self.logged), "it is turned away")
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -62,7 +62,7 @@
         ]
         with (
             unittest.mock.patch.object(client_front, "AWAY_S", 0.01),
-            unittest.mock.patch.object(rate_limited_log, "LINES_S", 1000),
+            unittest.mock.patch.object(rate_limited_log, "MAX_LINES_S", 1000),
         ):
             for n, fields in enumerate(bad):
                 await self.closed(f"b{n}", line(**fields))
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 from test_pullqueue import PullScenario, bot, task
 
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import BODY_MOST, HEAD_MOST, Reader
 
 
 def feed(data, size, reader=None):
     """All requests of a stream that comes in pieces."""
-    reader, ring, out = reader or Reader(), Ring(18 * 1024), []
+    reader, ring, out = reader or Reader(), RingBuffer(18 * 1024), []
     for at in range(0, len(data), size):
         ring.put(data[at : at + size])
         while (request := reader.parse(ring)) is not None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.net.connection import Connection, Malformed, connect
-from weldhatch.net.descriptor_budget import Budget, Share
-from weldhatch.net.rate_limited_log import LINES_S, Sparing
-from weldhatch.net.ring_buffer import SMALL, Ring
+from weldhatch.net.connection import Connection, MalformedMessageError, connect
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
+from weldhatch.net.rate_limited_log import MAX_LINES_S, RateLimitedLog
+from weldhatch.net.ring_buffer import INITIAL_LENGTH, RingBuffer
 from weldhatch.platform import client_codec, event_bus, server_codec
 from weldhatch.pullqueue import http
 
@@ -20,7 +20,7 @@
 
 @given(STEPS)
 def test_a_ring_holds_what_plain_bytes_would(steps):
-    ring, plain = Ring(16), b""
+    ring, plain = RingBuffer(16), b""
     for step in steps:
         if isinstance(step, bytes):
             fits = len(plain) + len(step) <= 16
@@ -32,22 +32,22 @@
             plain = plain[count:]
         assert len(ring) == len(plain) and ring.copy(len(plain)) == plain
         assert plain.startswith(bytes(ring.front())) and bool(ring.front()) == bool(plain)
-        assert bool(ring.room()) == (len(plain) < 16)
+        assert bool(ring.free_space()) == (len(plain) < 16)
         for start in range(len(plain) + 1):
             assert ring.find(b"\0", start) == plain.find(b"\0", start)
 
 
 def test_a_ring_takes_space_as_it_needs_it_and_gives_it_back():
     """Guards against connections by hundreds that say little and hold whole rings."""
-    ring = Ring(128 * 1024)
-    assert len(ring.room()) == SMALL
+    ring = RingBuffer(128 * 1024)
+    assert len(ring.free_space()) == INITIAL_LENGTH
     assert ring.put(b"x" * 100_000) and len(ring) == 100_000
     assert ring.take(100_000) == b"x" * 100_000
-    assert len(ring.room()) == SMALL
+    assert len(ring.free_space()) == INITIAL_LENGTH
 
 
 def in_pieces(parse, data, size, capacity=4096):
-    ring, found = Ring(capacity), []
+    ring, found = RingBuffer(capacity), []
     ring.put(bytes(capacity - 7))  # so that the messages wrap round
     ring.drop(capacity - 7)
     for at in range(0, len(data), size):
@@ -106,26 +106,28 @@
     ],
 )
 def test_what_cannot_be_read_is_malformed(parse, data):
-    ring = Ring(1024)
+    ring = RingBuffer(1024)
     ring.put(data)
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         parse(ring)
 
 
 def test_a_flood_does_not_fill_the_log():
     lines = []
-    log = Sparing(lines.append)
+    log = RateLimitedLog(lines.append)
     with unittest.mock.patch("time.monotonic", return_value=1.5):
         for n in range(500):
             log(f"line {n}")
     with unittest.mock.patch("time.monotonic", return_value=2.5):
         log("later")
-    assert lines[-2:] == [f"{500 - LINES_S} lines were left out", "later"] and len(lines) == LINES_S + 2
+    assert (
+        lines[-2:] == [f"{500 - MAX_LINES_S} lines were left out", "later"] and len(lines) == MAX_LINES_S + 2
+    )
 
 
 def test_a_share_never_takes_more_than_its_part_or_the_budget_has():
-    budget = Budget(24 + 10)
-    share, other, woken = Share(budget, 6), Share(budget, 9), []
+    budget = DescriptorBudget(24 + 10)
+    share, other, woken = DescriptorShare(budget, 6), DescriptorShare(budget, 9), []
     assert [share.take() for _ in range(7)] == [True] * 6 + [False]
     assert [other.take() for _ in range(5)] == [True] * 4 + [False]
     other.when_free(lambda: woken.append("other"))
@@ -141,7 +143,7 @@
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listening.bind(("127.0.0.1", 0))
         listening.listen()
-        share = Budget(100)
+        share = DescriptorBudget(100)
         share.take()
         one = await connect(listening.getsockname(), 5.0, share, "one", lambda text: None)
         accepted, _ = listening.accept()
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -24,7 +24,7 @@
 
 from weldhatch.applying.journal import Journal, story
 from weldhatch.cli.sites import sites as sites_command
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.planning import records as apply_records
 from weldhatch.pullqueue import durable_state, reconfiguration
 from weldhatch.pullqueue.storage import QueueStorage
@@ -254,7 +254,7 @@
     assert {
         name: frames.decode_summary(bytes.fromhex(one)) for name, one in pins["summaries"].items()
     } == SUMMARIES
-    ring = Ring(64 * 1024)
+    ring = RingBuffer(64 * 1024)
     for name, one in pins["frames"].items():
         ring.put(bytes.fromhex(one))
         assert frames.parse(ring) == FRAMES[name]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -310,9 +310,9 @@
         self.bus.add([self.target("s1", "draining")], tell=False)
         whole = self.bus.form(self.bus.events[-1])
         old = self.gateway.bus._connection
-        before = old.heard
+        before = old.last_received
         self.bus.writers[-1].write(whole[:-9])
-        await self.until(lambda: old.heard > before, "a part of it was read")
+        await self.until(lambda: old.last_received > before, "a part of it was read")
         self.bus.reset()
         await self.until(lambda: self.gateway.fleet.offset == 2, "the event was asked for again")
         await self.until(lambda: self.bus.writers, "the bus is read again")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -17,7 +17,7 @@
 from weldhatch import server as dispatcher
 from weldhatch.core import ports
 from weldhatch.net import connection
-from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.platform import client_front
 from weldhatch.platform.server_link import EXCUSES_MOST, ServerLink
 from weldhatch.scheduling.actions import Cancel
@@ -361,7 +361,7 @@
 
     async def test_a_socket_that_cannot_be_made_gives_its_slot_back(self):
         """A slot of the bus that is lost twice leaves the bus without any."""
-        share = Share(Budget(64), 2)
+        share = DescriptorShare(DescriptorBudget(64), 2)
         self.assertTrue(share.take())
         fault = OSError(errno.EMFILE, "too many open files")
         with (
@@ -455,7 +455,8 @@
         data = line("a1", **SET_UP)
         owner.writers[0].write(data[:40])
         await self.until(
-            lambda: any(link.connection.owed_since for link in self.gateway.owners.links), "a half was read"
+            lambda: any(link.connection.incomplete_since for link in self.gateway.owners.links),
+            "a half was read",
         )
         [link] = self.gateway.owners.links
         return owner, link, data[40:]
--- a/tests/test_sites_wire.py
+++ b/tests/test_sites_wire.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.sites import frames, messages, session
 from weldhatch.sites.session import (
     Ack,
@@ -188,7 +188,7 @@
 
 
 def test_frames_and_words_come_back_as_they_went():
-    ring = Ring(64 * 1024)
+    ring = RingBuffer(64 * 1024)
     for frame in ALL:
         ring.put(frames.encode(frame)[:3])
         assert frames.parse(ring) is None
@@ -228,7 +228,7 @@
 
 
 def test_a_frame_that_is_too_long_is_refused_at_its_length():
-    ring = Ring(1024)
+    ring = RingBuffer(1024)
     ring.put(b"\xff\xff\xff\xff")
     with pytest.raises(ProtocolError, match="are the most"):
         frames.parse(ring)
--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -13,7 +13,7 @@
 from weldhatch.config import AgreementFile
 from weldhatch.consensus.messages import Message
 from weldhatch.coordination.messages import GroupMessage
-from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.sites.link import Link, LinkHandlers, LinkListener
 
 LOOK_S = 0.5  # a link looks as often for silence, and acknowledges: a group has many links
@@ -55,7 +55,7 @@
         self._parts: dict[int, tuple[str, codec.Reassembler]] = {}
         self.out: dict[str, Link] = {}
         self.came = _Invited(self._invited, lambda name: self._link(name, dialled=False))
-        self._share = Share(Budget(told.sockets), told.sockets)
+        self._share = DescriptorShare(DescriptorBudget(told.sockets), told.sockets)
         self._door = (
             LinkListener(told.listen, self.came, self._share, log, self._serves) if told.listen else None
         )
--- a/weldhatch/net/connection.py
+++ b/weldhatch/net/connection.py
@@ -14,7 +14,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.ring_buffer import RingBuffer
 
 if TYPE_CHECKING:
     import ssl
@@ -22,37 +22,44 @@
 MESSAGE_MOST = 16 * 1024  # a longer message closes its connection
 IN_MOST = MESSAGE_MOST + 2048  # one message, and the start of the next
 OUT_MOST = 128 * 1024  # a peer that leaves so much unread is closed
-READ_TURNS = 4  # turns of the event loop in which what has come is read, parsed and answered
+FINAL_ITERATIONS = 4  # of the event loop, in which what has come is read, parsed and answered
 NO_LINGER = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """What came in does not follow the protocol; the text says how."""
 
 
 class Slots(Protocol):
     """Where a socket's slot of the descriptor budget goes back to."""
 
-    def give_back(self) -> None: ...
+    def give_back(self) -> None:
+        """Take the slot of one socket that is closed."""
 
 
 class Connection:
     """Owns its socket and its slot in the budget; both are given back in `close`, once."""
 
     def __init__(self, stream: IOStream, slots: Slots, name: str, log: Callable[[str], None]) -> None:
-        self._stream, self._slots, self.name, self._log = stream, slots, name, log
-        self._in, self._out = Ring(IN_MOST), Ring(OUT_MOST)
-        self._reading: asyncio.Future | None = None  # of `pump`, while it may still hand on something
-        self._flushing: asyncio.Task | None = None
+        """Take over a stream that is connected, and its slot; `name` is for the log."""
+        self._stream = stream
+        self._slots = slots
+        self.name = name
+        self._log = log
+        self._in = RingBuffer(IN_MOST)
+        self._out = RingBuffer(OUT_MOST)
+        self._reading: asyncio.Future[int] | None = None  # of `pump`, while it may still hand on something
+        self._flushing: asyncio.Task[None] | None = None
         self._flush_soon = False
-        self.closed = self.reset = False
-        self.heard = time.monotonic()
-        self.owed_since = 0.0  # since when the rest of a message that has begun is awaited
+        self.closed = False
+        self.reset = False
+        self.last_received = time.monotonic()  # when anything came last
+        self.incomplete_since = 0.0  # since when the rest of a message that has begun is awaited
         stream.set_nodelay(True)
 
     async def pump(
         self,
-        parse: Callable[[Ring], object],
+        parse: Callable[[RingBuffer], object],
         handle: Callable[[object], None],
         turn_away: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
@@ -62,27 +69,25 @@
         """
         try:
             while not self.closed:
-                self._reading = asyncio.ensure_future(self._stream.read_into(self._in.room(), partial=True))
+                self._reading = asyncio.ensure_future(
+                    self._stream.read_into(self._in.free_space(), partial=True)  # type: ignore[arg-type]
+                )
                 count = await self._reading
-                self._in.filled(count)
-                self.heard = time.monotonic()
+                self._in.commit(count)
+                self.last_received = time.monotonic()
                 while not self.closed and (message := parse(self._in)) is not None:
-                    self.owed_since = 0.0
+                    self.incomplete_since = 0.0
                     handle(message)
                 if len(self._in) > MESSAGE_MOST:
-                    raise Malformed(f"a message over {MESSAGE_MOST} bytes")
+                    raise MalformedMessageError(f"a message over {MESSAGE_MOST} bytes")
                 if not len(self._in):
-                    self.owed_since = 0.0
-                elif not self.owed_since:
-                    self.owed_since = self.heard
+                    self.incomplete_since = 0.0
+                elif not self.incomplete_since:
+                    self.incomplete_since = self.last_received
         except StreamClosedError as end:
             self.reset = isinstance(end.real_error, ConnectionResetError)
-        except Malformed as fault:
-            if not self.closed:
-                self._log(f"{self.name}: closed: {fault}")
-                if turn_away is not None:
-                    self._reading = None
-                    await turn_away()
+        except MalformedMessageError as error:
+            await self._reject(error, turn_away)
         except Exception:
             # Guards the process against a fault of ours in one message: that connection alone ends.
             self._log(f"{self.name}: closed: " + traceback.format_exc().replace("\n", " | "))
@@ -90,14 +95,24 @@
             self._reading = None
             self.close()
 
+    async def _reject(
+        self, error: MalformedMessageError, turn_away: Callable[[], Awaitable[None]] | None
+    ) -> None:
+        if self.closed:
+            return
+        self._log(f"{self.name}: closed: {error}")
+        if turn_away is not None:
+            self._reading = None
+            await turn_away()
+
     @property
-    def behind(self) -> bool:
+    def has_unhandled(self) -> bool:
         """Whether something has come, or the connection has ended, and `pump` has not handed that on yet."""
         if self._reading is None:
             return False
         if self._reading.done() or self.closed or self._stream.closed():
             return True
-        if (descriptor := self._stream.socket.fileno()) < 0:  # of a play, whose readers get all at once
+        if (descriptor := self._stream.socket.fileno()) < 0:  # of a simulation, whose readers get all at once
             return False
         poll = select.poll()
         poll.register(descriptor, select.POLLIN)
@@ -107,13 +122,15 @@
         """Queue the bytes; False where the connection is closed, or was for leaving too much unread."""
         if not self.queue(data):
             return False
-        if self._flushing is None and not self._flush_soon:  # all that is sent in one turn goes out together
+        if (
+            self._flushing is None and not self._flush_soon
+        ):  # all that is sent in one iteration goes out together
             self._flush_soon = True
             asyncio.get_running_loop().call_soon(self._start_soon)
         return True
 
     def queue(self, data: bytes) -> bool:
-        """As `send`, for those who gather what goes out together themselves: it waits for `push`."""
+        """Queue the bytes as `send` does, for those who gather what goes out together: then call `push`."""
         if self.closed:
             return False
         if not self._out.put(data):
@@ -180,7 +197,7 @@
     async def finish(self, within: float) -> None:
         """Close once what has come by now is answered and all of that has left, or when the time is up."""
         end = time.monotonic() + within
-        for _ in range(READ_TURNS):
+        for _ in range(FINAL_ITERATIONS):
             await asyncio.sleep(0)
         await self._emptied(end)
         self.close()
@@ -202,6 +219,7 @@
         self.close()
 
     def close(self) -> None:
+        """Give the socket and its slot back, once; what has not left is still sent by the system."""
         if not self.closed:
             self.closed = True
             self._stream.close()
@@ -216,9 +234,10 @@
     log: Callable[[str], None],
     tls: ssl.SSLContext | None = None,
 ) -> Connection:
-    """A new connection; OSError where it is refused, TimeoutError where it never comes up.
+    """Open a connection. Raises OSError where it is refused, TimeoutError where it does not come up in time.
 
-    `tls`: with a handshake, in which the other side's certificate has to be for the endpoint's host.
+    `within`: seconds; `tls`: with a handshake, in which the other side's certificate has to be for the
+    endpoint's host.
 
     The caller has taken the slot. A failure gives it back here, a success hands it to the connection.
     """
--- a/weldhatch/net/listener.py
+++ b/weldhatch/net/listener.py
@@ -8,11 +8,11 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch.net.descriptor_budget import Share
+from weldhatch.net.descriptor_budget import DescriptorShare
 
 BACKLOG = 512
-AGAIN_S = 0.2  # a listener that still waits for a slot asks for one again after this long
-TURN = 16  # connections accepted in one turn of the loop: those that are open are served in between
+RETRY_S = 0.2  # a listener that still waits for a slot asks for one again after this long
+ACCEPTED_AT_ONCE = 16  # in one iteration of the loop: connections that are open are served in between
 
 
 class Listener:
@@ -21,18 +21,25 @@
     def __init__(
         self,
         address: tuple[str, int],
-        share: Share,
+        share: DescriptorShare,
         taken: Callable[[IOStream, str], None],
         full: Callable[[], None] = lambda: None,
     ) -> None:
-        self._share, self._taken, self._full = share, taken, full
+        """Listen at `address`, and hand each connection on to `taken` with its peer's address.
+
+        `full`: called while connections wait and no slot is left, for whoever can free one.
+        """
+        self._share = share
+        self._taken = taken
+        self._full = full
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.setblocking(False)
         self._socket.bind(address)
         self._socket.listen(BACKLOG)
         self.address: tuple[str, int] = self._socket.getsockname()
-        self._open, self._paused = True, False
+        self._open = True
+        self._paused = False
         self._resume()
 
     def _resume(self) -> None:
@@ -41,7 +48,7 @@
             asyncio.get_running_loop().add_reader(self._socket.fileno(), self._ready)
 
     def _ready(self) -> None:
-        for _ in range(TURN):
+        for _ in range(ACCEPTED_AT_ONCE):
             if not self._share.take():
                 self._pause()
                 return
@@ -60,17 +67,17 @@
         return True
 
     def _pause(self) -> None:
-        """No slot is left: go on once one is free, and say so to whoever can free one."""
+        """Go on once a slot is free, and say so to whoever can free one."""
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
         self._paused = True
         self._share.when_free(self._resume)
-        self._ask()
+        self._ask_for_slot()
 
-    def _ask(self) -> None:
-        """Guards against a wait without an end: what may not be closed yet may be a moment later."""
+    def _ask_for_slot(self) -> None:
+        """Ask again and again: what may not be closed yet may be a moment later."""
         if self._paused and self._open:
             self._full()
-            asyncio.get_running_loop().call_later(AGAIN_S, self._ask)
+            asyncio.get_running_loop().call_later(RETRY_S, self._ask_for_slot)
 
     def finish(self) -> None:
         """Take what the system has accepted already, as far as there are slots, and listen no more.
@@ -83,6 +90,7 @@
         self.close()
 
     def close(self) -> None:
+        """Listen no more. What the system has accepted and nobody has taken is reset."""
         if self._open:
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
             self._open = False
--- a/weldhatch/net/rate_limited_log.py
+++ b/weldhatch/net/rate_limited_log.py
@@ -1,27 +1,33 @@
-"""A log that a flood can't fill."""
+"""Limit the lines that a group of connections may log: a flood can't fill the log."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 
-LINES_S = 20  # lines that one group of connections may log in a second
+MAX_LINES_S = 20  # lines that one group of connections may log in a second
 
 
-class Sparing:
-    """Passes on so many lines a second. What it leaves out is counted, and told with the next line."""
+class RateLimitedLog:
+    """Passes on so many lines a second. What it leaves out is counted, and logged with the next line."""
 
     def __init__(self, log: Callable[[str], None]) -> None:
+        """Pass lines on to `log`."""
         self._log = log
-        self._second = self._lines = self._left_out = 0
+        self._second = 0
+        self._lines = 0
+        self._left_out = 0
 
     def __call__(self, text: str) -> None:
+        """Log one line, or count it where this second's lines are used up."""
         second = int(time.monotonic())
         if second != self._second:
             if self._left_out:
                 self._log(f"{self._left_out} lines were left out")
-            self._second, self._lines, self._left_out = second, 0, 0
-        if self._lines < LINES_S:
+            self._second = second
+            self._lines = 0
+            self._left_out = 0
+        if self._lines < MAX_LINES_S:
             self._lines += 1
             self._log(text)
         else:
--- a/weldhatch/net/ring_buffer.py
+++ b/weldhatch/net/ring_buffer.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-SMALL = 2048  # what a ring starts with, and goes back to once it is empty
+INITIAL_LENGTH = 2048  # what a ring starts with, and goes back to once it is empty
 
 
-class Ring:
+class RingBuffer:
     """Bytes in order, never more than `capacity`. Space is handed out and data read without copies.
 
     The space is taken as the data asks for it and given back once the ring is empty. Guards against
@@ -15,6 +15,7 @@
     __slots__ = ("_buffer", "_head", "_length", "_size", "_view", "capacity")
 
     def __init__(self, capacity: int) -> None:
+        """Begin empty; `capacity` in bytes."""
         self.capacity = capacity
         self._size = 0
         self._take_space(0)
@@ -24,20 +25,24 @@
         buffer = bytearray(length)
         if self._size:
             buffer[: self._size] = self.copy(self._size)
-        self._buffer, self._view, self._head, self._length = buffer, memoryview(buffer), 0, length
+        self._buffer = buffer
+        self._view = memoryview(buffer)
+        self._head = 0
+        self._length = length
 
     def _grow(self, need: int) -> None:
-        length = max(self._length, min(SMALL, self.capacity))
+        length = max(self._length, min(INITIAL_LENGTH, self.capacity))
         while length < need:
             length = min(2 * length, self.capacity)
         if length != self._length:
             self._take_space(length)
 
     def __len__(self) -> int:
+        """Return the bytes that are held."""
         return self._size
 
-    def room(self) -> memoryview:
-        """The free space that follows the data in one piece; empty only where the ring is full."""
+    def free_space(self) -> memoryview:
+        """Return the free space that follows the data in one piece; empty only where the ring is full."""
         if self._size == self._length and self._length < self.capacity:
             self._grow(self._size + 1)
         if not self._size:
@@ -47,8 +52,8 @@
             return self._view[tail - self._length : self._head]
         return self._view[tail:]
 
-    def filled(self, count: int) -> None:
-        """So many bytes of `room()` now hold data."""
+    def commit(self, count: int) -> None:
+        """Take so many bytes of `free_space` for data: they have been written there."""
         self._size += count
 
     def put(self, data: bytes) -> bool:
@@ -58,19 +63,19 @@
         self._grow(self._size + len(data))
         at = 0
         while at < len(data):
-            room = self.room()
-            part = data[at : at + len(room)]
-            room[: len(part)] = part
+            space = self.free_space()
+            part = data[at : at + len(space)]
+            space[: len(part)] = part
             self._size += len(part)
             at += len(part)
         return True
 
     def front(self) -> memoryview:
-        """The first data in one piece; what has wrapped round follows once this is dropped."""
+        """Return the first data in one piece; what has wrapped round follows once this is dropped."""
         return self._view[self._head : min(self._head + self._size, self._length)]
 
     def find(self, mark: bytes, start: int = 0) -> int:
-        """How many bytes stand before the one-byte mark, from `start` on; -1 where there is none."""
+        """Return how many bytes stand before the one-byte mark, from `start` on; -1 where there is none."""
         wrap = self._length - self._head
         if start < wrap:
             at = self._buffer.find(mark, self._head + start, min(self._head + self._size, self._length))
@@ -83,7 +88,7 @@
         return -1
 
     def copy(self, count: int, start: int = 0) -> bytes:
-        """So many bytes from `start` on, which stay in the ring."""
+        """Return so many bytes from `start` on, which stay in the ring."""
         first = self._head + start
         if first >= self._length:
             first -= self._length
@@ -93,14 +98,16 @@
         return bytes(self._view[first:]) + bytes(self._view[: last - self._length])
 
     def drop(self, count: int) -> None:
+        """Remove the first bytes; a ring that is empty gives its space back."""
         self._head += count
         if self._head >= self._length:
             self._head -= self._length
         self._size -= count
-        if not self._size and self._length > SMALL:
+        if not self._size and self._length > INITIAL_LENGTH:
             self._take_space(0)
 
     def take(self, count: int) -> bytes:
+        """Remove and return the first bytes."""
         data = self.copy(count)
         self.drop(count)
         return data
--- a/weldhatch/net/tls.py
+++ b/weldhatch/net/tls.py
@@ -6,14 +6,15 @@
 import contextlib
 import socket
 import ssl
+from typing import Any
 
 from tornado.iostream import IOStream, SSLIOStream, StreamClosedError
 
 HANDSHAKE_S = 5.0
 
 
-async def shake_hands(stream: IOStream, context: ssl.SSLContext) -> tuple[IOStream, str]:
-    """The stream to go on with, and the common name in the client's certificate, '' without one.
+async def accept_tls(stream: IOStream, context: ssl.SSLContext) -> tuple[IOStream, str]:
+    """Return the stream to go on with, and the common name in the client's certificate, '' without one.
 
     Raises ConnectionError where it fails; the socket is closed then.
     """
@@ -23,14 +24,15 @@
     try:
         async with asyncio.timeout(HANDSHAKE_S):
             secure: SSLIOStream = await stream.start_tls(True, context)
-    except (StreamClosedError, TimeoutError, ssl.SSLError) as fault:
+    except (StreamClosedError, TimeoutError, ssl.SSLError) as error:
         with contextlib.suppress(OSError):
             spare.shutdown(socket.SHUT_RDWR)
-        raise ConnectionError(f"no TLS: {fault}") from None
+        raise ConnectionError(f"no TLS: {error}") from None
     finally:
         spare.close()
-    certificate = secure.socket.getpeercert() if context.verify_mode is ssl.CERT_REQUIRED else None
-    names = [
-        value for part in (certificate or {}).get("subject", ()) for key, value in part if key == "commonName"
-    ]
+    certificate: dict[str, Any] | None = None
+    if context.verify_mode is ssl.CERT_REQUIRED:
+        certificate = secure.socket.getpeercert()
+    subject = (certificate or {}).get("subject", ())
+    names = [value for part in subject for key, value in part if key == "commonName"]
     return secure, names[0] if names else ""
--- a/weldhatch/platform/client_codec.py
+++ b/weldhatch/platform/client_codec.py
@@ -5,8 +5,8 @@
 import json
 from dataclasses import dataclass, field
 
-from weldhatch.net.connection import Malformed
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.connection import MalformedMessageError
+from weldhatch.net.ring_buffer import RingBuffer
 
 OPENS = (b"{", b" ", b"\t", b"\r", b"\n")
 _ESCAPED = json.JSONEncoder(separators=(",", ":"), ensure_ascii=False).encode
@@ -21,10 +21,12 @@
     description: str | None = None
 
 
-def parse(ring: Ring) -> Line | None:
+def parse(ring: RingBuffer) -> Line | None:
     """The next line of the ring, or None where it is not whole yet."""
     if len(ring) and ring.copy(1) not in OPENS:
-        raise Malformed("a line that is no object")  # at once: nothing is kept of it until its end
+        raise MalformedMessageError(
+            "a line that is no object"
+        )  # at once: nothing is kept of it until its end
     end = ring.find(b"\n")
     if end < 0:
         return None
@@ -45,9 +47,9 @@
         if len(bytes.fromhex(line.tag)) != 8:
             raise ValueError("tag is not 16 hex digits")
     except KeyError as missing:
-        raise Malformed(f"a line without {missing}") from None
+        raise MalformedMessageError(f"a line without {missing}") from None
     except (ValueError, TypeError, AttributeError, RecursionError) as fault:
-        raise Malformed(f"a line that can't be read: {fault}") from None
+        raise MalformedMessageError(f"a line that can't be read: {fault}") from None
     return line
 
 
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -12,9 +12,9 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core, Life
-from weldhatch.net.connection import Connection, Malformed
-from weldhatch.net.descriptor_budget import Share
-from weldhatch.net.rate_limited_log import Sparing
+from weldhatch.net.connection import Connection, MalformedMessageError
+from weldhatch.net.descriptor_budget import DescriptorShare
+from weldhatch.net.rate_limited_log import RateLimitedLog
 from weldhatch.placement_request import FieldError, Form
 from weldhatch.platform import client_codec
 from weldhatch.platform.endpoint_list import number_of
@@ -68,7 +68,7 @@
 
     def behind(self) -> bool:
         """Whether its client has said something, or has closed it, and that is still to be read."""
-        return self.connection.behind
+        return self.connection.has_unhandled
 
     def say(self, data: bytes) -> bool:
         """An answer or a release; False where the connection has ended.
@@ -91,12 +91,12 @@
         """Why the connection is to be closed now, if it is: '' where that is nothing to tell of."""
         if self.away or self.open:
             return None
-        if self.connection.owed_since and now - self.connection.owed_since > WHOLE_S:
+        if self.connection.incomplete_since and now - self.connection.incomplete_since > WHOLE_S:
             return "closed: a message without an end"
         if not self.spoke:
-            quiet_since = max(self.used, min(self.connection.owed_since, self.used + FIRST_S - WHOLE_S))
+            quiet_since = max(self.used, min(self.connection.incomplete_since, self.used + FIRST_S - WHOLE_S))
             return "" if now - quiet_since > WHOLE_S else None
-        if self.connection.owed_since:  # a message is coming in pieces
+        if self.connection.incomplete_since:  # a message is coming in pieces
             return None
         return "" if not self.standing and now - self.used > IDLE_S else None
 
@@ -105,7 +105,7 @@
         idle = now - self.used
         if self.away:
             return 0, self.used
-        if self.connection.owed_since and now - self.connection.owed_since < PIECES_S:
+        if self.connection.incomplete_since and now - self.connection.incomplete_since < PIECES_S:
             return None
         if not self.spoke:  # its first message may be on its way
             return (1, self.used) if idle > SWEEP_S else None
@@ -128,7 +128,7 @@
             case "FINISHED" | "ECHOED" | "NOTICE" | "PENDING":
                 pass
             case _:
-                raise Malformed(f"a line with the unknown verb {line.verb!r}")
+                raise MalformedMessageError(f"a line with the unknown verb {line.verb!r}")
 
 
 class Asked:
@@ -189,8 +189,10 @@
 class Owners:
     """All owners' connections, and the set-ups by tag: a task that stands belongs to no connection."""
 
-    def __init__(self, settings: Settings, core: Core, share: Share, log: Callable[[str], None]) -> None:
-        self._core, self._share, self._log = core, share, Sparing(log)
+    def __init__(
+        self, settings: Settings, core: Core, share: DescriptorShare, log: Callable[[str], None]
+    ) -> None:
+        self._core, self._share, self._log = core, share, RateLimitedLog(log)
         self._form = Form(settings, strict=True)
         self.links: set[OwnerLink] = set()
         self._asked: dict[str, Asked] = {}
@@ -218,7 +220,7 @@
         known = self._asked.get(line.tag)
         if known is not None:
             if not at:
-                raise Malformed(f"the tag {line.tag} is in use")
+                raise MalformedMessageError(f"the tag {line.tag} is in use")
             return  # it names a task that is held here already
         asked = self._asked[line.tag] = Asked(self, link, line.tag)
         link.asked = True
@@ -246,7 +248,7 @@
         # Guards against hundreds of set-ups that are taken back at once: nobody can answer them.
         now = time.monotonic()
         if now - asked.came < TAKEN_BACK_S and link.takes_back(now):
-            raise Malformed("it takes back what it asks for at once")
+            raise MalformedMessageError("it takes back what it asks for at once")
 
     def forget(self, tag: str) -> None:
         if asked := self._asked.pop(tag, None):
@@ -317,7 +319,7 @@
         try:
             setup = self._form.read(line.fields)
         except FieldError as fault:
-            raise Malformed(f"a set-up with an unusable field: {fault}") from None
+            raise MalformedMessageError(f"a set-up with an unusable field: {fault}") from None
         names = Names(
             bytes.fromhex(line.tag), setup.class_name, setup.name, setup.idem, line.description or ""
         )
--- a/weldhatch/platform/event_bus.py
+++ b/weldhatch/platform/event_bus.py
@@ -7,9 +7,9 @@
 import time
 from collections.abc import Callable
 
-from weldhatch.net.connection import Connection, Malformed, connect
-from weldhatch.net.descriptor_budget import Share
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.connection import Connection, MalformedMessageError, connect
+from weldhatch.net.descriptor_budget import DescriptorShare
+from weldhatch.net.ring_buffer import RingBuffer
 
 QUIET_S = 1.7  # a comment comes each second: no byte for so long means a broken connection
 AGAIN_S, AGAIN_MOST_S = 0.05, 0.4  # waits between connects; what broke off counts as told after 2 s
@@ -24,7 +24,7 @@
         self._head, self._chunked, self._left = True, False, 0
         self._line = b""
 
-    def lines(self, ring: Ring) -> list[str] | None:
+    def lines(self, ring: RingBuffer) -> list[str] | None:
         """The whole lines that have come; None where there are no more bytes to read now."""
         if self._head and not self._read_head(ring):
             return None
@@ -33,14 +33,14 @@
             return None
         *whole, self._line = (self._line + data).split(b"\n")
         if len(self._line) > LINE_MOST:
-            raise Malformed("event bus: an endless line")
+            raise MalformedMessageError("event bus: an endless line")
         return [line.rstrip(b"\r").decode("utf-8", "replace") for line in whole]
 
-    def _read_head(self, ring: Ring) -> bool:
+    def _read_head(self, ring: RingBuffer) -> bool:
         while (end := ring.find(b"\n")) >= 0:
             line = ring.take(end + 1).strip().lower()
             if line.startswith(b"http/") and line.split()[1:2] != [b"200"]:
-                raise Malformed(f"event bus: answered {line.decode('latin-1')}")
+                raise MalformedMessageError(f"event bus: answered {line.decode('latin-1')}")
             if line.startswith(b"transfer-encoding:") and b"chunked" in line:
                 self._chunked = True
             if not line:
@@ -48,7 +48,7 @@
                 return True
         return False
 
-    def _chunk(self, ring: Ring) -> bytes | None:
+    def _chunk(self, ring: RingBuffer) -> bytes | None:
         if not self._left:
             end = ring.find(b"\n")
             if end < 0:
@@ -57,7 +57,7 @@
             try:
                 self._left = int(size, 16) if size else 0
             except ValueError:
-                raise Malformed(f"event bus: a chunk of size {size!r}") from None
+                raise MalformedMessageError(f"event bus: a chunk of size {size!r}") from None
             return b""
         if not len(ring):
             return None
@@ -72,7 +72,7 @@
     def __init__(
         self,
         endpoint: tuple[str, int],
-        share: Share,
+        share: DescriptorShare,
         offset: Callable[[], int],
         take: Callable[[dict], None],
         log: Callable[[str], None],
@@ -152,7 +152,7 @@
 
     async def _watch(self, link: Connection) -> None:
         while not link.closed:
-            quiet = time.monotonic() - link.heard
+            quiet = time.monotonic() - link.last_received
             if quiet >= QUIET_S:
                 self._log("event bus: silent, connecting anew")
                 link.close()
@@ -166,4 +166,4 @@
                 raise ValueError("event bus: an event that is no object")
             self._take(event)
         except ValueError as fault:
-            raise Malformed(str(fault)) from None
+            raise MalformedMessageError(str(fault)) from None
--- a/weldhatch/platform/server_codec.py
+++ b/weldhatch/platform/server_codec.py
@@ -7,8 +7,8 @@
 import struct
 from dataclasses import dataclass, field
 
-from weldhatch.net.connection import MESSAGE_MOST, Malformed
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.connection import MESSAGE_MOST, MalformedMessageError
+from weldhatch.net.ring_buffer import RingBuffer
 
 SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, NOTE, MOVE, TEST, TESTED = 1, 6, 9, 12, 16, 44, 51, 52, 53
 CLASS, LEFT, NAME, TOPIC, REPORT, FIGURE, KEY, CAUSE, DESCRIPTION = 64, 65, 68, 71, 73, 76, 77, 78, 79
@@ -32,7 +32,7 @@
     def cause(self) -> int:
         value = self.parameters.get(CAUSE, b"")
         if len(value) != 1:
-            raise Malformed(f"a message of type {self.type} without a cause")
+            raise MalformedMessageError(f"a message of type {self.type} without a cause")
         return value[0]
 
     def text(self, code: int) -> str:
@@ -42,10 +42,10 @@
     def description(self) -> str:
         """Guards against what was cut short and went on with the next message: that is no text."""
         if DESCRIPTION not in self.parameters:
-            raise Malformed(f"a message of type {self.type} without a description")
+            raise MalformedMessageError(f"a message of type {self.type} without a description")
         text = self._text(DESCRIPTION, self.parameters[DESCRIPTION])
         if _CONTROL.search(text):
-            raise Malformed("a description with control characters")
+            raise MalformedMessageError("a description with control characters")
         return text
 
     @staticmethod
@@ -53,18 +53,18 @@
         try:
             return value.decode()
         except UnicodeDecodeError:
-            raise Malformed(f"parameter {code} is no text") from None
+            raise MalformedMessageError(f"parameter {code} is no text") from None
 
 
-def parse(ring: Ring) -> Message | None:
+def parse(ring: RingBuffer) -> Message | None:
     """The next message of the ring, or None where it is not whole yet."""
     if len(ring) < 2:
         return None
     (length,) = _LENGTH.unpack(ring.copy(2))
     if length < 9 or length > MESSAGE_MOST:
-        raise Malformed(f"a message of {length} bytes")
+        raise MalformedMessageError(f"a message of {length} bytes")
     if len(ring) > 2 and (kind := ring.copy(1, 2)[0]) not in TYPES:
-        raise Malformed(f"a message of unknown type {kind}")  # at once: nothing is kept of it
+        raise MalformedMessageError(f"a message of unknown type {kind}")  # at once: nothing is kept of it
     if len(ring) < 2 + length:
         return None
     data = ring.take(2 + length)
@@ -73,26 +73,26 @@
     at = _HEAD.size
     while at < len(data):
         if at + 3 > len(data):
-            raise Malformed("a parameter is cut short")
+            raise MalformedMessageError("a parameter is cut short")
         code, size = _PARAMETER.unpack_from(data, at)
         at += 3
         if at + size > len(data):
-            raise Malformed(f"parameter {code} is cut short")
+            raise MalformedMessageError(f"parameter {code} is cut short")
         if code in parameters or code not in CODES:
-            raise Malformed(f"parameter {code} is unknown or comes twice")
+            raise MalformedMessageError(f"parameter {code} is unknown or comes twice")
         parameters[code] = data[at : at + size]
         at += size
     return Message(kind, tag, parameters)
 
 
 def number(text: str) -> float:
-    """A figure of a note or a report; Malformed where it is none, or not finite."""
+    """A figure of a note or a report; MalformedMessageError where it is none, or not finite."""
     try:
         value = float(text)
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise Malformed(f"a figure that is no number: {text!r}")
+        raise MalformedMessageError(f"a figure that is no number: {text!r}")
     return value
 
 
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -11,8 +11,8 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import HEARD_OUT_TURNS
-from weldhatch.net.connection import Connection, Malformed
-from weldhatch.net.descriptor_budget import NoDescriptor
+from weldhatch.net.connection import Connection, MalformedMessageError
+from weldhatch.net.descriptor_budget import NoDescriptorError
 from weldhatch.platform import server_codec
 from weldhatch.platform.endpoint_list import Server
 from weldhatch.platform.health_check import SUSPECT_QUIET_S
@@ -103,7 +103,7 @@
     def send(self, name: object, data: bytes) -> None:
         self.used = time.monotonic()
         if self.connected:
-            if not self._asked or self._up.heard > self._asked:
+            if not self._asked or self._up.last_received > self._asked:
                 self._asked = time.monotonic()
             self._up.send(data)
         else:
@@ -155,7 +155,7 @@
             and self._settled
             and self._trial is None
             and not self._up.unsent
-            and now - max(self.used, self._up.heard) > IN_USE_S
+            and now - max(self.used, self._up.last_received) > IN_USE_S
         )
 
     def make_room(self) -> None:
@@ -180,7 +180,7 @@
                 pause = REDIAL_S
                 try:
                     self._up = await self._come_up()
-                except NoDescriptor:
+                except NoDescriptorError:
                     self._not_sent(Outcome.FULL)
                 except (OSError, TimeoutError) as error:
                     failing_since = failing_since or time.monotonic()
@@ -316,23 +316,23 @@
         """Guards against our own stalls: what a server said during one is not read yet."""
         if self._asked:
             self._asked = now
-        if self._up is not None and self._up.owed_since:
-            self._up.owed_since = now
+        if self._up is not None and self._up.incomplete_since:
+            self._up.incomplete_since = now
 
     def watch(self, now: float) -> None:
         """Guards against a machine that vanished: it gives no sign, so its silence must be noticed."""
         up = self._up
         if up is None or up.closed:
             return
-        if up.owed_since and now - up.owed_since > HALF_S:
+        if up.incomplete_since and now - up.incomplete_since > HALF_S:
             self.drop("stops within a message")
             return
-        if self._asked and self._asked >= up.heard:
+        if self._asked and self._asked >= up.last_received:
             if now - self._asked > SILENT_S and self._trial is None:
                 self._trial = asyncio.get_running_loop().create_task(self._try(up))
             return
         self._excuses = 0
-        quiet = now - up.heard
+        quiet = now - up.last_received
         if quiet > SUSPECT_QUIET_S and self.standing and quiet > self._servers.quiet_limit(self.server, now):
             self._servers.test(self)
 
@@ -352,13 +352,13 @@
                             self._spare.pump(server_codec.parse, self._handle)
                         )
                     else:  # a machine that has vanished leaves this open too: it must say something
-                        heard = self._spare.heard
+                        heard = self._spare.last_received
                         self._spare.send(self._servers.test_message())
                         await asyncio.sleep(SILENT_S)
-                        if self._spare.closed or self._spare.heard == heard:
+                        if self._spare.closed or self._spare.last_received == heard:
                             self._spare.close()
                             continue
-                except NoDescriptor:
+                except NoDescriptorError:
                     self._asked = time.monotonic()
                     return
                 except ConnectionRefusedError:
@@ -373,7 +373,7 @@
                     self.drop("takes connections and stays silent on this one")
                 self._asked = time.monotonic()
                 return
-            if self._up is up and up.heard <= self._asked:
+            if self._up is up and up.last_received <= self._asked:
                 self._servers.vanished(self.server)
                 self.drop(why)
                 self.lose(why)
@@ -431,7 +431,7 @@
             case server_codec.PROGRESS | server_codec.RELEASE_HEARD:
                 pass
             case _:
-                raise Malformed(f"a message of type {message.type}, which no server sends")
+                raise MalformedMessageError(f"a message of type {message.type}, which no server sends")
 
     def _release(self, message: server_codec.Message) -> None:
         cause, reason = message.cause, REASONS.get(message.text(server_codec.TOPIC), 0)
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -10,7 +10,7 @@
 
 from weldhatch.core import ports
 from weldhatch.net.connection import Connection, connect
-from weldhatch.net.descriptor_budget import NoDescriptor, Share
+from weldhatch.net.descriptor_budget import DescriptorShare, NoDescriptorError
 from weldhatch.platform import server_codec
 from weldhatch.platform.endpoint_list import Server
 from weldhatch.platform.health_check import HealthCheckSchedule
@@ -45,7 +45,7 @@
     def __init__(
         self,
         settings: Settings,
-        share: Share,
+        share: DescriptorShare,
         dial_s: float,
         probe_s: float,
         reported: Callable[[int, tuple[float, ...]], None],
@@ -98,7 +98,7 @@
 
     async def connect(self, server: Server) -> Connection:
         if not self._share.take() and not (self.make_room(1) and self._share.take()):
-            raise NoDescriptor("no descriptor is left")
+            raise NoDescriptorError("no descriptor is left")
         return await connect(server.endpoint, self._dial_s, self._share, f"server {server.uid}", self.log)
 
     def make_room(self, most: int = ROOM_MOST) -> int:
--- a/weldhatch/pullqueue/control_listener.py
+++ b/weldhatch/pullqueue/control_listener.py
@@ -8,7 +8,7 @@
 from tornado.iostream import IOStream
 
 from weldhatch.net.connection import Connection
-from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.net.listener import Listener
 from weldhatch.pullqueue.http import HttpLink, Request
 
@@ -20,7 +20,7 @@
 
     def __init__(self, address: tuple[str, int] | None, log: Callable[[str], None]) -> None:
         self._log = log
-        self._share = Share(Budget(64), CONNECTIONS)
+        self._share = DescriptorShare(DescriptorBudget(64), CONNECTIONS)
         self._links: dict[Connection, asyncio.Task] = {}
         self.listener = Listener(address, self._share, self._taken) if address is not None else None
 
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -14,7 +14,7 @@
 from weldhatch.core.ports import Decider, Rules
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.connection import Connection
-from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.net.listener import Listener
 from weldhatch.pullqueue.bot_sessions import Bots
 from weldhatch.pullqueue.errors import HttpError
@@ -82,7 +82,7 @@
         if told.store:
             out, anew = self.tasks.restore()
             log(f"store: epoch {self.book.epoch}, {out} leases go on, {anew} submissions are asked for anew")
-        self._share = Share(Budget(told.sockets), told.connections)
+        self._share = DescriptorShare(DescriptorBudget(told.sockets), told.connections)
         self._links: dict[Connection, HttpLink] = {}
         self._serving: set[asyncio.Task] = set()
         self.security = Security(told.security)
@@ -169,13 +169,13 @@
             for connection, link in list(self._links.items()):
                 if not link.idle:
                     continue
-                if link.owed_since and now - link.owed_since > HALF_S:
+                if link.incomplete_since and now - link.incomplete_since > HALF_S:
                     self._log(f"{connection.name}: closed: the rest of a request did not come")
                     connection.send(
                         encode_error(HttpError(408, "the rest of the request did not come", last=True))
                     )
                     await connection.finish(0.1)
-                elif now - max(connection.heard, link.answered) > self._told.idle:
+                elif now - max(connection.last_received, link.answered) > self._told.idle:
                     connection.close()
 
     async def _route(self, request: Request) -> tuple[dict, dict[str, str]] | Events:
--- a/weldhatch/pullqueue/http.py
+++ b/weldhatch/pullqueue/http.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qsl, unquote
 
-from weldhatch.net.connection import Connection, Malformed
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.connection import Connection, MalformedMessageError
+from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.pullqueue.errors import REASONS, HttpError
 
 HEAD_MOST = 8 * 1024
@@ -71,7 +71,7 @@
         self._chunked = self._trailers = self._line_end = False
         self._body = bytearray()
 
-    def parse(self, ring: Ring) -> Request | None:
+    def parse(self, ring: RingBuffer) -> Request | None:
         """The next whole request, or None. HttpError where it can't be served; reading ends with it."""
         if self._request is None and not self._head(ring):
             return None
@@ -91,12 +91,12 @@
         """A request's head has been read, and its body is not whole."""
         return self._request is not None
 
-    def _copy(self, ring: Ring) -> None:
+    def _copy(self, ring: RingBuffer) -> None:
         if count := min(self._left, len(ring)):
             self._body += ring.take(count)
             self._left -= count
 
-    def _head(self, ring: Ring) -> bool:
+    def _head(self, ring: RingBuffer) -> bool:
         data = ring.copy(min(len(ring), HEAD_MOST))
         begin = 0
         while data[begin : begin + 1] in (b"\r", b"\n") and begin < len(data):  # blank lines between requests
@@ -171,7 +171,7 @@
             if self._chunked or self._left:
                 self._go_on()
 
-    def _chunks(self, ring: Ring) -> bool:
+    def _chunks(self, ring: RingBuffer) -> bool:
         """Take as much of the chunks as there is; whether the body is whole, trailers passed over."""
         while True:
             if self._left:
@@ -251,7 +251,7 @@
         self._owes_go_on = False
         self._fault: HttpError | None = None
         self.answered = time.monotonic()
-        self.owed_since = 0.0  # since when the rest of a request that has begun is awaited
+        self.incomplete_since = 0.0  # since when the rest of a request that has begun is awaited
 
     @property
     def idle(self) -> bool:
@@ -265,17 +265,17 @@
             if self._working is not None:
                 self._working.cancel()
 
-    def _parse(self, ring: Ring) -> Request | None:
+    def _parse(self, ring: RingBuffer) -> Request | None:
         try:
             request = self._reader.parse(ring)
             if request is None and (self._reader.begun or len(ring)):
-                self.owed_since = self.owed_since or time.monotonic()
+                self.incomplete_since = self.incomplete_since or time.monotonic()
             else:
-                self.owed_since = 0.0
+                self.incomplete_since = 0.0
             return request
         except HttpError as fault:
             self._fault = fault
-            raise Malformed(str(fault)) from None
+            raise MalformedMessageError(str(fault)) from None
 
     async def _turn_away(self) -> None:
         """What was asked before is answered first; then the fault, and the connection ends."""
@@ -301,7 +301,7 @@
             self._fault = HttpError(
                 429, "too many requests at once on one connection", "request", 1.0, last=True
             )
-            raise Malformed(str(self._fault))
+            raise MalformedMessageError(str(self._fault))
         self._waiting.append(request)
         if self._working is None:
             self._working = asyncio.get_running_loop().create_task(self._work())
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -16,7 +16,7 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.placement_request import Setup
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.leases import Ledger
@@ -102,7 +102,7 @@
     """The sites of this gateway, dialling and listening. Raises ConfigError, or OSError for the address."""
     sites_book = SiteStorage(told.sites.store, time.time(), log)
     names = list(told.sites.peers)
-    share = Share(Budget(told.sockets), 2 * SOCKETS_A_SITE * len(names))
+    share = DescriptorShare(DescriptorBudget(told.sockets), 2 * SOCKETS_A_SITE * len(names))
     try:
         settle = told.timing.lease + told.timing.grace + SETTLE_SPARE_S
         sites = SiteForwarder(
--- a/weldhatch/pullqueue/security.py
+++ b/weldhatch/pullqueue/security.py
@@ -12,7 +12,7 @@
 from tornado.iostream import IOStream
 
 from weldhatch.config import ConfigError, SecurityFile
-from weldhatch.net.tls import shake_hands
+from weldhatch.net.tls import accept_tls
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 
@@ -53,7 +53,7 @@
         fails."""
         if self._context is None:
             return stream, ""
-        return await shake_hands(stream, self._context)
+        return await accept_tls(stream, self._context)
 
     def who(self, request: Request, collection: str) -> Claims | None:
         """Whose call this is; None where nobody is asked. Raises HttpError: 401 for nobody, 403 for the
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -18,7 +18,7 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.loop_lag import Turns
+from weldhatch.net.loop_lag import LoopLag
 from weldhatch.placement_request import FieldError, Form, Setup
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.admission import Gate, Ticket, Verdict
@@ -68,7 +68,7 @@
             {n: max(tenant.portion, 0.001) for n, tenant in enumerate(settings.tenants)} or {0: 1.0}, queue
         )
         self._entering: dict[Ticket, asyncio.Future[bool]] = {}
-        self._turns = Turns(time.monotonic)
+        self._turns = LoopLag(time.monotonic)
         self._lagging = asyncio.get_running_loop().create_task(self._watch_lag())
 
     def close(self) -> None:
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -19,7 +19,7 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.descriptor_budget import RESERVED, Budget, Share
+from weldhatch.net.descriptor_budget import RESERVED, DescriptorBudget, DescriptorShare
 from weldhatch.net.listener import Listener
 from weldhatch.platform.client_front import Owners
 from weldhatch.platform.endpoint_list import Fleet
@@ -71,16 +71,21 @@
         self.endpoint_list, self._alone = endpoint_list, alone
         settings = self.settings = told.settings
         self._started, self._log = told, log
-        budget = self.budget = Budget(told.sockets, BUS_SLOTS)
+        budget = self.budget = DescriptorBudget(told.sockets, BUS_SLOTS)
         least = min(LEAST_SLOTS, budget.most // 2)
         self.driver = Driver(Policy(settings, told.seed), log)
         self.servers = Servers(
-            settings, Share(budget, budget.most - least), told.dial_s, told.probe_s, self._reported, log
+            settings,
+            DescriptorShare(budget, budget.most - least),
+            told.dial_s,
+            told.probe_s,
+            self._reported,
+            log,
         )
         self.fleet = Fleet(settings, self.servers.changed, log)
         # Guards against a list that nobody brings up to date: whatever clients and servers hold, the bus has
         # its own.
-        discovery = Share(Budget(RESERVED + LEAST_SLOTS), BUS_SLOTS)
+        discovery = DescriptorShare(DescriptorBudget(RESERVED + LEAST_SLOTS), BUS_SLOTS)
         self.bus = Bus(told.bus, discovery, lambda: self.fleet.offset, self._told, log)
         self.driver.site, self.driver.directory = self.servers, self.bus
         self.core = Core(self.driver, self.servers, log)
@@ -91,7 +96,7 @@
         self.bus.subscribe(True)
         # Owners keep at most a third of the descriptors and others may come on top; whatever they do, a
         # third is left for the servers.
-        share = self._clients = Share(budget, min(told.sockets * 2 // 3, budget.most - least))
+        share = self._clients = DescriptorShare(budget, min(told.sockets * 2 // 3, budget.most - least))
         self.owners = Owners(settings, self.core, share, log)
         self.listener = Listener(told.listen, share, self.owners.taken, self._make_room)
         if alone is not None:
@@ -100,7 +105,7 @@
 
     def _make_room(self) -> None:
         """A client waits for a descriptor: where clients hold less than their part, servers give one back."""
-        if self._clients.spent or not self.servers.make_room():
+        if self._clients.is_exhausted or not self.servers.make_room():
             self.owners.make_room()
 
     def _reported(self, machine: int, report: tuple[float, ...]) -> None:
--- a/weldhatch/simulation/zone_scenario.py
+++ b/weldhatch/simulation/zone_scenario.py
@@ -16,9 +16,9 @@
 from weldhatch.cluster.endpoint_list import LocalEndpointList
 from weldhatch.cluster.front_controller import FrontController
 from weldhatch.net.connection import Connection, connect
-from weldhatch.net.descriptor_budget import Budget
+from weldhatch.net.descriptor_budget import DescriptorBudget
 from weldhatch.net.listener import Listener
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.platform import client_codec, server_codec
 from weldhatch.server import Gateway
 from weldhatch.simulation.api import Nobody
@@ -79,7 +79,7 @@
             self.port.conns.discard(self)
 
 
-def head(ring: Ring) -> bytes | None:
+def head(ring: RingBuffer) -> bytes | None:
     """The head of a request, once it is whole."""
     end = ring.find(b"\n\r\n")
     return ring.take(end + 3) if end >= 0 else None
@@ -104,7 +104,7 @@
         self._serial = 0
         # Work comes until the last fault is over, and a little longer: what nobody asks for is not missed.
         self._busy_s = max([storm_s, *(fault.at + fault.span for fault in plan)]) + 2.0
-        self._budget = Budget(100_000)
+        self._budget = DescriptorBudget(100_000)
         port = SERVERS
         for hall in HALLS:
             for n in range(PER_HALL):
--- a/weldhatch/sites/frames.py
+++ b/weldhatch/sites/frames.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.sites import messages
 from weldhatch.sites.routing import CapacitySummary
 from weldhatch.sites.session import Ack, Frame, Heartbeat, Hello, Message, ProtocolError
@@ -62,7 +62,7 @@
     return _made(_KIND_READERS, data, "a frame")
 
 
-def parse(ring: Ring) -> Frame | None:
+def parse(ring: RingBuffer) -> Frame | None:
     """The next whole frame of a ring; None where there is none yet. Raises Faulty."""
     if len(ring) < _LENGTH.size:
         return None
--- a/weldhatch/sites/link.py
+++ b/weldhatch/sites/link.py
@@ -16,12 +16,12 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch.net.connection import Connection, Malformed, connect
-from weldhatch.net.descriptor_budget import Share
+from weldhatch.net.connection import Connection, MalformedMessageError, connect
+from weldhatch.net.descriptor_budget import DescriptorShare
 from weldhatch.net.listener import Listener
-from weldhatch.net.rate_limited_log import Sparing
-from weldhatch.net.ring_buffer import Ring
-from weldhatch.net.tls import shake_hands
+from weldhatch.net.rate_limited_log import RateLimitedLog
+from weldhatch.net.ring_buffer import RingBuffer
+from weldhatch.net.tls import accept_tls
 from weldhatch.sites import frames
 from weldhatch.sites.session import Frame, Hello, ProtocolError, Session, StreamFullError, stale_store_reason
 
@@ -54,11 +54,11 @@
     on_message: Callable[[str, int, bytes], None]  # site, stream, payload; may raise Faulty
 
 
-def _parse(ring: Ring) -> Frame | None:
+def _parse(ring: RingBuffer) -> Frame | None:
     try:
         return frames.parse(ring)
     except ProtocolError as fault:
-        raise Malformed(str(fault)) from None
+        raise MalformedMessageError(str(fault)) from None
 
 
 class Link:
@@ -99,11 +99,15 @@
 
     # ---- connections ---------------------------------------------------------------------------------------
 
-    def dial(self, endpoint: tuple[str, int], share: Share, tls: ssl.SSLContext | None = None) -> None:
+    def dial(
+        self, endpoint: tuple[str, int], share: DescriptorShare, tls: ssl.SSLContext | None = None
+    ) -> None:
         """Connect, and again whenever the connection ends."""
         self._spawn(self._dial(endpoint, share, tls))
 
-    async def _dial(self, endpoint: tuple[str, int], share: Share, tls: ssl.SSLContext | None) -> None:
+    async def _dial(
+        self, endpoint: tuple[str, int], share: DescriptorShare, tls: ssl.SSLContext | None
+    ) -> None:
         wait = AGAIN_S
         while True:
             if share.take():
@@ -147,7 +151,7 @@
         )
 
     def receive(self, connection: Connection, frame: Frame, dialled: bool) -> None:
-        """One frame of a connection: its hello first. Raises Malformed, which ends the connection."""
+        """One frame of a connection: its hello first. Raises MalformedMessageError, which ends it."""
         try:
             if connection is not self._connection:
                 if not isinstance(frame, Hello):
@@ -158,7 +162,7 @@
             else:
                 self._handle_frame(frame)
         except ProtocolError as fault:
-            raise Malformed(str(fault)) from None
+            raise MalformedMessageError(str(fault)) from None
 
     def _handle_frame(self, frame: Frame) -> None:
         if (brought := self.session.receive(time.monotonic(), frame)) is not None:
@@ -297,12 +301,12 @@
         self,
         address: tuple[str, int],
         links: dict[str, Link],
-        share: Share,
+        share: DescriptorShare,
         log: Callable[[str], None],
         tls: ssl.SSLContext | None = None,
     ) -> None:
         """`tls`: who connects has to show the certificate of the site that it says it is."""
-        self._links, self._share, self._log, self._tls = links, share, Sparing(log), tls
+        self._links, self._share, self._log, self._tls = links, share, RateLimitedLog(log), tls
         self._tasks: set[asyncio.Task] = set()
         self.listener = Listener(address, share, self._taken)
 
@@ -315,7 +319,7 @@
         certified = ""
         if self._tls is not None:
             try:
-                stream, certified = await shake_hands(stream, self._tls)
+                stream, certified = await accept_tls(stream, self._tls)
             except OSError as fault:
                 self._log(f"site at {host}: closed: {fault}")
                 self._share.give_back()
@@ -327,13 +331,13 @@
             nonlocal link
             if link is None:
                 if not isinstance(frame, Hello) or frame.site not in self._links:
-                    raise Malformed(
+                    raise MalformedMessageError(
                         f"site {frame.site!r} is not configured here"
                         if isinstance(frame, Hello)
                         else "it does not say which site it is"
                     )
                 if self._tls is not None and certified != frame.site:
-                    raise Malformed(
+                    raise MalformedMessageError(
                         f"it says that it is {frame.site!r}, and shows the certificate of " f"{certified!r}"
                     )
                 link = self._links[frame.site]
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -18,7 +18,7 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import Driver, unix_us
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.scheduling.events import MachinesChanged
 from weldhatch.scheduling.policy import Policy
 from weldhatch.scheduling.types import Effect, ListForm, MachineKind, RequestClass, Scope, Settings
@@ -168,11 +168,11 @@
         )
         driver.watches.append(lambda event: sites.room.watch(time.monotonic(), event))
         driver.post(MachinesChanged(ListForm.CACHED, hall.entries()))
-        budget = Budget(400)
-        door = LinkListener(("127.0.0.1", 0), sites.links, Share(budget, 200), self.log)
+        budget = DescriptorBudget(400)
+        door = LinkListener(("127.0.0.1", 0), sites.links, DescriptorShare(budget, 200), self.log)
         for pair, wire in self.wires.items():
             if name == pair[0]:
-                sites.links[pair[1]].dial(self._ends[pair], Share(budget, 4))
+                sites.links[pair[1]].dial(self._ends[pair], DescriptorShare(budget, 4))
             elif name == pair[1]:
                 wire.aim(door.listener.address)
         self.now[name] = SiteNow(sites, hall, book, door, driver)
--- a/weldhatch/testbed/servers.py
+++ b/weldhatch/testbed/servers.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from weldhatch.net.connection import MESSAGE_MOST, Malformed
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.connection import MESSAGE_MOST, MalformedMessageError
+from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.platform import server_codec as b
 
 HOST = "127.0.0.1"
@@ -102,7 +102,7 @@
 class Conn(asyncio.Protocol):
     def __init__(self, port: Port) -> None:
         self.port, self.hung = port, False
-        self._in = Ring(MESSAGE_MOST + 2048)
+        self._in = RingBuffer(MESSAGE_MOST + 2048)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
@@ -121,7 +121,7 @@
                 self._in.put(data[at : at + 4096])
                 while (message := b.parse(self._in)) is not None:
                     self.port.server.hear(self, message)
-        except Malformed:
+        except MalformedMessageError:
             self.transport.abort()
 
     def say(self, data: bytes) -> None:
