--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -12,7 +12,7 @@
 from weldhatch.cluster import codec
 from weldhatch.cluster.storage import ClusterStore
 from weldhatch.config import ClusterConfig
-from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.sites.link import Link, LinkHandlers
 from weldhatch.sites.link_listener import LinkListener
 
@@ -74,7 +74,7 @@
         self._reassemblers: dict[int, tuple[str, codec.Reassembler]] = {}  # by link: of which session
         self._dialled: dict[str, Link] = {}
         self._accepted = _AcceptedLinks(self._is_invited, lambda name: self._make_link(name, dialled=False))
-        self._share = Share(Budget(config.sockets), config.sockets)
+        self._share = DescriptorShare(DescriptorBudget(config.sockets), config.sockets)
         self._link_listener: LinkListener | None = None
         if config.listen:
             self._link_listener = LinkListener(
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -17,7 +17,7 @@
 from weldhatch.core import ports
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.descriptor_budget import Budget, Share
+from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.placement_request import Setup
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.leases import Ledger
@@ -130,7 +130,7 @@
     router = Router(names, random)
     front = PullQueueSiteFront(settings, ledger, storage)
     settle_s = file.timing.lease + file.timing.grace + SETTLE_SPARE_S
-    share = Share(Budget(file.sockets), 2 * SOCKETS_A_SITE * len(names))
+    share = DescriptorShare(DescriptorBudget(file.sockets), 2 * SOCKETS_A_SITE * len(names))
     try:
         sites = SiteForwarder(
             file.sites.name, names, settings, core, site_storage, router, front, settle_s, log
--- a/weldhatch/pullqueue/security.py
+++ b/weldhatch/pullqueue/security.py
@@ -12,7 +12,7 @@
 from tornado.iostream import IOStream
 
 from weldhatch.config import ConfigError, SecurityConfig
-from weldhatch.net.tls import shake_hands
+from weldhatch.net.tls import accept_tls
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 
@@ -48,12 +48,12 @@
         """Must callers say who they are?"""
         return bool(self._told.tokens or self._told.tls == "mutual")
 
-    async def shake_hands(self, stream: IOStream) -> tuple[IOStream, str]:
+    async def accept_tls(self, stream: IOStream) -> tuple[IOStream, str]:
         """The stream to go on with, and the name in the client's certificate. Raises OSError where it
         fails."""
         if self._context is None:
             return stream, ""
-        return await shake_hands(stream, self._context)
+        return await accept_tls(stream, self._context)
 
     def who(self, request: Request, collection: str) -> Claims | None:
         """Whose call this is; None where nobody is asked. Raises HttpError: 401 for nobody, 403 for the
