--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -135,7 +135,7 @@
         return [party for party in self.parties.values() if isinstance(party, RecordingServer)]
 
     async def forgotten(self) -> None:
-        await self.until(lambda: not self.gateway.core.lives, "the requests were forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
 
     async def past_the_term(self) -> None:
         """What begins from here on begins later than the term allows for those who have left."""
@@ -215,7 +215,7 @@
         [server] = self.recorders()
         self.gateway.servers._probe_s = 5.0
         classes = [{**cls, "aimUs": 20_000_000, "hardLimitUs": 3_000_000} for cls in SETTINGS["classes"]]
-        self.gateway.driver.rule(config.settings_of_json({**SETTINGS, "classes": classes}))
+        self.gateway.driver.reconfigure(config.settings_of_json({**SETTINGS, "classes": classes}))
         for n, how in enumerate(LEAVES):
             with self.subTest(how):
                 server.kept = []
@@ -235,9 +235,9 @@
                 client = self.client()
                 client.ask(f"a{n}")
                 await self.play(f"s1 expect SET_UP a{n}\ns1 send RELEASE a{n} cause=34 topic=queue_full")
-                requests = self.gateway.driver._policy._requests
+                requests = self.gateway.driver._policy._cluster.requests
                 await self.until(
-                    lambda requests=requests: any(r.holds for r in requests.values()), "the request waits"
+                    lambda requests=requests: any(r.backoffs for r in requests.values()), "the request waits"
                 )
                 client.leave(how)
                 await self.judge()
@@ -325,12 +325,12 @@
                 client = self.client()
                 client.ask(f"a{n}")
                 await self.play(f"s1 expect SET_UP a{n}\ns1 send RELEASE a{n} cause=34 topic=no_cores")
-                requests = self.gateway.driver._policy._requests
+                requests = self.gateway.driver._policy._cluster.requests
                 await self.until(
-                    lambda requests=requests: any(r.holds for r in requests.values()), "the request waits"
+                    lambda requests=requests: any(r.backoffs for r in requests.values()), "the request waits"
                 )
-                for node in self.gateway.driver._policy._nodes.values():
-                    node.refused = (0, 0.0, 0.0)  # the machine may be drawn again at once
+                for node in self.gateway.driver._policy._cluster.machines.values():
+                    node.decline(0, 0.0, 0.0)  # the machine may be drawn again at once
                 client.leave(how)
                 time.sleep(0.5)  # the loop is held up past the end of the wait
                 await self.judge()
--- a/weldhatch/sites/local_site.py
+++ b/weldhatch/sites/local_site.py
@@ -7,6 +7,7 @@
 from typing import Protocol
 
 from weldhatch.core import ports
+from weldhatch.core.messages import CALLED_OFF
 from weldhatch.sites.messages import TransferId, Work
 
 
@@ -73,4 +74,4 @@
         self._tell(LocalEnd(cause))
 
     def moved(self) -> None:
-        self._tell(LocalEnd(ports.CALLED_OFF, moved=True))
+        self._tell(LocalEnd(CALLED_OFF, moved=True))
