--- a/tests/test_pins_states.py
+++ b/tests/test_pins_states.py
@@ -13,5 +13,5 @@
     endpoints = LocalEndpointList()
     uids = ("a", "b", "c")
     machines = tuple(Machine(n, state=state) for n, state in enumerate(MachineState))
-    endpoints.heard({"rev": 1, "targets": [{"uid": uid} for uid in uids]}, machines)
+    endpoints.list_changed({"rev": 1, "targets": [{"uid": uid} for uid in uids]}, machines)
     assert endpoints.states == {"a": "gone", "b": "ready", "c": "draining"}
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -190,7 +190,9 @@
 class Owners:
     """All owners' connections, and the set-ups by tag: a task that stands belongs to no connection."""
 
-    def __init__(self, settings: Settings, core: Core, share: DescriptorShare, log: Callable[[str], None]) -> None:
+    def __init__(
+        self, settings: Settings, core: Core, share: DescriptorShare, log: Callable[[str], None]
+    ) -> None:
         self._core, self._share, self._log = core, share, RateLimitedLog(log)
         self._form = Form(settings, strict=True)
         self.links: set[OwnerLink] = set()
