--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -21,8 +21,8 @@
 import unittest
 
 from weldhatch import config
+from weldhatch.gateway import Gateway
 from weldhatch.platform import server_codec
-from weldhatch.server import Gateway
 
 LONG = 40.0  # seconds until a state that is waited for counts as never
 TYPES = {
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -7,7 +7,7 @@
 from scenario import Owner, Scenario, tag
 
 from weldhatch.net import rate_limited_log
-from weldhatch.platform import client_front
+from weldhatch.platform import client_connection, client_front
 
 SET_UP = {"class": "safe", "left": "1500", "key": "7", "extras": "cores:1;memory:2;service:9"}
 USUAL = """
@@ -61,7 +61,7 @@
             )
         ]
         with (
-            unittest.mock.patch.object(client_front, "AWAY_S", 0.01),
+            unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_S", 0.01),
             unittest.mock.patch.object(rate_limited_log, "MAX_LINES_S", 1000),
         ):
             for n, fields in enumerate(bad):
@@ -81,18 +81,18 @@
         await self.play("s1 send ANSWER a1 | v=0\nusual expect STARTED a1 | v=0")
 
     async def test_those_who_say_nothing_or_half_a_message_are_closed(self):
-        with unittest.mock.patch.object(client_front, "WHOLE_S", 0.3):
+        with unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_S", 0.3):
             for name, data in (("silent", b""), ("half", line()[:40]), ("more", line(verb="ECHO") + b"{")):
                 await self.closed(name, data)
             await self.play(USUAL.format("a1"))
 
     async def test_nothing_is_kept_of_a_line_that_can_be_no_message(self):
-        with unittest.mock.patch.object(client_front, "WHOLE_S", 1000.0):
+        with unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_S", 1000.0):
             await self.closed("noise", b"\xb3\xfc\xaf")  # closed at once, though the line has no end
 
     async def test_one_that_asked_and_stays_is_closed_once_it_has_idled_but_not_one_with_a_task(self):
         await self.play(USUAL.format("a1"))
-        with unittest.mock.patch.object(client_front, "IDLE_S", 0.3):
+        with unittest.mock.patch.object(client_connection, "IDLE_S", 0.3):
             await self.closed("stays", line(verb="ECHO"))
             self.assertFalse(self.parties["usual"].closed.is_set())
             await self.play("s1 send RELEASE a1 cause=16\nusual expect FINISH a1\nusual wait closed")
@@ -105,35 +105,40 @@
         for _ in range(count - client_front.OPEN_MOST):
             verb, _, fields, _ = await asyncio.wait_for(bad.heard.get(), 20)
             self.assertEqual(("FINISH", "42", "1000"), (verb, fields["cause"], fields["wait"]))
-        [link] = [link for link in self.gateway.owners.links if link.open]
+        [link] = [link for link in self.gateway.clients.connections if link.open]
         self.assertEqual(client_front.OPEN_MOST, len(link.open))
 
     async def test_set_ups_taken_back_at_once_reach_no_server_and_end_the_connection(self):
-        pairs = (line(f"b{n}", **SET_UP) + line(f"b{n}", "FINISH") for n in range(2 * client_front.BACK_MOST))
+        pairs = (
+            line(f"b{n}", **SET_UP) + line(f"b{n}", "FINISH")
+            for n in range(2 * client_connection.TAKEN_BACK_MOST)
+        )
         await self.closed("bad", b"".join(pairs))
         await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
-        self.assertEqual((0, {}), (self.gateway.core.unanswered, self.gateway.owners._asked))
+        self.assertEqual((0, {}), (self.gateway.core.unanswered, self.gateway.clients._requests))
         self.assertFalse(self.parties["s1"].connected.is_set())  # not even probed
         await self.play(USUAL.format("a1"))
 
     async def test_nothing_is_kept_of_a_client_that_closes_with_set_ups_open(self):
         await self.play("usual send START a1\ns1 expect SET_UP a1\nusual close\ns1 expect RELEASE a1")
         await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
-        self.assertEqual({}, self.gateway.owners._asked)
+        self.assertEqual({}, self.gateway.clients._requests)
 
     async def test_a_release_goes_to_an_owner_and_not_to_who_only_asked(self):
         for n in range(8):
             await self.client(f"x{n}", line(verb="ECHO"))
         await self.play(USUAL.format("a1") + USUAL.format("a2").replace("usual", "other"))
         await self.play("usual close")
-        await self.until(lambda: len(self.gateway.owners.links) == 9, "the owner's connection ended")
+        await self.until(lambda: len(self.gateway.clients.connections) == 9, "the owner's connection ended")
         await self.play("s1 send RELEASE a1 cause=16\nother expect FINISH a1 cause=16")
 
     async def test_a_client_that_is_turned_away_is_not_closed_at_once(self):
         """Guards against one that comes again as soon as it is closed."""
-        with unittest.mock.patch.object(client_front, "AWAY_S", 1000.0):
+        with unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_S", 1000.0):
             await self.client("bad", b"[]\n")
-            await self.until(lambda: any(link.away for link in self.gateway.owners.links), "turned away")
+            await self.until(
+                lambda: any(link.is_rejected for link in self.gateway.clients.connections), "turned away"
+            )
             await self.play(USUAL.format("a1"))
             self.assertFalse(self.parties["bad"].closed.is_set())
 
@@ -142,10 +147,10 @@
     sockets = 48
 
     async def test_clients_that_say_nothing_or_ask_once_keep_no_other_out(self):
-        share = self.gateway.owners._share
+        share = self.gateway.clients._share
         with (
-            unittest.mock.patch.object(client_front, "WHOLE_S", 1000.0),
-            unittest.mock.patch.object(client_front, "IDLE_S", 1000.0),
+            unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_S", 1000.0),
+            unittest.mock.patch.object(client_connection, "IDLE_S", 1000.0),
         ):
             await self.play(USUAL.format("a1"))
             for n in range(2 * share.most):
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -21,8 +21,8 @@
 from scenario import SETTINGS, Bus, parts_of, tag
 
 from weldhatch import config
+from weldhatch.gateway import Gateway
 from weldhatch.platform import server_codec
-from weldhatch.server import Gateway
 
 FALL_S, COLD_S = 1.0, 2.5
 EVERY_S = 0.1  # one owner asks its dispatcher for a task each so often
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -21,7 +21,7 @@
 
 from weldhatch import config
 from weldhatch.net.connection import Connection
-from weldhatch.platform import client_front, server_codec
+from weldhatch.platform import client_connection, server_codec
 from weldhatch.scheduling.actions import Action
 from weldhatch.scheduling.events import AttemptEnded, Event, RequestArrived
 
@@ -274,13 +274,15 @@
 
     async def test_a_client_that_is_turned_away_has_nothing_sent_for_it_from_then_on(self) -> None:
         """It isn't read any more until it is closed, and it leaves meanwhile."""
-        with unittest.mock.patch.object(client_front, "AWAY_S", 1000.0):
+        with unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_S", 1000.0):
             client = self.client()
             client.ask("a1")
             await self.play("s1 expect SET_UP a1")
             client.asked.append("a2")
             client.socket.sendall(b"[]\n" + client.set_up("a2"))
-            await self.until(lambda: any(link.away for link in self.gateway.owners.links), "turned away")
+            await self.until(
+                lambda: any(link.is_rejected for link in self.gateway.clients.connections), "turned away"
+            )
             client.leave("close")
             await self.past_the_term()
             await self.play("s1 send RELEASE a1 cause=34")
@@ -374,7 +376,7 @@
         for n, (how, lines) in enumerate((how, lines) for how in LEAVES for lines in (0, 2000)):
             with self.subTest(how, lines=lines):
                 client = self.client()
-                await self.until(lambda: len(self.gateway.owners.links) > 0, "it is connected")
+                await self.until(lambda: len(self.gateway.clients.connections) > 0, "it is connected")
                 pipeline = client.line("p1", "NOTICE") * lines
                 client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 << 20)
                 client.ask(f"a{n}", pipeline, pipeline)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 
 from scenario import SETTINGS, Scenario, Server, parts_of, tag
 
-from weldhatch.platform import client_front, server_codec
+from weldhatch.platform import client_connection, server_codec
 
 TOLD_S = 4.0  # what the bus would have told counts as told so long after it broke off
 DEADLINE_MS = 3000  # how long the new client's owner waits for its answer
@@ -86,7 +86,7 @@
                     one.sendall(set_up(f"i{n}", 1000 + n))
             if n % 16 == 0:
                 await asyncio.sleep(0)
-        share = self.gateway.owners._share
+        share = self.gateway.clients._share
         budget = self.gateway.budget
         await self.until(
             lambda: share.held >= share.most or budget.held >= budget.most, "the descriptors are used up"
@@ -125,7 +125,9 @@
         self.bus.add([self.target("late")], tell=False)
         began = time.monotonic()
         await self.discovery(True)
-        await self.until(lambda: self.gateway.fleet.offset == len(self.bus.events), "the events were taken")
+        await self.until(
+            lambda: self.gateway.servers_list.offset == len(self.bus.events), "the events were taken"
+        )
         self.assertLess(time.monotonic() - began, TOLD_S + SLOWER, "discovery")
         self.parties.pop("new", None)
         self.assertLess(await self.answered(1), DEADLINE_MS / 1000)
@@ -155,8 +157,8 @@
                 await self.discovery(False)
                 await self.answered(60)
                 with (
-                    unittest.mock.patch.object(client_front, "WHOLE_S", 1000.0),
-                    unittest.mock.patch.object(client_front, "IDLE_S", 1000.0),
+                    unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_S", 1000.0),
+                    unittest.mock.patch.object(client_connection, "IDLE_S", 1000.0),
                 ):
                     await self.fill(says)
                     await self.comes_back()
@@ -169,15 +171,15 @@
             pass
         self.bus.add([self.target("s1", "draining")], tell=False)
         await self.discovery(True)
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
 
     async def test_servers_that_idle_give_way_to_a_client_where_no_client_can(self) -> None:
         await self.answered(60)
         while self.gateway.budget.take():
             pass
         with (
-            unittest.mock.patch.object(self.gateway.owners, "make_room"),
-            unittest.mock.patch.object(client_front, "IDLE_S", 1000.0),
+            unittest.mock.patch.object(self.gateway.clients, "free_descriptors"),
+            unittest.mock.patch.object(client_connection, "IDLE_S", 1000.0),
         ):
             await self.play("late send ECHO t0 cause=0\nlate expect ECHOED t0")
 
@@ -195,7 +197,7 @@
     async def test_discovery_and_a_new_client_get_theirs_where_every_connection_has_a_task(self) -> None:
         await self.discovery(False)
         await self.answered(40)
-        await self.fill("a set-up", self.gateway.owners._share.most)
+        await self.fill("a set-up", self.gateway.clients._share.most)
         await self.comes_back()
 
 
@@ -213,11 +215,11 @@
             await self.play(f"first send START f{n} left={DEADLINE_MS} extras={extras}")
             verb, *_ = await asyncio.wait_for(self.parties["first"].heard.get(), 20.0)
             refused += verb == "FINISH"
-        await self.fill("a set-up", self.gateway.owners._share.most)
+        await self.fill("a set-up", self.gateway.clients._share.most)
         self.bus.add([self.target("s1", "draining")], tell=False)
         began = time.monotonic()
         await self.discovery(True)
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
         self.assertLess(time.monotonic() - began, TOLD_S + SLOWER)
         began = time.monotonic()
         await self.play("new send ECHO t0 cause=0\nnew expect ECHOED t0")
--- a/tests/test_faulty_servers.py
+++ b/tests/test_faulty_servers.py
@@ -8,7 +8,7 @@
 
 from weldhatch.core import ports
 from weldhatch.platform import health_check, server_codec, servers
-from weldhatch.platform.endpoint_list import number_of
+from weldhatch.platform.endpoint_list import machine_number
 from weldhatch.platform.servers import Names
 from weldhatch.scheduling.types import Outcome
 
@@ -103,15 +103,17 @@
         for n in range(5):  # one address, one server after the other
             self.bus.add([{**target, "state": "gone"}, {**target, "uid": f"u-{n}"}])
             target = {**target, "uid": f"u-{n}"}
-        await self.until(lambda: self.gateway.fleet.offset == 6, "the events were taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 6, "the events were taken")
         await self.play("owner expect FINISH a1 cause=41")
-        await self.until(lambda: set(self.gateway.servers._links) == {number_of("u-4")}, "one link is left")
-        self.assertEqual({number_of("u-4")}, set(self.gateway.fleet.servers))
+        await self.until(
+            lambda: set(self.gateway.servers._links) == {machine_number("u-4")}, "one link is left"
+        )
+        self.assertEqual({machine_number("u-4")}, set(self.gateway.servers_list.servers))
 
         def forgotten():
             """Once its last offer counts no more, the next word of the list makes the module forget it."""
             self.bus.add([target])
-            return set(self.gateway.driver._policy._cluster.machines) == {number_of("u-4")}
+            return set(self.gateway.driver._policy._cluster.machines) == {machine_number("u-4")}
 
         await self.until(forgotten, "one node")
         await self.play(SEND.format("a2", "unsafe") + "s1 send ANSWER a2\nowner expect STARTED a2")
@@ -144,17 +146,17 @@
         names = Names(tag("a1"), "unsafe", "7", "", "v=0")
         task = ports.Task("a1", 2, 9, 1.0, 1.0, 0, passed_on=names)
         receiver = unittest.mock.Mock(deliver=told.append)
-        gateway.offer(number_of("u-s1"), task, 0, 1_000_000, receiver)
+        gateway.offer(machine_number("u-s1"), task, 0, 1_000_000, receiver)
         new = {**self.target("s1"), "uid": "u-new"}
         self.gateway._told(
             {"offset": 2, "topology": {"rev": 2, "targets": [self.target("s1", "draining"), new]}}
         )
-        gateway.offer(number_of("u-s1"), task, 1, 1_000_000, receiver)
+        gateway.offer(machine_number("u-s1"), task, 1, 1_000_000, receiver)
         self.assertEqual(
             [(0, Outcome.CONNECT_FAILED), (1, Outcome.NOT_SENT)], [(end.attempt, end.outcome) for end in told]
         )
-        gateway.give_up(number_of("u-never"), task)
-        gateway.release(number_of("u-never"), task, 16)
+        gateway.give_up(machine_number("u-never"), task)
+        gateway.release(machine_number("u-never"), task, 16)
         await self.play(SEND.format("a2", "unsafe"))  # the first that the new server hears of
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -162,6 +162,7 @@
     """Only what puts a whole program together may import more of `scheduling` than its types."""
     assemblers = (
         "weldhatch",
+        "weldhatch.gateway",
         "weldhatch.server",
         "weldhatch.simulator_link.adapter",
         "weldhatch.simulation.scenario_runner",
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,7 +10,7 @@
 
 from weldhatch.core import ports
 from weldhatch.core.messages import Answered
-from weldhatch.platform.servers import Names
+from weldhatch.platform.servers import TaskNames
 
 PLACE = """
     owner send START a1 | v=0
@@ -62,11 +62,11 @@
     async def test_a_release_leaves_before_its_idle_connection_is_closed(self):
         """The task was the last that kept the connection: the sweep may come in the same turn of the loop."""
         await self.play(PLACE)
-        (link,) = self.gateway.owners.links
-        link.used -= 60
-        (asked,) = self.gateway.owners._asked.values()
+        (link,) = self.gateway.clients.connections
+        link.last_used -= 60
+        (asked,) = self.gateway.clients._requests.values()
         asked.released(41)
-        self.gateway.owners.sweep(time.monotonic())
+        self.gateway.clients.sweep(time.monotonic())
         await self.play("owner expect FINISH a1 cause=41")
 
     async def test_an_answer_leaves_before_its_idle_connection_is_closed(self):
@@ -74,16 +74,16 @@
             owner send START a1 | v=0
             s1 expect SET_UP a1
         """)
-        (link,) = self.gateway.owners.links
-        link.used -= 60
-        (asked,) = self.gateway.owners._asked.values()
+        (link,) = self.gateway.clients.connections
+        link.last_used -= 60
+        (asked,) = self.gateway.clients._requests.values()
         asked.failed()
-        self.gateway.owners.sweep(time.monotonic())
+        self.gateway.clients.sweep(time.monotonic())
         await self.play("owner expect FINISH a1 cause=47")
 
     async def test_a_release_goes_out_on_the_next_connection_where_none_is_open(self):
         await self.play(PLACE + "owner close")
-        await self.until(lambda: not self.gateway.owners.links, "the owner's connection ended")
+        await self.until(lambda: not self.gateway.clients.connections, "the owner's connection ended")
         await self.play("""
             s1 send RELEASE a1 cause=16
             owner2 expect FINISH a1 cause=16
@@ -232,7 +232,7 @@
     async def test_what_comes_late_in_a_planned_end_is_refused_at_once(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
         ending = asyncio.create_task(self.gateway.end())
-        await self.until(lambda: self.gateway.owners.ending, "its span is over")
+        await self.until(lambda: self.gateway.clients.shutting_down, "its span is over")
         await self.play("""
             owner send START a2
             owner expect FINISH a2 cause=42 wait=1000
@@ -245,7 +245,7 @@
         """Guards against owners that nobody tells of the end of their tasks while a dispatcher restarts."""
         await self.play(PLACE)
         ending = asyncio.create_task(self.gateway.end())
-        await self.until(lambda: self.gateway.owners.ending, "its span is over")
+        await self.until(lambda: self.gateway.clients.shutting_down, "its span is over")
         await self.play("s1 send RELEASE a1 cause=16\nowner expect FINISH a1 cause=16")
         await asyncio.wait_for(ending, LONG)
 
@@ -255,7 +255,7 @@
         servers, told = self.gateway.servers, []
         [(machine, link)] = servers._links.items()
         link.drop("for the test")
-        names = Names(tag("a2"), "unsafe", "7", "", "v=0")
+        names = TaskNames(tag("a2"), "unsafe", "7", "", "v=0")
         servers.offer(
             machine,
             ports.Task("a2", 2, 9, 1.0, 1.0, 0, passed_on=names),
@@ -281,7 +281,7 @@
         await self.play(PLACE)
 
     async def test_a_fault_in_one_message_ends_that_connection_alone(self):
-        with unittest.mock.patch.object(self.gateway.owners, "finish", side_effect=KeyError("boom")):
+        with unittest.mock.patch.object(self.gateway.clients, "finish", side_effect=KeyError("boom")):
             await self.play("owner send FINISH a1 cause=16\nowner wait closed")
         self.assertTrue(any("boom" in line for line in self.logged), self.logged)
         await self.play(PLACE.replace("owner", "owner2"))
@@ -295,7 +295,7 @@
         self.assertEqual("automatic", SETTINGS["registryMode"])
         await self.until(lambda: self.bus.writers, "the bus is read")
         await self.play("bus send s1=draining")
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
         for n in range(8):
             await self.play(f"owner send START a{n}\ns2 expect SET_UP a{n}")
         self.assertTrue(self.parties["s1"].heard.empty())
@@ -304,7 +304,7 @@
         await self.until(lambda: self.bus.writers, "the bus is read")
         self.bus.reset()
         self.bus.add([self.target("s1", "gone")], tell=False)
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the missed event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event was taken")
 
     async def test_an_event_that_breaks_off_is_asked_for_again_and_a_doubled_one_counts_once(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
@@ -315,11 +315,11 @@
         self.bus.writers[-1].write(whole[:-9])
         await self.until(lambda: old.last_received > before, "a part of it was read")
         self.bus.reset()
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the event was asked for again")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was asked for again")
         await self.until(lambda: self.bus.writers, "the bus is read again")
         self.bus.writers[-1].write(whole + whole)
         self.bus.add([self.target("s1")])
-        await self.until(lambda: self.gateway.fleet.offset == 3, "the next event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 3, "the next event was taken")
         self.assertEqual(1, sum("event 2:" in text for text in self.logged), self.logged)
 
     async def test_a_silent_bus_is_left_for_a_new_connection(self):
@@ -328,7 +328,7 @@
         old = list(self.bus.writers)
         self.bus.add([self.target("s1", "gone")], tell=False)
         await self.until(lambda: set(self.bus.writers) - set(old), "a new connection")
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the missed event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event was taken")
 
     async def test_an_address_that_passes_to_a_new_server_is_not_mixed_up(self):
         """Guards against links by address: the old uid's tasks are gone, the new one's are its own."""
@@ -336,7 +336,7 @@
         await self.play("""
             bus send s2=draining
         """)
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the drain was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the drain was taken")
         await self.play(PLACE)
         new = {**self.target("s1"), "uid": "u-new"}
         self.bus.add([self.target("s1", "gone"), new])
@@ -349,7 +349,7 @@
     async def test_tasks_from_before_a_new_start_are_lost(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
         await self.play("bus send s2=draining")
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the drain was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the drain was taken")
         await self.play(PLACE)
         self.boots["s1"] = 99_999_999_999_999
         await self.play("bus send s1=ready\nowner expect FINISH a1 cause=41")
@@ -359,7 +359,7 @@
     sockets = 40
 
     async def test_connections_past_the_budget_wait_for_a_free_descriptor(self):
-        share = self.gateway.owners._share
+        share = self.gateway.clients._share
         links = []
         for _ in range(share.most + 4):
             reader, writer = await asyncio.open_connection(*self.gateway.listener.address)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -14,11 +14,11 @@
 from scenario import LONG, SETTINGS, Bus, Owner, Scenario, Server, tag
 from test_clients import SET_UP, line
 
-from weldhatch import server as dispatcher
+from weldhatch import gateway as gateway_module
 from weldhatch.core.messages import TimeUp
 from weldhatch.net import connection
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
-from weldhatch.platform import client_front
+from weldhatch.platform import client_connection
 from weldhatch.platform.server_link import EXCUSES_MOST, ServerLink
 from weldhatch.scheduling.actions import Cancel
 
@@ -219,7 +219,7 @@
         self.parties["new"] = new
         host, port = new.endpoint
         self.bus.add([{**self.target("s1"), "endpoint": f"{host}:{port}"}])
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the new address was told")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the new address was told")
         self.gate.set()
         await self.first(old.heard, new.heard)
         self.assertTrue(old.heard.empty(), "a set-up went to the address that it has left")
@@ -326,10 +326,10 @@
         ]
         self.bus.add([first, *fleet], whole=True)
         await self.until(
-            lambda: self.gateway.fleet.offset == 2 or any("closed" in text for text in self.logged),
+            lambda: self.gateway.servers_list.offset == 2 or any("closed" in text for text in self.logged),
             "the list was taken, or the connection closed",
         )
-        self.assertEqual(2, self.gateway.fleet.offset, [text[:200] for text in self.logged])
+        self.assertEqual(2, self.gateway.servers_list.offset, [text[:200] for text in self.logged])
 
     async def test_an_event_that_tells_of_one_server_twice_is_taken(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
@@ -356,7 +356,7 @@
             await self.until(dialled.is_set, "a dial to the old address")
             connection.IOStream.connect = real
             self.gateway.bus.move(new.endpoint)
-        await self.until(lambda: self.gateway.fleet.offset == 2, "the event of the new bus was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event of the new bus was taken")
         self.assertEqual(1, share.held)
 
     async def test_a_socket_that_cannot_be_made_gives_its_slot_back(self):
@@ -455,10 +455,10 @@
         data = line("a1", **SET_UP)
         owner.writers[0].write(data[:40])
         await self.until(
-            lambda: any(link.connection.incomplete_since for link in self.gateway.owners.links),
+            lambda: any(link.connection.incomplete_since for link in self.gateway.clients.connections),
             "a half was read",
         )
-        [link] = self.gateway.owners.links
+        [link] = self.gateway.clients.connections
         return owner, link, data[40:]
 
     async def goes_on(self, owner, link, rest):
@@ -468,14 +468,14 @@
 
     async def test_a_request_that_is_coming_in_pieces_is_not_taken_for_silence(self):
         owner, link, rest = await self.half()
-        link.used -= client_front.WHOLE_S + 0.1  # as if it had connected that long ago
-        self.gateway.owners.sweep(time.monotonic())
+        link.last_used -= client_connection.COMPLETE_MESSAGE_S + 0.1  # as if it had connected that long ago
+        self.gateway.clients.sweep(time.monotonic())
         await self.goes_on(owner, link, rest)
 
     async def test_a_request_that_is_coming_in_pieces_is_not_closed_to_make_room(self):
         owner, link, rest = await self.half()
-        link.used -= 2 * client_front.SWEEP_S
-        self.gateway.owners.make_room()
+        link.last_used -= 2 * client_connection.SWEEP_S
+        self.gateway.clients.free_descriptors()
         await self.goes_on(owner, link, rest)
 
 
@@ -487,9 +487,11 @@
             *self.gateway.listener.address, local_addr=("127.0.0.9", 0)
         )
         silent.task = asyncio.create_task(silent.serve(reader, writer))
-        await self.until(lambda: len(self.gateway.owners.links) == 2, "the silent client is connected")
+        await self.until(lambda: len(self.gateway.clients.connections) == 2, "the silent client is connected")
         await self.play("owner close")
-        await self.until(lambda: len(self.gateway.owners.links) == 1, "the owner's connection has ended")
+        await self.until(
+            lambda: len(self.gateway.clients.connections) == 1, "the owner's connection has ended"
+        )
         await self.play("s1 send RELEASE a1 cause=16")
         await self.until(lambda: not self.gateway.core.requests, "the end was heard")
         await self.play("owner2 send ECHO t0\nowner2 expect FINISH a1 cause=16")
@@ -500,17 +502,17 @@
     async def test_set_ups_taken_back_now_and_then_do_not_end_their_connection(self):
         """Only many at a time do: a connection that lives for long takes some back in its whole life."""
         with unittest.mock.patch.object(
-            client_front, "TAKEN_BACK_SPAN_S", 0.0
+            client_connection, "TAKEN_BACK_SPAN_S", 0.0
         ):  # each is long after the last
-            for n in range(2 * client_front.BACK_MOST):
+            for n in range(2 * client_connection.TAKEN_BACK_MOST):
                 await self.play(f"owner send START b{n}\nowner send FINISH b{n} cause=16")
             await self.play("owner send START a1\nowner send ECHO t0\nowner expect ECHOED t0")
             self.assertFalse([text for text in self.logged if "takes back" in text], self.logged)
 
     async def test_a_refusal_that_crosses_the_end_of_its_owners_interest_is_not_sent(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
-        [asked] = self.gateway.owners._asked.values()
-        asked.given_up()
+        [asked] = self.gateway.clients._requests.values()
+        asked.abandon()
         asked.refused(0)
         await self.play("owner send ECHO t0\nowner expect ECHOED t0")
 
@@ -520,7 +522,7 @@
         """More than the listener accepts in one turn, each with a request written before listening ends."""
         loop, sockets = asyncio.get_running_loop(), []
         fields = {**SET_UP, "left": "300"}
-        with unittest.mock.patch.object(dispatcher, "LISTEN_ON_S", 0):
+        with unittest.mock.patch.object(gateway_module, "LISTEN_ON_S", 0):
             ending = asyncio.create_task(self.gateway.end())
             for n in range(40):
                 client = socket.create_connection(self.gateway.listener.address)
@@ -539,14 +541,14 @@
 
     async def test_a_request_that_came_before_the_connections_are_closed_is_answered(self):
         await self.play("owner send ECHO t0\nowner expect ECHOED t0")
-        owner, finish_all = self.parties["owner"], self.gateway.owners.finish_all
+        owner, finish_all = self.parties["owner"], self.gateway.clients.finish_all
 
         async def asked_before(within):
             owner.send("START", "a1", {}, "v=0")  # in our socket, and not read yet
             await finish_all(within)
 
-        self.gateway.owners.finish_all = asked_before
-        with unittest.mock.patch.object(dispatcher, "LISTEN_ON_S", 0):
+        self.gateway.clients.finish_all = asked_before
+        with unittest.mock.patch.object(gateway_module, "LISTEN_ON_S", 0):
             await asyncio.wait_for(self.gateway.end(), LONG)
         await asyncio.wait_for(owner.closed.wait(), LONG)
         self.assertFalse(owner.heard.empty(), "closed without an answer")
--- a/tests/test_standalone_zones.py
+++ b/tests/test_standalone_zones.py
@@ -14,9 +14,9 @@
 from scenario import LONG, SETTINGS, Owner, Scenario
 
 from weldhatch import config
+from weldhatch.gateway import Gateway
 from weldhatch.scheduling.events import MachinesChanged, ProbeAnswered
 from weldhatch.scheduling.types import ListForm, Machine, MachineState, Outcome
-from weldhatch.server import Gateway
 from weldhatch.standalone_zones import StandaloneZones
 from weldhatch.testbed.process_cluster import until
 from weldhatch.testbed.simulated_zones import settings as zone_settings
--- a/weldhatch/__main__.py
+++ b/weldhatch/__main__.py
@@ -1,4 +1,4 @@
-"""The program: serves as the platform starts it, and hands all other words to the command line.
+"""The program: serves as the platform starts it, and hands all other arguments to the command line.
 
 Serving must not pay for the command line: its libraries are imported only where there is a command.
 """
@@ -10,19 +10,19 @@
 PULL_FILE = "deploy/pullqueue.toml"
 
 
-def main(words: list[str] | None = None) -> int:
-    """The program's exit code; `words` are the command line's, without the program's name."""
-    words = sys.argv[1:] if words is None else words
-    match words:
+def main(arguments: list[str] | None = None) -> int:
+    """The program's exit code; `arguments` are the command line's, without the program's name."""
+    arguments = sys.argv[1:] if arguments is None else arguments
+    match arguments:
         case []:
             return serve(PULL_FILE)
         case ["--pullqueue", file]:
             return serve(file)
-        case [word] if word.startswith("--pullqueue="):
-            return serve(word.partition("=")[2])
+        case [option] if option.startswith("--pullqueue="):
+            return serve(option.partition("=")[2])
     from weldhatch.cli.main import main as commands
 
-    return commands(words)
+    return commands(arguments)
 
 
 def serve(pull_file: str) -> int:
@@ -31,8 +31,8 @@
 
     try:
         server.run(pull_file)
-    except (config.ConfigError, OSError) as fault:
-        print(f"weldhatch: {fault}", file=sys.stderr)
+    except (config.ConfigError, OSError) as error:
+        print(f"weldhatch: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/weldhatch/placement_request.py
+++ b/weldhatch/placement_request.py
@@ -1,4 +1,4 @@
-"""The set-up form that both fronts share: read and checked here; a fault names its field."""
+"""The form of a placement request that both fronts share: read and checked here; an error names its field."""
 
 from __future__ import annotations
 
@@ -8,92 +8,114 @@
 
 from weldhatch.scheduling.types import Effect, Settings
 
-LEFT_MOST = 10  # an owner that waits for more than so many times its class's limit is not believed
+# A client that waits for more than so many times its class's deadline is not believed.
+DEADLINES_MOST = 10
+FIGURE_MOST = 1e9
+KEY_DIGITS_MOST = 16
 _HEX = re.compile(r"[0-9a-fA-F]{1,32}")
 
 
 class FieldError(ValueError):
-    """A set-up that can't be used; `field` says where."""
+    """A request can't be used; `field` says where and `fault` what is wrong."""
 
     def __init__(self, field: str, fault: str) -> None:
+        """Both become the text of the error."""
         super().__init__(f"{field}: {fault}")
-        self.field, self.fault = field, fault
+        self.field = field
+        self.fault = fault
 
 
 @dataclass(slots=True, frozen=True)
-class Setup:
-    """What an owner asks, as text for the wire and as figures for the module."""
+class PlacementRequest:
+    """What a client asks, as text for the wire and as figures for the policy.
+
+    The fields' names are encoded on links between sites and in stores: they stay.
+    """
 
     class_index: int
     class_name: str
-    tenant: int
-    left_us: int
+    tenant: int  # its index in the settings
+    left_us: int  # the time that the client waits
     key: int
-    name: str
-    idem: str
+    name: str  # the key as text
+    idem: str  # the idempotency key; '' where the class has none
     cores: float
     memory: float
     service: int
-    at: str
-    again: bool
+    at: str  # the machine that holds the task already; '' for a new task
+    again: bool  # a retry
 
 
-class Form:
-    """Reads set-ups under one deployment's classes and tenants."""
+class PlacementForm:
+    """Reads requests under one deployment's classes and tenants."""
 
     def __init__(self, settings: Settings, strict: bool = False) -> None:
-        """Strict: all machines are of the told kinds, and no set-up may leave out what they need."""
-        self._settings, self._strict = settings, strict
-        # Guards against figures that no machine can bear: servers answer those with an error.
-        self._most = (
-            (
-                max(kind.cores for kind in settings.kinds) * settings.cores_booking,
-                max(kind.memory for kind in settings.kinds) * settings.memory_booking,
-            )
-            if strict and settings.kinds
-            else (1e9, 1e9)
-        )
-        self._classes = {cls.name: n for n, cls in enumerate(settings.classes)}
-        self._tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
-
-    def read(self, fields: Mapping[str, object]) -> Setup:
+        """Strict: all machines are of the known kinds, and no request may leave out what they need."""
+        self._settings = settings
+        self._strict = strict
+        self._cores_most = FIGURE_MOST
+        self._memory_most = FIGURE_MOST
+        if strict and settings.kinds:
+            # Servers answer figures that no machine can bear with an error.
+            self._cores_most = max(kind.cores for kind in settings.kinds) * settings.cores_booking
+            self._memory_most = max(kind.memory for kind in settings.kinds) * settings.memory_booking
+        self._classes = {cls.name: index for index, cls in enumerate(settings.classes)}
+        self._tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
+
+    def read(self, fields: Mapping[str, object]) -> PlacementRequest:
+        """Read a request's fields.
+
+        Raises:
+            FieldError: names the first field that can't be used.
+        """
         name = _text(fields, "class")
         if name not in self._classes:
             raise FieldError("class", f"no class is named {name!r}")
         index = self._classes[name]
-        extras = {}
-        for part in filter(None, _text(fields, "extras").split(";")):
-            word, sign, value = part.partition(":")
-            if not sign:
-                raise FieldError("extras", f"no ':' in {part!r}")
-            extras[word] = value
-        at = extras.get("at", "")
-        left = 0.0 if at and not _text(fields, "left") else _figure("left", _text(fields, "left"))
-        tenant = _text(fields, "tenant")
-        if tenant and self._tenants and tenant not in self._tenants:
-            raise FieldError("tenant", f"no tenant is named {tenant!r}")
-        cls = self._settings.classes[index]
-        keyed = cls.effect is Effect.KEYED
-        if not at and left * 1000 > LEFT_MOST * cls.deadline_us:
-            raise FieldError("left", f"the unusable value {left:.0f}")
-        key, idem = _text(fields, "key"), _text(fields, "idem")
-        if self._strict and not at and not (key and (not keyed or _HEX.fullmatch(idem))):
+        request_class = self._settings.classes[index]
+        has_key = request_class.effect is Effect.KEYED
+        extras = _extras(fields)
+        holder = extras.get("at", "")
+        left_ms = 0.0 if holder and not _text(fields, "left") else _figure("left", _text(fields, "left"))
+        tenant = self._tenant(fields)
+        if not holder and left_ms * 1000 > DEADLINES_MOST * request_class.deadline_us:
+            raise FieldError("left", f"the unusable value {left_ms:.0f}")
+        key = _text(fields, "key")
+        idempotency_key = _text(fields, "idem")
+        if self._strict and not holder and not (key and (not has_key or _HEX.fullmatch(idempotency_key))):
             raise FieldError("idem" if key else "key", "none, or not in hex digits")
-        return Setup(
+        return PlacementRequest(
             class_index=index,
             class_name=name,
-            tenant=self._tenants.get(tenant, 0),
-            left_us=int(left * 1000),
+            tenant=tenant,
+            left_us=int(left_ms * 1000),
             key=_hex("key", key),
             name=key,
-            idem=idem if keyed else "",
-            cores=_figure("extras.cores", extras.get("cores", ""), self._most[0]),
-            memory=_figure("extras.memory", extras.get("memory", ""), self._most[1]),
+            idem=idempotency_key if has_key else "",
+            cores=_figure("extras.cores", extras.get("cores", ""), self._cores_most),
+            memory=_figure("extras.memory", extras.get("memory", ""), self._memory_most),
             service=_hex("extras.service", extras.get("service", "")),
-            at=at,
+            at=holder,
             again=bool(_text(fields, "retry").strip("0")),
         )
 
+    def _tenant(self, fields: Mapping[str, object]) -> int:
+        name = _text(fields, "tenant")
+        if name and self._tenants and name not in self._tenants:
+            raise FieldError("tenant", f"no tenant is named {name!r}")
+        return self._tenants.get(name, 0)
+
+
+def _extras(fields: Mapping[str, object]) -> dict[str, str]:
+    """Read the field `extras`: `name:value` pairs between semicolons."""
+    extras = {}
+    for part in filter(None, _text(fields, "extras").split(";")):
+        name, separator, value = part.partition(":")
+        if not separator:
+            raise FieldError("extras", f"no ':' in {part!r}")
+        extras[name] = value
+    return extras
+
 
 def _text(fields: Mapping[str, object], name: str) -> str:
     value = fields.get(name, "")
@@ -105,7 +127,7 @@
     return text
 
 
-def _figure(field: str, text: str, most: float = 1e9) -> float:
+def _figure(field: str, text: str, most: float = FIGURE_MOST) -> float:
     try:
         value = float(text)
     except ValueError:
@@ -116,6 +138,6 @@
 
 
 def _hex(field: str, text: str) -> int:
-    if text and not (len(text) <= 16 and _HEX.fullmatch(text)):
+    if text and not (len(text) <= KEY_DIGITS_MOST and _HEX.fullmatch(text)):
         raise FieldError(field, f"the unusable value {text!r}")
     return int(text or "0", 16)
--- a/weldhatch/platform/endpoint_list.py
+++ b/weldhatch/platform/endpoint_list.py
@@ -25,12 +25,12 @@
     cell: int = 0
 
 
-def number_of(uid: str) -> int:
+def machine_number(uid: str) -> int:
     """The machine's number for the policy: the same at every dispatcher, whose homes must agree."""
     return int.from_bytes(hashlib.blake2b(uid.encode(), digest_size=6).digest(), "big")
 
 
-class Fleet:
+class EndpointList:
     """Turns bus events into list events for the policy, and knows the newest address of each machine."""
 
     def __init__(
@@ -77,7 +77,7 @@
 
     def _entry(self, target: dict) -> tuple[Server, Machine]:
         uid, state, boot = str(target["uid"]), _STATES[target["state"]], int(target.get("boot_ms") or 0)
-        number = number_of(uid)
+        number = machine_number(uid)
         host, _, port = str(target.get("endpoint") or ":0").rpartition(":")
         cell = target.get("pod_group")
         cell = cell if isinstance(cell, int) else self._cells.setdefault(cell, len(self._cells))
--- a/weldhatch/platform/event_bus.py
+++ b/weldhatch/platform/event_bus.py
@@ -66,7 +66,7 @@
         return data
 
 
-class Bus:
+class EventBus:
     """Keeps one subscription; every break is followed by a new connection from the last event on."""
 
     def __init__(
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Names:
+class TaskNames:
     """What a platform task is called on the wire, passed on as it came."""
 
     tag: bytes
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -150,7 +150,7 @@
     async def _serve(self, stream: IOStream, host: str) -> None:
         """One client's connection, from its handshake to its end."""
         try:
-            stream, certificate = await self.security.shake_hands(stream)
+            stream, certificate = await self.security.accept_tls(stream)
         except OSError as fault:
             self._log(f"pull queue client {host}: closed: {fault}")
             self._share.give_back()
--- a/weldhatch/pullqueue/machines.py
+++ b/weldhatch/pullqueue/machines.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from weldhatch.placement_request import Setup
+from weldhatch.placement_request import PlacementRequest
 from weldhatch.pullqueue.leases import Lease, Phase
 from weldhatch.pullqueue.workers import NOTHING, Worker
 from weldhatch.scheduling.types import MachineState
@@ -17,7 +17,7 @@
 class Passed:
     """What a submission passes on to its leases: the set-up, its description, and who hears of results."""
 
-    setup: Setup
+    setup: PlacementRequest
     blob: str
     told: Callable[[object, str], None] = lambda result, message: None
     records: Callable[[], tuple[bytes, ...]] = tuple  # what has to be on the disk before its first lease
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -18,7 +18,7 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
-from weldhatch.placement_request import Setup
+from weldhatch.placement_request import PlacementRequest
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.leases import Ledger
 from weldhatch.pullqueue.machines import Passed
@@ -33,7 +33,7 @@
 
 SETTLE_SPARE_S = 0.5
 SOCKETS_A_SITE = 4
-_SETUP: msgspec.json.Decoder[Setup] = msgspec.json.Decoder(Setup)
+_SETUP: msgspec.json.Decoder[PlacementRequest] = msgspec.json.Decoder(PlacementRequest)
 _Result = tuple[dict[str, Any] | None, str]
 _RESULT: msgspec.json.Decoder[_Result] = msgspec.json.Decoder(_Result)
 
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -20,7 +20,7 @@
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.loop_lag import LoopLag
-from weldhatch.placement_request import FieldError, Form, Setup
+from weldhatch.placement_request import FieldError, PlacementForm, PlacementRequest
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.admission import Gate, Ticket, Verdict
 from weldhatch.pullqueue.bot_sessions import Bots
@@ -58,7 +58,7 @@
     ) -> None:
         self._settings, self._core, self._bots, self._ledger, self._log = settings, core, bots, ledger, log
         self._book, self._random = book, random
-        self._form = Form(settings)
+        self._form = PlacementForm(settings)
         self.known: dict[str, Submitted] = {}
         self._by_request: dict[tuple[int, str], Submitted] = {}
         self._ended: deque[str] = deque()
@@ -106,7 +106,7 @@
 
     def rule(self, settings: Settings) -> None:
         """Other settings are in force from now on; classes keep their places."""
-        self._settings, self._form = settings, Form(settings)
+        self._settings, self._form = settings, PlacementForm(settings)
 
     async def begin(self, tree: dict, who: object) -> Submitted:
         """A submission that is answered with its operation at once; HttpError where it can't be taken."""
@@ -179,7 +179,7 @@
             raise HttpError(403, "tenant: the token is for another one", "tenant")
         return {**tree, "tenant": tenant}
 
-    def _read(self, tree: dict) -> tuple[Setup, str, Worker, str]:
+    def _read(self, tree: dict) -> tuple[PlacementRequest, str, Worker, str]:
         try:
             setup = self._form.read(tree)
         except FieldError as fault:
@@ -207,7 +207,9 @@
         asked = self.known[name] = Submitted(self, name, key, tenant, meta)
         return asked
 
-    def _task(self, name: str, setup: Setup, deadline: int, passed: Passed, wanted: Worker) -> ports.Task:
+    def _task(
+        self, name: str, setup: PlacementRequest, deadline: int, passed: Passed, wanted: Worker
+    ) -> ports.Task:
         only = Matching(wanted, self._bots.workers) if wanted != NOTHING else None
         return ports.Task(
             name,
--- a/weldhatch/simulation/zone_scenario.py
+++ b/weldhatch/simulation/zone_scenario.py
@@ -15,12 +15,12 @@
 from weldhatch import config
 from weldhatch.cluster.endpoint_list import LocalEndpointList
 from weldhatch.cluster.front_controller import FrontController
+from weldhatch.gateway import Gateway
 from weldhatch.net.connection import Connection, connect
 from weldhatch.net.descriptor_budget import DescriptorBudget
 from weldhatch.net.listener import Listener
 from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.platform import client_codec, server_codec
-from weldhatch.server import Gateway
 from weldhatch.simulation.api import Nobody
 from weldhatch.simulation.faults import Fault
 from weldhatch.simulation.world import World
@@ -255,7 +255,7 @@
         return link
 
     async def _read(self, gateway: str, link: Connection) -> None:
-        def hear(line: client_codec.Line) -> None:
+        def hear(line: client_codec.ClientMessage) -> None:
             if line.verb == "ECHO":
                 link.send(client_codec.encode("ECHOED", line.tag, {}, 1))
             one, done = self._waiting.get(line.tag, (None, None))
