--- a/weldhatch/pullqueue/durable_state.py
+++ b/weldhatch/pullqueue/durable_state.py
@@ -1,12 +1,11 @@
 """What outlasts a gateway: its epoch, submissions with their answers, leases that are out, and spent keys.
 
-Records and their fold only; the front writes them. A record is a JSON list; its first word says what it
-tells:
+Records and their fold only; the front writes them. A record is a JSON list; its first item says its kind:
 
     ["epoch", number, token, at]                    a gateway begins
     ["asked", name, fields, blob, meta]             a submission
-    ["handed", lease, name, bot, place, attempt]    a lease is about to leave; place: cores, memory, hall,
-    rack
+    ["handed", lease, name, bot, place, attempt]    a lease is about to leave; place: cores, memory, zone,
+                                                    rack
     ["back", lease]                                 it did not leave
     ["running", lease]                              its machine has begun it
     ["seen", lease]                                 its machine has renewed it, told once an epoch
@@ -14,7 +13,7 @@
     ["over", lease]                                 its one end
     ["answer", name, answer]                        the one final answer
     ["end", name, state, cause, result]             the task is over
-    ["drop", name]                                  it is no longer told of
+    ["drop", name]                                  it is no longer reported
     ["spent", keys]                                 keys of tasks that never go out again
 """
 
@@ -23,39 +22,51 @@
 import json
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
+from typing import Any
 
-SPENT_A_RECORD = 1000
+SPENT_PER_RECORD = 1000
 
 
 def encode(*record: object) -> bytes:
+    """Return a record as it stands in the log."""
     return json.dumps(record, separators=(",", ":")).encode()
 
 
+_STATE_OF_ANSWER = {"placed": "PLACED", "refused": "REFUSED", "failed": "FAILED"}
+
+
 @dataclass(slots=True)
 class LeaseRecord:
-    """A lease that is out, or may be."""
+    """A lease that is out, or may be.
+
+    `place`: cores, memory, zone and rack of its machine; `until`: Unix seconds, 0 where it is not known.
+
+    Renewals are not written, each epoch's first one is: what was `seen` in the last epoch may run for a whole
+    lease from its end on; what was not runs out when it would have, however often the gateway starts anew.
+    """
 
     id: str
     operation: str
     bot: str
-    place: list  # cores, memory, hall, rack
+    place: list[Any]
     attempt: int
     running: bool = False
-    # Renewals are not written, each epoch's first one is: what was seen in the last epoch may run for a whole
-    # lease from its end on; what was not runs out when it would have, however often the gateway starts anew.
     seen: bool = True
-    until: float = 0.0  # Unix seconds; 0 where it is not known
+    until: float = 0.0
 
 
 @dataclass(slots=True)
 class OperationRecord:
-    """A submission as it is told of."""
+    """A submission as it is reported.
+
+    `meta`: at, deadline (Unix us), tenant, request (its id), waits (somebody may come for the answer).
+    """
 
     name: str
-    fields: dict
+    fields: dict[str, Any]
     blob: str
-    meta: dict  # at, deadline (Unix us), tenant, request (its id), waits (somebody may come for the answer)
-    answer: dict | None = None
+    meta: dict[str, Any]
+    answer: dict[str, Any] | None = None
     state: str = "ASKED"
     cause: int = 0
     result: object = None
@@ -74,97 +85,120 @@
     spent: dict[int, None] = field(default_factory=dict)
 
     def apply(self, payload: bytes) -> None:
-        """One record. Raises ValueError for what is none."""
+        """Apply one record. Raises ValueError for what is none."""
         try:
-            word, *rest = json.loads(payload)
-            self._apply(word, rest)
-        except (ValueError, TypeError, KeyError, IndexError) as fault:
-            raise ValueError(f"a record that can't be read: {payload[:80]!r}: {fault!r}") from None
-
-    def _apply(self, word: str, rest: list) -> None:
-        match word, rest:
+            kind, *values = json.loads(payload)
+            known = (
+                self._apply_run(kind, values)
+                or self._apply_lease(kind, values)
+                or self._apply_operation(kind, values)
+            )
+            if not known:
+                raise ValueError(kind)
+        except (ValueError, TypeError, KeyError, IndexError) as error:
+            raise ValueError(f"a record that can't be read: {payload[:80]!r}: {error!r}") from None
+
+    def _apply_run(self, kind: str, values: list[Any]) -> bool:
+        """Apply a record that concerns the whole store; False for any other."""
+        match kind, values:
             case "epoch", [number, token, _]:
-                self.epoch, self.token = number, token
-                for one in self.leases.values():
-                    one.seen = False
+                self.epoch = number
+                self.token = token
+                for lease in self.leases.values():
+                    lease.seen = False
+            case "spent", [keys]:
+                self.spent.update(dict.fromkeys(keys))
+            case "probe", []:
+                pass
+            case _:
+                return False
+        return True
+
+    def _apply_lease(self, kind: str, values: list[Any]) -> bool:
+        """Apply a record of a lease; False for any other. One of an unknown lease changes nothing."""
+        match kind, values:
+            case "handed", [id, name, bot, place, attempt]:
+                self.leases[id] = LeaseRecord(id, name, bot, place, attempt)
+                if name in self.operations:
+                    self.operations[name].lease = id
+            case "running", [id]:
+                if lease := self.leases.get(id):
+                    lease.running = True
+                    lease.seen = True
+                    lease.until = 0.0
+            case "seen", [id]:
+                if lease := self.leases.get(id):
+                    lease.seen = True
+                    lease.until = 0.0
+            case "until", [id, expires]:
+                if lease := self.leases.get(id):
+                    lease.seen = False
+                    lease.until = expires
+            case "over" | "back", [id]:
+                self.leases.pop(id, None)
+            case _:
+                return False
+        return True
+
+    def _apply_operation(self, kind: str, values: list[Any]) -> bool:
+        """Apply a record of a submission; False for any other."""
+        match kind, values:
             case "asked", [name, fields, blob, meta]:
                 self.operations[name] = OperationRecord(name, fields, blob, meta)
-            case "handed", [lease, name, bot, place, attempt]:
-                self.leases[lease] = LeaseRecord(lease, name, bot, place, attempt)
-                if name in self.operations:
-                    self.operations[name].lease = lease
-            case "running", [lease]:
-                if lease in self.leases:
-                    one = self.leases[lease]
-                    one.running, one.seen, one.until = True, True, 0.0
-            case "seen", [lease]:
-                if lease in self.leases:
-                    self.leases[lease].seen, self.leases[lease].until = True, 0.0
-            case "until", [lease, expires]:
-                if lease in self.leases:
-                    self.leases[lease].seen, self.leases[lease].until = False, expires
-            case "over" | "back", [lease]:
-                self.leases.pop(lease, None)
             case "answer", [name, answer]:
-                if name in self.operations:
-                    one = self.operations[name]
-                    one.answer = answer
-                    one.state = {"placed": "PLACED", "refused": "REFUSED", "failed": "FAILED"}[
-                        answer["answer"]
-                    ]
-                    one.over = answer["answer"] != "placed"
+                if operation := self.operations.get(name):
+                    operation.answer = answer
+                    operation.state = _STATE_OF_ANSWER[answer["answer"]]
+                    operation.over = answer["answer"] != "placed"
             case "end", [name, state, cause, result]:
-                if name in self.operations:
-                    one = self.operations[name]
-                    one.state, one.cause, one.result, one.over = state, cause, result, True
+                if operation := self.operations.get(name):
+                    operation.state = state
+                    operation.cause = cause
+                    operation.result = result
+                    operation.over = True
             case "drop", [name]:
                 self.operations.pop(name, None)
-            case "spent", [keys]:
-                self.spent.update(dict.fromkeys(keys))
-            case "probe", []:
-                pass
             case _:
-                raise ValueError(word)
+                return False
+        return True
 
     def snapshot_records(self) -> Iterator[bytes]:
-        """The least records that fold to the same."""
+        """Return the least records that fold to the same state."""
         yield encode("epoch", self.epoch, self.token, 0)
         keys = list(self.spent)
-        for at in range(0, len(keys), SPENT_A_RECORD):
-            yield encode("spent", keys[at : at + SPENT_A_RECORD])
-        for one in self.operations.values():
-            yield encode("asked", one.name, one.fields, one.blob, one.meta)
+        for start in range(0, len(keys), SPENT_PER_RECORD):
+            yield encode("spent", keys[start : start + SPENT_PER_RECORD])
+        for operation in self.operations.values():
+            yield encode("asked", operation.name, operation.fields, operation.blob, operation.meta)
         for lease in self.leases.values():
             yield encode("handed", lease.id, lease.operation, lease.bot, lease.place, lease.attempt)
             if lease.running:
                 yield encode("running", lease.id)
             if not lease.seen:
                 yield encode("until", lease.id, lease.until)
-        for one in self.operations.values():
-            if one.answer is not None:
-                yield encode("answer", one.name, one.answer)
-            if one.over and (one.answer is None or one.answer["answer"] == "placed"):
-                yield encode("end", one.name, one.state, one.cause, one.result)
+        for operation in self.operations.values():
+            answer = operation.answer
+            if answer is not None:
+                yield encode("answer", operation.name, answer)
+            if operation.over and (answer is None or answer["answer"] == "placed"):
+                yield encode("end", operation.name, operation.state, operation.cause, operation.result)
 
     @property
     def snapshot_size(self) -> int:
         """About how many records `records` gives."""
-        return 2 + 3 * len(self.operations) + 2 * len(self.leases) + len(self.spent) // SPENT_A_RECORD
+        return 2 + 3 * len(self.operations) + 2 * len(self.leases) + len(self.spent) // SPENT_PER_RECORD
 
 
 def fold(payloads: Iterable[bytes]) -> QueueState:
+    """Return the state that records bring about. Raises ValueError for what is none."""
     out = QueueState()
     for payload in payloads:
         out.apply(payload)
     return out
 
 
-# ---- epochs
-# --------------------------------------------------------------------------------------------------
-
-
 def epoch_of(name: str) -> tuple[int, str] | None:
-    """The epoch in a name that a gateway with a store gave: `leases/7.3fa0-12`; None for any other name."""
+    """Return the epoch in a name like `leases/7.3fa0-12`; None for one that no gateway with a store gave."""
     _, sign, rest = name.partition("/")
     head, dash, _ = rest.partition("-")
     number, dot, token = head.partition(".")
@@ -174,7 +208,7 @@
 
 
 def from_later(names: Iterable[str], epoch: int, token: str) -> str:
-    """A name that a later gateway than this one has given; '' where there is none.
+    """Return a name that a later gateway than this one has given; '' where there is none.
 
     Guards against an older copy of the store: what was started after it was made is unknown to it, so a
     gateway that meets a trace of that must not give anything out.
