--- a/weldhatch/cli/rules.py
+++ b/weldhatch/cli/rules.py
@@ -7,6 +7,7 @@
 import json
 import time
 from collections.abc import Callable, Mapping
+from typing import Any, TypeVar
 
 import click
 from rich.console import Console
@@ -17,7 +18,10 @@
 from weldhatch.applying.runner import Exit
 from weldhatch.pullqueue import reconfiguration
 
-WAIT_S, LOOK_S = 20.0, 0.05
+WAIT_S = 20.0  # for a version to come into force
+POLL_INTERVAL_S = 0.05
+EXIT_DROPPED = 4
+EXIT_NOT_IN_FORCE = 5
 _STYLES = {"free": "dim", "tightens": "green", "widens": "yellow", "switches": "red"}
 
 _control = click.option("--control", metavar="HOST:PORT", help="The control address of the agreement.")
@@ -32,8 +36,11 @@
 _json = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 
 
-def reach(command: Callable) -> Callable:
-    """The options of all commands that ask the group."""
+_Command = TypeVar("_Command", bound=Callable[..., Any])
+
+
+def reach(command: _Command) -> _Command:
+    """Add the options of all commands that ask the group."""
     return _control(_file(_json(command)))
 
 
@@ -47,32 +54,33 @@
     """Who votes, and who takes part."""
 
 
-def desk(pull_file: str, control: str | None) -> reconfiguration.Gateway:
-    """Where the group is asked. Raises ConfigError naming the key that is missing."""
+def control_address(pull_file: str, control: str | None) -> reconfiguration.Gateway:
+    """Return where the group is asked. Raises ConfigError naming the key that is missing."""
     if control:
         return reconfiguration.Gateway(config.endpoint("--control", control))
-    told = config.agreement(config.pull_queue_tree(pull_file))
-    if told is None or told.control is None:
+    agreement = config.agreement(config.pull_queue_tree(pull_file))
+    if agreement is None or agreement.control is None:
         raise config.ConfigError(f"{pull_file}: agreement.control is missing: where the group is asked")
-    return reconfiguration.Gateway(told.control)
+    return reconfiguration.Gateway(agreement.control)
 
 
-def show(told: Mapping, as_json: bool, text: Callable[[Console], None]) -> None:
+def show(answer: Mapping[str, Any], as_json: bool, text: Callable[[Console], None]) -> None:
+    """Print an answer as JSON, or as `text` does."""
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(answer))
     else:
         text(Console())
 
 
-def settings_of(path: str) -> dict:
-    """The settings of a pull queue's file, or of a file of settings alone. Raises ConfigError."""
+def settings_of(path: str) -> dict[str, Any]:
+    """Return the settings of a pull queue's file, or of a file of settings alone. Raises ConfigError."""
     tree = config.pull_queue_tree(path)
-    settings = tree.get("settings", tree)
+    settings: dict[str, Any] = tree.get("settings", tree)
     config.settings_of_json(settings)
     return settings
 
 
-def _changes(console: Console, changes: list[dict]) -> None:
+def _changes(console: Console, changes: list[dict[str, Any]]) -> None:
     for one in changes:
         how = one["overlap"]
         console.print(
@@ -111,12 +119,14 @@
     Ends with 0 once it is, 3 where the base has moved or another proposal is under way, 4 where it was
     dropped, 5 where it is not in force in time (it may still come).
     """
-    return _propose(desk(pull_file, control), settings_of(file), why, base, list(despite), no_wait, as_json)
+    return _propose(
+        control_address(pull_file, control), settings_of(file), why, base, list(despite), no_wait, as_json
+    )
 
 
 def _propose(
     at: reconfiguration.Gateway,
-    settings: dict,
+    settings: dict[str, Any],
     why: str,
     base: int | None,
     despite: list[str],
@@ -126,33 +136,35 @@
     if base is None:
         base = at.call("GET", "rules/held")["number"]
     try:
-        told = at.call(
+        answer = at.call(
             "POST",
             "rules/propose",
             {"tree": settings, "base": base, "why": why, "by": getpass.getuser(), "despite": despite},
         )
-    except reconfiguration.Refused as fault:
-        if fault.field not in ("moved", "busy"):
+    except reconfiguration.Refused as error:
+        if error.field not in ("moved", "busy"):
             raise
-        click.echo(f"weldhatch: {fault}", err=True)
+        click.echo(f"weldhatch: {error}", err=True)
         return Exit.MOVED
-    number, state = told["number"], "prepared"
+    number = answer["number"]
+    state = "prepared"
     if not as_json:
         console = Console()
-        console.print(f"version {number} is proposed on {base}, {len(told['changes'])} changes")
-        _changes(console, told["changes"])
+        console.print(f"version {number} is proposed on {base}, {len(answer['changes'])} changes")
+        _changes(console, answer["changes"])
     if not no_wait:
         state, reason = wait_for(at, number)
-        told = {**told, "state": state, "reason": reason}
+        answer = {**answer, "state": state, "reason": reason}
         if not as_json:
             click.echo(f"version {number}: {state}{': ' + reason if reason else ''}")
     if as_json:
-        click.echo(json.dumps(told))
-    return {"active": Exit.DONE, "prepared": Exit.DONE if no_wait else 5, "dropped": 4}[state]
+        click.echo(json.dumps(answer))
+    unfinished = Exit.DONE if no_wait else EXIT_NOT_IN_FORCE
+    return {"active": Exit.DONE, "prepared": unfinished, "dropped": EXIT_DROPPED}[state]
 
 
 def wait_for(at: reconfiguration.Gateway, number: int) -> tuple[str, str]:
-    """Until a version is active or dropped, or the time is up: its state, and what it came to."""
+    """Wait until a version is active or dropped, or the time is up; its state, and the reason."""
     end = time.monotonic() + WAIT_S
     while True:
         for one in reversed(at.call("GET", "rules/history")["history"]):
@@ -161,7 +173,7 @@
         if time.monotonic() > end:
             waits = (at.call("GET", "rules").get("seen_by_leader") or {}).get("waits", {})
             return "prepared", "; ".join(f"{name}: {why}" for name, why in waits.items()) or "no leader"
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 @rules.command()
@@ -171,30 +183,30 @@
 
     Ends with 0 where this process has a lease and nothing is in doubt, with 1 otherwise.
     """
-    told = desk(pull_file, control).call("GET", "rules")
-    show(told, as_json, lambda console: _status(console, told))
-    sure = told["footing"] == "lease" and told["seen_by_leader"]
-    return 0 if sure and not told["conflicts"] and not told["lost"] else 1
+    answer = control_address(pull_file, control).call("GET", "rules")
+    show(answer, as_json, lambda console: _status(console, answer))
+    sure = answer["footing"] == "lease" and answer["seen_by_leader"]
+    return 0 if sure and not answer["conflicts"] and not answer["lost"] else 1
 
 
-def _status(console: Console, told: Mapping) -> None:
-    prepared = f", version {told['prepared']} is being prepared" if told["prepared"] else ""
+def _status(console: Console, answer: Mapping[str, Any]) -> None:
+    prepared = f", version {answer['prepared']} is being prepared" if answer["prepared"] else ""
     console.print(
-        f"{escape(told['name'])} acts on version {told['number']}{prepared}: {told['footing']}"
-        + (f" ({escape(told['why'])})" if told["why"] else "")
+        f"{escape(answer['name'])} acts on version {answer['number']}{prepared}: {answer['footing']}"
+        + (f" ({escape(answer['why'])})" if answer["why"] else "")
     )
     console.print(
-        f"leader {escape(told['leader'] or '-')}, term {told['term']}, stated time "
-        f"{told['stated_s']} s, list revision {told['rev']}"
+        f"leader {escape(answer['leader'] or '-')}, term {answer['term']}, stated time "
+        f"{answer['stated_s']} s, list revision {answer['rev']}"
     )
-    if told["narrowed"]:
-        console.print(f"{told['narrowed']} machines are out by some dispatcher's list")
-    for one in told["recoveries"]:
+    if answer["narrowed"]:
+        console.print(f"{answer['narrowed']} machines are out by some dispatcher's list")
+    for one in answer["recoveries"]:
         console.print(f"[red]recovered by hand[/] by {escape(one['by'])}: {escape(one['why'])}")
-    for text in [*told["conflicts"], told["lost"], told["full"]]:
+    for text in [*answer["conflicts"], answer["lost"], answer["full"]]:
         if text:
             console.print(f"[red]{escape(text)}[/]")
-    leader = told["seen_by_leader"]
+    leader = answer["seen_by_leader"]
     if not leader:
         console.print("[red]no leader answers: a majority of the voters is out of reach[/]")
         return
@@ -203,14 +215,14 @@
         granted = f"{one['granted_s']:.2f} s ago" if one["granted_s"] is not None else "-"
         table.add_row(
             escape(name),
-            "yes" if name in told["voters"] else "",
+            "yes" if name in answer["voters"] else "",
             f"{one['index']} of {leader['index']}",
             granted,
             escape(one["fault"]) or "yes",
         )
     console.print(table)
     for name, why in leader.get("waits", {}).items():
-        console.print(f"version {told['prepared']} waits for {escape(name)}: {escape(why)}")
+        console.print(f"version {answer['prepared']} waits for {escape(name)}: {escape(why)}")
 
 
 @rules.command()
@@ -218,26 +230,26 @@
 @reach
 def diff(file: str, pull_file: str, control: str | None, as_json: bool) -> int:
     """What FILE would change, and how both may overlap. Ends with 0 for nothing, 1 for something."""
-    told = desk(pull_file, control).call("POST", "rules/diff", {"tree": settings_of(file)})
-    show(told, as_json, lambda console: _changes(console, told["changes"]))
-    return int(bool(told["changes"]))
+    answer = control_address(pull_file, control).call("POST", "rules/diff", {"tree": settings_of(file)})
+    show(answer, as_json, lambda console: _changes(console, answer["changes"]))
+    return int(bool(answer["changes"]))
 
 
 @rules.command()
 @reach
 def history(pull_file: str, control: str | None, as_json: bool) -> None:
     """All versions, what became of each, and recoveries by hand."""
-    told = desk(pull_file, control).call("GET", "rules/history")
+    answer = control_address(pull_file, control).call("GET", "rules/history")
 
     def text(console: Console) -> None:
         table = Table("version", "on", "came to be", "by", "why")
-        for one in told["history"]:
+        for one in answer["history"]:
             table.add_row(
                 str(one["number"]), str(one["base"]), one["came"], escape(one["by"]), escape(one["why"])
             )
         console.print(table)
 
-    show(told, as_json, text)
+    show(answer, as_json, text)
 
 
 @rules.command()
@@ -246,7 +258,7 @@
 @reach
 def undo(why: str, number: int | None, pull_file: str, control: str | None, as_json: bool) -> int:
     """Propose an earlier version's settings as a new version."""
-    at = desk(pull_file, control)
+    at = control_address(pull_file, control)
     if number is None:
         active = [one for one in at.call("GET", "rules/history")["history"] if one["came"] == "active"]
         if len(active) < 2:
@@ -261,8 +273,8 @@
 @reach
 def drop(number: int, why: str, pull_file: str, control: str | None, as_json: bool) -> None:
     """Give a version up that is being prepared."""
-    told = desk(pull_file, control).call("POST", "rules/drop", {"number": number, "why": why})
-    show(told, as_json, lambda console: console.print(f"version {number} is dropped"))
+    answer = control_address(pull_file, control).call("POST", "rules/drop", {"number": number, "why": why})
+    show(answer, as_json, lambda console: console.print(f"version {number} is dropped"))
 
 
 @rules.command()
@@ -276,10 +288,12 @@
     """
     if not yes:
         raise click.UsageError(
-            "two groups would decide if the others came back: make sure that they can't, " "then say --yes"
+            "two groups would decide if the others came back: make sure that they can't, then say --yes"
         )
-    told = desk(pull_file, control).call("POST", "rules/recover", {"why": why, "by": getpass.getuser()})
-    show(told, as_json, lambda console: console.print(f"it goes on alone, lineage {told['lineage']}"))
+    answer = control_address(pull_file, control).call(
+        "POST", "rules/recover", {"why": why, "by": getpass.getuser()}
+    )
+    show(answer, as_json, lambda console: console.print(f"it goes on alone, lineage {answer['lineage']}"))
 
 
 # ---- who is in the group --------------------------------------------------------------------------------
@@ -289,29 +303,29 @@
 @reach
 def peers_status(pull_file: str, control: str | None, as_json: bool) -> None:
     """Voters, dispatchers, and the links from here."""
-    told = desk(pull_file, control).call("GET", "rules")
-    told = {key: told[key] for key in ("name", "leader", "voters", "members", "peers", "lost")}
+    answer = control_address(pull_file, control).call("GET", "rules")
+    answer = {key: answer[key] for key in ("name", "leader", "voters", "members", "peers", "lost")}
 
     def text(console: Console) -> None:
         table = Table("name", "votes at", "dispatcher", "link from here")
-        for name in sorted({*told["voters"], *told["members"]}):
-            link = told["peers"].get(name)
+        for name in sorted({*answer["voters"], *answer["members"]}):
+            link = answer["peers"].get(name)
             state = (
                 "this process"
-                if name == told["name"]
+                if name == answer["name"]
                 else "-"
                 if link is None
                 else escape(link["doubt"]) or ("[green]up[/]" if link["up"] else "[red]down[/]")
             )
             table.add_row(
-                escape(name) + (" (leads)" if name == told["leader"] else ""),
-                escape(told["voters"].get(name, "")),
-                "yes" if name in told["members"] else "",
+                escape(name) + (" (leads)" if name == answer["leader"] else ""),
+                escape(answer["voters"].get(name, "")),
+                "yes" if name in answer["members"] else "",
                 state,
             )
         console.print(table)
 
-    show(told, as_json, text)
+    show(answer, as_json, text)
 
 
 @peers.command()
@@ -320,8 +334,8 @@
 @reach
 def add(name: str, address: str, pull_file: str, control: str | None, as_json: bool) -> None:
     """Have NAME vote too. It has to serve already, with an agreement.listen at that address."""
-    told = desk(pull_file, control).call("POST", "peers", {"add": {name: address}})
-    show(told, as_json, lambda console: console.print(f"voters: {', '.join(sorted(told['voters']))}"))
+    answer = control_address(pull_file, control).call("POST", "peers", {"add": {name: address}})
+    show(answer, as_json, lambda console: console.print(f"voters: {', '.join(sorted(answer['voters']))}"))
 
 
 @peers.command()
@@ -329,8 +343,8 @@
 @reach
 def remove(name: str, pull_file: str, control: str | None, as_json: bool) -> None:
     """Have NAME vote no more; a dispatcher that has gone is forgotten."""
-    told = desk(pull_file, control).call("POST", "peers", {"remove": name})
-    show(told, as_json, lambda console: console.print(f"{escape(name)} is removed"))
+    answer = control_address(pull_file, control).call("POST", "peers", {"remove": name})
+    show(answer, as_json, lambda console: console.print(f"{escape(name)} is removed"))
 
 
 @peers.command()
@@ -338,5 +352,5 @@
 @reach
 def lead(name: str, pull_file: str, control: str | None, as_json: bool) -> None:
     """Hand leadership to NAME."""
-    told = desk(pull_file, control).call("POST", "peers", {"hand": name})
-    show(told, as_json, lambda console: console.print(f"leadership is handed to {escape(name)}"))
+    answer = control_address(pull_file, control).call("POST", "peers", {"hand": name})
+    show(answer, as_json, lambda console: console.print(f"leadership is handed to {escape(name)}"))
--- a/weldhatch/cli/zones.py
+++ b/weldhatch/cli/zones.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from weldhatch.applying.runner import Exit
-from weldhatch.cli.rules import desk, reach, show
+from weldhatch.cli.rules import control_address, reach, show
 from weldhatch.pullqueue import reconfiguration
 
 _STYLES = {"serving": "green", "suspected": "yellow", "leaving": "red", "left": "red", "returning": "cyan"}
@@ -32,7 +32,7 @@
 
     Ends with 0 where all serve and the leader answers, with 1 otherwise.
     """
-    told = desk(pull_file, control).call("GET", "zones")
+    told = control_address(pull_file, control).call("GET", "zones")
     show(told, as_json, lambda console: _status(console, told))
     calm = all(one["phase"] == "serving" and not one["held"] for one in told["entries"].values())
     return 0 if calm and told["seen_by_leader"] else 1
@@ -79,7 +79,7 @@
 @reach
 def history(pull_file: str, control: str | None, as_json: bool) -> None:
     """All changes, with their witnesses and reasons."""
-    told = desk(pull_file, control).call("GET", "zones")
+    told = control_address(pull_file, control).call("GET", "zones")
 
     def text(console: Console) -> None:
         table = Table("change", "place", "state", "by", "witnesses", "turned away", "why")
@@ -113,7 +113,7 @@
     word: str, place: str, why: str, despite: bool, pull_file: str, control: str | None, as_json: bool
 ) -> int:
     try:
-        told = desk(pull_file, control).call(
+        told = control_address(pull_file, control).call(
             "POST",
             "zones",
             {"word": word, "place": place, "why": why, "by": getpass.getuser(), "despite": despite},
@@ -179,7 +179,7 @@
     from weldhatch import config
     from weldhatch.cli.zones_chart import draw  # matplotlib: imported where it is used
 
-    told = config.json_file(saved) if saved else desk(pull_file, control).call("GET", "zones")
+    told = config.json_file(saved) if saved else control_address(pull_file, control).call("GET", "zones")
     timeline = (told.get("seen_by_leader") or {}).get("timeline", [])
     if not timeline:
         click.echo("weldhatch: nothing has been left since this leader was elected", err=True)
