--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -81,7 +81,8 @@
         self.operations = Operations(self.tasks)
         if told.store:
             out, anew = self.tasks.restore()
-            log(f"store: epoch {self.book.epoch}, {out} leases go on, {anew} submissions are asked for anew")
+            epoch = self.book.epoch_name
+            log(f"store: epoch {epoch}, {out} leases go on, {anew} submissions are asked for anew")
         self._share = DescriptorShare(DescriptorBudget(told.sockets), told.connections)
         self._links: dict[Connection, HttpLink] = {}
         self._serving: set[asyncio.Task] = set()
@@ -116,7 +117,7 @@
         self.bots.rule(settings, rules)
         self.tasks.rule(settings)
         if self.sites is not None:
-            self.sites.rule(settings)
+            self.sites.reconfigure(settings)
 
     def operate(self, word: Word) -> None:
         """Take an operator's word: on the disk first, then in force. Raises WordError, or OSError for the
