--- a/tests/test_agreed_rules.py
+++ b/tests/test_coordination.py
@@ -13,14 +13,15 @@
 
 from weldhatch import config
 from weldhatch.cli.main import main
-from weldhatch.cluster import codec, front_controller
+from weldhatch.cluster import codec, event_log
 from weldhatch.cluster.control_api import ControlApi
 from weldhatch.cluster.node import ClusterNode
 from weldhatch.cluster.storage import ClusterRecords, ClusterStore
 from weldhatch.consensus.messages import AppendEntries, LogEntry
-from weldhatch.coordination import compatibility, drain_reports
-from weldhatch.coordination.compatibility import IncompatibleChangeError, Overlap
+from weldhatch.coordination import compatibility, drain_reports, setting_rules
+from weldhatch.coordination.errors import IncompatibleChangeError
 from weldhatch.coordination.messages import LeaseRequest, LeaseResponse
+from weldhatch.coordination.setting_rules import Overlap
 from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.pullqueue.operator_states import STATES
 from weldhatch.scheduling.types import Effect, MachineKind, RequestClass, Scope, Settings
@@ -125,8 +126,8 @@
         bold: bool = False
 
     with pytest.raises(AssertionError, match="bold"):
-        compatibility.check_complete(More, compatibility.CLASSES)
-    assert {one.name for one in fields(Settings)} == compatibility.SETTINGS.keys() | compatibility.LISTS
+        setting_rules.check_complete(More, setting_rules.CLASSES)
+    assert {one.name for one in fields(Settings)} == setting_rules.SETTINGS.keys() | setting_rules.LISTS
 
 
 # ---- the group's state -----------------------------------------------------------------------------------
@@ -153,11 +154,11 @@
     for n, data in enumerate(log, 1):
         one.apply(n, data)
         again = StateMachine()
-        again.load(one.state())
+        again.load(one.snapshot())
         other.apply(n, data)
         assert again.digest == one.digest == other.digest
-        other.load(other.state())
-    assert [(told["number"], told["came"]) for told in one.history] == [
+        other.load(other.snapshot())
+    assert [(told["number"], told["came"]) for told in one.versions.history] == [
         (1, "proposed"),
         (1, "active"),
         (2, "proposed"),
@@ -167,7 +168,7 @@
         "ok": True,
         "number": 1,
     }  # said again: carried out once
-    assert one.number == 2
+    assert one.versions.last_number == 2
 
 
 @pytest.mark.parametrize(
@@ -185,9 +186,9 @@
     group = StateMachine()
     group.apply(1, command(do="join", name="g", epoch=2, token="t"))
     group.apply(2, command(do="word", machine="m", state="off", fence=5, op=""))
-    before = json.loads(group.state())
+    before = json.loads(group.snapshot())
     assert group.apply(3, command(**it))["error"] == error
-    assert json.loads(group.state()) == {**before, "index": 3}
+    assert json.loads(group.snapshot()) == {**before, "index": 3}
 
 
 def test_operators_states_are_ordered():
@@ -199,63 +200,63 @@
 
 def test_what_one_list_narrows_counts_for_those_with_an_older_one():
     told = drain_reports.DrainReports()
-    told.take(7, {"s1": "draining", "s2": "gone", "s3": "ready"}, "g1")
-    assert [told.acts(uid, 6) for uid in ("s1", "s2", "s3")] == ["draining", "gone", "ready"]
-    assert told.acts("s1", 8) == "ready"  # its own list is newer
-    told.take(5, {"s1": "ready"}, "g2")  # an older one changes nothing
-    assert told.acts("s1", 5) == "draining"
-    told.take(9, {"s1": "ready"}, "g2")
-    assert told.acts("s1", 5) == "ready"
+    told.merge(7, {"s1": "draining", "s2": "gone", "s3": "ready"}, "g1")
+    assert [told.effective_state(uid, 6) for uid in ("s1", "s2", "s3")] == ["draining", "gone", "ready"]
+    assert told.effective_state("s1", 8) == "ready"  # its own list is newer
+    told.merge(5, {"s1": "ready"}, "g2")  # an older one changes nothing
+    assert told.effective_state("s1", 5) == "draining"
+    told.merge(9, {"s1": "ready"}, "g2")
+    assert told.effective_state("s1", 5) == "ready"
 
 
-def test_two_lists_of_one_revision_the_narrower_acts_and_it_is_told():
+def test_two_lists_of_one_revision_the_stricter_acts_and_operators_are_notified():
     told = drain_reports.DrainReports()
-    told.take(7, {"s1": "draining"}, "g1")
-    told.take(7, {"s1": "ready"}, "g2")
-    assert told.acts("s1", 7, "ready") == "draining"
+    told.merge(7, {"s1": "draining"}, "g1")
+    told.merge(7, {"s1": "ready"}, "g2")
+    assert told.effective_state("s1", 7, "ready") == "draining"
     assert "s1: draining and, by g2, ready, both in a list of revision 7" in told.conflicts
-    told.take(7, {"s1": "gone"}, "g3")
-    assert told.acts("s1", 7) == "gone"
+    told.merge(7, {"s1": "gone"}, "g3")
+    assert told.effective_state("s1", 7) == "gone"
 
 
-def test_a_dispatcher_tells_only_what_is_news():
+def test_a_dispatcher_reports_only_what_is_news():
     told = drain_reports.DrainReports()
     states = {"s1": "draining", "s2": "ready"}
-    assert told.news(3, states) == {"s1": "draining"}
-    told.take(3, told.news(3, states), "g1")
-    assert told.news(3, states) == {}
-    assert told.news(4, {"s1": "ready", "s2": "ready"}) == {"s1": "ready"}
-    assert told.news(2, {"s1": "ready"}) == {}
-    for n in range(drain_reports.ENTRIES_MOST + 5):
-        told.entries[f"x{n}"] = [n, "gone"]
-    told.take(9, {"y": "gone"}, "g1")
-    assert len(told.entries) == drain_reports.ENTRIES_MOST
+    assert told.unreported(3, states) == {"s1": "draining"}
+    told.merge(3, told.unreported(3, states), "g1")
+    assert told.unreported(3, states) == {}
+    assert told.unreported(4, {"s1": "ready", "s2": "ready"}) == {"s1": "ready"}
+    assert told.unreported(2, {"s1": "ready"}) == {}
+    for n in range(drain_reports.MAX_ENTRIES + 5):
+        told.entries[f"x{n}"] = drain_reports.DrainReport(n, "gone")
+    told.merge(9, {"y": "gone"}, "g1")
+    assert len(told.entries) == drain_reports.MAX_ENTRIES
     assert "x0" not in told.entries
 
 
 # ---- words and records -----------------------------------------------------------------------------------
 
 
-def test_words_cross_whole_also_where_they_are_long():
+def test_messages_cross_complete_also_where_they_are_long():
     learn = LeaseResponse(0, 1.5, True, "", "", 0, ("x" * 50_000, "y"), "", 3, "d")
     append = AppendEntries(0, 1, 0, 0, (LogEntry(1, "command", "z"),), 0, 1.0)
     for word in (learn, LeaseRequest(0, "g1", 1, "t", 2.0, 3, "d"), append):
         stream, data = codec.encode(word)
         parts, held = list(codec.split(data)), codec.Reassembler()
-        assert all(len(part) <= codec.PART + 1 for part in parts)
+        assert all(len(part) <= codec.PART_BYTES + 1 for part in parts)
         assert [held.add(stream, part) for part in parts][:-1] == [None] * (len(parts) - 1)
         for part in parts[:-1]:
             held.add(stream, part)
         assert codec.decode(stream, held.add(stream, parts[-1])) == word
     for bad in (b"", b"\xc1", b"\x92\x00", b"\x92\x63\xc0", b"\x92\x00\xa1x"):
         with pytest.raises(ProtocolError):
-            codec.decode(codec.WORDS, bad)
+            codec.decode(codec.GROUP_STREAM, bad)
     for bad in (b"", b"\2x"):
         with pytest.raises(ProtocolError):
             codec.Reassembler().add(0, bad)
 
 
-def test_the_book_folds_to_the_same_and_names_what_it_can_not_read(tmp_path):
+def test_the_store_folds_to_the_same_and_names_what_it_can_not_read(tmp_path):
     fold = ClusterRecords()
     for record in (
         ["begins", 3, "t"],
@@ -267,7 +268,7 @@
     again = ClusterRecords()
     for record in fold.snapshot_records():
         again.apply(record)
-    assert (again.epoch, again.met, again.state, again.saved.term, again.saved.writes) == (
+    assert (again.epoch, again.met, again.state, again.persistent.term, again.persistent.record_count) == (
         3,
         {"g2": (5, "u")},
         "{}",
@@ -336,7 +337,7 @@
             }
         )
         self.events = []
-        self.agreement = ClusterNode(
+        self.node = ClusterNode(
             told,
             config.settings_of_json,
             lambda settings: "",
@@ -345,11 +346,11 @@
             lambda text: None,
             lambda name, **fields: self.events.append((name, fields)),
         )
-        self.desk = ControlApi(self.agreement, config.settings_of_json, lambda text: None, time.time)
-        self.closes = [self.desk.abort, self.agreement.close]
-        host, port = self.desk.listener.address
+        self.control_api = ControlApi(self.node, config.settings_of_json, lambda text: None, time.time)
+        self.closes = [self.control_api.abort, self.node.close]
+        host, port = self.control_api.listener.address
         self.at = ["--control", f"{host}:{port}"]
-        await until(lambda: self.agreement.lease_holder.state_machine.active, 10, "version 1")
+        await until(lambda: self.node.lease_holder.state_machine.active, 10, "version 1")
 
     async def asyncTearDown(self):
         for close in self.closes:
@@ -380,7 +381,7 @@
         self.assertEqual((await self.run_("rules", "diff", path))[0], 0)
         code, out = await self.run_("rules", "undo", "--why", "back", "--json")
         self.assertEqual((code, json.loads(out)["state"]), (0, "active"))
-        self.assertEqual(self.agreement.lease_holder.state_machine.active.tree["limits"]["mostTries"], 4)
+        self.assertEqual(self.node.lease_holder.state_machine.active.tree["limits"]["mostTries"], 4)
         code, out = await self.run_("rules", "history", "--json")
         self.assertEqual(
             [one["number"] for one in json.loads(out)["history"] if one["came"] == "active"], [1, 2, 3]
@@ -410,17 +411,17 @@
             code, out = await self.run_(*words)
             self.assertEqual(code, 2, (words, out))
             self.assertIn(said, out)
-        self.assertEqual(self.agreement.lease_holder.state_machine.active.number, 1)
+        self.assertEqual(self.node.lease_holder.state_machine.active.number, 1)
 
     async def test_a_recovery_by_hand_is_seen_for_ever_after(self):
         code, out = await self.run_("rules", "recover", "--why", "the others burnt", "--yes")
         self.assertEqual(code, 0, out)
-        await until(lambda: self.agreement.lease_holder.lineage == 1, 5, "the new lineage is held")
+        await until(lambda: self.node.lease_holder.lineage == 1, 5, "the new lineage is held")
         code, out = await self.run_("rules", "status")
         self.assertIn("the others burnt", out)
 
     async def test_a_disk_that_takes_nothing_stops_what_is_new_and_loses_nothing(self):
-        log = self.agreement.book._store._log
+        log = self.node.store._store._log
         whole = log.append
 
         def full(payloads):
@@ -433,14 +434,14 @@
         self.assertIn("no leader took it", out)
         self.assertIn("No space left", (await self.run_("rules", "status"))[1])
         log.append = whole
-        await until(lambda: self.agreement.lease_holder.state_machine.active.number == 2, 10, "it goes on")
+        await until(lambda: self.node.lease_holder.state_machine.active.number == 2, 10, "it goes on")
 
-    async def test_a_restart_shows_what_was_held_and_acts_on_nothing_before_it_is_heard(self):
+    async def test_a_restart_shows_what_was_held_and_acts_on_nothing_before_the_group_answers(self):
         code, out = await self.run_("rules", "propose", self.file(limits__mostTries=2), "--why", "x")
         self.assertEqual(code, 0, out)
-        await self.agreement.book.flush()
-        told = self.agreement.told
-        self.agreement.close()
+        await self.node.store.flush()
+        told = self.node.config
+        self.node.close()
         again = ClusterNode(
             told,
             config.settings_of_json,
@@ -452,14 +453,14 @@
         )
         self.closes.append(again.close)
         self.assertEqual(again.status()["number"], 2)
-        cls = again.lease_holder.rules.narrow.settings.classes[0]
-        self.assertTrue(again.lease_holder.refusal_reason(again._now(), cls))
+        cls = again.lease_holder.rules.restricted.settings.classes[0]
+        self.assertTrue(again.lease_holder.refusal_reason(again._clock(), cls))
         await until(
-            lambda: not again.lease_holder.refusal_reason(again._now(), cls), 10, "it has its lease again"
+            lambda: not again.lease_holder.refusal_reason(again._clock(), cls), 10, "it has its lease again"
         )
 
 
 def test_events_are_one_json_object_a_line(capsys):
-    front_controller.event_logger()("leads", term=3)
+    event_log.event_logger()("leads", term=3)
     told = json.loads(capsys.readouterr().err)
     assert (told["event"], told["term"]) == ("agreement.leads", 3)
--- a/weldhatch/sites/frames.py
+++ b/weldhatch/sites/frames.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.sites import messages
 from weldhatch.sites.messages import HandoffRecord
 from weldhatch.sites.routing import CapacitySummary
@@ -72,7 +72,7 @@
     return cast(Frame, _decode_pair(_FRAME_DECODERS, data, "a frame"))
 
 
-def parse(ring: Ring) -> Frame | None:
+def parse(ring: RingBuffer) -> Frame | None:
     """Take the next whole frame of a ring; None where there is none yet. Raises ProtocolError."""
     if len(ring) < _LENGTH.size:
         return None
--- a/weldhatch/sites/link.py
+++ b/weldhatch/sites/link.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 from typing import Protocol, cast
 
-from weldhatch.net.connection import Connection, Malformed, connect
-from weldhatch.net.descriptor_budget import Share
-from weldhatch.net.ring_buffer import Ring
+from weldhatch.net.connection import Connection, MalformedMessageError, connect
+from weldhatch.net.descriptor_budget import DescriptorShare
+from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.sites import frames
 from weldhatch.sites.session import (
     Frame,
@@ -62,18 +62,21 @@
     on_message: Callable[[str, int, bytes], None]
 
 
-def parse(ring: Ring) -> Frame | None:
-    """Take the next whole frame of a connection; None where there is none yet. Raises Malformed."""
+def parse(ring: RingBuffer) -> Frame | None:
+    """Take the next whole frame of a connection; None where there is none yet.
+
+    Raises MalformedMessageError.
+    """
     try:
         return frames.parse(ring)
     except ProtocolError as error:
-        raise Malformed(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
 
 
 async def _connect(
     site: str,
     endpoint: tuple[str, int],
-    share: Share,
+    share: DescriptorShare,
     tls: ssl.SSLContext | None,
     log: Callable[[str], None],
 ) -> Connection | None:
@@ -100,10 +103,7 @@
         log: Callable[[str], None],
         tick_s: float = TICK_S,
     ) -> None:
-        """Begin without a connection. Needs a running event loop.
-
-        `tick_s`: how often it looks for silence, and for what is owed with nothing else to send.
-        """
+        """Begin without a connection; `tick_s`: how often it looks for silence and for what is owed."""
         self.site = site
         self._own_name = own_name
         self._epochs = epochs
@@ -131,11 +131,15 @@
         epoch, token = self._epochs.own_epoch
         return f"{self._own_name}.{epoch}.{token}.{self._session_count}"
 
-    def dial(self, endpoint: tuple[str, int], share: Share, tls: ssl.SSLContext | None = None) -> None:
+    def dial(
+        self, endpoint: tuple[str, int], share: DescriptorShare, tls: ssl.SSLContext | None = None
+    ) -> None:
         """Connect, and again whenever the connection ends. `share`: of descriptors, one while it stands."""
         self._spawn(self._dial(endpoint, share, tls))
 
-    async def _dial(self, endpoint: tuple[str, int], share: Share, tls: ssl.SSLContext | None) -> None:
+    async def _dial(
+        self, endpoint: tuple[str, int], share: DescriptorShare, tls: ssl.SSLContext | None
+    ) -> None:
         backoff_s = MIN_BACKOFF_S
         while True:
             break_count = self.break_count
@@ -179,7 +183,7 @@
     def receive(self, connection: Connection, frame: Frame, dialled: bool) -> None:
         """Take one frame of a connection: its hello first. `dialled`: by this side.
 
-        Raises Malformed, which ends the connection.
+        Raises MalformedMessageError, which ends the connection.
         """
         try:
             if connection is not self._connection:
@@ -191,7 +195,7 @@
             else:
                 self._handle_frame(frame)
         except ProtocolError as error:
-            raise Malformed(str(error)) from None
+            raise MalformedMessageError(str(error)) from None
 
     def _handle_frame(self, frame: Frame) -> None:
         if (message := self.session.receive(time.monotonic(), frame)) is not None:
@@ -289,8 +293,6 @@
         if self._connection is not None:
             self._connection.close()
 
-    # ---- sending -------------------------------------------------------------------------------------------
-
     def send(self, stream: int, payload: bytes) -> bool:
         """Queue one message for the session; False where the link is down or the stream's queue is full.
 
--- a/weldhatch/sites/link_listener.py
+++ b/weldhatch/sites/link_listener.py
@@ -9,11 +9,11 @@
 
 from tornado.iostream import IOStream
 
-from weldhatch.net.connection import Connection, Malformed
-from weldhatch.net.descriptor_budget import Share
+from weldhatch.net.connection import Connection, MalformedMessageError
+from weldhatch.net.descriptor_budget import DescriptorShare
 from weldhatch.net.listener import Listener
-from weldhatch.net.rate_limited_log import Sparing
-from weldhatch.net.tls import shake_hands
+from weldhatch.net.rate_limited_log import RateLimitedLog
+from weldhatch.net.tls import accept_tls
 from weldhatch.sites.link import HELLO_TIMEOUT_S, LINGER_S, Link, parse
 from weldhatch.sites.session import Frame, Hello
 
@@ -25,7 +25,7 @@
         self,
         address: tuple[str, int],
         links: dict[str, Link],
-        share: Share,
+        share: DescriptorShare,
         log: Callable[[str], None],
         tls: ssl.SSLContext | None = None,
     ) -> None:
@@ -35,7 +35,7 @@
         """
         self._links = links
         self._share = share
-        self._log = Sparing(log)
+        self._log = RateLimitedLog(log)
         self._tls = tls
         self._tasks: set[asyncio.Task[None]] = set()
         self.listener = Listener(address, share, self._accept)
@@ -50,7 +50,7 @@
         certified = ""
         if self._tls is not None:
             try:
-                stream, certified = await shake_hands(stream, self._tls)
+                stream, certified = await accept_tls(stream, self._tls)
             except OSError as error:
                 self._log(f"site at {host}: closed: {error}")
                 self._share.give_back()
@@ -76,13 +76,15 @@
                 link.connection_ended(connection)
 
     def _identify(self, frame: object, certified: str) -> Link:
-        """Return the link of the site that a first frame names. Raises Malformed."""
+        """Return the link of the site that a first frame names. Raises MalformedMessageError."""
         if not isinstance(frame, Hello):
-            raise Malformed("it does not say which site it is")
+            raise MalformedMessageError("it does not say which site it is")
         if frame.site not in self._links:
-            raise Malformed(f"site {frame.site!r} is not configured here")
+            raise MalformedMessageError(f"site {frame.site!r} is not configured here")
         if self._tls is not None and certified != frame.site:
-            raise Malformed(f"it says that it is {frame.site!r}, and shows the certificate of {certified!r}")
+            raise MalformedMessageError(
+                f"it says that it is {frame.site!r}, and shows the certificate of {certified!r}"
+            )
         return self._links[frame.site]
 
     def close(self) -> None:
