--- a/weldhatch/sites/link.py
+++ b/weldhatch/sites/link.py
@@ -63,7 +63,10 @@
 
 
 def parse(ring: RingBuffer) -> Frame | None:
-    """Take the next complete frame of a connection; None for none yet. Raises MalformedMessageError."""
+    """Take the next whole frame of a connection; None where there is none yet.
+
+    Raises MalformedMessageError.
+    """
     try:
         return frames.parse(ring)
     except ProtocolError as error:
@@ -100,10 +103,7 @@
         log: Callable[[str], None],
         tick_s: float = TICK_S,
     ) -> None:
-        """Begin without a connection. Needs a running event loop.
-
-        `tick_s`: how often it looks for silence, and for what is owed with nothing else to send.
-        """
+        """Begin without a connection; `tick_s`: how often it looks for silence and for what is owed."""
         self.site = site
         self._own_name = own_name
         self._epochs = epochs
@@ -293,8 +293,6 @@
         if self._connection is not None:
             self._connection.close()
 
-    # ---- sending -------------------------------------------------------------------------------------------
-
     def send(self, stream: int, payload: bytes) -> bool:
         """Queue one message for the session; False where the link is down or the stream's queue is full.
 
