--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,11 +1,12 @@
-"""The life of a request beside scripted decisions and a scripted site: no socket, no module."""
+"""One request beside scripted decisions and a scripted machines: no socket, no policy."""
 
 import asyncio
 import time
 import unittest
 
+from weldhatch.core.messages import Ended, GiveUpResult
 from weldhatch.core.policy_driver import Driver, unix_us
-from weldhatch.core.ports import Ended, LetGo, Task
+from weldhatch.core.ports import Task
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.scheduling.actions import Fail, Offer, Reject
 from weldhatch.scheduling.events import AttemptEnded, RequestArrived
@@ -29,23 +30,23 @@
 class Unreachable:
     """A machine to which nothing ever leaves."""
 
-    def offer(self, machine, task, attempt, wait_us, teller, start_by_us=0):
+    def offer(self, machine, task, attempt, wait_us, receiver, start_by_us=0):
         pass
 
     def give_up(self, machine, task):
-        return LetGo.WITHDRAWN
+        return GiveUpResult.WITHDRAWN
 
 
 class Withdrawn(Unreachable):
     """Takes each offer back by itself, at the moment at which its time is up."""
 
-    def offer(self, machine, task, attempt, wait_us, teller, start_by_us=0):
+    def offer(self, machine, task, attempt, wait_us, receiver, start_by_us=0):
         asyncio.get_running_loop().call_later(
-            wait_us / 1e6, teller.tell, Ended(attempt, Outcome.CONNECT_FAILED)
+            wait_us / 1e6, receiver.deliver, Ended(attempt, Outcome.CONNECT_FAILED)
         )
 
     def give_up(self, machine, task):
-        return LetGo.GIVEN_UP
+        return GiveUpResult.GIVEN_UP
 
 
 class Asker:
@@ -61,7 +62,7 @@
         self.answered.set()
 
 
-class Lives(unittest.IsolatedAsyncioTestCase):
+class HeldUp(unittest.IsolatedAsyncioTestCase):
     async def held_up(self, site):
         """What a request is answered whose process gets no processor until all its times have passed."""
         asyncio.get_running_loop().set_debug(False)
@@ -76,10 +77,10 @@
         await asyncio.sleep(0)
         return owner.answers
 
-    async def test_what_the_module_is_told_in_the_moment_of_the_deadline_still_decides(self):
+    async def test_an_event_in_the_moment_of_the_deadline_still_decides(self):
         """Seen in CI: the attempt's time and the request's passed in one moment, and the proof was lost."""
         self.assertEqual(["refused"], await self.held_up(Unreachable()))
 
-    async def test_an_end_told_in_the_moment_that_the_attempts_time_is_up_counts(self):
+    async def test_an_end_in_the_moment_that_the_attempts_time_is_up_counts(self):
         """Seen under load: the offer was withdrawn in time, and was taken for one that may have run."""
         self.assertEqual(["refused"], await self.held_up(Withdrawn()))
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -117,7 +117,7 @@
 
     def _make_zone_agent(self, agreement: config.AgreementFile, log: Callable[[str], None]) -> ZoneAgent:
         if self._list is None:
-            self._front.driver.watches.append(self._note_machines)
+            self._front.driver.watchers.append(self._note_machines)
         return ZoneAgent(
             self._own_settings,
             agreement.drift,
@@ -191,7 +191,7 @@
                 lambda machine: zone_state(machine.id) if zone_state else "ready",
             )
             if machines:
-                self._front.driver.tell(MachinesChanged(ListForm.DELTA, machines))
+                self._front.driver.post_unwatched(MachinesChanged(ListForm.DELTA, machines))
 
     def _zone_state(self) -> Callable[[int], str] | None:
         """Return what tells as what a machine counts by its zone; None where no zone counts for less."""
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -53,7 +53,7 @@
         self._reported_looks: object = None
         self._last_looks: object = None
         self._fencing: asyncio.Task[None] | None = None
-        driver.watches.append(lambda event: self.member.handle_event(clock(), event))
+        driver.watchers.append(lambda event: self.member.handle_event(clock(), event))
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def join(self, node: ClusterNode, machines: tuple[Machine, ...]) -> None:
--- a/weldhatch/sites/forwarded_request.py
+++ b/weldhatch/sites/forwarded_request.py
@@ -9,8 +9,9 @@
 
 from weldhatch.core import ports
 from weldhatch.core.mailbox import Mailbox
+from weldhatch.core.messages import GivenUp, Released
 from weldhatch.core.policy_driver import unix_us
-from weldhatch.core.request_lifecycle import Core, Life
+from weldhatch.core.request_lifecycle import Core, RequestLifecycle
 from weldhatch.sites.background import BackgroundTasks, call_after
 from weldhatch.sites.handoff_source import (
     Answer,
@@ -56,7 +57,7 @@
     def choose(self, work: Work, left_us: int, visited: frozenset[str]) -> str | KeepLocal:
         """Return the site that a task goes to, or why it stays; `visited`: those that have had it."""
 
-    def spawn_settled(self, lifecycle: Life, then: Callable[[], None]) -> None:
+    def spawn_settled(self, lifecycle: RequestLifecycle, then: Callable[[], None]) -> None:
         """Call `then` once a task that was given up, or failed, can't run any more."""
 
     def begin_request(self, request: ForwardedRequest) -> None:
@@ -77,7 +78,7 @@
         super().__init__()
         self._site = site
         self._owner = owner
-        self._lifecycle: Life | None = None  # of the latest attempt at this site
+        self._lifecycle: RequestLifecycle | None = None  # of the latest attempt at this site
         self.task = task
         self.work = site.translator.work_of(task)
         self.answered = False
@@ -166,18 +167,18 @@
         except TaskBusyError as error:
             return error
         self._lifecycle = lifecycle = self._site.core.arrive(
-            replace(self.task, deadline_us=unix_us() + within_us), LocalOwner(self.tell)
+            replace(self.task, deadline_us=unix_us() + within_us), LocalOwner(self.deliver)
         )
         while True:
-            match await self._next():
+            match await self.next_message():
                 case LocalAnswer(answer) as here:
                     if answer is Answer.REJECTED:
                         self._release_key()
                     elif answer is Answer.FAILED:  # it may run: its key is not free before that is over
                         self._site.spawn_settled(lifecycle, self._release_key)
                     return here
-                case ports.GivenUp():
-                    lifecycle.tell(ports.GivenUp())
+                case GivenUp():
+                    lifecycle.deliver(GivenUp())
                     self._site.spawn_settled(lifecycle, self._release_key)
                     return None
 
@@ -195,10 +196,10 @@
         timer = self._loop.call_later(wait_s, outgoing.deadline_passed, id)
         try:
             while True:
-                match await self._next():
+                match await self.next_message():
                     case AnswerOwner() | ReclaimTask() as outcome if outcome.id == id:
                         return outcome
-                    case ports.GivenUp():
+                    case GivenUp():
                         outgoing.abandon(id)
                         return None
         finally:
@@ -211,15 +212,15 @@
         assert self._lifecycle is not None
         try:
             while True:
-                match await self._next():
+                match await self.next_message():
                     case LocalEnd(cause, migrated):
                         if migrated:
                             self._owner.moved()
                         else:
                             self._owner.released(cause)
                         return
-                    case ports.Released(cause):
-                        self._lifecycle.tell(ports.Released(cause))
+                    case Released(cause):
+                        self._lifecycle.deliver(Released(cause))
                         await call_after(self._lifecycle, 0.0, lambda: None)
                         return
         finally:
@@ -228,12 +229,12 @@
     async def _watch_there(self, id: TransferId) -> None:
         """Wait for the end of a task that was placed at another site."""
         while True:
-            match await self._next():
+            match await self.next_message():
                 case ReportEnd(which, cause, result) if which == id:
                     if result:
                         self._site.front.came_to(self.task, result)
                     self._owner.released(cause)
                     return
-                case ports.Released(cause):
+                case Released(cause):
                     self._site.outgoing.release(id, cause)
                     return
