--- a/tests/test_rules.py
+++ b/tests/test_scheduling_rules.py
@@ -99,7 +99,7 @@
 
 def test_the_same_events_give_the_same_actions_under_any_hash_seed():
     code = (
-        "import sys; sys.path[:0] = ['tests', '.']; from test_rules import *\n"
+        "import sys; sys.path[:0] = ['tests', '.']; from test_scheduling_rules import *\n"
         "s = make_settings(classes=CLASSES, zones=('a', 'b'))\n"
         "print([str(a) for a in Generated(Policy(s, 5), s, 5).run(80)])"
     )
