--- a/tests/test_pins_policy.py
+++ b/tests/test_pins_policy.py
@@ -466,7 +466,7 @@
         self.arrived[self.requests] = task
         self.attempts[self.requests] = [[machine, "placed"]]
         self.over.add(self.requests)
-        self.send(task)
+        self.send(task, task)  # the second one changes nothing
         self.end(rnd.randint(1000, 4 * SECOND), self.requests, 0, Outcome.OK, closed=True)
 
     def listed(self, numbers):
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -308,8 +308,9 @@
     """Guards against evictions: what is ranked by memory must not be outdone by cores."""
     driver = Driver(make_settings(classes=(make_class(calm=0.8),), report_fields=("x0", "x1")), machines(1))
     driver.answer(driver.arrive(), {1: (-10.0, memory)})
-    ranking = driver.policy._ranking
-    assert ranking.is_crowded(driver.request_records[1], driver.machine_records[1]) is crowded
+    request, machine = driver.request_records[1], driver.machine_records[1]
+    load = driver.policy._capacity.load(request, machine)
+    assert driver.policy._ranking.is_crowded(request, machine, *load) is crowded
 
 
 def test_a_machine_with_tasks_not_started_yet_is_no_home_for_further_programs():
--- a/weldhatch/scheduling/ranking.py
+++ b/weldhatch/scheduling/ranking.py
@@ -37,13 +37,10 @@
         else:
             self._crowded_tier = 3 if self._context.many_dispatchers else 6
 
-    def is_crowded(self, request: RequestRecord, machine: MachineRecord) -> bool:
-        """Whether the class would be served less than in full there, its own cores counted in."""
-        return self._is_crowded(request, machine, *self._capacity.load(request, machine))
-
-    def _is_crowded(
+    def is_crowded(
         self, request: RequestRecord, machine: MachineRecord, cores_load: float, memory_load: float
     ) -> bool:
+        """Whether the class would be served less than in full there, under these loads of `CapacityView`."""
         return self._context.now < machine.degraded_until or (
             cores_load > request.request_class.calm and cores_load > memory_load
         )
@@ -61,7 +58,7 @@
             tier += FAILED_HERE
         if machine.outlier_periods and self._is_outlier(request, machine):
             tier += OUTLIER
-        if self._is_crowded(request, machine, cores_load, memory_load):
+        if self.is_crowded(request, machine, cores_load, memory_load):
             tier += self._crowded_tier
         if machine not in self._cluster.placements.of(request.service):
             tier += self._tier_without_program(request, machine, max(cores_load, memory_load))
