--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.dispatch [--quick] [--against REV] [--sizes 40,400,4000]
 
-The module is played alone against a small world on a virtual clock: probes are answered with the room that
+The module runs alone against a small world on a virtual clock: probes are answered with the room that
 the world keeps, offers are placed where there is room and refused where not, and tasks end after a while, so
 that the fleet fills and stays busy. Only the processor time spent inside `Policy.handle` is counted
 (`time.process_time_ns`), so the world's own bookkeeping is left out.
@@ -10,7 +10,7 @@
 Where it matters: on the standing test the bench's clock moves by the processor time that a dispatcher uses,
 so every microsecond spent deciding is a microsecond that every request waits.
 
-`--against REV` plays the module of that git revision (default 1aee0c1, the version before the standing
+`--against REV` runs the module of that git revision (default 1aee0c1, the version before the standing
 test's first changes) in the same run, each in a process of its own on the same inputs, and prints the
 ratio. The last line is one JSON object.
 """
@@ -29,12 +29,14 @@
 from io import BytesIO
 from pathlib import Path
 from random import Random
+from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
 BASELINE = "1aee0c1"
+ARRIVAL_GAP_US = 2_500
 
 
-def _settings(types, group_size: int):
+def _settings(types: Any, group_size: int) -> Any:
     """Settings alike to those of the platform's site: three classes, probes, two zones, booking 2.
 
     Objective and deadline go by position: the baseline's fields had other names.
@@ -71,10 +73,13 @@
 class World:
     """Machines with room, a virtual clock and the policy's timers; the policy is the only thing timed."""
 
-    def __init__(self, types, policy_type, size: int, seed: int) -> None:
-        self.i, self.rng, self.now = types, Random(seed), 1_000_000
+    def __init__(self, types: Any, size: int, seed: int) -> None:
+        """Start with all machines empty; `types` is the module that exports the policy and its vocabulary."""
+        self.types = types
+        self.rng = Random(seed)
+        self.now = 1_000_000
         self.settings = _settings(types, 16)
-        self.policy = policy_type(self.settings, seed=seed)
+        self.policy = types.Policy(self.settings, seed=seed)
         self.size = size
         self.free = {m: [44.0, 106.0] for m in range(1, size + 1)}
         self.timers: list[tuple[int, int, object]] = []  # (when, order, event)
@@ -86,15 +91,18 @@
         self.calls = 0
         self.answers = {"placed": 0, "refused": 0, "failed": 0}
 
-    def machines(self, born: int = 0):
-        m = self.i.Machine
+    def machines(self, born: int = 0) -> tuple[Any, ...]:
+        """The list of all machines."""
+        m = self.types.Machine
         return tuple(m(k, zone=k % 2, kind=0, cell=k % 20, born_us=born) for k in self.free)
 
-    def later(self, wait: int, event) -> None:
+    def later(self, wait: int, event: object) -> None:
+        """Have an event come after a wait in microseconds."""
         self.order += 1
         heapq.heappush(self.timers, (self.now + max(0, wait), self.order, event))
 
-    def handle(self, events: list) -> None:
+    def handle(self, events: list[object]) -> None:
+        """Have the policy decide, timed, and carry its actions out."""
         start = time.process_time_ns()
         actions = self.policy.handle(self.now, events)
         self.cpu_ns += time.process_time_ns() - start
@@ -102,47 +110,67 @@
         for action in actions:
             self.carry_out(action)
 
-    def carry_out(self, action) -> None:
-        i = self.i
-        if isinstance(action, i.SetTimer):
-            self.later(action.after_us, i.TimerFired(action.timer))
-        elif isinstance(action, i.Probe):
-            room = self.free.get(action.machine)
-            if room is not None:
-                report = (max(0.0, room[0]), max(0.0, room[1]))
-                self.later(300, i.ProbeAnswered(action.machine, i.Outcome.OK, 300, report))
-        elif isinstance(action, i.Offer):
-            attempt = self.attempts.get(action.request, -1) + 1
-            self.attempts[action.request] = attempt
-            cores, memory = self.asks[action.request]
-            room = self.free[action.machine]
-            if room[0] >= cores and room[1] >= memory:
-                room[0] -= cores
-                room[1] -= memory
-                self.tasks[action.request] = (action.machine, attempt, cores, memory)
-                self.later(800, i.Placed(action.request, attempt, action.machine, 800))
-                self.later(self.rng.randint(2_000_000, 20_000_000), ("end", action.request))
-            else:
-                reason = i.Reason.NO_MEMORY if room[1] < memory else i.Reason.NO_CORES
-                self.later(
-                    600,
-                    i.AttemptEnded(
-                        action.request,
-                        attempt,
-                        action.machine,
-                        i.Outcome.FULL,
-                        600,
-                        reason,
-                        False,
-                        tuple(room),
-                    ),
+    def time_of(self, event: object) -> int:
+        """Processor time in nanoseconds that the policy takes for an event; its actions are dropped."""
+        start = time.process_time_ns()
+        self.policy.handle(self.now, [event])
+        return time.process_time_ns() - start
+
+    def arrive(self, number: int) -> None:
+        """Have one request of a random class and size arrive."""
+        class_index = self.rng.choice((0, 0, 0, 1, 2))
+        cores, memory = self.rng.choice(((1.0, 2.0), (2.0, 4.0), (4.0, 8.0)))
+        self.asks[number] = (cores, memory)
+        deadline = self.now + self.settings.classes[class_index].deadline_us
+        service = self.rng.randrange(40)
+        self.handle(
+            [
+                self.types.RequestArrived(
+                    number, class_index, deadline, service=service, cores=cores, memory=memory
                 )
-        elif isinstance(action, getattr(i, "Reject", None) or i.Refuse):
+            ]
+        )
+
+    def carry_out(self, action: Any) -> None:
+        """Answer one action as the machines would."""
+        types = self.types
+        if isinstance(action, types.SetTimer):
+            self.later(action.after_us, types.TimerFired(action.timer))
+        elif isinstance(action, types.Probe):
+            free = self.free.get(action.machine)
+            if free is not None:
+                report = (max(0.0, free[0]), max(0.0, free[1]))
+                self.later(300, types.ProbeAnswered(action.machine, types.Outcome.OK, 300, report))
+        elif isinstance(action, types.Offer):
+            self._take_offer(action)
+        elif isinstance(action, getattr(types, "Reject", None) or types.Refuse):
             self.answers["refused"] += 1
-        elif isinstance(action, i.Fail):
+        elif isinstance(action, types.Fail):
             self.answers["failed"] += 1
 
+    def _take_offer(self, offer: Any) -> None:
+        """Place the task where there is capacity, else decline the offer."""
+        types = self.types
+        attempt = self.attempts.get(offer.request, -1) + 1
+        self.attempts[offer.request] = attempt
+        cores, memory = self.asks[offer.request]
+        free = self.free[offer.machine]
+        if free[0] >= cores and free[1] >= memory:
+            free[0] -= cores
+            free[1] -= memory
+            self.tasks[offer.request] = (offer.machine, attempt, cores, memory)
+            self.later(800, types.Placed(offer.request, attempt, offer.machine, 800))
+            self.later(self.rng.randint(2_000_000, 20_000_000), ("end", offer.request))
+            return
+        reason = types.Reason.NO_MEMORY if free[1] < memory else types.Reason.NO_CORES
+        full = types.Outcome.FULL
+        ended = types.AttemptEnded(
+            offer.request, attempt, offer.machine, full, 600, reason, False, tuple(free)
+        )
+        self.later(600, ended)
+
     def step_until(self, until: int) -> None:
+        """Let time pass until then."""
         while self.timers and self.timers[0][0] <= until:
             when, _, event = heapq.heappop(self.timers)
             self.now = max(self.now, when)
@@ -154,56 +182,32 @@
                 room[1] += memory
                 self.handle(
                     [
-                        self.i.AttemptEnded(
-                            request, attempt, machine, self.i.Outcome.OK, 0, 0, True, tuple(room)
+                        self.types.AttemptEnded(
+                            request, attempt, machine, self.types.Outcome.OK, 0, 0, True, tuple(room)
                         )
                     ]
                 )
                 continue
-            if isinstance(event, self.i.Placed):
+            if isinstance(event, self.types.Placed):
                 self.answers["placed"] += 1
             self.handle([event])
         self.now = max(self.now, until)
 
 
-def play(size: int, requests: int, seed: int) -> dict:
-    """Play `requests` arrivals at 400 a second over `size` machines; CPU per request and list update."""
+def measure(size: int, requests: int, seed: int) -> dict[str, Any]:
+    """Run `requests` arrivals at 400 a second over `size` machines; CPU per request and list update."""
     import weldhatch  # only the names that every revision exports: the baseline's modules had others
 
-    world = World(weldhatch, weldhatch.Policy, size, seed)
+    world = World(weldhatch, size, seed)
     world.handle([weldhatch.MachinesChanged(weldhatch.ListForm.FULL, world.machines(), 1)])
     world.cpu_ns = 0
-    gap = 2_500  # microseconds between arrivals
-    for k in range(1, requests + 1):
-        world.step_until(world.now + gap)
-        cls = world.rng.choice((0, 0, 0, 1, 2))
-        cores, memory = world.rng.choice(((1.0, 2.0), (2.0, 4.0), (4.0, 8.0)))
-        world.asks[k] = (cores, memory)
-        deadline = world.now + world.settings.classes[cls].deadline_us
-        world.handle(
-            [
-                weldhatch.RequestArrived(
-                    k, cls, deadline, service=world.rng.randrange(40), cores=cores, memory=memory
-                )
-            ]
-        )
+    for number in range(1, requests + 1):
+        world.step_until(world.now + ARRIVAL_GAP_US)
+        world.arrive(number)
     world.step_until(world.now + 30_000_000)
     per_request = world.cpu_ns / requests / 1000
-
-    # list updates: one machine changes state (a delta), and the whole list again (full)
     updates = 50 if size <= 400 else 10
-    delta_ns = full_ns = 0
-    for k in range(updates):
-        state = weldhatch.MachineState.DRAINING if k % 2 else weldhatch.MachineState.READY
-        machine = weldhatch.Machine(1 + k % size, zone=0, kind=0, cell=0, state=state)
-        delta = weldhatch.MachinesChanged(weldhatch.ListForm.DELTA, (machine,), 2 + k)
-        full = weldhatch.MachinesChanged(weldhatch.ListForm.FULL, world.machines(), 2 + k)
-        start = time.process_time_ns()
-        world.policy.handle(world.now, [delta])
-        delta_ns += time.process_time_ns() - start
-        start = time.process_time_ns()
-        world.policy.handle(world.now, [full])
-        full_ns += time.process_time_ns() - start
+    delta_ns, full_ns = _list_times(world, updates)
     return {
         "size": size,
         "requests": requests,
@@ -214,8 +218,23 @@
     }
 
 
+def _list_times(world: World, updates: int) -> tuple[int, int]:
+    """Nanoseconds of list updates: one machine changes state (a delta), and the whole list again (full)."""
+    types = world.types
+    delta_ns = 0
+    full_ns = 0
+    for number in range(updates):
+        state = types.MachineState.DRAINING if number % 2 else types.MachineState.READY
+        machine = types.Machine(1 + number % world.size, zone=0, kind=0, cell=0, state=state)
+        delta = types.MachinesChanged(types.ListForm.DELTA, (machine,), 2 + number)
+        full = types.MachinesChanged(types.ListForm.FULL, world.machines(), 2 + number)
+        delta_ns += world.time_of(delta)
+        full_ns += world.time_of(full)
+    return delta_ns, full_ns
+
+
 def _child(args: argparse.Namespace) -> None:
-    rows = [play(size, args.requests, args.seed) for size in args.sizes]
+    rows = [measure(size, args.requests, args.seed) for size in args.sizes]
     print(json.dumps(rows))
 
 
@@ -236,7 +255,7 @@
     return into
 
 
-def _run(path: Path, args: argparse.Namespace) -> list[dict]:
+def _run(path: Path, args: argparse.Namespace) -> list[dict[str, Any]]:
     env = dict(os.environ, PYTHONPATH=str(path), PYTHONDONTWRITEBYTECODE="1")
     command = [
         sys.executable,
@@ -251,11 +270,13 @@
     ]
     done = subprocess.run(command, env=env, capture_output=True, text=True, cwd=str(path))
     if done.returncode:
-        raise SystemExit(f"dispatch: the play under {path} failed:\n{done.stderr.strip()}")
-    return json.loads(done.stdout.strip().splitlines()[-1])
+        raise SystemExit(f"dispatch: the run under {path} failed:\n{done.stderr.strip()}")
+    rows: list[dict[str, Any]] = json.loads(done.stdout.strip().splitlines()[-1])
+    return rows
 
 
 def main(argv: list[str] | None = None) -> None:
+    """Measure this tree and a baseline, print both and the ratio."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.dispatch", description=__doc__.split("\n")[0])
     parser.add_argument("--quick", action="store_true", help="fewer requests, sizes 40 and 400")
     parser.add_argument(
