--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 lint: build
 	.venv/bin/ruff check .
 	.venv/bin/ruff format --check .
+	.venv/bin/mypy
 
 run: build  # wants PROXY_CONFIG, as on the platform
 	$(PYTHON) -m weldhatch
