--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -204,8 +204,8 @@
     async def waiting_for_the_connection(self, name: str) -> object:
         """The link on which the set-up waits for the connection; its probe has been given up by then."""
         links = self.gateway.servers._links.values()
-        await self.until(lambda: any(tag(name) in link._pending for link in links), "the set-up waits")
-        return next(link for link in links if tag(name) in link._pending)
+        await self.until(lambda: any(tag(name) in link.records.waiting for link in links), "the set-up waits")
+        return next(link for link in links if tag(name) in link.records.waiting)
 
 
 class WhileWaiting(Departures):
@@ -264,13 +264,13 @@
                 client.ask(f"a{n}")
                 link = await self.waiting_for_the_connection(f"a{n}")
                 client.leave(how)
-                await self.until(lambda link=link: not link.out, "the set-up was taken back")
+                await self.until(lambda link=link: not link.records.in_flight, "the set-up was taken back")
                 await self.past_the_term()
                 dial.set()
                 await self.judge()
                 await self.drain()
                 await self.play("s1 close")
-                await self.until(lambda link=link: link._up is None, "the connection ended")
+                await self.until(lambda link=link: link.connection is None, "the connection ended")
 
     async def test_a_client_that_is_turned_away_has_nothing_sent_for_it_from_then_on(self) -> None:
         """It isn't read any more until it is closed, and it leaves meanwhile."""
@@ -369,7 +369,7 @@
                 await self.judge()
                 await self.drain()
             await self.play("s1 close")
-            await self.until(lambda link=link: link._up is None, "the connection ended")
+            await self.until(lambda link=link: link.connection is None, "the connection ended")
 
     async def test_a_set_up_and_its_leaving_that_come_in_one_read_reach_no_server(self) -> None:
         """With hundreds of lines in between too: the end of a pipeline is read late."""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -247,7 +247,7 @@
         await self.play("s1 close")
         taken = self.gateway.servers._share.take
         await self.until(lambda: taken.call_count > 4, "it was tried again")
-        self.assertTrue(link.standing, self.logged)
+        self.assertTrue(link.records.running, self.logged)
         self.gateway.servers._share = share
         await self.until(lambda: self.parties["s1"].writers, "connected anew")
         await self.play("s1 send RELEASE a1 cause=16\nowner expect FINISH a1 cause=16")
--- a/tests/test_faulty_servers.py
+++ b/tests/test_faulty_servers.py
@@ -9,7 +9,7 @@
 from weldhatch.core import ports
 from weldhatch.platform import health_check, server_codec, servers
 from weldhatch.platform.endpoint_list import machine_number
-from weldhatch.platform.servers import Names
+from weldhatch.platform.servers import TaskNames
 from weldhatch.scheduling.types import Outcome
 
 SEND = "owner send START {0} class={1}\ns1 expect SET_UP {0}\n"
@@ -143,12 +143,12 @@
         """Guards against a set-up that goes to a server it was not offered to, under another's uid."""
         await self.until(lambda: self.bus.writers, "the bus is read")
         gateway, told = self.gateway.servers, []
-        names = Names(tag("a1"), "unsafe", "7", "", "v=0")
+        names = TaskNames(tag("a1"), "unsafe", "7", "", "v=0")
         task = ports.Task("a1", 2, 9, 1.0, 1.0, 0, passed_on=names)
         receiver = unittest.mock.Mock(deliver=told.append)
         gateway.offer(machine_number("u-s1"), task, 0, 1_000_000, receiver)
         new = {**self.target("s1"), "uid": "u-new"}
-        self.gateway._told(
+        self.gateway._bus_event(
             {"offset": 2, "topology": {"rev": 2, "targets": [self.target("s1", "draining"), new]}}
         )
         gateway.offer(machine_number("u-s1"), task, 1, 1_000_000, receiver)
--- a/tests/test_health_check.py
+++ b/tests/test_health_check.py
@@ -5,7 +5,7 @@
 
 from scenario import SETTINGS, Scenario
 
-from weldhatch.platform import health_check, server_link, servers
+from weldhatch.platform import health_check, servers, silence_check
 from weldhatch.platform.health_check import (
     CELLS_MOST,
     QUIET_S,
@@ -25,7 +25,7 @@
 
 class QuietLimit(unittest.TestCase):
     def test_what_follows_an_unanswered_test_still_ends_within_the_rules_eight_seconds(self):
-        trial = server_link.SILENT_S + server_link.LOST_TRIES * max(server_link.SILENT_S, 0.25)
+        trial = silence_check.SILENT_S + silence_check.LOST_TRIES * max(silence_check.SILENT_S, 0.25)
         stalls = 3 * servers.STALL_S
         self.assertLess(QUIET_S + 2 * servers.WATCH_S + trial + stalls, 8.0)
 
@@ -72,17 +72,17 @@
         await self.play(PLACED)
         (link,) = self.gateway.servers._links.values()
         watched, tested = [], []
-        watch, test = type(link).watch, servers.Servers.test
+        watch, test = type(link.silence).watch, servers.Servers.check_health
         with (
             mock.patch.object(health_check, "QUIET_S", 1000.0),
             mock.patch.object(health_check, "SUSPECT_QUIET_S", 0.0),
-            mock.patch.object(server_link, "SUSPECT_QUIET_S", 0.0),
-            mock.patch.object(type(link), "watch", lambda *a: (watched.append(a), watch(*a))),
-            mock.patch.object(servers.Servers, "test", lambda *a: (tested.append(a), test(*a))),
+            mock.patch.object(silence_check, "SUSPECT_QUIET_S", 0.0),
+            mock.patch.object(type(link.silence), "watch", lambda *a: (watched.append(a), watch(*a))),
+            mock.patch.object(servers.Servers, "check_health", lambda *a: (tested.append(a), test(*a))),
         ):
             await self.until(lambda: len(watched) >= 3, "the server is watched")
             self.assertEqual([], tested)
-            self.gateway.servers.vanished(link.server)
+            self.gateway.servers.mark_vanished(link.server)
             await self.until(lambda: tested, "the neighbour of a vanished server is tested")
 
 
@@ -93,7 +93,7 @@
         (link,) = self.gateway.servers._links.values()
         (node,) = self.gateway.driver._policy._cluster.machines.values()
         self.parties["s1"].report = "x0:31;x1:77"
-        self.gateway.servers.test(link)
+        self.gateway.servers.check_health(link)
         await self.until(
             lambda: (node.unreserved.reported_cores, node.unreserved.reported_memory) == (31.0, 77.0),
             "the module hears the report",
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -19,7 +19,8 @@
 from weldhatch.net import connection
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.platform import client_connection
-from weldhatch.platform.server_link import EXCUSES_MOST, ServerLink
+from weldhatch.platform.server_link import ServerLink
+from weldhatch.platform.silence_check import EXCUSES_MOST
 from weldhatch.scheduling.actions import Cancel
 
 PLACE = """
@@ -145,8 +146,8 @@
         self.hold_connects()
         await self.play("owner send START a1")
         await self.until(self.dialled.is_set, "a connect to the server")
-        await self.until(lambda: self.link().probes, "the probe of the first draw")
-        await self.until(lambda: self.link().out, "an offer that waits for the connection")
+        await self.until(lambda: self.link().records.probes, "the probe of the first draw")
+        await self.until(lambda: self.link().records.in_flight, "an offer that waits for the connection")
         await self.play("owner close")
         await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
         self.gate.set()
@@ -159,7 +160,7 @@
         await self.until(self.dialled.is_set, "connected anew for the standing task")
         await self.play("owner send FINISH a1 cause=16")
         await self.until(
-            lambda: self.link().standing[tag("a1")].last_word, "the release waits for the connection"
+            lambda: self.link().records.running[tag("a1")].end_request, "the release waits for the connection"
         )
         self.gate.set()
         await self.until(lambda: self.parties["s1"].writers, "the second dial came up")
@@ -229,7 +230,9 @@
     async def test_a_trial_of_a_silent_connection_leaves_the_one_that_came_after_it_alone(self):
         await self.play("owner send START a1 class=unsafe\ns1 expect SET_UP a1\ns1 hang")
         link, server = self.link(), self.parties["s1"]
-        link._excuses = EXCUSES_MOST  # this trial is the last that the silent connection is excused for
+        link.silence._excuses = (
+            EXCUSES_MOST  # this trial is the last that the silent connection is excused for
+        )
         real, dials, gate = self.gateway.servers.connect, [], asyncio.Event()
 
         async def connect(told):
@@ -246,7 +249,7 @@
             "owner expect FINISH a1 cause=47\nowner send START a2 class=unsafe\ns1 expect SET_UP a2"
         )
         gate.set()
-        await self.until(lambda: link._trial is None, "the end of the trial")
+        await self.until(lambda: not link.silence.is_trying, "the end of the trial")
         await self.play("s1 send ANSWER a2\nowner expect STARTED a2")
 
 
--- a/weldhatch/gateway.py
+++ b/weldhatch/gateway.py
@@ -85,7 +85,7 @@
             self._load_reported,
             self._log,
         )
-        self.servers_list = EndpointList(self.settings, self.servers.changed, self._log)
+        self.servers_list = EndpointList(self.settings, self.servers.update, self._log)
         # Whatever clients and servers hold, the bus has descriptors of its own: else nobody would bring the
         # list up to date.
         bus_share = DescriptorShare(DescriptorBudget(RESERVED + LEAST_SLOTS), BUS_SLOTS)
@@ -134,7 +134,7 @@
 
     def on_break(self, broke: Callable[[int], None]) -> None:
         """Notify of machines whose connection has ended."""
-        self.servers.broke = broke
+        self.servers.connection_lost = broke
 
     def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
         """Do nothing: directives reach the policy with the list of machines, by `update_machines`."""
--- a/weldhatch/net/connection.py
+++ b/weldhatch/net/connection.py
@@ -10,7 +10,7 @@
 import time
 import traceback
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, Protocol, TypeVar
 
 from tornado.iostream import IOStream, StreamClosedError
 
@@ -19,6 +19,8 @@
 if TYPE_CHECKING:
     import ssl
 
+Message = TypeVar("Message")
+
 MESSAGE_MOST = 16 * 1024  # a longer message closes its connection
 IN_MOST = MESSAGE_MOST + 2048  # one message, and the start of the next
 OUT_MOST = 128 * 1024  # a peer that leaves so much unread is closed
@@ -59,8 +61,8 @@
 
     async def pump(
         self,
-        parse: Callable[[RingBuffer], object],
-        handle: Callable[[object], None],
+        parse: Callable[[RingBuffer], Message | None],
+        handle: Callable[[Message], None],
         turn_away: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
         """Hand on each message until the connection ends; then give it back.
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -7,6 +7,7 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import cast
 
 from weldhatch.core import ports
 from weldhatch.core.messages import Ended, GiveUpResult
@@ -15,7 +16,8 @@
 from weldhatch.platform import server_codec
 from weldhatch.platform.endpoint_list import Server
 from weldhatch.platform.health_check import HealthCheckSchedule
-from weldhatch.platform.server_link import Held, ServerLink
+from weldhatch.platform.server_link import ServerLink
+from weldhatch.platform.server_records import TaskRecord
 from weldhatch.scheduling.types import MachineState, Outcome, Settings
 
 WATCH_S = 0.1
@@ -40,6 +42,11 @@
     description: str
 
 
+def _names(task: ports.Task) -> TaskNames:
+    """Return what the client front has passed on with the task."""
+    return cast(TaskNames, task.passed_on)
+
+
 class Servers:
     """All links: the platform's side of `ports.Site`."""
 
@@ -58,16 +65,20 @@
         # for the report that the module would otherwise probe for.
         self._asks = int(settings.may_probe and bool(settings.report_fields))
         self._dial_s, self._probe_s, self.log = dial_s, probe_s, log
-        self.broke: Callable[[int], None] = lambda machine: None  # hears that a machine's connection ended
+        self.connection_lost: Callable[[int], None] = (
+            lambda machine: None
+        )  # hears that a machine's connection ended
         self._links: dict[int, ServerLink] = {}
         self._unclaimed: dict[bytes, tuple[float, Ended]] = {}  # the oldest first
-        self._unlisted: dict[int, dict[bytes, Held]] = {}  # tasks on machines that no list has named yet
+        self._unlisted: dict[
+            int, dict[bytes, TaskRecord]
+        ] = {}  # tasks on machines that no list has named yet
         self._tests, self._schedule = 0, HealthCheckSchedule()
         self._watching = asyncio.get_running_loop().create_task(self._watch())
 
     # ---- the list ------------------------------------------------------------------------------------------
 
-    def changed(self, servers: list[Server]) -> None:
+    def update(self, servers: list[Server]) -> None:
         """News of machines: of a new address, a new start, or the end."""
         for server in servers:
             link = self._links.get(server.machine)
@@ -76,17 +87,17 @@
                     self._links[server.machine] = link = ServerLink(self, server)
                     self._passed_on(server)
                     if unlisted := self._unlisted.pop(server.machine, None):
-                        link.standing |= unlisted
+                        link.records.running |= unlisted
                         link.open()
                 continue
             old, link.server = link.server, server
-            link.replaced = link.replaced and server.state == MachineState.REMOVED
+            link.is_replaced = link.is_replaced and server.state == MachineState.REMOVED
             self._passed_on(server)
             if server.endpoint != old.endpoint and server.state != MachineState.REMOVED:
                 link.drop("has a new address")
             if server.boot_ms > old.boot_ms:
                 link.lose("has started anew", server.boot_ms / 1000)
-            if server.state == MachineState.REMOVED and link.standing:
+            if server.state == MachineState.REMOVED and link.records.running:
                 self._ask_whether_alive(link)
 
     def _passed_on(self, server: Server) -> None:
@@ -108,8 +119,8 @@
         Guards against a fleet larger than the budget: the servers asked first would shut out all others.
         """
         now = time.monotonic()
-        idle = [link for link in self._links.values() if link.idle(now)]
-        for link in heapq.nsmallest(most, idle, key=lambda link: link.used):
+        idle = [link for link in self._links.values() if link.is_idle(now)]
+        for link in heapq.nsmallest(most, idle, key=lambda link: link.last_used):
             link.make_room()
         return min(most, len(idle))
 
@@ -119,13 +130,13 @@
             await asyncio.sleep(WATCH_S)
             now = time.monotonic()
             for machine, link in list(self._links.items()):
-                if link.over:  # it has told all it had to tell
+                if link.is_over:  # it has told all it had to tell
                     link.close()
                     del self._links[machine]
                 elif now - last > WATCH_S + STALL_S:
-                    link.excuse(now)
+                    link.silence.excuse(now)
                 else:
-                    link.watch(now)
+                    link.silence.watch(now)
             self._give_up_unlisted(time.time())
             for tag, (came, _) in list(self._unclaimed.items()):
                 if now - came < UNCLAIMED_S:
@@ -136,11 +147,11 @@
     def _give_up_unlisted(self, now: float) -> None:
         """Tasks whose machine no list has named in time are lost."""
         for machine, unlisted in list(self._unlisted.items()):
-            for tag, held in list(unlisted.items()):
-                if now - held.since > UNLISTED_S:
+            for tag, record in list(unlisted.items()):
+                if now - record.since > UNLISTED_S:
                     del unlisted[tag]
                     self.log(f"a task on machine {machine}, which no list has named")
-                    held.receiver.deliver(Ended(0, Outcome.RESET))
+                    record.receiver.deliver(Ended(0, Outcome.RESET))
             if not unlisted:
                 del self._unlisted[machine]
 
@@ -160,12 +171,12 @@
         receiver: ports.Receiver,
         start_by_us: int = 0,
     ) -> None:
-        link, names = self._links.get(machine), task.passed_on
+        link, names = self._links.get(machine), _names(task)
         # Guards against the late answer to an attempt that was given up there: it has the same tag as ours.
-        if link is None or link.replaced or link.may_answer_late(names.tag, receiver):
+        if link is None or link.is_replaced or link.records.may_answer_late(names.tag, receiver):
             receiver.deliver(Ended(attempt, Outcome.NOT_SENT))
             return
-        link.out[names.tag] = Held(attempt, receiver, 0.0, start_by_us)
+        link.records.in_flight[names.tag] = TaskRecord(attempt, receiver, 0.0, start_by_us)
         parameters = {
             server_codec.CLASS: names.class_name.encode(),
             server_codec.LEFT: str(max(1, wait_us // 1000)).encode(),
@@ -178,27 +189,27 @@
 
     def adopt(self, machine: int, task: ports.Task, receiver: ports.Receiver) -> None:
         """Its end comes on any open connection, or on the next one: one is kept open for it."""
-        tag, link = task.passed_on.tag, self._links.get(machine)
+        tag, link = _names(task).tag, self._links.get(machine)
         if ended := self._unclaimed.pop(tag, None):
             receiver.deliver(ended[1])
         elif link is None:
             # Guards against tasks told as cut at a start: owners name them before the list is up to date.
-            self._unlisted.setdefault(machine, {})[tag] = Held(0, receiver, time.time())
-        elif link.replaced:
+            self._unlisted.setdefault(machine, {})[tag] = TaskRecord(0, receiver, time.time())
+        elif link.is_replaced:
             receiver.deliver(Ended(0, Outcome.RESET))
         else:
-            link.standing[tag] = Held(0, receiver, time.time())
+            link.records.running[tag] = TaskRecord(0, receiver, time.time())
             link.open()
 
     def give_up(self, machine: int, task: ports.Task) -> GiveUpResult:
-        link, tag = self._links.get(machine), task.passed_on.tag
+        link, tag = self._links.get(machine), _names(task).tag
         if link is None:
             return GiveUpResult.GIVEN_UP
         # What was answered in the same moment stands there by now, and is ended as well.
-        if held := link.out.pop(tag, None) or link.standing.pop(tag, None):
-            if link.unsent(tag):
+        if record := link.records.in_flight.pop(tag, None) or link.records.running.pop(tag, None):
+            if link.records.withdraw(tag):
                 return GiveUpResult.WITHDRAWN
-            link.give_up(tag, held.receiver)
+            link.give_up(tag, record.receiver)
         return GiveUpResult.GIVEN_UP
 
     def release(self, machine: int, task: ports.Task, cause: int) -> None:
@@ -206,39 +217,39 @@
             machine,
             task,
             server_codec.encode(
-                server_codec.RELEASE, task.passed_on.tag, {server_codec.CAUSE: bytes((cause & 255,))}
+                server_codec.RELEASE, _names(task).tag, {server_codec.CAUSE: bytes((cause & 255,))}
             ),
         )
 
     def move(self, machine: int, task: ports.Task) -> None:
-        self._end(machine, task, server_codec.encode(server_codec.MOVE, task.passed_on.tag))
+        self._end(machine, task, server_codec.encode(server_codec.MOVE, _names(task).tag))
 
-    def _end(self, machine: int, task: ports.Task, last_word: bytes) -> None:
+    def _end(self, machine: int, task: ports.Task, end_request: bytes) -> None:
         """How a task that stands is to end; where its machine holds it no more, its end is under way.
 
         Guards against a word that is lost with its connection: the next one says it again.
         """
-        tag = task.passed_on.tag
+        tag = _names(task).tag
         link = self._links.get(machine)
-        if link is not None and tag in link.standing:
-            link.standing[tag].last_word = last_word
-            link.say_last_word(last_word)
+        if link is not None and tag in link.records.running:
+            link.records.running[tag].end_request = end_request
+            link.send_end_request(end_request)
         elif tag in (unlisted := self._unlisted.get(machine, {})):
-            unlisted[tag].last_word = last_word
+            unlisted[tag].end_request = end_request
 
     def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
         link = self._links.get(machine)
-        if link is None or link.replaced:
+        if link is None or link.is_replaced:
             done(Outcome.CONNECT_FAILED, ())
             return
-        tag = self._test_tag()
+        tag = self._check_tag()
         timer = asyncio.get_running_loop().call_later(self._probe_s, self._probe_late, link, tag)
-        link.probes[tag] = (done, timer)
+        link.records.probes[tag] = (done, timer)
         link.send(tag, server_codec.encode(server_codec.TEST, tag, {server_codec.CAUSE: b"\1"}))
 
     def _probe_late(self, link: ServerLink, tag: bytes) -> None:
-        done, _ = link.probes.pop(tag)
-        link.unsent(tag)
+        done, _ = link.records.probes.pop(tag)
+        link.records.withdraw(tag)
         done(Outcome.TIMEOUT, ())
 
     def _ask_whether_alive(self, link: ServerLink) -> None:
@@ -246,22 +257,22 @@
 
         Guards against a process that ended and whose reset never came: its connection looks open.
         """
-        if link.connected:
-            self.test(link)
+        if link.is_connected:
+            self.check_health(link)
         else:
             link.open()
 
-    def test(self, link: ServerLink) -> None:
+    def check_health(self, link: ServerLink) -> None:
         """A test that nobody waits for: any answer shows life, and its report is passed on."""
-        message = self.test_message()
+        message = self.health_check_message()
         link.send(message, message)
 
-    def test_message(self) -> bytes:
+    def health_check_message(self) -> bytes:
         return server_codec.encode(
-            server_codec.TEST, self._test_tag(), {server_codec.CAUSE: bytes((self._asks,))}
+            server_codec.TEST, self._check_tag(), {server_codec.CAUSE: bytes((self._asks,))}
         )
 
-    def _test_tag(self) -> bytes:
+    def _check_tag(self) -> bytes:
         self._tests += 1
         return self._tests.to_bytes(8, "big")
 
@@ -273,7 +284,7 @@
             return min(LEAVING_QUIET_S, self._schedule.quiet_limit(now, server.zone, server.cell))
         return self._schedule.quiet_limit(now, server.zone, server.cell)
 
-    def vanished(self, server: Server) -> None:
+    def mark_vanished(self, server: Server) -> None:
         self._schedule.vanished(time.monotonic(), server.zone, server.cell)
 
     def unclaimed(self, tag: bytes, ended: Ended) -> None:
