--- a/tests/test_faulty_servers.py
+++ b/tests/test_faulty_servers.py
@@ -7,9 +7,9 @@
 from scenario import LONG, Scenario, tag
 
 from weldhatch.core import ports
-from weldhatch.platform import health_check, server_codec, servers
+from weldhatch.platform import health_check, server_codec, unmatched_tasks
 from weldhatch.platform.endpoint_list import machine_number
-from weldhatch.platform.servers import TaskNames
+from weldhatch.platform.task_names import TaskNames
 from weldhatch.scheduling.types import Outcome
 
 SEND = "owner send START {0} class={1}\ns1 expect SET_UP {0}\n"
@@ -76,10 +76,10 @@
 
     async def test_a_release_that_nobody_claims_is_kept_for_a_while_only(self):
         await self.play(SEND.format("a1", "unsafe"))
-        with unittest.mock.patch.object(servers, "UNCLAIMED_S", 0.2):
+        with unittest.mock.patch.object(unmatched_tasks, "UNCLAIMED_S", 0.2):
             self.write(server_codec.encode(server_codec.RELEASE, tag("zz"), {server_codec.CAUSE: b"\x10"}))
-            await self.until(lambda: self.gateway.servers._unclaimed, "the release was kept")
-            await self.until(lambda: not self.gateway.servers._unclaimed, "it was dropped")
+            await self.until(lambda: self.gateway.servers._unmatched.has_unclaimed, "the release was kept")
+            await self.until(lambda: not self.gateway.servers._unmatched.has_unclaimed, "it was dropped")
 
     async def test_a_release_that_comes_on_the_connection_of_a_trial_is_received(self):
         """Guards against trials that are closed unread: a release may come on any open connection."""
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.net.rate_limited_log import MAX_LINES_S, RateLimitedLog
 from weldhatch.net.ring_buffer import INITIAL_LENGTH, RingBuffer
-from weldhatch.platform import client_codec, event_bus, server_codec
+from weldhatch.platform import client_codec, event_stream, server_codec
 from weldhatch.pullqueue import http
 
 STEPS = st.lists(st.one_of(st.binary(max_size=12), st.integers(0, 12)), max_size=60)
@@ -87,7 +87,7 @@
         parts = [body[:5], body[5:]]
         body = b"".join(f"{len(part):x}\r\n".encode() + part + b"\r\n" for part in parts)
     head = b"HTTP/1.1 200 OK\r\n" + b"Transfer-Encoding: chunked\r\n" * chunked + b"\r\n"
-    lines = [line for some in in_pieces(event_bus.Stream().lines, head + body, size) for line in some]
+    lines = [line for some in in_pieces(event_stream.EventStream().lines, head + body, size) for line in some]
     assert lines == [": hello", "", "id: 2", "data: {}", ""]
 
 
@@ -102,7 +102,7 @@
         (client_codec.parse, b'{"verb":"START","tag":"9b1f03aa5c7e2d41","blob":"\\ud800"}\n'),
         (client_codec.parse, b'{"verb":1,"tag":"9b1f03aa5c7e2d41"}\n'),
         (client_codec.parse, b'{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","rc":"x"}\n'),
-        (event_bus.Stream().lines, b"HTTP/1.1 503 No\r\n\r\n"),
+        (event_stream.EventStream().lines, b"HTTP/1.1 503 No\r\n\r\n"),
     ],
 )
 def test_what_cannot_be_read_is_malformed(parse, data):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,7 +10,7 @@
 
 from weldhatch.core import ports
 from weldhatch.core.messages import Answered
-from weldhatch.platform.servers import TaskNames
+from weldhatch.platform.task_names import TaskNames
 
 PLACE = """
     owner send START a1 | v=0
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -20,7 +20,7 @@
 from weldhatch.platform.client_connection import SWEEP_S, ClientConnection
 from weldhatch.platform.client_request import ClientRequest
 from weldhatch.platform.endpoint_list import machine_number
-from weldhatch.platform.servers import TaskNames
+from weldhatch.platform.task_names import TaskNames
 from weldhatch.scheduling.types import Settings
 
 SHUTDOWN_RETRY_US = 1_000_000  # when to come back, for what reaches a dispatcher that shuts down
--- a/weldhatch/platform/endpoint_list.py
+++ b/weldhatch/platform/endpoint_list.py
@@ -5,6 +5,7 @@
 import hashlib
 from collections.abc import Callable
 from dataclasses import dataclass, replace
+from typing import Any
 
 from weldhatch.scheduling.events import MachinesChanged
 from weldhatch.scheduling.types import ListForm, Machine, MachineState, Settings
@@ -26,7 +27,7 @@
 
 
 def machine_number(uid: str) -> int:
-    """The machine's number for the policy: the same at every dispatcher, whose homes must agree."""
+    """Return the machine's number for the policy: the same at every dispatcher, whose homes must agree."""
     return int.from_bytes(hashlib.blake2b(uid.encode(), digest_size=6).digest(), "big")
 
 
@@ -36,15 +37,17 @@
     def __init__(
         self, settings: Settings, changed: Callable[[list[Server]], None], log: Callable[[str], None]
     ) -> None:
+        """Start with an empty list; `changed` gets the servers of each event."""
         self._zones = {name: n for n, name in enumerate(settings.zones)}
         self._kinds = {kind.name: n for n, kind in enumerate(settings.kinds)}
         self._cells: dict[object, int] = {}
-        self._changed, self._log = changed, log
+        self._changed = changed
+        self._log = log
         self.servers: dict[int, Server] = {}
         self.offset = 0
 
-    def take(self, event: dict) -> MachinesChanged | None:
-        """One event of the bus; None where it is old. Raises ValueError where it can't be read."""
+    def take(self, event: dict[str, Any]) -> MachinesChanged | None:
+        """Apply one event of the bus; None where it is old. Raises ValueError where it can't be read."""
         try:
             offset = int(event["offset"])
             if offset <= self.offset:
@@ -75,17 +78,21 @@
         form = ListForm.CACHED if first and whole else ListForm.FULL if whole else ListForm.DELTA
         return MachinesChanged(form, tuple(machine for _, machine in entries), version)
 
-    def _entry(self, target: dict) -> tuple[Server, Machine]:
-        uid, state, boot = str(target["uid"]), _STATES[target["state"]], int(target.get("boot_ms") or 0)
+    def _entry(self, target: dict[str, Any]) -> tuple[Server, Machine]:
+        uid = str(target["uid"])
+        state = _STATES[target["state"]]
+        boot_ms = int(target.get("boot_ms") or 0)
         number = machine_number(uid)
         host, _, port = str(target.get("endpoint") or ":0").rpartition(":")
         cell = target.get("pod_group")
         cell = cell if isinstance(cell, int) else self._cells.setdefault(cell, len(self._cells))
-        zone = self._zones.get(target.get("az"), 0)
-        kind = self._kinds.get(target.get("model"), 0)
-        if target.get("az") not in self._zones or target.get("model") not in self._kinds:
+        zone_name: Any = target.get("az")
+        kind_name: Any = target.get("model")
+        zone = self._zones.get(zone_name, 0)
+        kind = self._kinds.get(kind_name, 0)
+        if zone_name not in self._zones or kind_name not in self._kinds:
             self._log(f"event bus: {uid} is in an unknown zone or of an unknown kind")
         machine = Machine(
-            number, zone, kind, cell, state, boot * 1000, weight=float(target.get("capacity_hint") or 1)
+            number, zone, kind, cell, state, boot_ms * 1000, weight=float(target.get("capacity_hint") or 1)
         )
-        return Server(number, uid, (host, int(port)), state, boot, zone, cell), machine
+        return Server(number, uid, (host, int(port)), state, boot_ms, zone, cell), machine
--- a/weldhatch/platform/event_bus.py
+++ b/weldhatch/platform/event_bus.py
@@ -6,64 +6,16 @@
 import json
 import time
 from collections.abc import Callable
+from typing import Any
 
 from weldhatch.net.connection import Connection, MalformedMessageError, connect
 from weldhatch.net.descriptor_budget import DescriptorShare
-from weldhatch.net.ring_buffer import RingBuffer
+from weldhatch.platform.event_stream import EventStream
 
 QUIET_S = 1.7  # a comment comes each second: no byte for so long means a broken connection
-AGAIN_S, AGAIN_MOST_S = 0.05, 0.4  # waits between connects; what broke off counts as told after 2 s
+BACKOFF_S = 0.05  # the first wait between connects; what broke off counts as reported after 2 s
+BACKOFF_MOST_S = 0.4
 CONNECT_S = 1.0
-LINE_MOST = 4 * 1024 * 1024  # bytes of one line: a whole list has about 150 for each server
-
-
-class Stream:
-    """The parser of one response: its head, then lines, in chunks or not."""
-
-    def __init__(self) -> None:
-        self._head, self._chunked, self._left = True, False, 0
-        self._line = b""
-
-    def lines(self, ring: RingBuffer) -> list[str] | None:
-        """The whole lines that have come; None where there are no more bytes to read now."""
-        if self._head and not self._read_head(ring):
-            return None
-        data = self._chunk(ring) if self._chunked else ring.take(len(ring)) if len(ring) else None
-        if data is None:
-            return None
-        *whole, self._line = (self._line + data).split(b"\n")
-        if len(self._line) > LINE_MOST:
-            raise MalformedMessageError("event bus: an endless line")
-        return [line.rstrip(b"\r").decode("utf-8", "replace") for line in whole]
-
-    def _read_head(self, ring: RingBuffer) -> bool:
-        while (end := ring.find(b"\n")) >= 0:
-            line = ring.take(end + 1).strip().lower()
-            if line.startswith(b"http/") and line.split()[1:2] != [b"200"]:
-                raise MalformedMessageError(f"event bus: answered {line.decode('latin-1')}")
-            if line.startswith(b"transfer-encoding:") and b"chunked" in line:
-                self._chunked = True
-            if not line:
-                self._head = False
-                return True
-        return False
-
-    def _chunk(self, ring: RingBuffer) -> bytes | None:
-        if not self._left:
-            end = ring.find(b"\n")
-            if end < 0:
-                return None
-            size = ring.take(end + 1).split(b";")[0].strip()
-            try:
-                self._left = int(size, 16) if size else 0
-            except ValueError:
-                raise MalformedMessageError(f"event bus: a chunk of size {size!r}") from None
-            return b""
-        if not len(ring):
-            return None
-        data = ring.take(min(self._left, len(ring)))
-        self._left -= len(data)
-        return data
 
 
 class EventBus:
@@ -74,22 +26,31 @@
         endpoint: tuple[str, int],
         share: DescriptorShare,
         offset: Callable[[], int],
-        take: Callable[[dict], None],
+        take: Callable[[dict[str, Any]], None],
         log: Callable[[str], None],
     ) -> None:
-        self._endpoint, self._share, self._offset = endpoint, share, offset
-        self._take, self._log = take, log
-        self._task: asyncio.Task | None = None
+        """Subscribe later, by `subscribe`.
+
+        `offset` returns the number of the last event taken; `take` gets each event, and raises ValueError
+        where it can't be read.
+        """
+        self._endpoint = endpoint
+        self._share = share
+        self._offset = offset
+        self._take = take
+        self._log = log
+        self._task: asyncio.Task[None] | None = None
         self._connection: Connection | None = None
 
     def subscribe(self, on: bool) -> None:
+        """Start the subscription, or end it."""
         if on and self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
         elif not on:
             self.close()
 
     def move(self, endpoint: tuple[str, int]) -> None:
-        """The bus has a new address: the old one tells nothing more, so it is left at once.
+        """Follow the bus to a new address: the old one tells nothing more, so it is left at once.
 
         The new one is asked from the last event on, so what came between is told and the numbers go on.
         """
@@ -101,6 +62,7 @@
             self.subscribe(True)
 
     def close(self) -> None:
+        """End the subscription and its connection."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -108,7 +70,7 @@
             self._connection.close()
 
     async def _run(self) -> None:
-        again = AGAIN_S
+        backoff = BACKOFF_S
         while True:
             began = time.monotonic()
             try:
@@ -118,9 +80,9 @@
             else:
                 self._log("event bus: the connection ended, connecting anew")
             if time.monotonic() - began > 1:
-                again = AGAIN_S
-            await asyncio.sleep(again)
-            again = min(2 * again, AGAIN_MOST_S)
+                backoff = BACKOFF_S
+            await asyncio.sleep(backoff)
+            backoff = min(2 * backoff, BACKOFF_MOST_S)
 
     async def _follow(self) -> None:
         """One connection from its request to its end, which comes as an end, a reset or silence."""
@@ -133,7 +95,8 @@
             f"GET /bus/read HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: text/event-stream\r\n"
             f"Last-Event-ID: {self._offset()}\r\n\r\n".encode()
         )
-        stream, data = Stream(), []
+        stream = EventStream()
+        data: list[str] = []
 
         def handle(lines: list[str]) -> None:
             for line in lines:
--- /dev/null
+++ b/weldhatch/platform/event_stream.py
@@ -0,0 +1,64 @@
+"""The parser of a stream of server-sent events: an HTTP response's head, then lines, in chunks or not."""
+
+from __future__ import annotations
+
+from weldhatch.net.connection import MalformedMessageError
+from weldhatch.net.ring_buffer import RingBuffer
+
+LINE_MOST = 4 * 1024 * 1024  # bytes of one line: a complete list has about 150 for each server
+
+
+class EventStream:
+    """The parser of one response: its head, then lines, in chunks or not."""
+
+    def __init__(self) -> None:
+        """Start before the head."""
+        self._in_head = True
+        self._chunked = False
+        self._chunk_left = 0  # bytes of the chunk that are still to come
+        self._line = b""  # the start of a line that is not complete
+
+    def lines(self, ring: RingBuffer) -> list[str] | None:
+        """Take the complete lines that have come; None where there are no more bytes to read now.
+
+        Raises:
+            MalformedMessageError: the response is no success, or a line or a chunk is malformed.
+        """
+        if self._in_head and not self._read_head(ring):
+            return None
+        data = self._chunk(ring) if self._chunked else ring.take(len(ring)) if len(ring) else None
+        if data is None:
+            return None
+        *lines, self._line = (self._line + data).split(b"\n")
+        if len(self._line) > LINE_MOST:
+            raise MalformedMessageError("event bus: an endless line")
+        return [line.rstrip(b"\r").decode("utf-8", "replace") for line in lines]
+
+    def _read_head(self, ring: RingBuffer) -> bool:
+        while (end := ring.find(b"\n")) >= 0:
+            line = ring.take(end + 1).strip().lower()
+            if line.startswith(b"http/") and line.split()[1:2] != [b"200"]:
+                raise MalformedMessageError(f"event bus: answered {line.decode('latin-1')}")
+            if line.startswith(b"transfer-encoding:") and b"chunked" in line:
+                self._chunked = True
+            if not line:
+                self._in_head = False
+                return True
+        return False
+
+    def _chunk(self, ring: RingBuffer) -> bytes | None:
+        if not self._chunk_left:
+            end = ring.find(b"\n")
+            if end < 0:
+                return None
+            size = ring.take(end + 1).split(b";")[0].strip()
+            try:
+                self._chunk_left = int(size, 16) if size else 0
+            except ValueError:
+                raise MalformedMessageError(f"event bus: a chunk of size {size!r}") from None
+            return b""
+        if not len(ring):
+            return None
+        data = ring.take(min(self._chunk_left, len(ring)))
+        self._chunk_left -= len(data)
+        return data
--- a/weldhatch/platform/server_codec.py
+++ b/weldhatch/platform/server_codec.py
@@ -10,8 +10,27 @@
 from weldhatch.net.connection import MESSAGE_MOST, MalformedMessageError
 from weldhatch.net.ring_buffer import RingBuffer
 
-SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, NOTE, MOVE, TEST, TESTED = 1, 6, 9, 12, 16, 44, 51, 52, 53
-CLASS, LEFT, NAME, TOPIC, REPORT, FIGURE, KEY, CAUSE, DESCRIPTION = 64, 65, 68, 71, 73, 76, 77, 78, 79
+# Types of messages, by the names of the wire: plain numbers, compared for each message.
+SET_UP = 1
+PROGRESS = 6
+ANSWER = 9
+RELEASE = 12
+RELEASE_HEARD = 16
+NOTE = 44
+MOVE = 51
+TEST = 52
+TESTED = 53
+
+# Codes of parameters.
+CLASS = 64
+LEFT = 65
+NAME = 68
+TOPIC = 71
+REPORT = 73
+FIGURE = 76
+KEY = 77
+CAUSE = 78
+DESCRIPTION = 79
 
 TYPES = frozenset((SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD, NOTE, MOVE, TEST, TESTED))
 CODES = range(64, 80)
@@ -24,18 +43,22 @@
 
 @dataclass(slots=True)
 class Message:
+    """One message: its type, the tag of its task, and the raw parameters by code."""
+
     type: int
     tag: bytes
     parameters: dict[int, bytes] = field(default_factory=dict)
 
     @property
     def cause(self) -> int:
+        """The cause; raises MalformedMessageError where there is none."""
         value = self.parameters.get(CAUSE, b"")
         if len(value) != 1:
             raise MalformedMessageError(f"a message of type {self.type} without a cause")
         return value[0]
 
     def text(self, code: int) -> str:
+        """Return a parameter as text, '' without it; raises MalformedMessageError where it is no UTF-8."""
         return self._text(code, self.parameters.get(code, b""))
 
     @property
@@ -48,6 +71,20 @@
             raise MalformedMessageError("a description with control characters")
         return text
 
+    def report(self, fields: tuple[str, ...]) -> tuple[float, ...]:
+        """Return the load report's figures in this order, or () where it has not all of them.
+
+        Raises:
+            MalformedMessageError: a figure is no number.
+        """
+        text = self.text(REPORT)
+        if not text:
+            return ()
+        values = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
+        if not all(name in values for name in fields):
+            return ()
+        return tuple(number(values[name]) for name in fields)
+
     @staticmethod
     def _text(code: int, value: bytes) -> str:
         try:
@@ -57,7 +94,11 @@
 
 
 def parse(ring: RingBuffer) -> Message | None:
-    """The next message of the ring, or None where it is not whole yet."""
+    """Take the next message out of the ring; None where it is not complete yet.
+
+    Raises:
+        MalformedMessageError: the bytes follow no form of a message.
+    """
     if len(ring) < 2:
         return None
     (length,) = _LENGTH.unpack(ring.copy(2))
@@ -86,7 +127,7 @@
 
 
 def number(text: str) -> float:
-    """A figure of a note or a report; MalformedMessageError where it is none, or not finite."""
+    """Read a figure of a note or a report; MalformedMessageError where it is none, or not finite."""
     try:
         value = float(text)
     except ValueError:
@@ -97,6 +138,7 @@
 
 
 def encode(kind: int, tag: bytes, parameters: dict[int, bytes] | None = None) -> bytes:
+    """Return a message as bytes; parameters keep their order."""
     parts = [b""]
     for code, value in (parameters or {}).items():
         parts += (_PARAMETER.pack(code, len(value)), value)
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -109,6 +109,16 @@
         """Send a health check that nobody waits for."""
         self.owner.check_health(self)
 
+    def check_alive(self) -> None:
+        """Find out by a connect or a write whether the process of a server gone from the list still runs.
+
+        Guards against a process that ended and whose reset never came: its connection looks open.
+        """
+        if self.is_connected:
+            self.check_health()
+        else:
+            self.open()
+
     # ---- the connection's life -----------------------------------------------------------------------------
 
     @property
