--- a/weldhatch/platform/server_records.py
+++ b/weldhatch/platform/server_records.py
@@ -40,8 +40,9 @@
         self.in_flight: dict[bytes, TaskRecord] = {}
         self.running: dict[bytes, TaskRecord] = {}
         self.probes: dict[bytes, tuple[ProbeDone, asyncio.TimerHandle]] = {}
-        # Offers that were given up and may still be answered: when, and whose; the oldest first.
-        self._given_up: dict[bytes, tuple[float, ports.Receiver]] = {}
+        # Offers that were given up and may still be answered: when, and whose; the oldest first. Most links
+        # never have one, and there is a link for each server: made when it is needed.
+        self._given_up: dict[bytes, tuple[float, ports.Receiver]] | None = None
 
     @property
     def is_settled(self) -> bool:
@@ -57,20 +58,26 @@
     def mark_given_up(self, tag: bytes, receiver: ports.Receiver) -> None:
         """Remember that the answer to this offer may still be on its way."""
         now = time.monotonic()
-        while self._given_up and now - next(iter(self._given_up.values()))[0] > LATE_ANSWER_S:
-            del self._given_up[next(iter(self._given_up))]
-        self._given_up.pop(tag, None)
-        self._given_up[tag] = (now, receiver)
+        if self._given_up is None:
+            self._given_up = {}
+        given_up = self._given_up
+        while given_up and now - next(iter(given_up.values()))[0] > LATE_ANSWER_S:
+            del given_up[next(iter(given_up))]
+        given_up.pop(tag, None)
+        given_up[tag] = (now, receiver)
 
     def may_answer_late(self, tag: bytes, receiver: ports.Receiver) -> bool:
         """Whether an earlier attempt of that request here was given up and is unanswered since."""
+        if not self._given_up:
+            return False
         now = time.monotonic()
         given_up_at, given_up_by = self._given_up.get(tag, (0.0, None))
         return given_up_by is receiver and now - given_up_at <= LATE_ANSWER_S
 
     def mark_answered(self, tag: bytes) -> None:
         """Forget that this offer was given up: its answer has come."""
-        self._given_up.pop(tag, None)
+        if self._given_up:
+            self._given_up.pop(tag, None)
 
     # ---- connections that come and go ----------------------------------------------------------------------
 
@@ -79,7 +86,7 @@
 
         Ends asked for running tasks come first, repeated; then what may still leave.
         """
-        self._given_up.clear()
+        self._given_up = None
         end_requests = [record.end_request for record in self.running.values() if record.end_request]
         now = unix_us()
         for tag in [tag for tag in self.in_flight if tag in self.waiting]:
