--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -33,16 +33,17 @@
 class GroupControl(Protocol):
     """Where words and versions of a group of gateways are decided."""
 
-    async def set_machine_state(self, machine: str, told: dict) -> dict: ...
+    async def set_machine_state(self, machine: str, body: dict, /) -> dict: ...
 
-    async def propose_and_wait(self, tree: dict, why: str) -> int:
+    async def propose_and_wait(self, tree: dict, reason: str, /) -> int:
         """Propose settings and wait until they are in force; their version."""
 
 
 class Governed(Protocol):
     """What a group has agreed on, as this gateway holds it."""
 
-    control_api: GroupControl
+    @property
+    def control_api(self) -> GroupControl: ...
 
     @property
     def tree(self) -> dict: ...
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -1,4 +1,8 @@
-"""`run`: puts the parts of the process together, handles signals, and serves until it is told to end."""
+"""`run`: puts the parts of the process together, handles signals, and serves until it is told to end.
+
+What only some configurations need (pull queue, cluster, standalone zones) is imported where it starts: a
+dispatcher on the platform starts with the least time and memory.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +19,12 @@
 
 from weldhatch import config
 from weldhatch.gateway import Gateway, ListObserver
-from weldhatch.pullqueue.control import Control
-from weldhatch.pullqueue.front import PullQueue
 from weldhatch.scheduling.policy import Policy
 
 if TYPE_CHECKING:
     from weldhatch.cluster.front_controller import FrontController
+    from weldhatch.pullqueue.control import Control
+    from weldhatch.pullqueue.front import PullQueue
     from weldhatch.standalone_zones import StandaloneZones
 
 RESTART_DELAY_S = 0.2  # a plan that asks for a restart is answered before it
@@ -72,7 +76,6 @@
         platform = config.platform_config(os.environ)
         observer: ListObserver | None = None
         standalone: StandaloneZones | None = None
-        # What dispatchers need that talk to each other is imported only where they do.
         if pull_queue is not None and pull_queue.agreement is not None:
             from weldhatch.cluster.endpoint_list import LocalEndpointList
 
@@ -85,6 +88,9 @@
         log(f"{platform.name} listens on {platform.listen[0]}:{platform.listen[1]}")
 
     def _start_pull_queue(self, tree: dict[str, Any], pull_queue: config.PullQueueConfig) -> None:
+        from weldhatch.pullqueue.control import Control
+        from weldhatch.pullqueue.front import PullQueue
+
         policy = Policy(pull_queue.settings, random.getrandbits(64))
         self._pull_queue = PullQueue(pull_queue, policy, log)
         log(f"pull queue listens on {pull_queue.listen[0]}:{pull_queue.listen[1]}")
