--- a/weldhatch/pullqueue/admission.py
+++ b/weldhatch/pullqueue/admission.py
@@ -1,10 +1,8 @@
-"""Who is let in to the module, in which order, and who is told at once that it will not do. No I/O.
+"""Admission of submissions to the policy: who is admitted, in which order, who is rejected. No I/O.
 
-Under no load everybody goes straight in. Beyond what is let in at a time, submissions wait in a bounded
-queue:
-tenants by weighted fair shares, and within a tenant by deadline. One whose answer could not come in time
-hears
-so now, with the time after which there should be room.
+Under no load everybody is admitted at once. Beyond an adaptive limit, submissions wait in a bounded queue:
+tenants by weighted fair queueing, and within a tenant by deadline. One whose answer could not come in time is
+rejected without delay, with the time after which there should be capacity.
 """
 
 from __future__ import annotations
@@ -14,213 +12,261 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-INSIDE_LEAST, INSIDE_MOST = 24, 256
-LAG_HIGH_US, LAG_LOW_US = 60_000, 20_000  # lag of the loop above which less is let in, and below which more
+LEAST_ADMITTED = 24
+MOST_ADMITTED = 256
+LAG_HIGH_US = 60_000  # lag of the event loop above which the limit falls
+LAG_LOW_US = 20_000  # and below which it rises
 STEADY_US = 1_000_000
-LAG_COUNTED_US = 250_000  # of a long lag: the next turn is shorter
-SMOOTH = 0.05
+LAG_COUNTED_US = 250_000  # of a long lag: the next turn of the loop is shorter
+SMOOTHING = 0.05
 RESERVE = 1.25  # an answer is expected to take so many times what the last ones took
-RETRY_SHARE = 0.5  # repeated asks a tenant may have for each first one, while there is a queue
+RETRY_SHARE = 0.5  # retries a tenant may have for each first attempt, while there is a queue
 RETRY_BURST = 50.0
+LEAST_RETRY_AFTER_US = 200_000.0
+MOST_RETRY_AFTER_US = 30_000_000.0
 
 
 class Verdict(Enum):
-    IN = "in"
-    WAIT = "wait"
-    REFUSED = "refused"
+    """What becomes of a submission that arrives."""
+
+    ADMITTED = "admitted"
+    QUEUED = "queued"
+    REJECTED = "rejected"
 
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """One submission at the gate. Times in Unix microseconds."""
+    """One submission that asks for admission. Times in Unix microseconds."""
 
     tenant: int
     deadline: int
-    came: int
-    again: bool = False
-    entered: int = 0
-    gone: bool = False
+    arrived: int
+    is_retry: bool = False
+    admitted_at: int = 0
+    removed: bool = False  # it has left the queue without having been admitted
+
+
+@dataclass(slots=True, frozen=True)
+class Decision:
+    """The verdict on one ticket, and what follows from it."""
+
+    verdict: Verdict
+    retry_after_us: int = 0  # of a rejection
+    displaced: Ticket | None = None  # who lost its place in the full queue to this one
+
+
+_ADMITTED = Decision(Verdict.ADMITTED)
 
 
 @dataclass(slots=True)
-class _Lane:
-    """One tenant's queue."""
+class _TenantQueue:
+    """What one tenant has waiting."""
 
     weight: float
-    turn: float = 0.0  # its place in virtual time
-    heap: list[tuple[int, int, Ticket]] = field(default_factory=list)
+    virtual_start: float = 0.0  # of its next ticket
+    heap: list[tuple[int, int, Ticket]] = field(default_factory=list)  # by deadline, then arrival
     waiting: int = 0
     retries: float = RETRY_BURST
 
 
-class Gate:
-    """The one place where submissions wait before the module."""
+class AnswerPace:
+    """How fast answers come, smoothed exponentially."""
 
-    def __init__(self, weights: Mapping[int, float], most: int) -> None:
-        """weights: by tenant index, all above 0; most: submissions that wait at a time."""
-        self._lanes = {tenant: _Lane(weight) for tenant, weight in weights.items()}
-        self._most = most
-        self._virtual = 0.0
-        self._serial = 0
-        self.inside = self.waiting = 0
-        self.limit = float(INSIDE_MOST)
-        self._took_us = 0.0  # smoothed, from entering to the answer
-        self._rate = 0.0  # answers a second, smoothed
-        self._last_leave = 0
-        self._lag_us = 0.0
-        self._steady_since = 0
+    def __init__(self) -> None:
+        """Know nothing yet."""
+        self.answer_time_us = 0.0  # from admission to the answer
+        self.answers_per_s = 0.0
+        self._last_answer = 0
 
-    def _lane(self, tenant: int) -> _Lane:
-        return self._lanes.setdefault(tenant, _Lane(1.0))
-
-    def expected_wait_us(self, ahead: int) -> float:
-        """How long so many ahead will take to be let in, by the last second's pace."""
-        return ahead / self._rate * 1e6 if self._rate > 0 else 0.0
+    def record_answer(self, ticket: Ticket, now: int) -> None:
+        """Count the answer to an admitted ticket."""
+        took = max(0, now - ticket.admitted_at)
+        if self.answer_time_us:
+            self.answer_time_us += SMOOTHING * (took - self.answer_time_us)
+        else:
+            self.answer_time_us += took
+        if self._last_answer:
+            gap = max(1, now - self._last_answer) / 1e6
+            share = min(1.0, gap)  # the rate over about the last second
+            if self.answers_per_s:
+                self.answers_per_s = self.answers_per_s * (1 - share) + share / gap
+            else:
+                self.answers_per_s = 1 / max(gap, 0.001)
+        self._last_answer = now
 
-    def _pace_known(self, now: int) -> bool:
-        """Has there been a queue for a while, and a loop that did not lag?
+    def wait_us(self, ahead: int) -> float:
+        """Return how long it takes until so many ahead are admitted; 0 where the pace is not known."""
+        return ahead / self.answers_per_s * 1e6 if self.answers_per_s > 0 else 0.0
 
-        Guards against turning a crowd away by the pace of the moment in which it is read: nothing else is
-        done
-        then, and what follows is much faster.
-        """
-        return self._rate > 0 and now - self._steady_since >= STEADY_US
-
-    def come(self, ticket: Ticket, now: int) -> tuple[Verdict, int, Ticket | None]:
-        """What becomes of one that comes: the verdict, for a refusal the time to stay away, and who is put
-        out for it, if somebody is."""
-        lane = self._lane(ticket.tenant)
-        if not ticket.again:
-            lane.retries = min(RETRY_BURST, lane.retries + RETRY_SHARE)
-        if self.inside < self.limit and not self.waiting:
-            self._enter(ticket, now)
-            return Verdict.IN, 0, None
-        if ticket.again:
-            # Guards first asks against a storm of repeated ones: a tenant's repeats are a share of its
-            # firsts.
-            if lane.retries < 1:
-                return Verdict.REFUSED, self.advice_us(), None
-            lane.retries -= 1
-        if not self.waiting:
-            self._steady_since = now
-        wait = self.expected_wait_us(self._ahead(lane)) if self._pace_known(now) else 0.0
-        if now + (wait + self._took_us) * RESERVE > ticket.deadline:
-            return Verdict.REFUSED, self.advice_us(), None
-        put_out = None
-        if self.waiting >= self._most:
-            put_out = self._worst()
-            if put_out is None or (put_out.tenant == ticket.tenant and put_out.deadline <= ticket.deadline):
-                return Verdict.REFUSED, self.advice_us(), None
-            self.leave_queue(put_out)
-        self._serial += 1
-        if not lane.waiting:
-            lane.turn = max(lane.turn, self._virtual)
-        heapq.heappush(lane.heap, (ticket.deadline, self._serial, ticket))
-        lane.waiting += 1
-        self.waiting += 1
-        return Verdict.WAIT, 0, put_out
-
-    def _ahead(self, lane: _Lane) -> int:
-        """About how many are let in before the last of a lane: its own, and the others' by their shares."""
-        active = sum(other.weight for other in self._lanes.values() if other.waiting or other is lane)
-        own = lane.waiting + 1
-        return min(self.waiting + 1, int(own * active / lane.weight) + 1)
-
-    def advice_us(self) -> int:
-        """When there should be room again: what waits now has gone in."""
-        return int(max(200_000.0, min(self.expected_wait_us(self.waiting + 1), 30_000_000.0)))
-
-    def _worst(self) -> Ticket | None:
-        """The last by deadline of the tenant that has most waiting for its weight."""
-        lane = max(
-            (lane for lane in self._lanes.values() if lane.waiting),
-            key=lambda lane: lane.waiting / lane.weight,
-            default=None,
-        )
-        if lane is None:
-            return None
-        return max((entry for entry in lane.heap if not entry[2].gone), key=lambda entry: entry[:2])[2]
 
-    def _enter(self, ticket: Ticket, now: int) -> None:
-        self.inside += 1
-        ticket.entered = now
+class AdmissionQueue:
+    """The one place where submissions wait before the policy."""
 
-    def leave_queue(self, ticket: Ticket) -> None:
-        """One that waits goes away: put out, given up, or too late."""
-        if not ticket.gone and not ticket.entered:
-            ticket.gone = True
-            self._lane(ticket.tenant).waiting -= 1
-            self.waiting -= 1
+    def __init__(self, weights: Mapping[int, float], most_waiting: int) -> None:
+        """Admit tenants by these weights, by tenant index and all above 0."""
+        self._queues = {tenant: _TenantQueue(weight) for tenant, weight in weights.items()}
+        self._most_waiting = most_waiting
+        self._virtual_time = 0.0
+        self._serial = 0
+        self.admitted = 0  # and not answered yet
+        self.waiting = 0
+        self.limit = float(MOST_ADMITTED)
+        self.pace = AnswerPace()
+        self._lag_us = 0.0
+        self._steady_since = 0
 
-    def leave(self, ticket: Ticket, now: int) -> None:
-        """One that was let in has its answer."""
-        self.inside -= 1
-        took = max(0, now - ticket.entered)
-        self._took_us += SMOOTH * (took - self._took_us) if self._took_us else took
-        if self._last_leave:
-            gap = max(1, now - self._last_leave) / 1e6
-            share = min(1.0, gap)  # the rate over about the last second
-            self._rate = self._rate * (1 - share) + share / gap if self._rate else 1 / max(gap, 0.001)
-        self._last_leave = now
+    def request_admission(self, ticket: Ticket, now: int) -> Decision:
+        """Decide on a ticket that arrives."""
+        queue = self._queue_of(ticket.tenant)
+        if not ticket.is_retry:
+            queue.retries = min(RETRY_BURST, queue.retries + RETRY_SHARE)
+        if self.admitted < self.limit and not self.waiting:
+            self._admit(ticket, now)
+            return _ADMITTED
+        if ticket.is_retry:
+            # Guards first attempts against a storm of retries: a tenant's retries are a share of its firsts.
+            if queue.retries < 1:
+                return self._reject()
+            queue.retries -= 1
+        if not self.waiting:
+            self._steady_since = now
+        wait_us = self.pace.wait_us(self._ahead(queue)) if self._is_pace_steady(now) else 0.0
+        if now + (wait_us + self.pace.answer_time_us) * RESERVE > ticket.deadline:
+            return self._reject()
+        displaced = None
+        if self.waiting >= self._most_waiting:
+            displaced = self._last_of_greediest()
+            if displaced is None or (
+                displaced.tenant == ticket.tenant and displaced.deadline <= ticket.deadline
+            ):
+                return self._reject()
+            self.withdraw(displaced)
+        self._enqueue(queue, ticket)
+        return Decision(Verdict.QUEUED, displaced=displaced)
 
-    def next(self, now: int) -> tuple[list[Ticket], list[Ticket]]:
-        """Who is let in now, and who is told that it will not do, since its time is up or nearly so."""
-        let_in: list[Ticket] = []
+    def admit_next(self, now: int) -> tuple[list[Ticket], list[Ticket]]:
+        """Return who is admitted now, and who is removed since its answer would come too late."""
+        admitted: list[Ticket] = []
         late: list[Ticket] = []
-        while self.waiting and self.inside < self.limit:
-            lane = min((lane for lane in self._lanes.values() if lane.waiting), key=lambda lane: lane.turn)
-            ticket = heapq.heappop(lane.heap)[2]
-            if ticket.gone:
+        while self.waiting and self.admitted < self.limit:
+            queue = min(
+                (queue for queue in self._queues.values() if queue.waiting),
+                key=lambda queue: queue.virtual_start,
+            )
+            ticket = heapq.heappop(queue.heap)[2]
+            if ticket.removed:
                 continue
-            lane.waiting -= 1
+            queue.waiting -= 1
             self.waiting -= 1
-            if now + self._took_us > ticket.deadline:
-                ticket.gone = True
+            if now + self.pace.answer_time_us > ticket.deadline:
+                ticket.removed = True
                 late.append(ticket)
                 continue
-            self._virtual = max(self._virtual, lane.turn)
-            lane.turn += 1 / lane.weight
-            self._enter(ticket, now)
-            let_in.append(ticket)
-        return let_in, late
+            self._virtual_time = max(self._virtual_time, queue.virtual_start)
+            queue.virtual_start += 1 / queue.weight
+            self._admit(ticket, now)
+            admitted.append(ticket)
+        return admitted, late
 
-    def trim(self, now: int) -> list[Ticket]:
-        """Those who wait and, by the pace that is known now, will not be answered in time.
+    def remove_late(self, now: int) -> list[Ticket]:
+        """Remove and return those who wait and, by the present pace, will not be answered in time.
 
         Guards against telling thousands at their deadline what is plain long before. Until the pace is known,
-        only those whose time is as good as up are told.
+        only those whose time is as good as up are removed.
         """
         if self._lag_us > LAG_HIGH_US:
             self._steady_since = now
-        known = self._pace_known(now)
         if not self.waiting:
             return []
-        out: list[Ticket] = []
-        active = sum(lane.weight for lane in self._lanes.values() if lane.waiting)
-        for lane in self._lanes.values():
-            ahead, kept = 0, []
-            for entry in sorted(lane.heap):
+        steady = self._is_pace_steady(now)
+        late: list[Ticket] = []
+        active = sum(queue.weight for queue in self._queues.values() if queue.waiting)
+        for queue in self._queues.values():
+            ahead = 0
+            remaining = []
+            for entry in sorted(queue.heap):
                 ticket = entry[2]
-                if ticket.gone:
+                if ticket.removed:
                     continue
-                wait = min(self._lag_us, LAG_COUNTED_US)
-                if known:
-                    wait = self.expected_wait_us(int(ahead * active / lane.weight))
-                wait += self._took_us
-                if now + wait * RESERVE > ticket.deadline:
-                    ticket.gone = True
-                    out.append(ticket)
+                wait_us = min(self._lag_us, LAG_COUNTED_US)
+                if steady:
+                    wait_us = self.pace.wait_us(int(ahead * active / queue.weight))
+                wait_us += self.pace.answer_time_us
+                if now + wait_us * RESERVE > ticket.deadline:
+                    ticket.removed = True
+                    late.append(ticket)
                 else:
                     ahead += 1
-                    kept.append(entry)
-            lane.heap, lane.waiting = kept, len(kept)
-        self.waiting -= len(out)
-        return out
+                    remaining.append(entry)
+            queue.heap = remaining
+            queue.waiting = len(remaining)
+        self.waiting -= len(late)
+        return late
+
+    def withdraw(self, ticket: Ticket) -> None:
+        """Remove one that waits: displaced, or given up."""
+        if not ticket.removed and not ticket.admitted_at:
+            ticket.removed = True
+            self._queue_of(ticket.tenant).waiting -= 1
+            self.waiting -= 1
 
-    def lag(self, lag_us: float) -> None:
-        """The loop's own delay, told a few times a second: less is let in while it is high."""
+    def complete(self, ticket: Ticket, now: int) -> None:
+        """Note that one that was admitted has its answer."""
+        self.admitted -= 1
+        self.pace.record_answer(ticket, now)
+
+    def update_limit(self, lag_us: float) -> None:
+        """Lower the limit while the event loop lags, else raise it; called a few times a second."""
         self._lag_us = lag_us
         if lag_us > LAG_HIGH_US:
-            self.limit = max(INSIDE_LEAST, min(self.limit, self.inside + 1) * 0.85)
+            self.limit = max(LEAST_ADMITTED, min(self.limit, self.admitted + 1) * 0.85)
         elif lag_us < LAG_LOW_US:
-            self.limit = min(INSIDE_MOST, self.limit + 4)
+            self.limit = min(MOST_ADMITTED, self.limit + 4)
+
+    def retry_after_us(self) -> int:
+        """Return when there should be capacity again: what waits now has been admitted."""
+        wait_us = min(self.pace.wait_us(self.waiting + 1), MOST_RETRY_AFTER_US)
+        return int(max(LEAST_RETRY_AFTER_US, wait_us))
+
+    def _queue_of(self, tenant: int) -> _TenantQueue:
+        return self._queues.setdefault(tenant, _TenantQueue(1.0))
+
+    def _reject(self) -> Decision:
+        return Decision(Verdict.REJECTED, self.retry_after_us())
+
+    def _admit(self, ticket: Ticket, now: int) -> None:
+        self.admitted += 1
+        ticket.admitted_at = now
+
+    def _enqueue(self, queue: _TenantQueue, ticket: Ticket) -> None:
+        self._serial += 1
+        if not queue.waiting:
+            queue.virtual_start = max(queue.virtual_start, self._virtual_time)
+        heapq.heappush(queue.heap, (ticket.deadline, self._serial, ticket))
+        queue.waiting += 1
+        self.waiting += 1
+
+    def _is_pace_steady(self, now: int) -> bool:
+        """Tell whether there has been a queue for a while, and a loop that did not lag.
+
+        Guards against turning a crowd away by the pace of the moment in which it is read: nothing else is
+        done then, and what follows is much faster.
+        """
+        return self.pace.answers_per_s > 0 and now - self._steady_since >= STEADY_US
+
+    def _ahead(self, queue: _TenantQueue) -> int:
+        """Estimate how many are admitted before the last of a queue: its own, and the others' by weight."""
+        active = sum(other.weight for other in self._queues.values() if other.waiting or other is queue)
+        own = queue.waiting + 1
+        return min(self.waiting + 1, int(own * active / queue.weight) + 1)
+
+    def _last_of_greediest(self) -> Ticket | None:
+        """Return the last by deadline of the tenant that has most waiting for its weight."""
+        queue = max(
+            (queue for queue in self._queues.values() if queue.waiting),
+            key=lambda queue: queue.waiting / queue.weight,
+            default=None,
+        )
+        if queue is None:
+            return None
+        return max((entry for entry in queue.heap if not entry[2].removed), key=lambda entry: entry[:2])[2]
--- a/weldhatch/pullqueue/deadlines.py
+++ b/weldhatch/pullqueue/deadlines.py
@@ -1,4 +1,4 @@
-"""Things that fall due, in order, without looking at those that do not. No clock of its own."""
+"""Keys that fall due, in order, without looking at those that do not. No clock of its own."""
 
 from __future__ import annotations
 
@@ -7,15 +7,19 @@
 
 
 class Deadlines:
-    """One time for each key. Moving a time costs a push; old entries are passed over when they come up."""
+    """One time for each key: a heap with lazy deletion, old entries are skipped when they come up."""
 
     def __init__(self) -> None:
+        """Start without keys."""
         self._heap: list[tuple[float, int, Hashable]] = []
         self._times: dict[Hashable, float] = {}
         self._serial = 0
 
     def set(self, key: Hashable, at: float) -> None:
-        """A later time for a known key costs nothing now: its old entry is put right when it comes up."""
+        """Set the time of a key, in whatever unit `due` is asked in.
+
+        A later time for a known key costs nothing now: its old entry is corrected when it comes up.
+        """
         before = self._times.get(key)
         self._times[key] = at
         if before is None or at < before:
@@ -26,10 +30,11 @@
         heapq.heappush(self._heap, (at, self._serial, key))
 
     def drop(self, key: Hashable) -> None:
+        """Forget the time of a key, if it has one."""
         self._times.pop(key, None)
 
     def due(self, now: float) -> Iterator[Hashable]:
-        """The keys whose time has come, each dropped as it is given."""
+        """Yield the keys whose time has come, each dropped as it is yielded."""
         while self._heap and self._heap[0][0] <= now:
             _, _, key = heapq.heappop(self._heap)
             at = self._times.get(key)
@@ -42,4 +47,5 @@
                 yield key
 
     def __len__(self) -> int:
+        """Return the number of keys that have a time."""
         return len(self._times)
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -23,7 +23,7 @@
 from weldhatch.pullqueue.monotonic_unix_time import steady
 from weldhatch.pullqueue.operations import Operations
 from weldhatch.pullqueue.operator_states import Operators, Word
-from weldhatch.pullqueue.quotas import Quotas
+from weldhatch.pullqueue.quotas import CallQuotas
 from weldhatch.pullqueue.security import Security
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.tasks import Tasks
@@ -87,7 +87,7 @@
         self._links: dict[Connection, HttpLink] = {}
         self._serving: set[asyncio.Task] = set()
         self.security = Security(told.security)
-        self._quotas = Quotas(told.security.calls)
+        self._quotas = CallQuotas(told.security.calls)
         self.listener = Listener(told.listen, self._share, self._taken)
         self._watching = asyncio.get_running_loop().create_task(self._watch())
 
@@ -189,14 +189,17 @@
             return await self._called(request, path, head, rest, name, colon, verb)
         request.who = self.security.who(request, head.partition(":")[0])
         caller = f"{request.who.role} {request.who.tenant} {request.who.name}"
-        if not self._quotas.take(caller):
+        if not self._quotas.try_acquire(caller):
             raise HttpError(
-                429, f"more than {self._quotas.most} calls of one caller at a time", "authorization", 1.0
+                429,
+                f"more than {self._quotas.most_per_caller} calls of one caller at a time",
+                "authorization",
+                1.0,
             )
         try:
             return await self._called(request, path, head, rest, name, colon, verb)
         finally:
-            self._quotas.give_back(caller)
+            self._quotas.release(caller)
 
     async def _called(
         self, request: Request, path: str, head: str, rest: str, name: str, colon: str, verb: str
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -22,7 +22,7 @@
 from weldhatch.net.loop_lag import LoopLag
 from weldhatch.placement_request import FieldError, PlacementForm, PlacementRequest
 from weldhatch.pullqueue import durable_state
-from weldhatch.pullqueue.admission import Gate, Ticket, Verdict
+from weldhatch.pullqueue.admission import AdmissionQueue, Ticket, Verdict
 from weldhatch.pullqueue.bot_sessions import Bots
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
@@ -65,7 +65,7 @@
         self._serial = 0
         self._started = bots.now()
         self._epoch = book.epoch_name
-        self.gate = Gate(
+        self.admission = AdmissionQueue(
             {n: max(tenant.portion, 0.001) for n, tenant in enumerate(settings.tenants)} or {0: 1.0}, queue
         )
         self._entering: dict[Ticket, asyncio.Future[bool]] = {}
@@ -82,8 +82,8 @@
             before = time.monotonic()
             await asyncio.sleep(LAG_S)
             try:
-                self.gate.lag(max(0.0, time.monotonic() - before - LAG_S) * 1e6)
-                self._tell([], self.gate.trim(unix_us()))
+                self.admission.update_limit(max(0.0, time.monotonic() - before - LAG_S) * 1e6)
+                self._tell([], self.admission.remove_late(unix_us()))
                 self._let_in()
             except Exception as fault:
                 # Guards those who wait at the gate: a fault of ours in one turn must not end all later ones.
@@ -235,14 +235,15 @@
     # ---- the gate ------------------------------------------------------------------------------------------
 
     def _come(self, asked: Submitted, task: ports.Task) -> None:
-        verdict, wait, put_out = self.gate.come(asked.ticket, unix_us())
-        if put_out is not None and (waiting := self._entering.pop(put_out, None)) is not None:
+        decision = self.admission.request_admission(asked.ticket, unix_us())
+        displaced = decision.displaced
+        if displaced is not None and (waiting := self._entering.pop(displaced, None)) is not None:
             waiting.set_result(False)
-        if verdict is Verdict.IN:
+        if decision.verdict is Verdict.ADMITTED:
             self._arrive(asked, task)
-        elif verdict is Verdict.REFUSED:
+        elif decision.verdict is Verdict.REJECTED:
             asked.ticket = None
-            asked.refused(self._spread(wait), "no answer would come in time")
+            asked.refused(self._spread(decision.retry_after_us), "no answer would come in time")
         else:
             waiting = self._entering[asked.ticket] = asyncio.get_running_loop().create_future()
             waiting.add_done_callback(lambda told: self._called(asked, task, told))
@@ -250,28 +251,28 @@
     def _called(self, asked: Submitted, task: ports.Task, told: asyncio.Future[bool]) -> None:
         if asked.told is not None or asked.over.is_set():  # given up meanwhile
             if told.result():
-                self.gate.leave(asked.ticket, unix_us())
+                self.admission.complete(asked.ticket, unix_us())
             return
         if told.result():
             self._arrive(asked, task)
         else:
             asked.ticket = None
-            asked.refused(self._spread(self.gate.advice_us()), "no answer would come in time")
+            asked.refused(self._spread(self.admission.retry_after_us()), "no answer would come in time")
 
     def _arrive(self, asked: Submitted, task: ports.Task) -> None:
         asked.life = self._core.arrive(task, asked)
         ticket = asked.ticket
 
         def left(_: object) -> None:
-            self.gate.leave(ticket, unix_us())
+            self.admission.complete(ticket, unix_us())
             self._let_in()
 
         asked.answer.add_done_callback(left)
 
     def _let_in(self) -> None:
-        if not self.gate.waiting:
+        if not self.admission.waiting:
             return
-        self._tell(*self.gate.next(unix_us()))
+        self._tell(*self.admission.admit_next(unix_us()))
 
     def _tell(self, let_in: list[Ticket], late: list[Ticket]) -> None:
         for tickets, verdict in ((let_in, True), (late, False)):
@@ -339,7 +340,7 @@
         if asked.life is not None:
             asked.life.deliver(GivenUp())
         elif asked.ticket is not None:
-            self.gate.leave_queue(asked.ticket)
+            self.admission.withdraw(asked.ticket)
             self._entering.pop(asked.ticket, None)
         asked.told = {
             "answer": "refused",
