--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -298,13 +298,13 @@
         self.assertEqual(401, caught.exception.code)
 
     async def test_one_caller_has_only_so_much_under_way_and_others_go_on(self):
-        self.gateway._quotas.most = 2
+        self.gateway._quotas.most_per_caller = 2
         north, _ = self.token("ci", tokens.Role.SUBMITTER, "north")
         south, _ = self.token("ci", tokens.Role.SUBMITTER, "south")
         greedy, other = (Submitter(self.shown("ci", token=token)) for token in (north, south))
         name = (await greedy.begin(Task("safe", key="a1", left_s=4.0))).name
         waiting = [asyncio.ensure_future(greedy.wait(name, 20)) for _ in range(2)]
-        while self.gateway._quotas._under_way.total() < 2:
+        while self.gateway._quotas._in_flight.total() < 2:
             await asyncio.sleep(0.01)
         with self.assertRaises(ApiError) as caught:
             await greedy.get(name)
--- a/tests/test_pullqueue.py
+++ b/tests/test_pullqueue.py
@@ -17,7 +17,8 @@
 from weldhatch import config
 from weldhatch.core import ports
 from weldhatch.pullqueue.front import PullQueue
-from weldhatch.pullqueue.leases import Lease, Ledger, Refusal
+from weldhatch.pullqueue.leases import KeyLedger, KeyRejection, Lease, LeasePhase
+from weldhatch.pullqueue.machines import Bot, NullReceiver
 from weldhatch.scheduling.policy import Policy
 
 TIMING = {"lease": 30, "grace": 0.2, "session": 60, "pickup": 10, "poll": 10, "settle": 0}
@@ -479,15 +480,28 @@
     def test_a_key_handed_out_once_is_known_after_a_restart(self):
         cls = config.settings_from_json(SETTINGS).classes[2]
         with tempfile.TemporaryDirectory() as folder:
-            for expected in (None, Refusal.SPENT):
-                ledger = Ledger(100, f"{folder}/ledger")
+            for expected in (None, KeyRejection.SPENT):
+                ledger = KeyLedger(100, f"{folder}/ledger")
                 ledger.open()
-                self.assertEqual(expected, ledger.refusal(0xAB, cls))
+                self.assertEqual(expected, ledger.rejection(0xAB, cls))
                 if expected is None:
                     handed = ports.Task("t", 2, 1, 1.0, 1.0, 0, key=0xAB)
-                    ledger.handed(Lease("leases/1", 1, handed, 0, None), cls)
+                    ledger.record_handout(Lease("leases/1", 1, handed, 0, None), cls)
                 ledger.close()
 
+    def test_a_message_to_a_lease_whose_request_is_not_there_yet_is_dropped(self):
+        NullReceiver().deliver(object())
+
+    def test_a_machine_without_leases_has_nothing_reserved(self):
+        bot = Bot("b1", 1, 8.0, 64.0, 0, 0)
+        leases = [Lease(f"leases/{n}", 1, ports.Task(n, 0, 1, 0.1 * n, 0.3, 0), 0, None) for n in (1, 2)]
+        for lease in leases:
+            bot.add(lease)
+        self.assertEqual([LeasePhase.OFFERED] * 2, [lease.phase for lease in bot.offered.values()])
+        for lease in (*leases, leases[0]):
+            bot.remove(lease)
+        self.assertEqual(((0.0, 0.0), {}, {}, {}), (bot.reserved, bot.leases, bot.offered, bot.by_task))
+
     def test_the_judge_sees_overlaps_and_second_starts(self):
         twice = [Run("a", "safe", "east", 1.0, 3.0), Run("a", "safe", "west", 2.0, 4.0)]
         again = [Run("b", "unsafe", "east", 1.0, 2.0), Run("b", "unsafe", "east", 3.0, 4.0)]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -241,7 +241,7 @@
         await self.until(lambda: not self.gateway.core.requests, "the task was given up")
         self.gateway.book.append = kept
         await self.gateway.book.flush()
-        assert not self.gateway._ledger._out and not self.gateway._ledger._spent
+        assert not self.gateway._ledger._leased and not self.gateway._ledger._spent
         assert not self.gateway.book.state.leases
 
 
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -1,6 +1,6 @@
 """Build machines: bot sessions of the Remote Workers API, and the leases they hold. The pull side of `Site`.
 
-A lease goes WAITING, PENDING, ACTIVE, and ends in `_end`, the one place where it is given back. What was
+A lease goes WAITING, PENDING, ACTIVE, and ends in `end_lease`, the one place where it is given back. What was
 handed out is never taken for stopped on a guess: only its puller's word, or expiry and grace, end it.
 """
 
@@ -17,9 +17,9 @@
 from weldhatch.pullqueue.deadlines import Deadlines
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
-from weldhatch.pullqueue.lease_dispatch import Outgoing, rfc3339, shown
-from weldhatch.pullqueue.leases import Lease, Ledger, Phase
-from weldhatch.pullqueue.machines import Bot, Deaf, machine_of
+from weldhatch.pullqueue.lease_dispatch import LeaseDispatcher, lease_json, rfc3339
+from weldhatch.pullqueue.leases import KeyLedger, Lease, LeasePhase
+from weldhatch.pullqueue.machines import Bot, NullReceiver, machine_number, payload_of
 from weldhatch.pullqueue.operator_states import Operators
 from weldhatch.pullqueue.reports import Listed, masked, read_listed, read_status
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
@@ -40,7 +40,7 @@
         self,
         settings: Settings,
         timing: PullQueueTiming,
-        ledger: Ledger,
+        ledger: KeyLedger,
         operators: Operators,
         book: QueueStorage | NoStorage,
         changed: Callable[[MachinesChanged], None],
@@ -64,18 +64,7 @@
         self._due = Deadlines()
         # A gateway that starts anew makes names that no former one gave.
         self._epoch = book.epoch_name
-        self._outgoing = Outgoing(
-            settings,
-            ledger,
-            book,
-            self._due,
-            lambda: self.timing.pickup,
-            lambda bot: (self._settings.zones[bot.hall], self._rack_names[bot.rack]),
-            self._extend,
-            self._end,
-            log,
-            now,
-        )
+        self._dispatcher = LeaseDispatcher(settings, ledger, book, self._due, self, log, now)
         self.stale = ""  # why nothing may be given out: the store is older than what machines have seen
         self._sweeper = asyncio.get_running_loop().create_task(self._sweep())
 
@@ -98,9 +87,9 @@
         self._check_epochs(one.id for one in listed)
         bot = self._bots.get(bot_id)
         if bot is None:
-            machine = machine_of(bot_id)
+            machine = machine_number(bot_id)
             bot = self._bots[bot_id] = self._machines[machine] = Bot(bot_id, machine, 0.0, 0.0, 0, 0)
-        bot.cores, bot.memory, bot.hall, bot.rack = cores, memory, hall, rack
+        bot.cores, bot.memory, bot.zone, bot.rack = cores, memory, hall, rack
         bot.worker = self.workers[bot.machine] = worker
         bot.owner = request.who.name if request.who is not None else ""
         self._sessions.pop(bot.session, None)
@@ -130,7 +119,7 @@
 
     def _grown(self, bot: Bot, worker: Worker) -> None:
         """A machine may say anew what it is; its size and place are those of its session."""
-        if self._place(worker) != (bot.cores, bot.memory, bot.hall, bot.rack):
+        if self._place(worker) != (bot.cores, bot.memory, bot.zone, bot.rack):
             raise HttpError(
                 400, "worker: cores, memory, hall and rack change with a new session only", "worker"
             )
@@ -154,12 +143,13 @@
     async def _update(self, bot: Bot, state: MachineState, listed: list[Listed], request: Request) -> dict:
         """Take the report, wait for something to say, and say it."""
         wait = request.seconds("x-server-timeout", self.timing.poll)
-        bot.heard, bot.poll = self.now(), bot.poll + 1
-        bot.expires = bot.heard + self.timing.session
+        bot.last_update, bot.update_number = self.now(), bot.update_number + 1
+        bot.expires = bot.last_update + self.timing.session
         self._due.set(("session", bot.id), bot.expires)
-        session, poll = bot.session, bot.poll
-        bot.news.set()  # an older update of this session that still waits is answered, and gets nothing
-        bot.news = asyncio.Event()
+        session = bot.session
+        update_number = bot.update_number
+        bot.changed.set()  # an older update of this session that still waits is answered, and gets nothing
+        bot.changed = asyncio.Event()
         if state != bot.state:
             bot.state = state
             self._tell(bot)
@@ -170,23 +160,24 @@
         known = {one.id for one in listed}
         while not self._has_news(bot, known) and (left := end - time.monotonic()) > 0:
             try:
-                await asyncio.wait_for(bot.news.wait(), left)
+                await asyncio.wait_for(bot.changed.wait(), left)
             except TimeoutError:
                 break
-            if bot.poll != poll:
+            if bot.update_number != update_number:
                 break
-            bot.news.clear()
-        if bot.session != session or bot.poll != poll:
+            bot.changed.clear()
+        if bot.session != session or bot.update_number != update_number:
             # Guards against handing a lease to a poll that its machine has given up.
             raise HttpError(409, "name: a later update of this machine has come", "name")
         leases = [{"id": id, "state": "CANCELLED"} for id in to_end]
         leases += [
-            shown(lease)
+            lease_json(lease)
             for lease in bot.leases.values()
-            if lease.id in known and lease.phase in (Phase.PENDING, Phase.ACTIVE, Phase.CANCELLED)
+            if lease.id in known
+            and lease.phase in (LeasePhase.PENDING, LeasePhase.ACTIVE, LeasePhase.CANCELLED)
         ]
         if not to_end and not self.stale and self._stands(bot) is MachineState.READY and not request.closed():
-            leases += await self._outgoing.hand_out(bot, session, poll, request)
+            leases += await self._dispatcher.hand_out(bot, session, update_number, request)
         return {
             "name": bot.session,
             "botId": bot.id,
@@ -197,17 +188,25 @@
 
     def _has_news(self, bot: Bot, known: set[str]) -> bool:
         """A lease to hand out, or one to stop that the puller holds."""
-        return bool(bot.waiting) or not known.isdisjoint(bot.stopping)
+        return bool(bot.offered) or not known.isdisjoint(bot.stopping)
 
-    def _extend(self, lease: Lease) -> None:
+    def extend_lease(self, lease: Lease) -> None:
         """It may run for a lease's time from now, and counts as out for the grace after that."""
         lease.expires = self.now() + self.timing.lease
         self._due.set(("lease", lease.id), lease.expires + self.timing.grace)
 
+    def pickup_s(self) -> float:
+        """Return how long an offer waits for its machine."""
+        return self.timing.pickup
+
+    def zone_and_rack(self, bot: Bot) -> tuple[str, str]:
+        """Return the names of a machine's zone and rack."""
+        return self._settings.zones[bot.zone], self._rack_names[bot.rack]
+
     def rule(self, settings: Settings, rules: ports.Rules) -> None:
         """Other settings are in force from now on; halls and classes keep their places."""
-        self._settings = self._outgoing.settings = settings
-        self._outgoing.rules = rules
+        self._settings = self._dispatcher.settings = settings
+        self._dispatcher.rules = rules
         self._halls = {name: n for n, name in enumerate(settings.zones)}
 
     # ---- what a puller reports -----------------------------------------------------------------------------
@@ -218,50 +217,50 @@
         for one in listed:
             lease = bot.leases.get(one.id)
             running = one.state in ("PENDING", "ACTIVE")
-            if lease is None or lease.phase is Phase.WAITING:
+            if lease is None or lease.phase is LeasePhase.OFFERED:
                 if running:
                     to_end.append(one.id)
             elif not running:
                 self._done(lease, one)
-            elif lease.phase is Phase.CANCELLED or now >= lease.expires:
+            elif lease.phase is LeasePhase.CANCELLED or now >= lease.expires:
                 # Guards against a renewal that comes too late: the puller had to stop, and the task may
                 # be on its way elsewhere as soon as the grace is over.
-                lease.phase = Phase.CANCELLED
+                lease.phase = LeasePhase.CANCELLED
                 bot.stopping[lease.id] = lease
             elif one.state == "ACTIVE":
-                self._extend(lease)
+                self.extend_lease(lease)
                 if lease.id in self._unseen:
                     self._unseen.discard(lease.id)
                     self._book.append_with_retry(durable_state.encode("seen", lease.id))
-                if lease.phase is Phase.PENDING:
-                    lease.phase = Phase.ACTIVE
+                if lease.phase is LeasePhase.PENDING:
+                    lease.phase = LeasePhase.ACTIVE
                     self._book.append_with_retry(durable_state.encode("running", lease.id))
                     lease.receiver.deliver(Answered(lease.attempt, bot.id))
         return to_end
 
     def _done(self, lease: Lease, one: Listed) -> None:
         """The puller holds it no longer."""
-        lease.task.passed_on.told(one.result, one.message)
-        if lease.phase is Phase.CANCELLED:
-            self._end(lease, Outcome.CANCELLED, cause=CALLED_OFF)
-        elif lease.phase is Phase.ACTIVE:
+        payload_of(lease.task).on_result(one.result, one.message)
+        if lease.phase is LeasePhase.CANCELLED:
+            self.end_lease(lease, Outcome.CANCELLED, cause=CALLED_OFF)
+        elif lease.phase is LeasePhase.ACTIVE:
             well = one.state == "COMPLETED" and one.code == RAN_WELL
-            self._end(lease, Outcome.OK if well else Outcome.RESET, cause=GIVEN_UP if well else CUT)
+            self.end_lease(lease, Outcome.OK if well else Outcome.RESET, cause=GIVEN_UP if well else CUT)
         elif one.state == "COMPLETED" and one.code == RAN_WELL:  # a short task: begun and ended in one report
             lease.receiver.deliver(Answered(lease.attempt, self._machines[lease.machine].id))
-            self._end(lease, Outcome.OK, cause=GIVEN_UP)
+            self.end_lease(lease, Outcome.OK, cause=GIVEN_UP)
         elif one.state == "COMPLETED" and one.code in DECLINED:
-            self._end(lease, Outcome.FULL, DECLINED[one.code])
+            self.end_lease(lease, Outcome.FULL, DECLINED[one.code])
         else:
-            self._end(lease, Outcome.ERROR)
+            self.end_lease(lease, Outcome.ERROR)
 
-    def _end(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CUT) -> None:
+    def end_lease(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CUT) -> None:
         """The one end of an attempt."""
-        lease.phase = Phase.OVER
+        lease.phase = LeasePhase.ENDED
         self._machines[lease.machine].remove(lease)
         self._leases.pop(lease.id, None)
         self._due.drop(("lease", lease.id))
-        self._ledger.over(lease)
+        self._ledger.end(lease)
         self._book.append_with_retry(durable_state.encode("over", lease.id))
         lease.receiver.deliver(Ended(lease.attempt, outcome, reason, (), cause))
 
@@ -279,14 +278,14 @@
 
     def _lease_due(self, lease: Lease, now: float) -> None:
         bot = self._machines[lease.machine]
-        if lease.phase is Phase.WAITING:
+        if lease.phase is LeasePhase.OFFERED:
             if now >= lease.expires:
-                self._end(lease, Outcome.CONNECT_FAILED)
+                self.end_lease(lease, Outcome.CONNECT_FAILED)
             else:
                 self._due.set(("lease", lease.id), lease.expires)
         elif now >= lease.expires + self.timing.grace:
             self._log(f"bot {bot.id}: lease {lease.id} has run out, {lease.phase.value}")
-            self._end(lease, Outcome.RESET)
+            self.end_lease(lease, Outcome.RESET)
         else:
             self._due.set(("lease", lease.id), lease.expires + self.timing.grace)
         self._forget(bot)
@@ -315,7 +314,7 @@
                 (
                     Machine(
                         bot.machine,
-                        bot.hall,
+                        bot.zone,
                         0,
                         bot.rack,
                         self._stands(bot),
@@ -338,8 +337,8 @@
             return
         self._tell(bot)
         if self._stands(bot) is not MachineState.READY:
-            for lease in list(bot.waiting.values()):
-                self._end(lease, Outcome.NOT_SENT)
+            for lease in list(bot.offered.values()):
+                self.end_lease(lease, Outcome.NOT_SENT)
 
     def name_of(self, machine: int) -> str:
         bot = self._machines.get(machine)
@@ -369,7 +368,7 @@
         lease.expires = self.now() + min(self.timing.pickup, wait_us / 1e6)
         self._due.set(("lease", lease.id), lease.expires)
         bot.add(lease)
-        bot.news.set()
+        bot.changed.set()
 
     def adopt(self, machine: int, task: ports.Task, receiver: ports.Receiver) -> None:
         """A lease that a former gateway handed out, and the store kept: this life hears of it from now on."""
@@ -385,7 +384,12 @@
         if bot is None:
             cores, memory, hall, rack = record.place
             bot = Bot(
-                record.bot, machine_of(record.bot), cores, memory, self._halls.get(hall, 0), self._rack(rack)
+                record.bot,
+                machine_number(record.bot),
+                cores,
+                memory,
+                self._halls.get(hall, 0),
+                self._rack(rack),
             )
             self._bots[bot.id] = self._machines[bot.machine] = bot
         lease = Lease(
@@ -393,12 +397,12 @@
             bot.machine,
             task,
             0,
-            Deaf(),
-            Phase.ACTIVE if record.running else Phase.PENDING,
+            NullReceiver(),
+            LeasePhase.ACTIVE if record.running else LeasePhase.PENDING,
         )
         self._leases[lease.id] = lease
         bot.add(lease)
-        self._extend(lease)
+        self.extend_lease(lease)
         if not record.seen and record.until:
             lease.expires = min(lease.expires, record.until)
             self._due.set(("lease", lease.id), lease.expires + self.timing.grace)
@@ -407,14 +411,14 @@
         return bot.machine
 
     def leases_out(self) -> list[Lease]:
-        return [lease for lease in self._leases.values() if lease.phase is not Phase.WAITING]
+        return [lease for lease in self._leases.values() if lease.phase is not LeasePhase.OFFERED]
 
     def give_up(self, machine: int, task: ports.Task) -> GiveUpResult:
         lease = self._lease(machine, task)
         if lease is None:
             return GiveUpResult.GIVEN_UP
-        if lease.phase is Phase.WAITING:
-            lease.phase = Phase.OVER
+        if lease.phase is LeasePhase.OFFERED:
+            lease.phase = LeasePhase.ENDED
             self._machines[machine].remove(lease)
             self._leases.pop(lease.id, None)
             self._due.drop(("lease", lease.id))
@@ -434,10 +438,10 @@
         bot = self._machines.get(machine)
         if bot is None or not bot.session:
             done(Outcome.CONNECT_FAILED, ())
-        elif self.now() - bot.heard > self.timing.poll + self.timing.pickup:
+        elif self.now() - bot.last_update > self.timing.poll + self.timing.pickup:
             done(Outcome.TIMEOUT, ())
         else:
-            free = {"x0": bot.cores - bot.asked[0], "x1": bot.memory - bot.asked[1]}
+            free = {"x0": bot.cores - bot.reserved[0], "x1": bot.memory - bot.reserved[1]}
             done(Outcome.OK, tuple(free.get(name, 0.0) for name in self._settings.report_fields))
 
     def _lease(self, machine: int, task: ports.Task) -> Lease | None:
@@ -446,10 +450,10 @@
 
     def _cancel(self, lease: Lease) -> None:
         """Its puller is told at its next update; until it confirms, the lease stays out."""
-        lease.phase = Phase.CANCELLED
+        lease.phase = LeasePhase.CANCELLED
         bot = self._machines[lease.machine]
         bot.stopping[lease.id] = lease
-        bot.news.set()
+        bot.changed.set()
 
     # ---- reading a session ---------------------------------------------------------------------------------
 
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -19,7 +19,7 @@
 from weldhatch.pullqueue.bot_sessions import Bots
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Events, HttpLink, Request, encode_error
-from weldhatch.pullqueue.leases import Ledger
+from weldhatch.pullqueue.leases import KeyLedger
 from weldhatch.pullqueue.monotonic_unix_time import steady
 from weldhatch.pullqueue.operations import Operations
 from weldhatch.pullqueue.operator_states import Operators, Word
@@ -52,7 +52,7 @@
         self.endpoint_list = None  # machines make themselves known here
         self.driver = Driver(policy, log)
         self.book = QueueStorage(told.store, time.time(), log) if told.store else NoStorage(time.time_ns())
-        ledger = self._ledger = Ledger(told.remember, "" if told.store else told.ledger)
+        ledger = self._ledger = KeyLedger(told.remember, "" if told.store else told.ledger)
         ledger.open()
         self.operators = Operators()
         self._words = self._open_words(told.states)
@@ -280,7 +280,7 @@
             listener = Listener(told.listen, self._share, self._taken)
             self.listener.close()
         self.listener, self._told = listener, told
-        self.bots.timing, self._ledger.remember, self._share.most = (
+        self.bots.timing, self._ledger.capacity, self._share.most = (
             told.timing,
             told.remember,
             told.connections,
--- a/weldhatch/pullqueue/lease_dispatch.py
+++ b/weldhatch/pullqueue/lease_dispatch.py
@@ -4,157 +4,199 @@
 
 import asyncio
 from collections.abc import Callable, Container
+from dataclasses import dataclass, field
 from datetime import UTC, datetime
+from typing import Any, Protocol
 
 from weldhatch.core import ports
-from weldhatch.core.messages import CALLED_OFF
+from weldhatch.core.messages import CALLED_OFF, CUT
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.deadlines import Deadlines
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
-from weldhatch.pullqueue.leases import Lease, Ledger, Phase
-from weldhatch.pullqueue.machines import Bot, Passed
+from weldhatch.pullqueue.leases import KeyLedger, Lease, LeasePhase
+from weldhatch.pullqueue.machines import Bot, payload_of
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.scheduling.types import Outcome, Settings
 from weldhatch.store.log import LogError
 
-REPLY_MOST = 48 * 1024  # what one answer hands out at the most; the rest waits for the next
-INLINE = ("inlineAssignment", "yes")  # a worker's config
+REPLY_LIMIT = 48 * 1024  # bytes that one answer hands out, about; the rest waits for the next
+LEASE_OVERHEAD = 512  # bytes of a lease beside its blob, about
+INLINE_ASSIGNMENT = ("inlineAssignment", "yes")  # a worker's config
 
 
-class Outgoing:
-    """Hands leases out in the answer to an update, written first, checked last."""
+class LeaseOwner(Protocol):
+    """Who holds the leases, and their deadlines."""
+
+    def extend_lease(self, lease: Lease) -> None:
+        """Let a lease run for a lease's time from now."""
+
+    def end_lease(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CUT) -> None:
+        """End an attempt."""
+
+    def pickup_s(self) -> float:
+        """Return how long an offer waits for its machine."""
+
+    def zone_and_rack(self, bot: Bot) -> tuple[str, str]:
+        """Return the names of a machine's zone and rack."""
+
+
+@dataclass(slots=True)
+class _Batch:
+    """The leases of one answer, and what has to be on the disk before they leave."""
+
+    leases: list[Lease] = field(default_factory=list)
+    records: list[bytes] = field(default_factory=list)
+    newly_spent: set[str] = field(default_factory=set)  # ids of leases whose keys are spent by this
+
+
+class LeaseDispatcher:
+    """Hands leases out in the answer to an update: written first, checked last."""
 
     def __init__(
         self,
         settings: Settings,
-        ledger: Ledger,
-        book: QueueStorage | NoStorage,
-        due: Deadlines,
-        pickup: Callable[[], float],
-        place_of: Callable[[Bot], tuple[str, str]],
-        extend: Callable[[Lease], None],
-        end: Callable[..., None],
+        ledger: KeyLedger,
+        storage: QueueStorage | NoStorage,
+        deadlines: Deadlines,
+        owner: LeaseOwner,
         log: Callable[[str], None],
         now: Callable[[], float],
     ) -> None:
-        """`pickup`: seconds; `place_of`: hall and rack by name; `extend`, `end`: of a lease, its owner's."""
-        self.settings, self._ledger, self._book, self._due = settings, ledger, book, due
-        self._pickup, self._place_of, self._extend, self._end = pickup, place_of, extend, end
-        self._log, self._now = log, now
+        """Hand out the leases of this owner. `now`: Unix seconds."""
+        self.settings = settings
+        self._ledger = ledger
+        self._storage = storage
+        self._deadlines = deadlines
+        self._owner = owner
+        self._log = log
+        self._now = now
         self.rules: ports.Rules | None = None  # where dispatchers agree on them
 
-    async def hand_out(self, bot: Bot, session: str, poll: int, request: Request) -> list[dict]:
-        """The leases that wait for this machine leave the gateway here, and only here.
+    async def hand_out(
+        self, bot: Bot, session: str, update_number: int, request: Request
+    ) -> list[dict[str, Any]]:
+        """Hand out the leases that are offered to a machine, as its answer shows them.
 
         What may not start twice is on the disk before it is on the wire; where the disk does not take it, or
-        the machine has gone on meanwhile, it has not left.
+        the machine has sent a later update meanwhile, it has not left. Raises HttpError for the latter.
         """
-        out, size, records, spent = [], 0, [], set()
-        for lease in self._held_back(list(bot.waiting.values())):
-            passed: Passed = lease.task.passed_on
-            size += 512 + 2 * len(passed.blob)
-            if out and size > REPLY_MOST:
-                break
-            del bot.waiting[lease.id]
-            lease.phase = Phase.PENDING
-            self._extend(lease)
-            if self._ledger.handed(lease, self.settings.classes[lease.task.class_index]):
-                spent.add(lease.id)
-                records.append(durable_state.encode("spent", [lease.task.key]))
-            records += passed.records()
-            records.append(
-                durable_state.encode(
-                    "handed",
-                    lease.id,
-                    lease.task.label,
-                    bot.id,
-                    [bot.cores, bot.memory, self._place_of(bot)[0], self._place_of(bot)[1]],
-                    lease.attempt,
-                )
-            )
-            out.append(lease)
-        if not out:
+        batch = self._prepare(bot)
+        if not batch.leases:
             return []
         try:
-            await self._book.append(*records)
+            await self._storage.append(*batch.records)
         except LogError:
-            for lease in out:
-                if lease.phase is not Phase.OVER:
-                    self._ledger.taken_back(lease, lease.id in spent)
-                    self._end(lease, Outcome.NOT_SENT)
+            for lease in batch.leases:
+                if lease.phase is not LeasePhase.ENDED:
+                    self._ledger.undo_handout(lease, lease.id in batch.newly_spent)
+                    self._owner.end_lease(lease, Outcome.NOT_SENT)
             return []
         except asyncio.CancelledError:  # the connection of this update has ended meanwhile
-            self._wait_again(bot, out, spent)
+            self._offer_again(bot, batch)
             raise
-        if bot.session != session or bot.poll != poll or request.closed():
-            self._wait_again(bot, out, spent)
+        if bot.session != session or bot.update_number != update_number or request.closed():
+            self._offer_again(bot, batch)
             raise HttpError(409, "name: a later update of this machine has come", "name")
-        out = self._held_back(out, spent)
-        return [self._given(bot, lease) for lease in out if lease.phase in (Phase.PENDING, Phase.CANCELLED)]
-
-    def _held_back(self, leases: list[Lease], spent: Container[str] = ()) -> list[Lease]:
-        """Those that may leave; the others end as not sent.
+        return [
+            self._handout_json(bot, lease)
+            for lease in self._permitted(batch.leases, batch.newly_spent)
+            if lease.phase in (LeasePhase.PENDING, LeasePhase.CANCELLED)
+        ]
+
+    def _prepare(self, bot: Bot) -> _Batch:
+        """Take as many offered leases as one answer holds, with the records of their hand-out."""
+        batch = _Batch()
+        size = 0
+        for lease in self._permitted(list(bot.offered.values())):
+            payload = payload_of(lease.task)
+            size += LEASE_OVERHEAD + 2 * len(payload.blob)
+            if batch.leases and size > REPLY_LIMIT:
+                break
+            del bot.offered[lease.id]
+            lease.phase = LeasePhase.PENDING
+            self._owner.extend_lease(lease)
+            if self._ledger.record_handout(lease, self.settings.classes[lease.task.class_index]):
+                batch.newly_spent.add(lease.id)
+                batch.records.append(durable_state.encode("spent", [lease.task.key]))
+            batch.records += payload.first_records()
+            batch.records.append(self._handout_record(bot, lease))
+            batch.leases.append(lease)
+        return batch
+
+    def _handout_record(self, bot: Bot, lease: Lease) -> bytes:
+        place = [bot.cores, bot.memory, *self._owner.zone_and_rack(bot)]
+        return durable_state.encode("handed", lease.id, lease.task.label, bot.id, place, lease.attempt)
+
+    def _permitted(self, leases: list[Lease], newly_spent: Container[str] = ()) -> list[Lease]:
+        """Return the leases that may leave; end the others as not sent.
 
         Guards against rules that moved on, or a process that was stopped, while an offer waited.
         """
-        may = []
+        permitted = []
         for lease in leases:
             if (
                 self.rules is None
-                or lease.phase not in (Phase.WAITING, Phase.PENDING)
-                or not (why := self.rules.stops(lease.task.class_index, lease.machine))
+                or lease.phase not in (LeasePhase.OFFERED, LeasePhase.PENDING)
+                or not (reason := self.rules.stops(lease.task.class_index, lease.machine))
             ):
-                may.append(lease)
+                permitted.append(lease)
                 continue
-            self._log(f"lease {lease.id} stays: {why}")
-            if lease.phase is Phase.PENDING:
-                self._ledger.taken_back(lease, lease.id in spent)
-            self._end(lease, Outcome.NOT_SENT)
-        return may
+            self._log(f"lease {lease.id} stays: {reason}")
+            if lease.phase is LeasePhase.PENDING:
+                self._ledger.undo_handout(lease, lease.id in newly_spent)
+            self._owner.end_lease(lease, Outcome.NOT_SENT)
+        return permitted
 
-    def _wait_again(self, bot: Bot, leases: list[Lease], spent: set[str]) -> None:
-        """Leases that were written and have not left: offered still, their keys neither out nor spent.
+    def _offer_again(self, bot: Bot, batch: _Batch) -> None:
+        """Offer leases again that were written and have not left; their keys are neither leased nor spent.
 
         Guards against a lease that is lost with an update that its machine has given up, and against a key
         that stays taken where the offer is withdrawn then.
         """
-        for lease in leases:
-            if lease.phase in (Phase.PENDING, Phase.CANCELLED):
-                self._ledger.taken_back(lease, lease.id in spent)
-                self._book.append_with_retry(durable_state.encode("back", lease.id))
-                if lease.phase is Phase.CANCELLED:
-                    self._end(lease, Outcome.NOT_SENT, cause=CALLED_OFF)
-                    continue
-                lease.phase = Phase.WAITING
-                lease.expires = self._now() + self._pickup()
-                self._due.set(("lease", lease.id), lease.expires)
-                bot.waiting[lease.id] = lease
-        bot.news.set()
-
-    def _given(self, bot: Bot, lease: Lease) -> dict:
-        """A lease as it is handed out; machines of the API's earlier form have the payload inline as well."""
-        payload = self._payload(lease)
-        given = {**shown(lease), "assignment": lease.task.label, "payload": payload}
-        return {**given, "inlineAssignment": payload} if INLINE in bot.worker.configs else given
-
-    def _payload(self, lease: Lease) -> dict:
-        setup, blob = lease.task.passed_on.setup, lease.task.passed_on.blob
+        for lease in batch.leases:
+            if lease.phase not in (LeasePhase.PENDING, LeasePhase.CANCELLED):
+                continue
+            self._ledger.undo_handout(lease, lease.id in batch.newly_spent)
+            self._storage.append_with_retry(durable_state.encode("back", lease.id))
+            if lease.phase is LeasePhase.CANCELLED:
+                self._owner.end_lease(lease, Outcome.NOT_SENT, cause=CALLED_OFF)
+                continue
+            lease.phase = LeasePhase.OFFERED
+            lease.expires = self._now() + self._owner.pickup_s()
+            self._deadlines.set(("lease", lease.id), lease.expires)
+            bot.offered[lease.id] = lease
+        bot.changed.set()
+
+    def _handout_json(self, bot: Bot, lease: Lease) -> dict[str, Any]:
+        """Return a lease as it is handed out; the API's earlier form has the payload inline too."""
+        payload = self._payload_json(lease)
+        shown = {**lease_json(lease), "assignment": lease.task.label, "payload": payload}
+        if INLINE_ASSIGNMENT in bot.worker.configs:
+            shown["inlineAssignment"] = payload
+        return shown
+
+    @staticmethod
+    def _payload_json(lease: Lease) -> dict[str, Any]:
+        payload = payload_of(lease.task)
+        request = payload.request
         return {
             "@type": "type.googleapis.com/weldhatch.Task",
-            "class": setup.class_name,
-            "key": setup.name,
-            "idem": setup.idem,
-            "cores": setup.cores,
-            "memory": setup.memory,
-            "service": f"{setup.service:016x}",
-            "blob": blob,
+            "class": request.class_name,
+            "key": request.name,
+            "idem": request.idem,
+            "cores": request.cores,
+            "memory": request.memory,
+            "service": f"{request.service:016x}",
+            "blob": payload.blob,
         }
 
 
-def shown(lease: Lease) -> dict:
+def lease_json(lease: Lease) -> dict[str, Any]:
+    """Return a lease as the Remote Workers API shows it."""
     return {"id": lease.id, "state": lease.phase.value, "expireTime": rfc3339(lease.expires)}
 
 
 def rfc3339(at: float) -> str:
+    """Return Unix seconds as a timestamp of RFC 3339, in UTC and to the millisecond."""
     return datetime.fromtimestamp(at, UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
--- a/weldhatch/pullqueue/machines.py
+++ b/weldhatch/pullqueue/machines.py
@@ -6,21 +6,28 @@
 import hashlib
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import cast
 
+from weldhatch.core import ports
 from weldhatch.placement_request import PlacementRequest
-from weldhatch.pullqueue.leases import Lease, Phase
+from weldhatch.pullqueue.leases import Lease, LeasePhase
 from weldhatch.pullqueue.workers import NOTHING, Worker
 from weldhatch.scheduling.types import MachineState
 
 
 @dataclass(slots=True)
-class Passed:
-    """What a submission passes on to its leases: the set-up, its description, and who hears of results."""
+class LeasePayload:
+    """What a submission passes on to its leases."""
 
-    setup: PlacementRequest
-    blob: str
-    told: Callable[[object, str], None] = lambda result, message: None
-    records: Callable[[], tuple[bytes, ...]] = tuple  # what has to be on the disk before its first lease
+    request: PlacementRequest
+    blob: str  # the submitter's description of the task
+    on_result: Callable[[object, str], None] = lambda result, message: None
+    first_records: Callable[[], tuple[bytes, ...]] = tuple  # on the disk before its first lease leaves
+
+
+def payload_of(task: ports.Task) -> LeasePayload:
+    """Return what the pull queue passes on with a task of its own."""
+    return cast(LeasePayload, task.passed_on)
 
 
 @dataclass(slots=True, eq=False)
@@ -28,49 +35,50 @@
     """A build machine, by its bot id. Sessions come and go; leases are the machine's."""
 
     id: str
-    machine: int
+    machine: int  # the policy's number of it
     cores: float
     memory: float
-    hall: int
+    zone: int
     rack: int
     session: str = ""
-    expires: float = 0.0
-    heard: float = 0.0
+    expires: float = 0.0  # the session, in Unix seconds
+    last_update: float = 0.0  # Unix seconds
     state: MachineState = MachineState.REMOVED
-    status: str = "OK"
     worker: Worker = NOTHING
     leases: dict[str, Lease] = field(default_factory=dict)
-    # those of them that are offered, and not handed out
-    waiting: dict[str, Lease] = field(default_factory=dict)
+    offered: dict[str, Lease] = field(default_factory=dict)  # those of them that are not handed out
     stopping: dict[str, Lease] = field(default_factory=dict)  # those that the puller has to stop
     by_task: dict[int, Lease] = field(default_factory=dict)  # by the identity of their task
-    asked: tuple[float, float] = (0.0, 0.0)  # cores and memory of all leases
-    news: asyncio.Event = field(default_factory=asyncio.Event)
-    poll: int = 0  # the number of the last update; an older one that still waits is void
+    reserved: tuple[float, float] = (0.0, 0.0)  # cores and memory of all leases
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
+    update_number: int = 0  # of the last update; an older one that still waits is void
     owner: str = ""  # the name in the token that opened the session, where tokens are asked for
 
     def add(self, lease: Lease) -> None:
-        self.leases[lease.id] = self.by_task[id(lease.task)] = lease
-        self.asked = (self.asked[0] + lease.task.cores, self.asked[1] + lease.task.memory)
-        if lease.phase is Phase.WAITING:
-            self.waiting[lease.id] = lease
+        """Add a lease, and reserve its capacity."""
+        self.leases[lease.id] = lease
+        self.by_task[id(lease.task)] = lease
+        self.reserved = (self.reserved[0] + lease.task.cores, self.reserved[1] + lease.task.memory)
+        if lease.phase is LeasePhase.OFFERED:
+            self.offered[lease.id] = lease
 
     def remove(self, lease: Lease) -> None:
+        """Remove a lease, if it is here, and give its capacity back."""
         if self.leases.pop(lease.id, None) is not None:
             self.by_task.pop(id(lease.task), None)
-            self.waiting.pop(lease.id, None)
+            self.offered.pop(lease.id, None)
             self.stopping.pop(lease.id, None)
-            less = (self.asked[0] - lease.task.cores, self.asked[1] - lease.task.memory)
-            self.asked = less if self.leases else (0.0, 0.0)
+            rest = (self.reserved[0] - lease.task.cores, self.reserved[1] - lease.task.memory)
+            self.reserved = rest if self.leases else (0.0, 0.0)
 
 
-class Deaf:
-    """Hears for a lease until its life is there."""
+class NullReceiver:
+    """Receives for a restored lease until its request's lifecycle is there."""
 
-    def tell(self, word: object) -> None:
-        pass
+    def deliver(self, message: object) -> None:
+        """Drop the message."""
 
 
-def machine_of(bot_id: str) -> int:
-    """The module's number of a build machine: the same after each restart."""
+def machine_number(bot_id: str) -> int:
+    """Return the policy's number of a build machine: the same after each restart."""
     return int.from_bytes(hashlib.blake2b(bot_id.encode(), digest_size=6).digest(), "big")
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 from random import Random
-from typing import Any, cast
+from typing import Any
 
 import msgspec
 
@@ -20,8 +20,8 @@
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.placement_request import PlacementRequest
 from weldhatch.pullqueue import durable_state
-from weldhatch.pullqueue.leases import Ledger
-from weldhatch.pullqueue.machines import Passed
+from weldhatch.pullqueue.leases import KeyLedger
+from weldhatch.pullqueue.machines import LeasePayload, payload_of
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.scheduling.types import Effect, Settings
 from weldhatch.sites.forwarding import SiteForwarder
@@ -38,15 +38,10 @@
 _RESULT: msgspec.json.Decoder[_Result] = msgspec.json.Decoder(_Result)
 
 
-def _passed_on(task: ports.Task) -> Passed:
-    """Return what the pull queue passes on with a task of its own."""
-    return cast(Passed, task.passed_on)
-
-
 class PullQueueSiteFront(SiteFrontEnd):
     """The pull queue as the front of its site."""
 
-    def __init__(self, settings: Settings, ledger: Ledger, storage: QueueStorage | NoStorage) -> None:
+    def __init__(self, settings: Settings, ledger: KeyLedger, storage: QueueStorage | NoStorage) -> None:
         """Ask this ledger, and write spent keys to this store."""
         self._ledger = ledger
         self._storage = storage
@@ -54,8 +49,8 @@
 
     def encode_passed_on(self, task: ports.Task) -> tuple[str, ...]:
         """Return the placement request of a task, and its description."""
-        passed = _passed_on(task)
-        return msgspec.json.encode(passed.setup).decode(), passed.blob
+        payload = payload_of(task)
+        return msgspec.json.encode(payload.request).decode(), payload.blob
 
     def decode_passed_on(
         self, site: str, id: TransferId, work: Work, on_result: Callable[[str], None]
@@ -71,7 +66,7 @@
             on_result(msgspec.json.encode((result, message)).decode())
 
         epoch, serial = id
-        return f"crossings/{site}-{epoch}-{serial}", Passed(request, blob, encode_result)
+        return f"crossings/{site}-{epoch}-{serial}", LeasePayload(request, blob, encode_result)
 
     def report_result(self, task: ports.Task, result: str) -> None:
         """Take what a task has come to at another site, as a machine here would say it."""
@@ -79,12 +74,12 @@
             value, message = _RESULT.decode(result)
         except (msgspec.MsgspecError, ValueError):
             return  # another site's fault: the task has ended all the same
-        _passed_on(task).told(value, message)
+        payload_of(task).on_result(value, message)
 
     def why_not_admitted(self, work: Work) -> str:
         """Guard against a start beside a request, a lease, or an earlier hand-out of this gateway's own."""
-        refusal = self._ledger.refusal(work.key, self._classes[work.class_name])
-        return refusal.value if refusal is not None else ""
+        rejection = self._ledger.rejection(work.key, self._classes[work.class_name])
+        return rejection.value if rejection is not None else ""
 
     def task_ran(self, work: Work) -> None:
         """Spend the key of a task that another site has handed out, where it may not start twice."""
@@ -115,7 +110,7 @@
     settings: Settings,
     driver: Driver,
     core: Core,
-    ledger: Ledger,
+    ledger: KeyLedger,
     storage: QueueStorage | NoStorage,
     random: Random,
     log: Callable[[str], None],
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -26,8 +26,8 @@
 from weldhatch.pullqueue.bot_sessions import Bots
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
-from weldhatch.pullqueue.leases import Ledger, Refusal
-from weldhatch.pullqueue.machines import Passed
+from weldhatch.pullqueue.leases import KeyLedger, KeyRejection
+from weldhatch.pullqueue.machines import LeasePayload
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.submission import Nobody, Submitted
 from weldhatch.pullqueue.workers import NOTHING, Matching, Worker, read_worker
@@ -50,7 +50,7 @@
         settings: Settings,
         core: Core,
         bots: Bots,
-        ledger: Ledger,
+        ledger: KeyLedger,
         book: QueueStorage | NoStorage,
         queue: int,
         random: Random,
@@ -155,10 +155,10 @@
         }
         asked = self._make(setup.key, setup.tenant, meta)
         asked.fields = {name: tree[name] for name in RECORDED_FIELDS if name in tree}
-        self._ledger.ask(setup.key)
+        self._ledger.reserve(setup.key)
         if request_id:
             self._by_request[setup.tenant, request_id] = asked
-        passed = Passed(setup, blob, asked.machine_says, lambda: self._first_record(asked, blob))
+        passed = LeasePayload(setup, blob, asked.machine_says, lambda: self._first_record(asked, blob))
         if waits or request_id:
             try:
                 await self._book.append(*self._first_record(asked, blob))
@@ -208,7 +208,7 @@
         return asked
 
     def _task(
-        self, name: str, setup: PlacementRequest, deadline: int, passed: Passed, wanted: Worker
+        self, name: str, setup: PlacementRequest, deadline: int, passed: LeasePayload, wanted: Worker
     ) -> ports.Task:
         only = Matching(wanted, self._bots.workers) if wanted != NOTHING else None
         return ports.Task(
@@ -289,18 +289,18 @@
         """The answer to a key that can't go out now, whatever the module would say."""
         if self._bots.stale:
             raise HttpError(503, f"store: {self._bots.stale}", "store", 30.0)
-        match self._ledger.refusal(key, cls):
-            case Refusal.BUSY:
-                raise HttpError(409, f"key: {Refusal.BUSY.value}", "key")
-            case Refusal.SPENT:
-                return {"answer": "failed", "reason": Refusal.SPENT.value}
-            case Refusal.IN_DOUBT:
-                wait = self._ledger.doubt_ends(key) + self._bots.timing.grace - self._bots.now()
-                return self._not_yet(Refusal.IN_DOUBT.value, max(0.0, wait) + 0.1)
+        match self._ledger.rejection(key, cls):
+            case KeyRejection.BUSY:
+                raise HttpError(409, f"key: {KeyRejection.BUSY.value}", "key")
+            case KeyRejection.SPENT:
+                return {"answer": "failed", "reason": KeyRejection.SPENT.value}
+            case KeyRejection.IN_DOUBT:
+                wait = self._ledger.in_doubt_until(key) + self._bots.timing.grace - self._bots.now()
+                return self._not_yet(KeyRejection.IN_DOUBT.value, max(0.0, wait) + 0.1)
         # With a store, all leases of a former gateway are known: only a new one lets time pass first.
         if self._book.fresh and (left := self._started + self._bots.timing.settle - self._bots.now()) > 0:
             return self._not_yet("leases of a former gateway may still run", left)
-        if self._ledger.full(cls):
+        if self._ledger.is_full_for(cls):
             raise HttpError(503, "class: no more tasks of this class can be remembered", "class")
         return None
 
@@ -353,7 +353,7 @@
             asked.answer.set_result(asked.told)
 
     def ended(self, asked: Submitted) -> None:
-        self._ledger.answered(asked.key)
+        self._ledger.release(asked.key)
         self._ended.append(asked.name)
         if len(self._ended) > ENDED_KEPT:
             self.drop(self._ended.popleft())
@@ -418,7 +418,7 @@
             asked.restored(one)
             if one.meta.get("request"):
                 self._by_request[setup.tenant, one.meta["request"]] = asked
-            passed = Passed(setup, one.blob, asked.machine_says)
+            passed = LeasePayload(setup, one.blob, asked.machine_says)
             task = self._task(one.name, setup, one.meta["deadline"], passed, wanted)
             lease = state.leases.get(one.lease)
             if lease is not None:
@@ -449,6 +449,6 @@
         if now >= task.deadline_us or not (asked.meta.get("waits") or asked.meta.get("request")):
             asked.refused(0, "the gateway has started anew")
             return
-        self._ledger.ask(asked.key)
+        self._ledger.reserve(asked.key)
         asked.ticket = Ticket(asked.tenant, task.deadline_us, now)
         self._come(asked, task)
--- a/weldhatch/simulation/seeded_defects.py
+++ b/weldhatch/simulation/seeded_defects.py
@@ -20,7 +20,7 @@
 from weldhatch.net.connection import Connection
 from weldhatch.pullqueue import front
 from weldhatch.pullqueue.durable_state import QueueState
-from weldhatch.pullqueue.leases import Ledger
+from weldhatch.pullqueue.leases import KeyLedger
 from weldhatch.simulation.scenario_runner import SCENARIOS, play
 from weldhatch.zones.failover_rules import FailoverRules
 
@@ -83,7 +83,7 @@
 
 
 def _keys_free() -> AbstractContextManager:
-    return mock.patch.object(Ledger, "refusal", lambda self, key, cls: None)
+    return mock.patch.object(KeyLedger, "rejection", lambda self, key, cls: None)
 
 
 _PUT = {
