--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -76,7 +76,7 @@
     async def test_what_waits_for_a_machine_goes_elsewhere_when_an_operator_drains_it(self):
         await self.play(f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.play(f"c1 send POST tasks | {task()}")
-        b1 = self.gateway.bots._bots["b1"]
+        b1 = self.gateway.bots.registry.bots["b1"]
         await self.until(lambda: b1.leases, "the task is offered")
         self.gateway.operate(word())
         assert not b1.leases
@@ -103,7 +103,7 @@
             c2 expect 200 answer=refused
             p2 expect 200 leases.0.state=ACTIVE
         """)
-        assert len(self.gateway.bots._bots["b1"].leases) == 1
+        assert len(self.gateway.bots.registry.bots["b1"].leases) == 1
         self.gateway.operate(word(state="ready", fence=4))
         await self.play(f"""
             c2 send POST tasks | {task(key="b3")}
--- a/tests/test_pullqueue.py
+++ b/tests/test_pullqueue.py
@@ -125,7 +125,7 @@
 
     async def test_a_renewal_after_the_expiry_is_cancelled_and_blocks_new_leases(self):
         await self.placed()
-        held = next(iter(self.gateway.bots._bots["b1"].leases.values()))
+        held = next(iter(self.gateway.bots.registry.bots["b1"].leases.values()))
         held.expires = time.time() - 0.01
         await self.play(f"""
             p1 send PATCH $session | {lease("ACTIVE")}
@@ -445,7 +445,7 @@
             c1 send POST tasks | {task("keyed")}
             c1 expect 200 answer=refused
         """)
-        await self.until(lambda: not self.gateway.bots._bots["b1"].leases, "the lease ran out")
+        await self.until(lambda: not self.gateway.bots.registry.bots["b1"].leases, "the lease ran out")
         await self.play(f"""
             c1 send POST tasks | {task("keyed")}
             p1 send PATCH $session X-Server-Timeout=9 | {{}}
@@ -458,7 +458,7 @@
 
     async def test_a_session_without_updates_runs_out(self):
         await self.play(f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
-        await self.until(lambda: not self.gateway.bots._sessions, "the session ran out")
+        await self.until(lambda: not self.gateway.bots.registry.by_session, "the session ran out")
         await self.play("p1 send PATCH $session | {}\np1 expect 404")
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -200,15 +200,15 @@
         """Each start gives what was seen in the last epoch one lease more, and what was not nothing."""
         await self.placed("safe")
         await self.again(lease=1.0, poll=0.3)
-        [first] = [one.expires for one in self.gateway.bots.leases_out()]
+        [first] = [one.expires for one in self.gateway.bots.leases.handed_out()]
         for _ in range(3):
             await self.again(lease=1.0, poll=0.3)
-            [again] = [one.expires for one in self.gateway.bots.leases_out()]
+            [again] = [one.expires for one in self.gateway.bots.leases.handed_out()]
             self.assertEqual(first, again)
-        held = self.gateway.bots.leases_out()[0].id
+        held = self.gateway.bots.leases.handed_out()[0].id
         await self.play(f"p2 send POST botSessions | {self.back(held)}\np2 expect 200 leases.0.state=ACTIVE")
         await self.again(lease=1.0, poll=0.3)
-        [later] = [one.expires for one in self.gateway.bots.leases_out()]
+        [later] = [one.expires for one in self.gateway.bots.leases.handed_out()]
         self.assertGreater(later, first)
 
     async def test_a_lease_that_was_written_and_did_not_leave_keeps_no_key(self):
--- /dev/null
+++ b/weldhatch/pullqueue/bot_leases.py
@@ -0,0 +1,246 @@
+"""The leases of all build machines: what the core asks of them, and what their pullers report.
+
+A lease goes OFFERED, PENDING, ACTIVE, and ends in `end_lease`, the one place where it is given back. What was
+handed out is never taken for stopped on a guess: only its puller's report, or expiry and grace, end it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from weldhatch.config import PullQueueTiming
+from weldhatch.core import ports
+from weldhatch.core.messages import CALLED_OFF, CUT, GIVEN_UP, Answered, Ended, GiveUpResult
+from weldhatch.pullqueue import durable_state
+from weldhatch.pullqueue.bot_registry import BotRegistry, NameSource
+from weldhatch.pullqueue.deadlines import Deadlines
+from weldhatch.pullqueue.leases import KeyLedger, Lease, LeasePhase
+from weldhatch.pullqueue.machines import Bot, NullReceiver, payload_of
+from weldhatch.pullqueue.reports import Listed
+from weldhatch.pullqueue.storage import NoStorage, QueueStorage
+from weldhatch.scheduling.types import MachineState, Outcome, Reason, Settings
+
+# What a puller that declines a lease before it runs says of it, by google.rpc.Code: proof that nothing ran.
+DECLINED = {8: Reason.UNSPECIFIED, 9: Reason.NOT_ACCEPTING}
+RAN_WELL = 0
+
+
+class BotLeases:
+    """All leases of this gateway, and the machines as the core's `Site`."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        timing: PullQueueTiming,
+        registry: BotRegistry,
+        names: NameSource,
+        ledger: KeyLedger,
+        storage: QueueStorage | NoStorage,
+        deadlines: Deadlines[tuple[str, str]],
+        log: Callable[[str], None],
+        now: Callable[[], float],
+    ) -> None:
+        """Keep the deadlines of leases under ("lease", id). `now`: Unix seconds that do not leap."""
+        self.settings = settings
+        self.timing = timing
+        self._registry = registry
+        self._names = names
+        self._ledger = ledger
+        self._storage = storage
+        self._deadlines = deadlines
+        self._log = log
+        self._now = now
+        self.by_id: dict[str, Lease] = {}
+        self._unconfirmed: set[str] = set()  # restored ones that their machines have not renewed yet
+
+    # ---- as the dispatcher of leases needs them ------------------------------------------------------------
+
+    def extend_lease(self, lease: Lease) -> None:
+        """Let a lease run for a lease's time from now; it counts as leased for the grace after that."""
+        lease.expires = self._now() + self.timing.lease
+        self._deadlines.set(("lease", lease.id), lease.expires + self.timing.grace)
+
+    def end_lease(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CUT) -> None:
+        """End an attempt: the one place where that is done."""
+        lease.phase = LeasePhase.ENDED
+        self._registry.by_machine[lease.machine].remove(lease)
+        self.by_id.pop(lease.id, None)
+        self._deadlines.drop(("lease", lease.id))
+        self._ledger.end(lease)
+        self._storage.append_with_retry(durable_state.encode("over", lease.id))
+        lease.receiver.deliver(Ended(lease.attempt, outcome, reason, (), cause))
+
+    def pickup_s(self) -> float:
+        """Return how long an offer waits for its machine."""
+        return self.timing.pickup
+
+    def zone_and_rack(self, bot: Bot) -> tuple[str, str]:
+        """Return the names of a machine's zone and rack."""
+        return self._registry.zone_and_rack(bot)
+
+    # ---- what a puller reports -----------------------------------------------------------------------------
+
+    def apply_report(self, bot: Bot, listed: list[Listed]) -> list[str]:
+        """Take each listed lease; return ids of those that the puller has to end before it gets more."""
+        to_end = []
+        now = self._now()
+        for entry in listed:
+            lease = bot.leases.get(entry.id)
+            running = entry.state in ("PENDING", "ACTIVE")
+            if lease is None or lease.phase is LeasePhase.OFFERED:
+                if running:
+                    to_end.append(entry.id)
+            elif not running:
+                self._finish(lease, entry)
+            elif lease.phase is LeasePhase.CANCELLED or now >= lease.expires:
+                # Guards against a renewal that comes too late: the puller had to stop, and the task may
+                # be on its way elsewhere as soon as the grace is over.
+                lease.phase = LeasePhase.CANCELLED
+                bot.stopping[lease.id] = lease
+            elif entry.state == "ACTIVE":
+                self._renew(bot, lease)
+        return to_end
+
+    def _renew(self, bot: Bot, lease: Lease) -> None:
+        self.extend_lease(lease)
+        if lease.id in self._unconfirmed:
+            self._unconfirmed.discard(lease.id)
+            self._storage.append_with_retry(durable_state.encode("seen", lease.id))
+        if lease.phase is LeasePhase.PENDING:
+            lease.phase = LeasePhase.ACTIVE
+            self._storage.append_with_retry(durable_state.encode("running", lease.id))
+            lease.receiver.deliver(Answered(lease.attempt, bot.id))
+
+    def _finish(self, lease: Lease, entry: Listed) -> None:
+        """End a lease that its puller holds no longer."""
+        payload_of(lease.task).on_result(entry.result, entry.message)
+        ran_well = entry.state == "COMPLETED" and entry.code == RAN_WELL
+        if lease.phase is LeasePhase.CANCELLED:
+            self.end_lease(lease, Outcome.CANCELLED, cause=CALLED_OFF)
+        elif lease.phase is LeasePhase.ACTIVE:
+            outcome = Outcome.OK if ran_well else Outcome.RESET
+            self.end_lease(lease, outcome, cause=GIVEN_UP if ran_well else CUT)
+        elif ran_well:  # a short task: begun and ended in one report
+            lease.receiver.deliver(Answered(lease.attempt, self._registry.by_machine[lease.machine].id))
+            self.end_lease(lease, Outcome.OK, cause=GIVEN_UP)
+        elif entry.state == "COMPLETED" and entry.code in DECLINED:
+            self.end_lease(lease, Outcome.FULL, DECLINED[entry.code])
+        else:
+            self.end_lease(lease, Outcome.ERROR)
+
+    # ---- deadlines, operators, restarts --------------------------------------------------------------------
+
+    def check_deadline(self, lease: Lease, now: float) -> None:
+        """End a lease whose deadline has come, or note when it will; its machine may be forgotten then."""
+        bot = self._registry.by_machine[lease.machine]
+        if lease.phase is LeasePhase.OFFERED:
+            if now >= lease.expires:
+                self.end_lease(lease, Outcome.CONNECT_FAILED)
+            else:
+                self._deadlines.set(("lease", lease.id), lease.expires)
+        elif now >= lease.expires + self.timing.grace:
+            self._log(f"bot {bot.id}: lease {lease.id} has run out, {lease.phase.value}")
+            self.end_lease(lease, Outcome.RESET)
+        else:
+            self._deadlines.set(("lease", lease.id), lease.expires + self.timing.grace)
+        self._registry.forget_if_idle(bot)
+
+    def end_offers(self, bot: Bot) -> None:
+        """End what waits for a machine as not sent: it has never run, and goes elsewhere."""
+        for lease in list(bot.offered.values()):
+            self.end_lease(lease, Outcome.NOT_SENT)
+
+    def restore(self, record: durable_state.LeaseRecord, task: ports.Task) -> int:
+        """Count a lease as leased anew that was when the gateway ended; return its machine's number."""
+        bot = self._registry.restore(record.bot, record.place)
+        phase = LeasePhase.ACTIVE if record.running else LeasePhase.PENDING
+        lease = Lease(record.id, bot.machine, task, 0, NullReceiver(), phase)
+        self.by_id[lease.id] = lease
+        bot.add(lease)
+        self.extend_lease(lease)
+        if not record.seen and record.until:
+            lease.expires = min(lease.expires, record.until)
+            self._deadlines.set(("lease", lease.id), lease.expires + self.timing.grace)
+        self._storage.append_with_retry(durable_state.encode("until", lease.id, lease.expires))
+        self._unconfirmed.add(lease.id)
+        return bot.machine
+
+    def handed_out(self) -> list[Lease]:
+        """Return the leases that machines hold, or may hold."""
+        return [lease for lease in self.by_id.values() if lease.phase is not LeasePhase.OFFERED]
+
+    # ---- what the core asks for: `ports.Site` --------------------------------------------------------------
+
+    def offer(
+        self,
+        machine: int,
+        task: ports.Task,
+        attempt: int,
+        wait_us: int,
+        receiver: ports.Receiver,
+        start_by_us: int = 0,
+    ) -> None:
+        """Offer a task to a machine; it waits for the machine's next update, for `wait_us` at the most."""
+        bot = self._registry.by_machine.get(machine)
+        if bot is None or not bot.session or self._registry.effective_state(bot) is not MachineState.READY:
+            receiver.deliver(Ended(attempt, Outcome.NOT_SENT))
+            return
+        lease = Lease(self._names.next("leases"), machine, task, attempt, receiver)
+        self.by_id[lease.id] = lease
+        lease.expires = self._now() + min(self.timing.pickup, wait_us / 1e6)
+        self._deadlines.set(("lease", lease.id), lease.expires)
+        bot.add(lease)
+        bot.changed.set()
+
+    def adopt(self, machine: int, task: ports.Task, receiver: ports.Receiver) -> None:
+        """Deliver to this receiver from now on what becomes of a restored lease."""
+        lease = self._lease_of(machine, task)
+        if lease is None:  # no submitter names a machine
+            receiver.deliver(Ended(0, Outcome.RESET))
+        else:
+            lease.receiver = receiver
+
+    def give_up(self, machine: int, task: ports.Task) -> GiveUpResult:
+        """Withdraw an offer; what was handed out is cancelled, and stays out until that is confirmed."""
+        lease = self._lease_of(machine, task)
+        if lease is None:
+            return GiveUpResult.GIVEN_UP
+        if lease.phase is LeasePhase.OFFERED:
+            lease.phase = LeasePhase.ENDED
+            self._registry.by_machine[machine].remove(lease)
+            self.by_id.pop(lease.id, None)
+            self._deadlines.drop(("lease", lease.id))
+            return GiveUpResult.WITHDRAWN
+        self._cancel(lease)
+        return GiveUpResult.STILL_OUT
+
+    def release(self, machine: int, task: ports.Task, cause: int) -> None:
+        """Have a standing task ended; its end is still delivered."""
+        if lease := self._lease_of(machine, task):
+            self._cancel(lease)
+
+    def move(self, machine: int, task: ports.Task) -> None:
+        """Have a standing task ended because it is to run elsewhere."""
+        self.release(machine, task, CALLED_OFF)
+
+    def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
+        """Answer from the machine's last update; one that owes an update is silent."""
+        bot = self._registry.by_machine.get(machine)
+        if bot is None or not bot.session:
+            done(Outcome.CONNECT_FAILED, ())
+        elif self._now() - bot.last_update > self.timing.poll + self.timing.pickup:
+            done(Outcome.TIMEOUT, ())
+        else:
+            free = {"x0": bot.cores - bot.reserved[0], "x1": bot.memory - bot.reserved[1]}
+            done(Outcome.OK, tuple(free.get(name, 0.0) for name in self.settings.report_fields))
+
+    def _lease_of(self, machine: int, task: ports.Task) -> Lease | None:
+        bot = self._registry.by_machine.get(machine)
+        return bot.by_task.get(id(task)) if bot else None
+
+    def _cancel(self, lease: Lease) -> None:
+        """Cancel a lease at its puller's next update; until it confirms, the lease stays out."""
+        lease.phase = LeasePhase.CANCELLED
+        bot = self._registry.by_machine[lease.machine]
+        bot.stopping[lease.id] = lease
+        bot.changed.set()
--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -166,7 +166,7 @@
 
     def _machines(self) -> dict[str, dict]:
         """All machines that are known here, or that an operator has said something of."""
-        known = self._front.bots.machines()
+        known = self._front.bots.machines_json()
         words = {
             name: {"state": word.state, "fence": word.fence, "op": word.op, "since": word.at}
             for name, word in self._front.operators.words.items()
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -16,7 +16,7 @@
 from weldhatch.net.connection import Connection
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.net.listener import Listener
-from weldhatch.pullqueue.bot_sessions import Bots
+from weldhatch.pullqueue.bot_sessions import BotSessions
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Events, HttpLink, Request, encode_error
 from weldhatch.pullqueue.leases import KeyLedger
@@ -56,11 +56,12 @@
         ledger.open()
         self.operators = Operators()
         self._words = self._open_words(told.states)
-        self.bots = Bots(
+        self.bots = BotSessions(
             settings, told.timing, ledger, self.operators, self.book, self.driver.post, log, steady()
         )
-        self.driver.site, self.driver.directory = self.bots, NoDirectory()
-        self.core = Core(self.driver, self.bots, log)
+        self.driver.site = self.bots.leases
+        self.driver.directory = NoDirectory()
+        self.core = Core(self.driver, self.bots.leases, log)
         self.sites = self._sites_book = self._door = None
         if told.sites is not None:
             from weldhatch.pullqueue import remote_sites  # its codec is imported only where there are sites
@@ -114,7 +115,7 @@
         self.settings = settings
         self.core.rules = rules
         self.driver.reconfigure(settings)
-        self.bots.rule(settings, rules)
+        self.bots.reconfigure(settings, rules)
         self.tasks.rule(settings)
         if self.sites is not None:
             self.sites.reconfigure(settings)
@@ -127,7 +128,7 @@
                 self._words.append([word.encode()])
             self.operators.take(word)
             self._log(f"operator: {word.machine} {word.state}, fence {word.fence}")
-            self.bots.operated(word.machine)
+            self.bots.apply_operator_state(word.machine)
 
     def name_of(self, machine: int) -> str:
         return self.bots.name_of(machine)
@@ -140,7 +141,7 @@
         last = self.operators.words.get(machine)
         if last is None or (last.state, last.fence) != (state, fence):
             self.operators.take(Word(machine, state, fence, op, time.time()))
-            self.bots.operated(machine)
+            self.bots.apply_operator_state(machine)
 
     def _taken(self, stream: IOStream, host: str) -> None:
         task = asyncio.get_running_loop().create_task(self._serve(stream, host))
@@ -280,7 +281,7 @@
             listener = Listener(told.listen, self._share, self._taken)
             self.listener.close()
         self.listener, self._told = listener, told
-        self.bots.timing, self._ledger.capacity, self._share.most = (
+        self.bots.leases.timing, self._ledger.capacity, self._share.most = (
             told.timing,
             told.remember,
             told.connections,
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -23,7 +23,7 @@
 from weldhatch.placement_request import FieldError, PlacementForm, PlacementRequest
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.admission import AdmissionQueue, Ticket, Verdict
-from weldhatch.pullqueue.bot_sessions import Bots
+from weldhatch.pullqueue.bot_sessions import BotSessions
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
 from weldhatch.pullqueue.leases import KeyLedger, KeyRejection
@@ -49,7 +49,7 @@
         self,
         settings: Settings,
         core: Core,
-        bots: Bots,
+        bots: BotSessions,
         ledger: KeyLedger,
         book: QueueStorage | NoStorage,
         queue: int,
@@ -210,7 +210,7 @@
     def _task(
         self, name: str, setup: PlacementRequest, deadline: int, passed: LeasePayload, wanted: Worker
     ) -> ports.Task:
-        only = Matching(wanted, self._bots.workers) if wanted != NOTHING else None
+        only = Matching(wanted, self._bots.registry.workers) if wanted != NOTHING else None
         return ports.Task(
             name,
             setup.class_index,
@@ -287,8 +287,8 @@
 
     def _barred(self, key: int, cls: RequestClass) -> dict | None:
         """The answer to a key that can't go out now, whatever the module would say."""
-        if self._bots.stale:
-            raise HttpError(503, f"store: {self._bots.stale}", "store", 30.0)
+        if self._bots.stale_reason:
+            raise HttpError(503, f"store: {self._bots.stale_reason}", "store", 30.0)
         match self._ledger.rejection(key, cls):
             case KeyRejection.BUSY:
                 raise HttpError(409, f"key: {KeyRejection.BUSY.value}", "key")
@@ -423,7 +423,7 @@
             lease = state.leases.get(one.lease)
             if lease is not None:
                 out += 1
-                machine = self._bots.restore(lease, task)
+                machine = self._bots.leases.restore(lease, task)
                 if not one.over:
                     asked_keys.append(setup.key)
                 asked.life = self._core.adopt(
@@ -438,7 +438,7 @@
                 asked.released(CUT)
             else:
                 anew.append((asked, task))
-        self._ledger.restore(state.spent, self._bots.leases_out(), asked_keys)
+        self._ledger.restore(state.spent, self._bots.leases.handed_out(), asked_keys)
         for asked, task in anew:
             self._again(asked, task)
         return out, len(anew)
