--- a/weldhatch/pullqueue/operations.py
+++ b/weldhatch/pullqueue/operations.py
@@ -12,7 +12,7 @@
 
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Events, Request
-from weldhatch.pullqueue.submission import Submitted
+from weldhatch.pullqueue.submission import Submission
 from weldhatch.pullqueue.tasks import Tasks
 
 PAGE_USUAL, PAGE_MOST = 100, 1000
@@ -104,63 +104,66 @@
 
     async def wait(self, name: str, request: Request) -> dict:
         """The operation once it is over, or as it is when the time is up."""
-        asked = self._find(name, request)
+        submission = self._find(name, request)
         text = request.json().get("timeout", "10s")
         match = _DURATION.fullmatch(text) if isinstance(text, str) else None
         if match is None:
             raise HttpError(400, f"timeout: a duration such as 10s is needed, not {text!r}", "timeout")
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(asked.over.wait(), min(float(match[1]), WAIT_MOST_S))
-        return self.shown(asked)
+            await asyncio.wait_for(submission.over.wait(), min(float(match[1]), WAIT_MOST_S))
+        return self.shown(submission)
 
     def cancel(self, name: str, request: Request) -> dict:
-        asked = self._find(name, request)
-        self._tasks.cancel(asked)
-        return self.shown(asked)
+        submission = self._find(name, request)
+        self._tasks.cancel(submission)
+        return self.shown(submission)
 
     def delete(self, name: str, request: Request) -> dict:
         """It is told of no more. What is under way or stands is not ended by that: cancel it first."""
-        asked = self._find(name, request)
-        if not asked.over.is_set():
+        submission = self._find(name, request)
+        if not submission.over.is_set():
             raise HttpError(409, "name: it is not over; cancel it first", "name")
-        self._tasks.drop(asked.name)
+        self._tasks.drop(submission.name)
         return {}
 
     def watch(self, name: str, request: Request) -> Events:
-        asked = self._find(name, request)
+        submission = self._find(name, request)
 
         async def source() -> AsyncIterator[tuple[str, dict]]:
-            async for state in self._tasks.changes(asked):
-                yield ("state", self.shown(asked)) if state else ("", {})
+            async for state in self._tasks.changes(submission):
+                yield ("state", self.shown(submission)) if state else ("", {})
 
         return Events(source())
 
-    def _find(self, name: str, request: Request) -> Submitted:
+    def _find(self, name: str, request: Request) -> Submission:
         return self._tasks.find(internal(name), request.who)
 
     @staticmethod
-    def shown(asked: Submitted) -> dict:
-        done = asked.over.is_set()
+    def shown(submission: Submission) -> dict:
+        done = submission.over.is_set()
         metadata = {
             "@type": "type.googleapis.com/weldhatch.TaskMetadata",
-            "state": asked.state,
-            "class": asked.fields.get("class", ""),
-            "tenant": asked.fields.get("tenant", ""),
-            "key": asked.fields.get("key", ""),
-            "botId": asked.bot,
+            "state": submission.state,
+            "class": submission.fields.get("class", ""),
+            "tenant": submission.fields.get("tenant", ""),
+            "key": submission.fields.get("key", ""),
+            "botId": submission.bot,
         }
-        if asked.told is not None:
-            metadata["answer"] = asked.told
+        if submission.final_answer is not None:
+            metadata["answer"] = submission.final_answer
         out: dict = {
-            "name": f"operations/{asked.name.removeprefix('tasks/')}",
+            "name": f"operations/{submission.name.removeprefix('tasks/')}",
             "metadata": metadata,
             "done": done,
         }
-        if done and asked.state == "DONE":
-            out["response"] = {"@type": "type.googleapis.com/weldhatch.TaskResult", "result": asked.result}
+        if done and submission.state == "DONE":
+            out["response"] = {
+                "@type": "type.googleapis.com/weldhatch.TaskResult",
+                "result": submission.result,
+            }
         elif done:
-            code, message = CODES[asked.state]
-            reason = asked.message or (asked.told or {}).get("reason", "")
+            code, message = CODES[submission.state]
+            reason = submission.message or (submission.final_answer or {}).get("reason", "")
             out["error"] = {"code": code, "message": f"{message}: {reason}" if reason else message}
         return out
 
--- a/weldhatch/pullqueue/submission.py
+++ b/weldhatch/pullqueue/submission.py
@@ -12,25 +12,25 @@
 from weldhatch.pullqueue.admission import Ticket
 
 
-class Keeper(Protocol):
+class SubmissionOwner(Protocol):
     """Who keeps submissions and their records."""
 
-    def record(self, asked: Submitted, payload: bytes) -> asyncio.Future | None: ...
+    def record(self, submission: Submission, payload: bytes) -> asyncio.Future | None: ...
 
-    def ended(self, asked: Submitted) -> None: ...
+    def ended(self, submission: Submission) -> None: ...
 
 
-class Submitted:
+class Submission:
     """One submission: the core's owner, and an operation by its name."""
 
-    def __init__(self, tasks: Keeper, name: str, key: int, tenant: int, meta: dict) -> None:
+    def __init__(self, tasks: SubmissionOwner, name: str, key: int, tenant: int, meta: dict) -> None:
         self._tasks, self.name, self.key, self.tenant, self.meta = tasks, name, key, tenant, meta
         self.fields: dict = {}
         self.answer: asyncio.Future[dict] = asyncio.get_running_loop().create_future()
-        self.told: dict | None = None  # the answer, once there is one
+        self.final_answer: dict | None = None  # the answer, once there is one
         self.over = asyncio.Event()
         self.changed = asyncio.Event()  # set anew at each change of state
-        self.life: RequestLifecycle | None = None
+        self.lifecycle: RequestLifecycle | None = None
         self.ticket: Ticket | None = None
         self.state, self.cause = "ASKED", 0
         self.result: object = None
@@ -65,14 +65,14 @@
     def ended_by_owner(self) -> None:
         self._end("CANCELLED")
 
-    def machine_says(self, result: object, message: str) -> None:
+    def set_result(self, result: object, message: str) -> None:
         """What the machine said with the end of a lease."""
         self.result, self.message = result, message
 
     # ---- what follows from it ------------------------------------------------------------------------------
 
     def _say(self, answer: dict) -> None:
-        self.told = answer
+        self.final_answer = answer
         written = self._tasks.record(self, durable_state.encode("answer", self.name, answer))
         if written is None or written.done():
             self._give(answer)
@@ -98,11 +98,11 @@
         self._news()
         self._tasks.ended(self)
 
-    def restored(self, one: durable_state.OperationRecord) -> None:
+    def restore(self, one: durable_state.OperationRecord) -> None:
         """What a former gateway told of it."""
         self.state, self.cause, self.result, self.recorded = one.state, one.cause, one.result, True
         if one.answer is not None:
-            self.told = one.answer
+            self.final_answer = one.answer
             self.bot = one.answer.get("botId") or ""
             self.answer.set_result(one.answer)
         if one.over:
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -1,4 +1,4 @@
-"""Submitted tasks: each submitter gets the one final answer, and may follow or end the task that stands.
+"""Submission tasks: each submitter gets the one final answer, and may follow or end the task that stands.
 
 A submission is an operation with a name. It passes the gate, then the module decides; its answer and its end
 are
@@ -20,7 +20,7 @@
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.loop_lag import LoopLag
-from weldhatch.placement_request import FieldError, PlacementForm, PlacementRequest
+from weldhatch.placement_request import PlacementRequest
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.admission import AdmissionQueue, Ticket, Verdict
 from weldhatch.pullqueue.bot_sessions import BotSessions
@@ -29,13 +29,12 @@
 from weldhatch.pullqueue.leases import KeyLedger, KeyRejection
 from weldhatch.pullqueue.machines import LeasePayload
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
-from weldhatch.pullqueue.submission import Nobody, Submitted
-from weldhatch.pullqueue.workers import NOTHING, Matching, Worker, read_worker
-from weldhatch.scheduling.types import Effect, RequestClass, Settings
+from weldhatch.pullqueue.submission import Nobody, Submission
+from weldhatch.pullqueue.submission_form import SubmissionReader, for_callers_tenant
+from weldhatch.pullqueue.workers import NOTHING, Matching, Worker
+from weldhatch.scheduling.types import RequestClass, Settings
 from weldhatch.store.log import LogError
 
-BLOB_MOST = 8 * 1024
-REQUEST_ID_MOST = 100
 ENDED_KEPT = 1024  # tasks that are over can still be asked for
 LAG_S = 0.1  # between two looks at the loop's own delay
 RECORDED_FIELDS = ("class", "left", "tenant", "key", "idem", "extras", "retry", "requirements")
@@ -58,9 +57,9 @@
     ) -> None:
         self._settings, self._core, self._bots, self._ledger, self._log = settings, core, bots, ledger, log
         self._book, self._random = book, random
-        self._form = PlacementForm(settings)
-        self.known: dict[str, Submitted] = {}
-        self._by_request: dict[tuple[int, str], Submitted] = {}
+        self._reader = SubmissionReader(settings)
+        self.known: dict[str, Submission] = {}
+        self._by_request: dict[tuple[int, str], Submission] = {}
         self._ended: deque[str] = deque()
         self._serial = 0
         self._started = bots.now()
@@ -93,45 +92,49 @@
 
     async def submit(self, request: Request) -> tuple[dict, dict[str, str]]:
         """One submission; the answer is the one final answer."""
-        asked, answer = await self._submit(request.json(), request.who, waits=False)
-        if asked is None:
+        submission, answer = await self._submit(request.json(), request.who, waits=False)
+        if submission is None:
             return answer, self._headers(answer)
         try:
-            answer = await asyncio.shield(asked.answer)
+            answer = await asyncio.shield(submission.answer)
         except asyncio.CancelledError:  # the submitter has gone
-            if not asked.meta["request"]:  # and nobody can come for the answer
-                self.give_up(asked)
+            if not submission.meta["request"]:  # and nobody can come for the answer
+                self.give_up(submission)
             raise
         return answer, self._headers(answer)
 
     def rule(self, settings: Settings) -> None:
         """Other settings are in force from now on; classes keep their places."""
-        self._settings, self._form = settings, PlacementForm(settings)
+        self._settings = settings
+        self._reader = SubmissionReader(settings)
 
-    async def begin(self, tree: dict, who: object) -> Submitted:
+    async def begin(self, tree: dict, who: object) -> Submission:
         """A submission that is answered with its operation at once; HttpError where it can't be taken."""
-        asked, answer = await self._submit(tree, who, waits=True)
-        if asked is None:  # barred: an operation that is over
-            asked = self._make(0, self._tenant_of(tree, who), {"at": unix_us(), "deadline": 0, "request": ""})
-            asked.state, asked.told = answer["answer"].upper(), {**answer, "name": asked.name}
-            asked.answer.set_result(asked.told)
-            asked.over.set()
-            self.ended(asked)
-        return asked
+        submission, answer = await self._submit(tree, who, waits=True)
+        if submission is None:  # barred: an operation that is over
+            submission = self._make(
+                0, self._reader.tenant_of(tree, who), {"at": unix_us(), "deadline": 0, "request": ""}
+            )
+            submission.state, submission.final_answer = (
+                answer["answer"].upper(),
+                {**answer, "name": submission.name},
+            )
+            submission.answer.set_result(submission.final_answer)
+            submission.over.set()
+            self.ended(submission)
+        return submission
 
     @staticmethod
     def _headers(answer: dict) -> dict[str, str]:
         return {"Retry-After": str(math.ceil(answer["waitMs"] / 1000))} if answer.get("waitMs") else {}
 
-    def _tenant_of(self, tree: dict, who: object) -> int:
-        names = [tenant.name for tenant in self._settings.tenants]
-        name = getattr(who, "tenant", "") or tree.get("tenant")
-        return names.index(name) if name in names else 0
-
-    async def _submit(self, tree: dict, who: object, waits: bool) -> tuple[Submitted | None, dict]:
+    async def _submit(self, tree: dict, who: object, waits: bool) -> tuple[Submission | None, dict]:
         """Take one submission: the operation, or the answer to one that is barred."""
-        tree = self._for(tree, who)
-        setup, blob, wanted, request_id = self._read(tree)
+        tree = for_callers_tenant(tree, who)
+        form = self._reader.read(tree)
+        setup = form.request
+        blob = form.blob
+        request_id = form.request_id
         cls = self._settings.classes[setup.class_index]
         if request_id and (known := self._by_request.get((setup.tenant, request_id))):
             same = {name: tree.get(name) for name in RECORDED_FIELDS if name != "left"}
@@ -153,59 +156,30 @@
             "waits": waits,
             "tenant": setup.tenant,
         }
-        asked = self._make(setup.key, setup.tenant, meta)
-        asked.fields = {name: tree[name] for name in RECORDED_FIELDS if name in tree}
+        submission = self._make(setup.key, setup.tenant, meta)
+        submission.fields = {name: tree[name] for name in RECORDED_FIELDS if name in tree}
         self._ledger.reserve(setup.key)
         if request_id:
-            self._by_request[setup.tenant, request_id] = asked
-        passed = LeasePayload(setup, blob, asked.machine_says, lambda: self._first_record(asked, blob))
+            self._by_request[setup.tenant, request_id] = submission
+        passed = LeasePayload(
+            setup, blob, submission.set_result, lambda: self._first_record(submission, blob)
+        )
         if waits or request_id:
             try:
-                await self._book.append(*self._first_record(asked, blob))
+                await self._book.append(*self._first_record(submission, blob))
             except LogError as fault:
-                asked.refused(1_000_000, "the store takes nothing")
+                submission.refused(1_000_000, "the store takes nothing")
                 raise HttpError(503, f"store: {fault}", "store", 1.0) from None
-        task = self._task(asked.name, setup, deadline, passed, wanted)
-        asked.ticket = Ticket(setup.tenant, deadline, now, setup.again)
-        self._come(asked, task)
-        return asked, {}
+        task = self._task(submission.name, setup, deadline, passed, form.requirements)
+        submission.ticket = Ticket(setup.tenant, deadline, now, setup.again)
+        self._come(submission, task)
+        return submission, {}
 
-    def _for(self, tree: dict, who: object) -> dict:
-        """A submitter acts for the tenant that its token names, and for no other."""
-        tenant = getattr(who, "tenant", "")
-        if not tenant:
-            return tree
-        if tree.get("tenant", tenant) not in ("", tenant):
-            raise HttpError(403, "tenant: the token is for another one", "tenant")
-        return {**tree, "tenant": tenant}
-
-    def _read(self, tree: dict) -> tuple[PlacementRequest, str, Worker, str]:
-        try:
-            setup = self._form.read(tree)
-        except FieldError as fault:
-            raise HttpError(400, str(fault), fault.field) from None
-        cls = self._settings.classes[setup.class_index]
-        blob, request_id = tree.get("blob", ""), tree.get("requestId", "")
-        if not isinstance(blob, str) or len(blob) > BLOB_MOST:
-            raise HttpError(400, f"blob: a text of at most {BLOB_MOST} characters is needed", "blob")
-        if not isinstance(request_id, str) or len(request_id) > REQUEST_ID_MOST:
-            raise HttpError(
-                400, f"requestId: a text of at most {REQUEST_ID_MOST} characters is needed", "requestId"
-            )
-        if setup.at:
-            raise HttpError(400, "extras.at: a pull queue knows who holds a task", "extras.at")
-        if not setup.key and cls.effect is not Effect.SAFE:
-            raise HttpError(400, "key: tasks of this class need one", "key")
-        if setup.left_us < 1000:
-            raise HttpError(400, "left: at least 1 millisecond is needed", "left")
-        wanted = read_worker(tree.get("requirements"), "requirements")
-        return setup, blob, wanted, request_id
-
-    def _make(self, key: int, tenant: int, meta: dict) -> Submitted:
+    def _make(self, key: int, tenant: int, meta: dict) -> Submission:
         self._serial += 1
         name = f"tasks/{self._epoch}-{self._serial}"
-        asked = self.known[name] = Submitted(self, name, key, tenant, meta)
-        return asked
+        submission = self.known[name] = Submission(self, name, key, tenant, meta)
+        return submission
 
     def _task(
         self, name: str, setup: PlacementRequest, deadline: int, passed: LeasePayload, wanted: Worker
@@ -225,49 +199,49 @@
             only,
         )
 
-    def _first_record(self, asked: Submitted, blob: str) -> tuple[bytes, ...]:
+    def _first_record(self, submission: Submission, blob: str) -> tuple[bytes, ...]:
         """A submission is in the book before the first thing that rests on it."""
-        if asked.recorded:
+        if submission.recorded:
             return ()
-        asked.recorded = True
-        return (durable_state.encode("asked", asked.name, asked.fields, blob, asked.meta),)
+        submission.recorded = True
+        return (durable_state.encode("asked", submission.name, submission.fields, blob, submission.meta),)
 
     # ---- the gate ------------------------------------------------------------------------------------------
 
-    def _come(self, asked: Submitted, task: ports.Task) -> None:
-        decision = self.admission.request_admission(asked.ticket, unix_us())
+    def _come(self, submission: Submission, task: ports.Task) -> None:
+        decision = self.admission.request_admission(submission.ticket, unix_us())
         displaced = decision.displaced
         if displaced is not None and (waiting := self._entering.pop(displaced, None)) is not None:
             waiting.set_result(False)
         if decision.verdict is Verdict.ADMITTED:
-            self._arrive(asked, task)
+            self._arrive(submission, task)
         elif decision.verdict is Verdict.REJECTED:
-            asked.ticket = None
-            asked.refused(self._spread(decision.retry_after_us), "no answer would come in time")
+            submission.ticket = None
+            submission.refused(self._spread(decision.retry_after_us), "no answer would come in time")
         else:
-            waiting = self._entering[asked.ticket] = asyncio.get_running_loop().create_future()
-            waiting.add_done_callback(lambda told: self._called(asked, task, told))
+            waiting = self._entering[submission.ticket] = asyncio.get_running_loop().create_future()
+            waiting.add_done_callback(lambda told: self._called(submission, task, told))
 
-    def _called(self, asked: Submitted, task: ports.Task, told: asyncio.Future[bool]) -> None:
-        if asked.told is not None or asked.over.is_set():  # given up meanwhile
+    def _called(self, submission: Submission, task: ports.Task, told: asyncio.Future[bool]) -> None:
+        if submission.final_answer is not None or submission.over.is_set():  # given up meanwhile
             if told.result():
-                self.admission.complete(asked.ticket, unix_us())
+                self.admission.complete(submission.ticket, unix_us())
             return
         if told.result():
-            self._arrive(asked, task)
+            self._arrive(submission, task)
         else:
-            asked.ticket = None
-            asked.refused(self._spread(self.admission.retry_after_us()), "no answer would come in time")
+            submission.ticket = None
+            submission.refused(self._spread(self.admission.retry_after_us()), "no answer would come in time")
 
-    def _arrive(self, asked: Submitted, task: ports.Task) -> None:
-        asked.life = self._core.arrive(task, asked)
-        ticket = asked.ticket
+    def _arrive(self, submission: Submission, task: ports.Task) -> None:
+        submission.lifecycle = self._core.arrive(task, submission)
+        ticket = submission.ticket
 
         def left(_: object) -> None:
             self.admission.complete(ticket, unix_us())
             self._let_in()
 
-        asked.answer.add_done_callback(left)
+        submission.answer.add_done_callback(left)
 
     def _let_in(self) -> None:
         if not self.admission.waiting:
@@ -311,88 +285,88 @@
     # ---- following and ending ------------------------------------------------------------------------------
 
     async def get(self, name: str, request: Request) -> dict:
-        asked = self.find(name, request.who)
+        submission = self.find(name, request.who)
         wait = request.seconds("x-server-timeout", self._bots.timing.poll)
-        if wait and not asked.over.is_set():
+        if wait and not submission.over.is_set():
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(asked.over.wait(), wait)
-        return self._shown(asked)
+                await asyncio.wait_for(submission.over.wait(), wait)
+        return self._shown(submission)
 
     def delete(self, name: str, who: object) -> dict:
         """The submitter ends its task: the puller is told to stop it."""
-        asked = self.find(name, who)
-        if asked.state == "ASKED":
+        submission = self.find(name, who)
+        if submission.state == "ASKED":
             raise HttpError(409, "name: no answer yet; close the submission to give the task up", "name")
-        self.cancel(asked)
-        return self._shown(asked)
+        self.cancel(submission)
+        return self._shown(submission)
 
-    def cancel(self, asked: Submitted) -> None:
+    def cancel(self, submission: Submission) -> None:
         """End it wherever it stands: waiting, under way, or placed."""
-        if asked.state == "PLACED":
-            asked.life.deliver(Released(GIVEN_UP))
-            asked.ended_by_owner()
-        elif asked.state == "ASKED":
-            self.give_up(asked)
-
-    def give_up(self, asked: Submitted) -> None:
-        if asked.state != "ASKED":
+        if submission.state == "PLACED":
+            submission.lifecycle.deliver(Released(GIVEN_UP))
+            submission.ended_by_owner()
+        elif submission.state == "ASKED":
+            self.give_up(submission)
+
+    def give_up(self, submission: Submission) -> None:
+        if submission.state != "ASKED":
             return
-        if asked.life is not None:
-            asked.life.deliver(GivenUp())
-        elif asked.ticket is not None:
-            self.admission.withdraw(asked.ticket)
-            self._entering.pop(asked.ticket, None)
-        asked.told = {
+        if submission.lifecycle is not None:
+            submission.lifecycle.deliver(GivenUp())
+        elif submission.ticket is not None:
+            self.admission.withdraw(submission.ticket)
+            self._entering.pop(submission.ticket, None)
+        submission.final_answer = {
             "answer": "refused",
-            "name": asked.name,
+            "name": submission.name,
             "reason": "given up by its submitter",
             "waitMs": 0,
         }
-        asked.ended_by_owner()
-        if not asked.answer.done():
-            asked.answer.set_result(asked.told)
+        submission.ended_by_owner()
+        if not submission.answer.done():
+            submission.answer.set_result(submission.final_answer)
 
-    def ended(self, asked: Submitted) -> None:
-        self._ledger.release(asked.key)
-        self._ended.append(asked.name)
+    def ended(self, submission: Submission) -> None:
+        self._ledger.release(submission.key)
+        self._ended.append(submission.name)
         if len(self._ended) > ENDED_KEPT:
             self.drop(self._ended.popleft())
 
     def drop(self, name: str) -> None:
         """It is no longer told of."""
-        asked = self.known.pop(name, None)
-        if asked is not None:
-            self._by_request.pop((asked.tenant, asked.meta.get("request", "")), None)
-            if asked.recorded:
+        submission = self.known.pop(name, None)
+        if submission is not None:
+            self._by_request.pop((submission.tenant, submission.meta.get("request", "")), None)
+            if submission.recorded:
                 self._book.append_with_retry(durable_state.encode("drop", name))
 
-    def record(self, asked: Submitted, payload: bytes) -> asyncio.Future | None:
+    def record(self, submission: Submission, payload: bytes) -> asyncio.Future | None:
         """What has happened to a submission; only for those that are in the book at all."""
-        return self._book.append_with_retry(payload) if asked.recorded else None
+        return self._book.append_with_retry(payload) if submission.recorded else None
 
-    def find(self, name: str, who: object) -> Submitted:
-        asked = self.known.get(name)
+    def find(self, name: str, who: object) -> Submission:
+        submission = self.known.get(name)
         tenant = getattr(who, "tenant", "")
         # Guards other tenants' tasks: their names are as unknown as those that never were.
-        if asked is None or (tenant and self._settings.tenants[asked.tenant].name != tenant):
+        if submission is None or (tenant and self._settings.tenants[submission.tenant].name != tenant):
             raise HttpError(404, "name: no such task", "name")
-        return asked
+        return submission
 
     @staticmethod
-    def _shown(asked: Submitted) -> dict:
-        return {"name": asked.name, "state": asked.state}
+    def _shown(submission: Submission) -> dict:
+        return {"name": submission.name, "state": submission.state}
 
-    async def changes(self, asked: Submitted) -> AsyncIterator[str]:
+    async def changes(self, submission: Submission) -> AsyncIterator[str]:
         """Each state from now to the end, the present one first; '' now and then where nothing changes."""
         last = None
         while True:
-            changed = asked.changed
-            if asked.state != last:
-                last = asked.state
+            changed = submission.changed
+            if submission.state != last:
+                last = submission.state
                 yield last
-            if asked.over.is_set():
+            if submission.over.is_set():
                 return
-            if asked.state == last:
+            if submission.state == last:
                 try:
                     await asyncio.wait_for(changed.wait(), 5.0)
                 except TimeoutError:
@@ -409,46 +383,47 @@
         out, anew, asked_keys = 0, [], []
         for one in list(state.operations.values()):
             try:
-                setup, _, wanted, _ = self._read({**one.fields, "blob": one.blob})
+                form = self._reader.read({**one.fields, "blob": one.blob})
             except HttpError as fault:
                 self._log(f"store: {one.name} is left out, the settings have changed: {fault}")
                 continue
-            asked = self.known[one.name] = Submitted(self, one.name, setup.key, setup.tenant, one.meta)
-            asked.fields = one.fields
-            asked.restored(one)
+            setup = form.request
+            submission = self.known[one.name] = Submission(self, one.name, setup.key, setup.tenant, one.meta)
+            submission.fields = one.fields
+            submission.restore(one)
             if one.meta.get("request"):
-                self._by_request[setup.tenant, one.meta["request"]] = asked
-            passed = LeasePayload(setup, one.blob, asked.machine_says)
-            task = self._task(one.name, setup, one.meta["deadline"], passed, wanted)
+                self._by_request[setup.tenant, one.meta["request"]] = submission
+            passed = LeasePayload(setup, one.blob, submission.set_result)
+            task = self._task(one.name, setup, one.meta["deadline"], passed, form.requirements)
             lease = state.leases.get(one.lease)
             if lease is not None:
                 out += 1
                 machine = self._bots.leases.restore(lease, task)
                 if not one.over:
                     asked_keys.append(setup.key)
-                asked.life = self._core.adopt(
+                submission.lifecycle = self._core.adopt(
                     task,
                     machine,
-                    Nobody() if one.over else asked,
+                    Nobody() if one.over else submission,
                     answered=one.over or one.answer is not None,
                 )
             elif one.over:
                 self._ended.append(one.name)
             elif one.answer is not None:  # placed, and its end did not reach the disk
-                asked.released(CUT)
+                submission.released(CUT)
             else:
-                anew.append((asked, task))
+                anew.append((submission, task))
         self._ledger.restore(state.spent, self._bots.leases.handed_out(), asked_keys)
-        for asked, task in anew:
-            self._again(asked, task)
+        for submission, task in anew:
+            self._again(submission, task)
         return out, len(anew)
 
-    def _again(self, asked: Submitted, task: ports.Task) -> None:
+    def _again(self, submission: Submission, task: ports.Task) -> None:
         """It was asked for, and never left: it goes its way if somebody may come for the answer in time."""
         now = unix_us()
-        if now >= task.deadline_us or not (asked.meta.get("waits") or asked.meta.get("request")):
-            asked.refused(0, "the gateway has started anew")
+        if now >= task.deadline_us or not (submission.meta.get("waits") or submission.meta.get("request")):
+            submission.refused(0, "the gateway has started anew")
             return
-        self._ledger.reserve(asked.key)
-        asked.ticket = Ticket(asked.tenant, task.deadline_us, now)
-        self._come(asked, task)
+        self._ledger.reserve(submission.key)
+        submission.ticket = Ticket(submission.tenant, task.deadline_us, now)
+        self._come(submission, task)
