--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -16,14 +16,14 @@
 from weldhatch.net.connection import Connection
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.net.listener import Listener
-from weldhatch.pullqueue.bot_sessions import Bots
+from weldhatch.pullqueue.bot_sessions import BotSessions
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Events, HttpLink, Request, encode_error
-from weldhatch.pullqueue.leases import Ledger
+from weldhatch.pullqueue.leases import KeyLedger
 from weldhatch.pullqueue.monotonic_unix_time import steady
 from weldhatch.pullqueue.operations import Operations
 from weldhatch.pullqueue.operator_states import Operators, Word
-from weldhatch.pullqueue.quotas import Quotas
+from weldhatch.pullqueue.quotas import CallQuotas
 from weldhatch.pullqueue.security import Security
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.tasks import Tasks
@@ -52,15 +52,16 @@
         self.endpoint_list = None  # machines make themselves known here
         self.driver = Driver(policy, log)
         self.book = QueueStorage(told.store, time.time(), log) if told.store else NoStorage(time.time_ns())
-        ledger = self._ledger = Ledger(told.remember, "" if told.store else told.ledger)
+        ledger = self._ledger = KeyLedger(told.remember, "" if told.store else told.ledger)
         ledger.open()
         self.operators = Operators()
         self._words = self._open_words(told.states)
-        self.bots = Bots(
+        self.bots = BotSessions(
             settings, told.timing, ledger, self.operators, self.book, self.driver.post, log, steady()
         )
-        self.driver.site, self.driver.directory = self.bots, NoDirectory()
-        self.core = Core(self.driver, self.bots, log)
+        self.driver.site = self.bots.leases
+        self.driver.directory = NoDirectory()
+        self.core = Core(self.driver, self.bots.leases, log)
         self.sites = self._sites_book = self._door = None
         if told.sites is not None:
             from weldhatch.pullqueue import remote_sites  # its codec is imported only where there are sites
@@ -87,7 +88,7 @@
         self._links: dict[Connection, HttpLink] = {}
         self._serving: set[asyncio.Task] = set()
         self.security = Security(told.security)
-        self._quotas = Quotas(told.security.calls)
+        self._quotas = CallQuotas(told.security.calls)
         self.listener = Listener(told.listen, self._share, self._taken)
         self._watching = asyncio.get_running_loop().create_task(self._watch())
 
@@ -114,7 +115,7 @@
         self.settings = settings
         self.core.rules = rules
         self.driver.reconfigure(settings)
-        self.bots.rule(settings, rules)
+        self.bots.reconfigure(settings, rules)
         self.tasks.rule(settings)
         if self.sites is not None:
             self.sites.reconfigure(settings)
@@ -127,7 +128,7 @@
                 self._words.append([word.encode()])
             self.operators.take(word)
             self._log(f"operator: {word.machine} {word.state}, fence {word.fence}")
-            self.bots.operated(word.machine)
+            self.bots.apply_operator_state(word.machine)
 
     def name_of(self, machine: int) -> str:
         return self.bots.name_of(machine)
@@ -140,7 +141,7 @@
         last = self.operators.words.get(machine)
         if last is None or (last.state, last.fence) != (state, fence):
             self.operators.take(Word(machine, state, fence, op, time.time()))
-            self.bots.operated(machine)
+            self.bots.apply_operator_state(machine)
 
     def _taken(self, stream: IOStream, host: str) -> None:
         task = asyncio.get_running_loop().create_task(self._serve(stream, host))
@@ -189,14 +190,17 @@
             return await self._called(request, path, head, rest, name, colon, verb)
         request.who = self.security.who(request, head.partition(":")[0])
         caller = f"{request.who.role} {request.who.tenant} {request.who.name}"
-        if not self._quotas.take(caller):
+        if not self._quotas.try_acquire(caller):
             raise HttpError(
-                429, f"more than {self._quotas.most} calls of one caller at a time", "authorization", 1.0
+                429,
+                f"more than {self._quotas.most_per_caller} calls of one caller at a time",
+                "authorization",
+                1.0,
             )
         try:
             return await self._called(request, path, head, rest, name, colon, verb)
         finally:
-            self._quotas.give_back(caller)
+            self._quotas.release(caller)
 
     async def _called(
         self, request: Request, path: str, head: str, rest: str, name: str, colon: str, verb: str
@@ -277,7 +281,7 @@
             listener = Listener(told.listen, self._share, self._taken)
             self.listener.close()
         self.listener, self._told = listener, told
-        self.bots.timing, self._ledger.remember, self._share.most = (
+        self.bots.leases.timing, self._ledger.capacity, self._share.most = (
             told.timing,
             told.remember,
             told.connections,
