--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -26,7 +26,8 @@
 
 from weldhatch.cli.sim import play_all, points_of
 from weldhatch.simulation import seeded_defects
-from weldhatch.simulation.scenario_runner import CALM_S, SCENARIOS, play
+from weldhatch.simulation.scenario_runner import run_scenario
+from weldhatch.simulation.scenarios import CALM_S, SCENARIOS
 
 
 def many(name: str, seeds: int, workers: int) -> dict:
@@ -58,8 +59,9 @@
 def replayed(seeds: int) -> float:
     """Each seed twice in this process, and once in another."""
     code = (
-        "import sys; from weldhatch.simulation.scenario_runner import SCENARIOS, play\n"
-        "for seed in range(int(sys.argv[1])): print(play(seed, SCENARIOS['mixed']).digest)"
+        "import sys\nfrom weldhatch.simulation.scenario_runner import run_scenario\n"
+        "from weldhatch.simulation.scenarios import SCENARIOS\n"
+        "for seed in range(int(sys.argv[1])): print(run_scenario(seed, SCENARIOS['mixed']).digest)"
     )
     other = subprocess.run(
         [sys.executable, "-c", code, str(seeds)],
@@ -70,7 +72,8 @@
     ).stdout.split()
     same = 0
     for seed in range(seeds):
-        first, again = play(seed, SCENARIOS["mixed"]).digest, play(seed, SCENARIOS["mixed"]).digest
+        first = run_scenario(seed, SCENARIOS["mixed"]).digest
+        again = run_scenario(seed, SCENARIOS["mixed"]).digest
         same += first == again == other[seed]
     return same / seeds
 
@@ -106,7 +109,7 @@
         print("bug:", bug.name, f"({bug.subsystem}, {bug.scenario})", seeds, text[:100], flush=True)
     began = time.perf_counter()
     for seed in range(3):
-        play(seed, SCENARIOS["calm"])
+        run_scenario(seed, SCENARIOS["calm"])
     calm = SCENARIOS["calm"]
     speed = 3 * (CALM_S + calm.storm_s + calm.heal_s) / (time.perf_counter() - began)
     plays = (mixed, five, queue, halls, *others)
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -56,7 +56,8 @@
     Scope,
     Tenant,
 )
-from weldhatch.simulation.scenario_runner import SCENARIOS, play
+from weldhatch.simulation.scenario_runner import run_scenario
+from weldhatch.simulation.scenarios import SCENARIOS
 from weldhatch.testbed.simulated_zones import Realm
 from weldhatch.testbed.simulated_zones import settings as realm_settings
 from weldhatch.zones import capacity, load_shedding
@@ -748,7 +749,7 @@
 def simulation(name, *seeds):
     def part(record):
         for seed in seeds:
-            result = play(seed, SCENARIOS[name])
+            result = run_scenario(seed, SCENARIOS[name])
             record.add("play", name, seed, result.digest, result.broken, result.answers, result.starts)
 
     return part
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -22,9 +22,10 @@
 from weldhatch.simulation.faults import Fault
 from weldhatch.simulation.linearizability import Call, broken, linearisable, once, versions, words
 from weldhatch.simulation.loop import LIFE, Life, VirtualLoop
-from weldhatch.simulation.scenario_runner import SCENARIOS, plan_of, play
+from weldhatch.simulation.scenario_runner import run_scenario
+from weldhatch.simulation.scenarios import SCENARIOS, draw_plan
 from weldhatch.simulation.world import World
-from weldhatch.simulation.zone_scenario import HallPlay
+from weldhatch.simulation.zone_scenario import ZoneScenarioRun
 
 ROOT = Path(__file__).parent.parent
 MIXED, QUEUE = SCENARIOS["mixed"], SCENARIOS["queue"]
@@ -32,13 +33,14 @@
 
 class Same(unittest.TestCase):
     def test_one_seed_is_one_run_here_and_in_other_processes(self):
-        first, again, other = play(4, MIXED), play(4, MIXED), play(5, MIXED)
+        first, again, other = run_scenario(4, MIXED), run_scenario(4, MIXED), run_scenario(5, MIXED)
         self.assertEqual((first.digest, first.lines), (again.digest, again.lines))
         self.assertNotEqual(first.digest, other.digest)
         code = (
-            "from weldhatch.simulation.scenario_runner import SCENARIOS, play\n"
-            "print([play(seed, SCENARIOS['mixed']).digest for seed in (4, 7)],"  # 7: a full disk
-            "      play(2, SCENARIOS['halls']).digest)"
+            "from weldhatch.simulation.scenario_runner import run_scenario\n"
+            "from weldhatch.simulation.scenarios import SCENARIOS\n"
+            "print([run_scenario(seed, SCENARIOS['mixed']).digest for seed in (4, 7)],"  # 7: a full disk
+            "      run_scenario(2, SCENARIOS['halls']).digest)"
         )
         told = {
             subprocess.run(
@@ -55,19 +57,19 @@
 
     def test_the_world_gives_everything_back(self):
         before = time.monotonic, time.time, len(os.listdir("/proc/self/fd"))
-        play(1, MIXED)
+        run_scenario(1, MIXED)
         self.assertEqual((time.monotonic, time.time, len(os.listdir("/proc/self/fd"))), before)
 
 
 class Promises(unittest.TestCase):
     def test_they_hold_under_faults(self):
         for seed in range(12):
-            self.assertEqual(play(seed, MIXED).broken, [], seed)
+            self.assertEqual(run_scenario(seed, MIXED).broken, [], seed)
 
     def test_one_gateway_with_a_store_that_is_killed_again_and_again(self):
         for seed in range(4):
             plan = [Fault(2.0 + 0.7 * n + 0.1 * seed, "kill", "g0", 0.2) for n in range(9)]
-            told = play(seed, QUEUE, plan)
+            told = run_scenario(seed, QUEUE, plan)
             self.assertEqual(told.broken, [], seed)
             self.assertGreater(told.answers.get("placed", 0), 5)
 
@@ -76,7 +78,12 @@
         plan, busy = [Fault(2.0, "apart", "g0", 9.0)], replace(MIXED, tasks=90)
 
         def broken():
-            return [text for seed in range(4) for text in play(seed, busy, plan).broken if "drained" in text]
+            return [
+                text
+                for seed in range(4)
+                for text in run_scenario(seed, busy, plan).broken
+                if "drained" in text
+            ]
 
         self.assertEqual(broken(), [])
         with mock.patch.object(LeaseHolder, "lease_status", lambda self, now: LeaseStatus.VALID):
@@ -88,7 +95,7 @@
         plan = [Fault(2.0 + 0.9 * n, "wall clock", "g0", 0.3) for n in range(9)]
 
         def run_out():
-            told = play(3, SCENARIOS["again"], plan)
+            told = run_scenario(3, SCENARIOS["again"], plan)
             self.assertEqual(told.broken, [])
             return [text for _, _, text in told.lines if "has run out" in text]
 
@@ -98,7 +105,7 @@
 
     def test_thirty_stand_their_gateway_is_killed_and_all_keys_come_again(self):
         for seed in range(4):
-            told = play(seed, SCENARIOS["morning"])
+            told = run_scenario(seed, SCENARIOS["morning"])
             self.assertEqual(told.broken, [], seed)
             self.assertGreater(told.answers["stands"], 25)
 
@@ -109,7 +116,7 @@
 
     def test_halls_are_left_and_returned_to_and_no_writer_runs_twice(self):
         for seed in range(3):
-            told = play(seed, SCENARIOS["halls"])
+            told = run_scenario(seed, SCENARIOS["halls"])
             self.assertEqual(told.broken, [], seed)
             self.assertGreater(told.answers["placed"], 300)
 
@@ -120,7 +127,7 @@
 
         def late():
             with tempfile.TemporaryDirectory() as folder, World(3, Path(folder)) as world:
-                one = HallPlay(world, 3, 60, plan, 6.0, 30.0)
+                one = ZoneScenarioRun(world, 3, 60, plan, 6.0, 30.0)
                 world.loop.run_until_complete(one.run())
                 outside = {name for name in one.names if one.hall(name) != "south"}
                 return [
@@ -138,7 +145,7 @@
 
     def test_a_voter_whose_store_comes_back_older_harms_nobody(self):
         for n, who in enumerate(("g0", "g1", "g2")):
-            told = play(n, MIXED, [Fault(3.0, "older copy", who, 2.0)])
+            told = run_scenario(n, MIXED, [Fault(3.0, "older copy", who, 2.0)])
             self.assertEqual(told.broken, [], who)
             self.assertIn("older copy", " ".join(text for _, _, text in told.lines))
 
@@ -159,7 +166,7 @@
         self.assertLess(len(tried), 4 * len(plan))
 
     def test_a_plan_crosses_as_json_and_one_that_is_wrong_is_named(self):
-        plan = plan_of(3, MIXED)
+        plan = draw_plan(3, MIXED)
         self.assertEqual([Fault.of(json.loads(json.dumps(one.to_tree()))) for one in plan], plan)
         for bad in ([1.0, "flood", "g0", 1.0, ""], [1.0, "kill"], [-1.0, "kill", "g0", 1.0, ""], 7):
             with self.assertRaises(ValueError):
--- a/weldhatch/cli/sim.py
+++ b/weldhatch/cli/sim.py
@@ -20,7 +20,8 @@
 from weldhatch import config
 from weldhatch.simulation import faults
 from weldhatch.simulation.faults import Fault
-from weldhatch.simulation.scenario_runner import SCENARIOS, Result, Scenario, plan_of, play, unfit
+from weldhatch.simulation.scenario_runner import Result, run_scenario
+from weldhatch.simulation.scenarios import SCENARIOS, Scenario, draw_plan, unplayable_reason
 
 SHOWN = 10  # broken seeds that are listed
 
@@ -35,17 +36,17 @@
         )
 
 
-Job = tuple[int, Scenario, list[Fault] | None, tuple[str, int] | None]  # as `play` takes them
+Job = tuple[int, Scenario, list[Fault] | None, tuple[str, int] | None]  # as `run_scenario` takes them
 
 
 def points_of(seed: int, scenario: Scenario, who: str, every: int = 1) -> list[Job]:
     """One kill at each write of a process to its disk or the wire, as an undisturbed play counts them."""
-    count = play(seed, scenario, []).points.get(who, 0)
+    count = run_scenario(seed, scenario, []).points.get(who, 0)
     return [(seed, scenario, [], (who, n)) for n in range(1, count + 1, every)]
 
 
 def _one(job: Job) -> Result:
-    return replace(play(*job), lines=[])  # the lines of 10,000 plays are nobody's to hold
+    return replace(run_scenario(*job), lines=[])  # the lines of 10,000 plays are nobody's to hold
 
 
 def play_all(jobs: list[Job], workers: int) -> Iterator[Result]:
@@ -219,8 +220,8 @@
     """Play one seed again, with what each process said."""
     fixed_hashes()
     chosen = _scenario(scenario)
-    plan = read_plan(plan_file) if plan_file else plan_of(seed, chosen)
-    if why := unfit(plan, chosen):
+    plan = read_plan(plan_file) if plan_file else draw_plan(seed, chosen)
+    if why := unplayable_reason(plan, chosen):
         raise config.ConfigError(f"{plan_file}: {why}")
     at = None
     if kill:  # in a play that nothing else disturbs
@@ -228,10 +229,10 @@
         if not point.isdigit():
             raise config.ConfigError(f"kill: NAME:POINT is needed, not {kill!r}")
         plan, at = [], (who, int(point))
-    result = play(seed, chosen, plan, at)
+    result = run_scenario(seed, chosen, plan, at)
     if shrink and result.broken and plan:
-        plan = faults.shrink(plan, lambda part: bool(play(seed, chosen, part).broken))
-        result = play(seed, chosen, plan)
+        plan = faults.shrink(plan, lambda part: bool(run_scenario(seed, chosen, part).broken))
+        result = run_scenario(seed, chosen, plan)
     if as_json:
         click.echo(json.dumps(result.to_tree()))
         return 1 if result.broken else 0
--- a/weldhatch/simulation/scenario_runner.py
+++ b/weldhatch/simulation/scenario_runner.py
@@ -1,4 +1,4 @@
-"""One play: gateways, build machines and owners under the faults of a plan; then what it came to."""
+"""Run one scenario: gateways, build machines and owners under the faults of a plan; then check it."""
 
 from __future__ import annotations
 
@@ -23,91 +23,24 @@
 from weldhatch.simulation.api import SimApi
 from weldhatch.simulation.faults import DRIFT, LEAP_S, Fault
 from weldhatch.simulation.loop import Stalled
+from weldhatch.simulation.scenarios import CALM_S, Scenario, draw_plan
 from weldhatch.simulation.world import World
 from weldhatch.testbed.sample_settings import PLAIN
 
 STATED = 2.0
-CALM_S = 1.5  # nothing breaks for so long at first
 AGAIN_S = 0.3  # one that was killed at a point comes up again after so long
-HOLD_S = (0.1, 1.2)
 SHM = "/dev/shm"
 SETTLE_S = 5.0  # after the last fault: longer than a lease, its grace and the time to be picked up again
 SLOW_S = 0.15
 SETTINGS = {**PLAIN, "limits": {**PLAIN["limits"], "mostTries": 3}}
 
 
-@dataclass(slots=True, frozen=True)
-class Scenario:
-    """Sizes of a play; what breaks comes from the seed, or is given."""
-
-    name: str = "mixed"
-    gateways: int = 3
-    machines: int = 3
-    tasks: int = 24  # of halls: a second
-    faults_most: int = 6
-    storm_s: float = 9.0  # things break for so long
-    heal_s: float = 12.0  # and then all is well again
-    again: bool = False  # owners come again with the same key: unanswered, or while the task stands
-    words: bool = True  # operators drain machines and propose versions meanwhile
-    hold_s: tuple[float, float] = HOLD_S
-    kinds: tuple[str, ...] = tuple(faults.KINDS)  # of faults
-    copies: bool = False  # a voter comes back with an older copy, and who could tell is not there
-    halls: bool = False  # the platform's front over three zones (`simulation.zone_scenario`)
-    morning: bool = False  # all are asked for at once, the gateway is killed, and all are asked for again
-
-
-SCENARIOS = {
-    one.name: one
-    for one in (
-        Scenario(),
-        Scenario("five", gateways=5, machines=4, tasks=30, faults_most=8),
-        Scenario("queue", gateways=1, machines=3, tasks=30, words=False),
-        Scenario("again", gateways=1, machines=3, tasks=30, words=False, again=True),
-        Scenario(
-            "clocks",
-            gateways=1,
-            machines=3,
-            tasks=60,
-            faults_most=10,
-            words=False,
-            again=True,
-            hold_s=(0.8, 2.5),
-            kinds=("wall clock", "fast clock", "slow clock"),
-        ),
-        Scenario("copies", storm_s=8.0, copies=True),
-        Scenario("halls", gateways=5, tasks=60, faults_most=2, storm_s=9.0, heal_s=40.0, halls=True),
-        Scenario(
-            "morning",
-            gateways=1,
-            machines=3,
-            tasks=30,
-            faults_most=1,
-            storm_s=5.0,
-            heal_s=16.0,
-            words=False,
-            hold_s=(9.0, 13.0),
-            morning=True,
-        ),
-        Scenario("short", machines=2, tasks=6, faults_most=0, storm_s=1.5, heal_s=10.0, again=True),
-        Scenario(
-            "alone",
-            gateways=1,
-            machines=2,
-            tasks=9,
-            faults_most=0,
-            storm_s=1.5,
-            heal_s=10.0,
-            words=False,
-            again=True,
-        ),
-        Scenario("calm", faults_most=0),
-    )
-}
-
-
 @dataclass(slots=True)
 class Result:
-    """`broken`: promises that did not hold, each in words; `digest`: of all that was sent and logged."""
+    """Hold the outcome of one run.
+
+    `broken`: invariants that did not hold, one text each; `digest`: of all that was sent and logged.
+    """
 
     seed: int
     scenario: str
@@ -124,6 +57,7 @@
     lines: list[tuple[float, str, str]] = field(default_factory=list)
 
     def to_tree(self) -> dict:
+        """Return what `weldhatch sim replay --json` prints."""
         return {
             "seed": self.seed,
             "scenario": self.scenario,
@@ -137,7 +71,7 @@
         }
 
 
-class Play:
+class ScenarioRun:
     """Owns the world's processes: gateways g0.., machines m0.., owners o0.., and one operator."""
 
     def __init__(self, world: World, scenario: Scenario, plan: list[Fault]) -> None:
@@ -233,7 +167,7 @@
         for _ in range(3):
             answer = await self._submit(n, gateway)
             comes = answer == "unanswered" or (answer == "placed" and self.random.random() < 0.3)
-            if not self.scenario.again or not comes:
+            if not self.scenario.resubmits or not comes:
                 return
             await asyncio.sleep(self.random.uniform(0.01, 0.8))
 
@@ -421,12 +355,12 @@
             self.world.spawn(
                 owners,
                 self._twice(n, self.plan[0].at + self.plan[0].span)
-                if scenario.morning and self.plan
+                if scenario.mass_resubmission and self.plan
                 else self._ask(n, self.random.uniform(0.0, scenario.storm_s)),
             )
             for n in range(scenario.tasks)
         ]
-        if scenario.words and len(self.names) > 1:
+        if scenario.operators and len(self.names) > 1:
             for n in range(2):
                 self.world.spawn(self.world.start(f"x{n}", lambda: None), self._operate(n))
         for fault in self.plan:
@@ -473,7 +407,7 @@
         return {name: told for name, told in out.items() if name not in self.older or told[2] == "lease"}
 
     def check(self) -> tuple[list[str], int]:
-        """Promises that are broken, and how many were looked at."""
+        """Return the invariants that do not hold, one text each, and how many were checked."""
         digests = self._digests()
         held = {name: self.governors[name].node.lease_holder for name in digests}
         looked = [
@@ -497,65 +431,31 @@
         return [text for texts in looked for text in texts], len(looked)
 
 
-def plan_of(seed: int, scenario: Scenario) -> list[Fault]:
-    """What a seed throws."""
-    if not scenario.faults_most:
-        return []
-    names = [f"g{n}" for n in range(scenario.gateways)]
-    if scenario.halls:
-        return zone_scenario.draw(seed, scenario.gateways, scenario.faults_most)
-    random = Random(f"plan {seed}")
-    if scenario.copies:
-        away, older, leads = random.sample(names, 3)
-        return [
-            Fault(round(random.uniform(1.8, 2.2), 4), "kill", away, 3.2),
-            Fault(round(random.uniform(2.3, 2.8), 4), "older copy", older, 2.6),
-            Fault(round(random.uniform(4.6, 5.1), 4), "kill", leads, 4.0),
-        ]
-    if scenario.morning:
-        return [
-            Fault(
-                round(CALM_S + random.uniform(0.2, 3.0), 4), "kill", "g0", round(random.uniform(0.01, 0.6), 4)
-            )
-        ]
-    return faults.draw(random, names, CALM_S, CALM_S + scenario.storm_s, scenario.faults_most, scenario.kinds)
-
-
-def unfit(plan: list[Fault], scenario: Scenario) -> str:
-    """What a scenario can't play of a plan, by the number of the fault; '' where it can play all."""
-    kinds = faults.HALL_KINDS if scenario.halls else tuple(faults.KINDS)
-    gateways = [f"g{n}" for n in range(scenario.gateways)]
-    for n, fault in enumerate(plan, 1):
-        names = zone_scenario.HALLS if fault.kind.startswith("hall") else gateways
-        if fault.kind not in kinds:
-            return f"fault {n}: {fault.kind!r} is not played in {scenario.name}, only {', '.join(kinds)}"
-        if fault.who not in names or (fault.kind == "pair" and fault.other not in names):
-            told = f"{fault.who!r} {fault.other!r}".removesuffix(" ''")
-            return f"fault {n}: {fault.kind} is of one of {', '.join(names)}, not {told}"
-    return ""
-
-
-def _play_of(world: World, scenario: Scenario, plan: list[Fault]) -> Play | zone_scenario.HallPlay:
-    if scenario.halls:
-        return zone_scenario.HallPlay(
+def _scenario_run(
+    world: World, scenario: Scenario, plan: list[Fault]
+) -> ScenarioRun | zone_scenario.ZoneScenarioRun:
+    if scenario.zones:
+        return zone_scenario.ZoneScenarioRun(
             world, scenario.gateways, scenario.tasks, plan, scenario.storm_s, scenario.heal_s
         )
-    return Play(world, scenario, plan)
+    return ScenarioRun(world, scenario, plan)
 
 
-def play(
+def run_scenario(
     seed: int, scenario: Scenario, plan: Iterable[Fault] | None = None, kill_at: tuple[str, int] | None = None
 ) -> Result:
-    """One seed, one run. `kill_at`: a process is killed at its n-th write to its disk or the wire, or after
-    it."""
-    chosen = plan_of(seed, scenario) if plan is None else list(plan)
-    # In memory where there is room for it: what a disk does is played, and a real one sets the pace of many
-    # plays side by side (3.4 a second in place of 25).
+    """Simulate a scenario once with one seed.
+
+    `kill_at`: a process is killed at its n-th write to its disk or the wire, or after it.
+    """
+    chosen = draw_plan(seed, scenario) if plan is None else list(plan)
+    # In memory where there is room for it: what a disk does is simulated, and a real one sets the pace of
+    # many runs side by side (3.4 a second in place of 25).
     folder = Path(tempfile.mkdtemp(prefix="weldhatch-sim-", dir=SHM if os.access(SHM, os.W_OK) else None))
     try:
         with World(seed, folder) as world:
             world.kill_at = kill_at
-            one, broken, looked = _play_of(world, scenario, chosen), [], 0
+            one, broken, looked = _scenario_run(world, scenario, chosen), [], 0
             try:
                 world.loop.run_until_complete(one.run())
                 broken, looked = one.check()
@@ -563,7 +463,7 @@
                 broken = [f"Stalled: {fault}"]
             answers: dict[str, int] = {}
             for asked in one.asked:
-                for answer in [asked.came] if scenario.halls else asked.answers:
+                for answer in [asked.came] if scenario.zones else asked.answers:
                     answers[answer] = answers.get(answer, 0) + 1
             return Result(
                 seed,
--- a/weldhatch/simulation/seeded_defects.py
+++ b/weldhatch/simulation/seeded_defects.py
@@ -21,7 +21,8 @@
 from weldhatch.pullqueue import front
 from weldhatch.pullqueue.durable_state import QueueState
 from weldhatch.pullqueue.leases import Ledger
-from weldhatch.simulation.scenario_runner import SCENARIOS, play
+from weldhatch.simulation.scenario_runner import run_scenario
+from weldhatch.simulation.scenarios import SCENARIOS
 from weldhatch.zones.failover_rules import FailoverRules
 
 
@@ -114,7 +115,7 @@
     """How many seeds it takes until a promise is broken, and which; 0 and '' where none of `most` does."""
     with bug.there():
         for n, seed in enumerate(range(first, first + most), 1):
-            if broken := play(seed, SCENARIOS[bug.scenario]).broken:
+            if broken := run_scenario(seed, SCENARIOS[bug.scenario]).broken:
                 return n, broken[0]
     return 0, ""
 
--- a/weldhatch/simulation/zone_scenario.py
+++ b/weldhatch/simulation/zone_scenario.py
@@ -1,4 +1,4 @@
-"""A play of the platform's front: gateways in three halls, servers that fall when overrun, owners.
+"""A simulation run of the platform's front: gateways in three halls, servers that fall when overrun, owners.
 
 Zones are left and returned to here by the program's own coroutines. The servers are those of
 `testbed.servers`; one process holds a hall's, so that a hall can lose its power or be cut off.
@@ -85,8 +85,12 @@
     return ring.take(end + 3) if end >= 0 else None
 
 
-class HallPlay:
-    """As `play.Play`: gateways g0.. in hall n modulo three, halls' processes, owners o0, a bus b0."""
+class ZoneScenarioRun:
+    """Own the processes of a zone scenario, as `scenario_runner.ScenarioRun` does of the others.
+
+    Gateways g0.. are in the zone with their number modulo three; a process holds each zone's servers, one
+    the owners (o0), one the event bus (b0).
+    """
 
     def __init__(
         self, world: World, gateways: int, tasks: int, plan: list[Fault], storm_s: float, heal_s: float
@@ -184,7 +188,7 @@
         return platform, own
 
     def gateway(self, name: str) -> None:
-        """As `serving.Running` does it, in a process of the play."""
+        """As `serving.Running` does it, in a process of the simulation."""
         platform, own = self._files(name)
         path = self.world.folder / f"{name}.json"
         path.write_text(json.dumps(platform))
@@ -417,7 +421,7 @@
         )
 
     def check(self) -> tuple[list[str], int]:
-        """Promises that are broken, and how many were looked at."""
+        """Return the invariants that do not hold, one text each, and how many were checked."""
         struck = [fault.who for fault in self.plan if fault.kind.startswith("hall")]
         first = next(iter(self.governors.values())).node.lease_holder.state_machine.zones.history
         left = [one["place"] for one in first if one["phase"] == "leaving" and "/" not in one["place"]]
