--- a/weldhatch/simulation/scenario_runner.py
+++ b/weldhatch/simulation/scenario_runner.py
@@ -23,16 +23,15 @@
 from weldhatch.simulation.api import SimApi
 from weldhatch.simulation.faults import DRIFT, LEAP_S, Fault
 from weldhatch.simulation.loop import Stalled
-from weldhatch.simulation.scenarios import CALM_S, Scenario, draw_plan
+from weldhatch.simulation.operators import Operators
+from weldhatch.simulation.scenarios import CALM_S, SETTINGS, Scenario, draw_plan
 from weldhatch.simulation.world import World
-from weldhatch.testbed.sample_settings import PLAIN
 
 STATED = 2.0
 AGAIN_S = 0.3  # one that was killed at a point comes up again after so long
 SHM = "/dev/shm"
 SETTLE_S = 5.0  # after the last fault: longer than a lease, its grace and the time to be picked up again
 SLOW_S = 0.15
-SETTINGS = {**PLAIN, "limits": {**PLAIN["limits"], "mostTries": 3}}
 
 
 @dataclass(slots=True)
@@ -82,10 +81,16 @@
         self.governors: dict[str, FrontController] = {}
         self.starts: list[invariants.Start] = []
         self.asked: list[invariants.Asked] = []
-        self.drains: list[invariants.Drain] = []
-        self.proposed: list[int] = []
         self.older: set[str] = set()  # whose store came back as an older copy: the others may refuse them
-        self.calls: list[tuple[str, str, linearizability.Call]] = []  # for `linear.broken`
+        self.calls: list[tuple[str, str, linearizability.Call]] = []  # for `linearizability.broken`
+        self.operators = Operators(
+            world,
+            self.random,
+            self.names,
+            scenario.machines,
+            lambda name: self._endpoint(name, 2),
+            self.calls,
+        )
         self.revived = float("-inf")
 
     # ---- processes -------------------------------------------------------------------------------------
@@ -207,87 +212,6 @@
         while await self._submit(n, "g0") == "unanswered" and self.world.loop.now < back + 3.0:
             await asyncio.sleep(0.1)
 
-    # ---- operators -------------------------------------------------------------------------------------
-
-    async def _operate(self, n: int) -> None:
-        """Words and versions, one after the other, each at whichever gateway. Only the first operator drains
-        machines that work; all have their words on one that nobody knows, and propose versions."""
-        fence = 0
-        while self.world.loop.now < CALM_S + self.scenario.storm_s:
-            await asyncio.sleep(self.random.uniform(0.4, 1.5))
-            gateway = self.random.choice(self.names)
-            fence += 1
-            draw = self.random.random()
-            if draw < 0.4 and not n:
-                machine = f"m{self.random.randrange(self.scenario.machines)}"
-                if await self._word(gateway, machine, "draining", 2 * fence) == ("ok",):
-                    at = self.world.loop.now
-                    await asyncio.sleep(self.random.uniform(0.5, 6.0))
-                    self.drains.append(invariants.Drain(machine, at, self.world.loop.now))
-                    await self._word(gateway, machine, "ready", 2 * fence + 1)
-            elif draw < 0.7:
-                await self._word(gateway, "nobody", "draining", self.random.randrange(1, 30))
-            else:
-                await self._propose(gateway, 2 + fence % 3)
-
-    async def _call(
-        self,
-        gateway: str,
-        kind: str,
-        on: str,
-        asked: tuple,
-        method: str,
-        path: str,
-        body: dict,
-    ) -> tuple[tuple, dict]:
-        """One call to a desk, for the history too; what it came to, and the answer."""
-        call, told = linearizability.Call(asked, self.world.loop.now), {}
-        self.calls.append((kind, on, call))
-        try:
-            told = await SimApi(self._endpoint(gateway, 2)).call(method, path, body, prefix="/v1/")
-            call.came = ("ok", told["number"]) if kind == "versions" else ("ok",)
-        except ApiError as fault:
-            self.world.say(f"operator: {fault}")
-            if fault.code == 409:
-                last = fault.message.split()[0]
-                call.came = (fault.field, int(last)) if fault.field == "FENCE" else (fault.field,)
-        if call.came != linearizability.UNKNOWN:
-            call.until = self.world.loop.now
-        return call.came, told
-
-    async def _word(self, gateway: str, machine: str, state: str, fence: int) -> tuple:
-        came, _ = await self._call(
-            gateway,
-            "words",
-            machine,
-            ("word", fence),
-            "PUT",
-            f"machines/{machine}",
-            {"state": state, "fence": fence, "op": "sim"},
-        )
-        return came
-
-    async def _propose(self, gateway: str, tries: int) -> None:
-        try:
-            held = await SimApi(self._endpoint(gateway, 2)).call("GET", "rules/held", prefix="/v1/")
-        except ApiError as fault:
-            self.world.say(f"operator: {fault}")
-            return
-        if not held["number"]:
-            return
-        tree = {**SETTINGS, "limits": {**SETTINGS["limits"], "mostTries": tries}}
-        came, told = await self._call(
-            gateway,
-            "versions",
-            "rules",
-            ("propose", held["number"]),
-            "POST",
-            "rules/propose",
-            {"tree": tree, "base": held["number"], "why": "a play", "by": "sim"},
-        )
-        if came[0] == "ok":
-            self.proposed.append(told["number"])
-
     # ---- faults ----------------------------------------------------------------------------------------
 
     async def _throw(self, fault: Fault) -> None:
@@ -360,13 +284,13 @@
             )
             for n in range(scenario.tasks)
         ]
+        end = CALM_S + scenario.storm_s
         if scenario.operators and len(self.names) > 1:
             for n in range(2):
-                self.world.spawn(self.world.start(f"x{n}", lambda: None), self._operate(n))
+                self.world.spawn(self.world.start(f"x{n}", lambda: None), self.operators.operate(n, end))
         for fault in self.plan:
             loop.create_task(self._throw(fault))
         reviving = loop.create_task(self._revive()) if self.world.kill_at else None
-        end = CALM_S + scenario.storm_s
         await asyncio.sleep(scenario.storm_s + max([0.0, *(one.at + one.span - end for one in self.plan)]))
         self.world.wires.heal(set(self.world.wires.cuts))
         for name in self.names:
@@ -416,10 +340,11 @@
             invariants.refused_never_ran(self.asked, self.starts),
             invariants.writers_once(self.starts),
             invariants.keyed_stand_once(self.starts),
-            invariants.drains_kept(self.starts, self.drains, STATED),
+            invariants.drains_kept(self.starts, self.operators.drains, STATED),
             invariants.one_history({name: one.state_machine.versions.history for name, one in held.items()}),
             invariants.kept_versions(
-                self.proposed, {name: one.state_machine.versions.history for name, one in held.items()}
+                self.operators.proposed,
+                {name: one.state_machine.versions.history for name, one in held.items()},
             ),
             invariants.nothing_stands(self.starts, self.world.loop.now),
             linearizability.broken(self.calls),
--- a/weldhatch/simulation/scenarios.py
+++ b/weldhatch/simulation/scenarios.py
@@ -7,9 +7,11 @@
 
 from weldhatch.simulation import faults, zone_scenario
 from weldhatch.simulation.faults import Fault
+from weldhatch.testbed.sample_settings import PLAIN
 
 CALM_S = 1.5  # no fault begins before that
 HOLD_S = (0.1, 1.2)  # for how long a task runs, from and to
+SETTINGS = {**PLAIN, "limits": {**PLAIN["limits"], "mostTries": 3}}
 
 
 @dataclass(slots=True, frozen=True)
