--- a/weldhatch/cli/sim.py
+++ b/weldhatch/cli/sim.py
@@ -20,7 +20,8 @@
 from weldhatch import config
 from weldhatch.simulation import faults
 from weldhatch.simulation.faults import Fault
-from weldhatch.simulation.scenario_runner import Result, run_scenario
+from weldhatch.simulation.result import Result
+from weldhatch.simulation.scenario_runner import run_scenario
 from weldhatch.simulation.scenarios import SCENARIOS, Scenario, draw_plan, unplayable_reason
 
 SHOWN = 10  # broken seeds that are listed
@@ -131,7 +132,7 @@
         "first": first,
         "seeds": seeds,
         "seeds_per_s": round(seeds / took, 2),
-        "promises_checked": sum(one.promises for one in results),
+        "promises_checked": sum(one.invariants_checked for one in results),
         "faults": dict(sorted(thrown.items())),
         "answers": dict(sorted(answers.items())),
         "broken": [{"seed": one.seed, "broken": one.broken[:5]} for one in broken],
--- a/weldhatch/simulation/scenario_runner.py
+++ b/weldhatch/simulation/scenario_runner.py
@@ -7,7 +7,6 @@
 import shutil
 import tempfile
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
 
@@ -24,6 +23,7 @@
 from weldhatch.simulation.faults import DRIFT, LEAP_S, Fault
 from weldhatch.simulation.loop import Stalled
 from weldhatch.simulation.operators import Operators
+from weldhatch.simulation.result import Result
 from weldhatch.simulation.scenarios import CALM_S, SETTINGS, Scenario, draw_plan
 from weldhatch.simulation.world import World
 
@@ -34,42 +34,6 @@
 SLOW_S = 0.15
 
 
-@dataclass(slots=True)
-class Result:
-    """Hold the outcome of one run.
-
-    `broken`: invariants that did not hold, one text each; `digest`: of all that was sent and logged.
-    """
-
-    seed: int
-    scenario: str
-    plan: list[Fault]
-    broken: list[str]
-    digest: str
-    promises: int = 0
-    starts: int = 0
-    answers: dict[str, int] = field(default_factory=dict)
-    disk_works: int = 0
-    deliveries: int = 0
-    kill_at: tuple[str, int] | None = None
-    points: dict[str, int] = field(default_factory=dict)  # by process: writes to its disk and the wire
-    lines: list[tuple[float, str, str]] = field(default_factory=list)
-
-    def to_tree(self) -> dict:
-        """Return what `weldhatch sim replay --json` prints."""
-        return {
-            "seed": self.seed,
-            "scenario": self.scenario,
-            "broken": self.broken,
-            "digest": self.digest,
-            "plan": [fault.to_tree() for fault in self.plan],
-            "starts": self.starts,
-            "answers": self.answers,
-            "deliveries": self.deliveries,
-            "disk_works": self.disk_works,
-        }
-
-
 class ScenarioRun:
     """Owns the world's processes: gateways g0.., machines m0.., owners o0.., and one operator."""
 
--- a/weldhatch/simulation/scenarios.py
+++ b/weldhatch/simulation/scenarios.py
@@ -4,14 +4,16 @@
 
 from dataclasses import dataclass
 from random import Random
+from typing import Any
 
 from weldhatch.simulation import faults, zone_scenario
 from weldhatch.simulation.faults import Fault
 from weldhatch.testbed.sample_settings import PLAIN
+from weldhatch.testbed.zone_cluster import HALLS
 
 CALM_S = 1.5  # no fault begins before that
 HOLD_S = (0.1, 1.2)  # for how long a task runs, from and to
-SETTINGS = {**PLAIN, "limits": {**PLAIN["limits"], "mostTries": 3}}
+SETTINGS: dict[str, Any] = {**PLAIN, "limits": {**PLAIN["limits"], "mostTries": 3}}
 
 
 @dataclass(slots=True, frozen=True)
@@ -113,7 +115,7 @@
     kinds = faults.HALL_KINDS if scenario.zones else tuple(faults.KINDS)
     gateways = [f"g{n}" for n in range(scenario.gateways)]
     for n, fault in enumerate(plan, 1):
-        names = zone_scenario.HALLS if fault.kind.startswith("hall") else gateways
+        names = HALLS if fault.kind.startswith("hall") else gateways
         if fault.kind not in kinds:
             return f"fault {n}: {fault.kind!r} is not played in {scenario.name}, only {', '.join(kinds)}"
         if fault.who not in names or (fault.kind == "pair" and fault.other not in names):
