--- a/weldhatch/keys/certificates.py
+++ b/weldhatch/keys/certificates.py
@@ -4,6 +4,7 @@
 
 import datetime
 import ipaddress
+from typing import cast
 
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes
@@ -16,7 +17,8 @@
 )
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-AUTHORITY_DAYS, LEAF_DAYS = 3650, 90
+AUTHORITY_DAYS = 3650
+LEAF_DAYS = 90
 BACK = datetime.timedelta(minutes=5)  # clocks differ
 
 Pair = tuple[bytes, bytes]  # certificate and private key, PEM
@@ -31,7 +33,7 @@
 
 
 def authority(common: str, now: datetime.datetime, days: int = AUTHORITY_DAYS) -> Pair:
-    """A new certificate authority that signs for itself."""
+    """Make a self-signed certificate authority that is valid for `days`."""
     key = ec.generate_private_key(ec.SECP256R1())
     made = (
         x509.CertificateBuilder()
@@ -66,12 +68,14 @@
 def leaf(
     signer: Pair, common: str, names: list[str], server: bool, now: datetime.datetime, days: int = LEAF_DAYS
 ) -> Pair:
-    """A certificate that the authority signs, for a gateway (`server`) or a client called `common`.
+    """Make a certificate signed by the authority, for a gateway (`server`) or a client called `common`.
 
     names: host names and addresses that a server answers to.
     """
     ca = x509.load_pem_x509_certificate(signer[0])
-    ca_key = load_pem_private_key(signer[1], None)
+    # What `authority` makes is EC; the wider types of the library hold keys that can't sign.
+    ca_public = cast(ec.EllipticCurvePublicKey, ca.public_key())
+    ca_key = cast(ec.EllipticCurvePrivateKey, load_pem_private_key(signer[1], None))
     key = ec.generate_private_key(ec.SECP256R1())
     usage = ExtendedKeyUsageOID.SERVER_AUTH if server else ExtendedKeyUsageOID.CLIENT_AUTH
     builder = (
@@ -85,7 +89,7 @@
         .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
         .add_extension(x509.ExtendedKeyUsage([usage]), critical=False)
         .add_extension(_usage(sign_certificates=False), critical=True)
-        .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(ca.public_key()), critical=False)
+        .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(ca_public), critical=False)
     )
     if names:
         builder = builder.add_extension(
@@ -102,6 +106,7 @@
 
 
 def describe(pem: bytes) -> tuple[str, datetime.datetime]:
-    """The common name and the end of a certificate."""
-    read = x509.load_pem_x509_certificate(pem)
-    return read.subject.get_attributes_for_oid(NameOID.COMMON_NAME)[0].value, read.not_valid_after_utc
+    """Return the common name of a PEM certificate and the time at which it expires (UTC)."""
+    certificate = x509.load_pem_x509_certificate(pem)
+    common = certificate.subject.get_attributes_for_oid(NameOID.COMMON_NAME)[0].value
+    return cast(str, common), certificate.not_valid_after_utc
--- a/weldhatch/keys/errors.py
+++ b/weldhatch/keys/errors.py
@@ -1,4 +1,4 @@
-"""Faults of keys, apart from the libraries that work with them."""
+"""Errors of the key folder, importable without the cryptography libraries."""
 
 
 class KeysError(ValueError):
--- a/weldhatch/keys/folder.py
+++ b/weldhatch/keys/folder.py
@@ -15,6 +15,7 @@
 import secrets
 import ssl
 from pathlib import Path
+from typing import Any
 
 from weldhatch.keys import certificates, tokens
 from weldhatch.keys.errors import KeysError
@@ -23,9 +24,13 @@
 
 
 class Folder:
-    """One folder of keys. Every file is written whole, private ones for the owner only."""
+    """One folder of keys.
+
+    Every file is replaced atomically; private ones are readable by their owner only.
+    """
 
     def __init__(self, path: str | Path) -> None:
+        """Use the folder at `path`; nothing is read or made yet."""
         self.path = Path(path)
 
     def _write(self, name: str, data: bytes, private: bool = False) -> None:
@@ -49,7 +54,7 @@
     # ---- certificates --------------------------------------------------------------------------------------
 
     def begin(self, common: str, now: datetime.datetime) -> None:
-        """A new authority and a first token key. Raises KeysError where there is one already."""
+        """Make a new authority and a first token key. Raises KeysError if there is one already."""
         if (self.path / "ca.pem").exists():
             raise KeysError(f"{self.path / 'ca.pem'}: there is an authority already")
         certificate, key = certificates.authority(common, now)
@@ -59,7 +64,10 @@
         self.rotate(now.timestamp())
 
     def certify(self, common: str, names: list[str], server: bool, now: datetime.datetime, days: int) -> Path:
-        """A certificate for the gateway, or for a client; where its file is."""
+        """Make a certificate for the gateway or for a client, and return its path.
+
+        Raises KeysError for a name that can't be a file's, and where the authority can't be read.
+        """
         if not common or "/" in common or common.startswith("."):
             raise KeysError(f"{common!r}: this can't be a certificate's name")
         made = certificates.leaf(
@@ -71,7 +79,10 @@
         return self.path / f"{stem}.pem"
 
     def server_context(self, mutual: bool) -> ssl.SSLContext:
-        """What a gateway serves TLS with; `mutual`: clients show certificates of the authority's."""
+        """Return the TLS context of a gateway; `mutual` requires client certificates of the authority.
+
+        Raises KeysError if a file is missing or can't be used.
+        """
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         for name in ("server.pem", "server.key", "ca.pem"):
@@ -86,7 +97,10 @@
         return context
 
     def client_context(self, name: str) -> ssl.SSLContext:
-        """What a client of that name connects with: it shows its certificate, and checks the server's."""
+        """Return the TLS context of the client `name`: it shows its certificate and checks the server's.
+
+        Raises KeysError if a file is missing or can't be used.
+        """
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         for part in ("ca.pem", f"clients/{name}.pem", f"clients/{name}.key"):
@@ -101,18 +115,21 @@
 
     # ---- tokens --------------------------------------------------------------------------------------------
 
-    def _tokens(self) -> dict:
+    def _tokens(self) -> dict[str, Any]:
         try:
             tree = json.loads(self._read("tokens.json"))
             return {"keys": dict(tree["keys"]), "revoked": dict(tree["revoked"])}
         except (ValueError, KeyError, TypeError) as fault:
             raise KeysError(f"{self.path / 'tokens.json'}: {fault!r}") from None
 
-    def _write_tokens(self, tree: dict) -> None:
+    def _write_tokens(self, tree: dict[str, Any]) -> None:
         self._write("tokens.json", json.dumps(tree, indent=1).encode())
 
     def rotate(self, now: float, overlap_s: float = ROTATE_OVERLAP_S) -> str:
-        """A new key signs from now on; the earlier ones stay good for the overlap. Its id."""
+        """Make the key that signs from `now` (Unix seconds) on, and return its id.
+
+        The earlier keys stay valid for `overlap_s` more seconds.
+        """
         tree = self._tokens()
         for entry in tree["keys"].values():
             entry["until"] = entry["until"] or now + overlap_s
@@ -129,18 +146,20 @@
     def token(
         self, name: str, role: tokens.Role, tenant: str, now: float, seconds: float
     ) -> tuple[str, tokens.Claims]:
-        """A new token, signed by the newest key."""
+        """Return a new token, signed by the newest key and valid for `seconds`, and its claims."""
         keys = self._tokens()["keys"]
         newest = max((entry["made"], key_id) for key_id, entry in keys.items() if not entry["until"])[1]
         claims = tokens.Claims(name, role, tenant, f"t{secrets.token_hex(8)}", now + seconds)
         return tokens.sign(claims, self._read(f"signing/{newest}.pem"), newest, now), claims
 
     def revoke(self, token_id: str, now: float) -> None:
+        """Revoke the token with this id at `now` (Unix seconds)."""
         tree = self._tokens()
         tree["revoked"][token_id] = now
         self._write_tokens(tree)
 
     def keyring(self) -> tokens.Keyring:
+        """Return the public keys and the revoked ids. Raises KeysError if tokens.json can't be used."""
         tree = self._tokens()
         try:
             return tokens.Keyring(
--- a/weldhatch/keys/tokens.py
+++ b/weldhatch/keys/tokens.py
@@ -1,8 +1,7 @@
 """Bearer tokens: signed (Ed25519, as JSON Web Tokens), with a name, a role, a tenant and an expiry. No I/O.
 
 Several keys are good at a time, so that one can follow another without a gap; a token names the key that
-signed
-it. A revoked token is named by its id until it would have expired anyway.
+signed it. A revoked token is named by its id until it would have expired anyway.
 """
 
 from __future__ import annotations
@@ -10,9 +9,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import StrEnum
+from typing import cast
 
 import jwt
-from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
+from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 from cryptography.hazmat.primitives.serialization import (
     Encoding,
     NoEncryption,
@@ -32,6 +32,8 @@
 
 
 class Role(StrEnum):
+    """What the bearer may call; the values stand in tokens."""
+
     MACHINE = "machine"  # a build machine: its own sessions and leases, under its name
     SUBMITTER = "submitter"  # its tenant's tasks
     OPERATOR = "operator"  # everybody's tasks
@@ -39,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Claims:
-    """Who calls. `tenant` is '' for all."""
+    """The identity in a token. `tenant` is '' for all; `expires` is in Unix seconds."""
 
     name: str
     role: Role
@@ -49,7 +51,7 @@
 
 
 def new_key() -> tuple[bytes, bytes]:
-    """A private key and its public one, both PEM."""
+    """Make a key pair and return the private and the public key, both PEM."""
     private = Ed25519PrivateKey.generate()
     return (
         private.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption()),
@@ -58,7 +60,7 @@
 
 
 def sign(claims: Claims, private: bytes, key_id: str, now: float) -> str:
-    """The token of these claims, good from now until `claims.expires` (Unix seconds)."""
+    """Return the token of these claims, valid from `now` until `claims.expires` (Unix seconds)."""
     body = {
         "sub": claims.name,
         "role": claims.role.value,
@@ -68,19 +70,27 @@
         "iat": int(now),
         "aud": AUDIENCE,
     }
-    return jwt.encode(body, load_pem_private_key(private, None), ALGORITHM, headers={"kid": key_id})
+    key = cast(Ed25519PrivateKey, load_pem_private_key(private, None))
+    return jwt.encode(body, key, ALGORITHM, headers={"kid": key_id})
 
 
 class Keyring:
-    """The public keys that are good, by id with the time each ends (0: none), and the ids of revoked
-    tokens."""
+    """The public keys that are valid, and the ids of revoked tokens."""
 
     def __init__(self, keys: Mapping[str, tuple[bytes, float]], revoked: Mapping[str, float]) -> None:
-        self._keys = {name: (load_pem_public_key(pem), until) for name, (pem, until) in keys.items()}
+        """Load the keys.
+
+        keys: by id, the PEM and the time at which each ends (Unix seconds; 0: never).
+        revoked: by token id, the time of the revocation (Unix seconds).
+        """
+        self._keys = {
+            name: (cast(Ed25519PublicKey, load_pem_public_key(pem)), until)
+            for name, (pem, until) in keys.items()
+        }
         self._revoked = dict(revoked)
 
     def verify(self, token: str, now: float) -> Claims:
-        """Whose token it is. Raises TokenError with the reason."""
+        """Return the claims of a token at `now` (Unix seconds). Raises TokenError with the reason."""
         try:
             key_id = jwt.get_unverified_header(token).get("kid")
         except jwt.PyJWTError:
@@ -109,14 +119,17 @@
             raise TokenError("it was revoked")
         try:
             return Claims(
-                body["sub"], Role(body.get("role")), body.get("tenant") or "", body["jti"], body["exp"]
+                body["sub"], Role(str(body.get("role"))), body.get("tenant") or "", body["jti"], body["exp"]
             )
         except ValueError:
             raise TokenError("it has no role that is known here") from None
 
 
 def may_call(who: Claims, collection: str) -> bool:
-    """May this caller use a collection of calls at all? What of it is his is asked further in."""
+    """Return whether this caller may use a collection of calls at all.
+
+    Which of its items are the caller's own is checked by the callee.
+    """
     if collection == "botSessions":
         return who.role is Role.MACHINE
     return who.role in (Role.SUBMITTER, Role.OPERATOR)
