--- a/weldhatch/sexpr/printer.py
+++ b/weldhatch/sexpr/printer.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
+
 from weldhatch.sexpr.reader import Atom, Comment, Form
 
 WIDTH = 100
@@ -19,7 +21,7 @@
 
 
 def _lines(item: Form | Atom | Comment, room: int) -> list[str]:
-    """The lines of one item, without indent. A form that fits stands on one line."""
+    """Return the lines of one item, without indent. A form that fits stands on one line."""
     if isinstance(item, Comment):
         return [_comment(item)]
     if isinstance(item, Atom):
@@ -27,36 +29,62 @@
     if not _has_comment(item) and len(item.shown) <= room:
         return [item.shown]
     # The leading atoms stay with the bracket; from the first form or comment on, each item has its line.
-    lead = 0
-    first = "("
-    while lead < len(item.all) and isinstance(item.all[lead], Atom):
-        more = first + (" " if lead else "") + item.all[lead].text
-        if lead and len(more) > room:
-            break
-        first, lead = more, lead + 1
+    first, lead = _leading_atoms(item, room)
     rest = item.all[lead:]
     before = item.all[lead - 1] if lead else None
-    body = _block(rest, room - len(INDENT), before, first if lead else None)
-    if body and body[0] is None:  # a comment that trails the leading atoms
-        first, body = f"{first}  {body[1]}", body[2:]
-    lines = [first, *(INDENT + line if line else "" for line in body)]
-    if isinstance(item.all[-1], Comment) if item.all else False:
+    block = _block(rest, room - len(INDENT), before, opened=bool(lead))
+    if block.trailing_comment:
+        first = f"{first}  {block.trailing_comment}"
+    lines = [first, *(INDENT + line if line else "" for line in block.lines)]
+    if item.all and isinstance(item.all[-1], Comment):
         return [*lines, ")"]
     return [*lines[:-1], lines[-1] + ")"]
 
 
+def _leading_atoms(form: Form, room: int) -> tuple[str, int]:
+    """Return the bracket with the atoms that stay on its line, and how many they are."""
+    first = "("
+    for count, item in enumerate(form.all):
+        if not isinstance(item, Atom):
+            return first, count
+        longer = first + (" " if count else "") + item.text
+        if count and len(longer) > room:
+            return first, count
+        first = longer
+    return first, len(form.all)
+
+
 def _comment(comment: Comment) -> str:
     text = comment.text.lstrip(";")
     marks = comment.text[: len(comment.text) - len(text)]
     return f"{marks} {text.strip()}" if text.strip() else marks
 
 
+@dataclass(slots=True)
+class _Block:
+    lines: list[str] = field(default_factory=list)
+    trailing_comment: str = ""  # of the line in front of the block
+
+
+def _trails(item: Form | Atom | Comment, before: Form | Atom | Comment | None) -> bool:
+    """Return whether `item` is a comment behind another item on the same line."""
+    if not isinstance(item, Comment) or before is None or isinstance(before, Comment):
+        return False
+    return item.place.line == _last_line(before)
+
+
 def _block(
-    items: list[Form | Atom | Comment], room: int, before: Form | Atom | Comment | None, opened: str | None
-) -> list[str | None]:
-    """Items under one another; one blank line stays where there was one; comments behind an item stay
-    there."""
-    lines: list[str | None] = []
+    items: list[Form | Atom | Comment], room: int, before: Form | Atom | Comment | None, opened: bool
+) -> _Block:
+    """Lay items out under one another.
+
+    One blank line stays where there was one; a comment behind an item stays there.
+
+    before: the item in front of the first one, on a line that is not part of the block.
+    opened: that line begins with a bracket and atoms.
+    """
+    block = _Block()
+    lines = block.lines
     packing = False  # atoms that follow one another share a line as far as it reaches
     for n, item in enumerate(items):
         if isinstance(item, Atom) and packing and len(f"{lines[-1]} {item.text}") <= room:
@@ -65,25 +93,20 @@
             continue
         packing = isinstance(item, Atom)
         gap = before is not None and item.place.line > _last_line(before) + 1
-        trails = (
-            isinstance(item, Comment)
-            and before is not None
-            and not isinstance(before, Comment)
-            and item.place.line == _last_line(before)
-        )
-        if trails and lines and lines[-1]:
+        trails = _trails(item, before)
+        if isinstance(item, Comment) and trails and lines:
             lines[-1] = f"{lines[-1]}  {_comment(item)}"
-        elif trails and opened is not None and not n:
-            lines += [None, _comment(item)]
+        elif isinstance(item, Comment) and trails and opened and not n:
+            block.trailing_comment = _comment(item)
         else:
-            if gap and (lines or opened is not None):
+            if gap and (lines or opened):
                 lines.append("")
             lines += _lines(item, room)
         before = item
-    return lines
+    return block
 
 
 def canonical(items: list[Form | Atom | Comment]) -> str:
-    """The text of a file's items, as `reader.read` gives them; ends with a line feed unless empty."""
-    text = "\n".join(line or "" for line in _block(items, WIDTH, None, None))
+    """Return the text of a file's items, as `reader.read` gives them; ends with a line feed unless empty."""
+    text = "\n".join(_block(items, WIDTH, None, opened=False).lines)
     return f"{text}\n" if text else ""
--- a/weldhatch/sexpr/reader.py
+++ b/weldhatch/sexpr/reader.py
@@ -1,5 +1,4 @@
-"""Reads S-expressions by `grammar.lark`: forms and atoms with their places, and all faults of a text at
-once."""
+"""Reads S-expressions by `grammar.lark`: forms and atoms with places, and all faults of a text at once."""
 
 from __future__ import annotations
 
@@ -7,9 +6,13 @@
 from dataclasses import dataclass, field
 from functools import cache
 from pathlib import Path
+from typing import TYPE_CHECKING, cast
 
 import lark
 
+if TYPE_CHECKING:
+    _Tree = lark.Tree[lark.Token]
+
 DURATIONS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 SIZES = {"MB": 0.001, "GB": 1.0, "TB": 1000.0}
 DEPTH_MOST = 60
@@ -27,6 +30,7 @@
     column: int
 
     def __str__(self) -> str:
+        """Return `file:line:column`."""
         return f"{self.file}:{self.line}:{self.column}"
 
 
@@ -39,6 +43,7 @@
     expected: str = ""
 
     def __str__(self) -> str:
+        """Return the fault on one line, as users see it."""
         return f"{self.place}: {self.message}" + (f" (expected {self.expected})" if self.expected else "")
 
 
@@ -46,6 +51,7 @@
     """A text with faults: all of them, in the order of their places."""
 
     def __init__(self, faults: list[Fault]) -> None:
+        """Keep the faults, each once, in the order of their places."""
         self.faults = sorted(set(faults), key=lambda fault: fault.place)
         super().__init__("\n".join(map(str, self.faults)))
 
@@ -61,11 +67,14 @@
 
     @property
     def shown(self) -> str:
+        """Its text as in the file."""
         return self.text
 
 
 @dataclass(slots=True, frozen=True)
 class Comment:
+    """A comment with its semicolons, without trailing space."""
+
     text: str
     place: Place
 
@@ -80,6 +89,7 @@
 
     @property
     def items(self) -> list[Form | Atom]:
+        """What it holds, without comments."""
         return [item for item in self.all if not isinstance(item, Comment)]
 
     @property
@@ -90,6 +100,7 @@
 
     @property
     def shown(self) -> str:
+        """The form on one line, without comments."""
         return "(" + " ".join(item.shown for item in self.items) + ")"
 
 
@@ -100,60 +111,72 @@
 
 
 def read(text: str, file: str) -> list[Form | Atom | Comment]:
-    """The items of a text. Raises FormError with every fault of the text.
+    """Return the items of a text. Raises FormError with every fault of the text.
 
     Errors do not end the reading: what can't be read is left out, and reading goes on behind it, so that a
     person mends a file in one go.
     """
     if len(text) > TEXT_MOST:
         raise FormError([Fault(Place(file, 1, 1), f"a file of over {TEXT_MOST >> 20} MiB")])
-    faults: list[Fault] = []
-
-    def fault(error: lark.UnexpectedInput) -> bool:
-        if isinstance(error, lark.UnexpectedCharacters):
-            rest = text[error.pos_in_stream :]
-            word = rest.split(None, 1)[0] if rest.split() else rest[:1]
-            message = (
-                "a text in quotes that does not end on its line, or has an unknown escape"
-                if word[0] == '"'
-                else f"{word[:40]!r} can't be read"
-            )
-            expected = "a word, a number with a known unit, a text or a bracket"
-            if len(word) > 1 and word[0] != '"':
-                expected = "a word that begins with a letter, or a number with one of " + " ".join(
-                    [*DURATIONS, *SIZES]
-                )
-            faults.append(Fault(Place(file, error.line, error.column), message, expected))
-            _skip(error, word)
-            return True
-        if isinstance(error, lark.UnexpectedToken) and error.token.type != "$END":
-            faults.append(
-                Fault(Place(file, error.token.line, error.token.column), "a ')' that closes nothing", "'('")
-            )
-            return True
-        return False
-
+    handler = _ParseErrors(text, file)
+    faults = handler.faults
     try:
-        tree = _parser().parse(text, on_error=fault)
+        tree = _parser().parse(text, on_error=handler.handle)
     except lark.UnexpectedInput:  # only the end of the file can't be stepped over: a bracket is open
-        if not faults:  # after another fault, the brackets that were left out with it would be told again
+        if not faults:  # else the brackets that were left out with a fault would be reported again
             line, column = _unclosed(text)
             faults.append(Fault(Place(file, line, column), "this '(' is never closed", "')'"))
         raise FormError(faults) from None
     except RecursionError:
         raise FormError([Fault(Place(file, 1, 1), "brackets nested too deeply")]) from None
-    items = [_item(child, file, 0, faults) for child in tree.children]
+    items = [_item(child, file, 0, faults) for child in _trees(tree)]
     if faults:
         raise FormError(faults)
     return items
 
 
-def _skip(error: lark.UnexpectedCharacters, word: str) -> None:
-    """Guards against one bad word being told once for each of its letters: the lexer goes on behind it."""
+class _ParseErrors:
+    """Collects the faults of one text while the parser goes on behind each."""
+
+    def __init__(self, text: str, file: str) -> None:
+        self._text = text
+        self._file = file
+        self.faults: list[Fault] = []
+
+    def handle(self, error: lark.UnexpectedInput) -> bool:
+        """Note an error of the parser; return whether it can go on."""
+        if isinstance(error, lark.UnexpectedCharacters):
+            self._handle_characters(error)
+            return True
+        if isinstance(error, lark.UnexpectedToken) and error.token.type != "$END":
+            self._add(error.token.line or 1, error.token.column or 1, "a ')' that closes nothing", "'('")
+            return True
+        return False
+
+    def _handle_characters(self, error: lark.UnexpectedCharacters) -> None:
+        rest = self._text[error.pos_in_stream or 0 :]
+        unreadable = rest.split(None, 1)[0] if rest.split() else rest[:1]
+        if unreadable[0] == '"':
+            message = "a text in quotes that does not end on its line, or has an unknown escape"
+        else:
+            message = f"{unreadable[:40]!r} can't be read"
+        expected = "a word, a number with a known unit, a text or a bracket"
+        if len(unreadable) > 1 and unreadable[0] != '"':
+            units = " ".join([*DURATIONS, *SIZES])
+            expected = f"a word that begins with a letter, or a number with one of {units}"
+        self._add(error.line, error.column, message, expected)
+        _skip(error, unreadable)
+
+    def _add(self, line: int, column: int, message: str, expected: str) -> None:
+        self.faults.append(Fault(Place(self._file, line, column), message, expected))
+
+
+def _skip(error: lark.UnexpectedCharacters, unreadable: str) -> None:
+    """Let the lexer go on behind a bad word, which would be reported once for each of its letters."""
     lexer_state = error.interactive_parser.lexer_thread.state if error.interactive_parser else None
     if lexer_state is None:
         return
-    bare = word.split("(")[0].split(")")[0] or word[0]
+    bare = unreadable.split("(")[0].split(")")[0] or unreadable[0]
     # The handler of lark steps over one character itself.
     for character in bare[:-1]:
         lexer_state.line_ctr.feed(lark.lexer.Token("SKIPPED", character), False)
@@ -167,7 +190,10 @@
     previous = ""
     for character in text:
         if character == "\n":
-            line, column, quoted, comment, previous = line + 1, 1, False, False, ""
+            line += 1
+            column = 1
+            quoted = comment = False
+            previous = ""
             continue
         if comment:
             pass
@@ -185,17 +211,22 @@
     return open_at[-1] if open_at else (line, column)
 
 
-def _item(tree: lark.Tree, file: str, depth: int, faults: list[Fault]) -> Form | Atom | Comment:
+def _trees(tree: _Tree) -> list[_Tree]:
+    """Return the children of a rule that, by the grammar, has no bare tokens."""
+    return cast("list[_Tree]", tree.children)
+
+
+def _item(tree: _Tree, file: str, depth: int, faults: list[Fault]) -> Form | Atom | Comment:
     if tree.data == "form":
         place = Place(file, tree.meta.line, tree.meta.column)
         if depth > DEPTH_MOST:
             faults.append(Fault(place, "brackets nested too deeply", f"at most {DEPTH_MOST}"))
             return Form(place, tree.meta.end_line)
         return Form(
-            place, tree.meta.end_line, [_item(child, file, depth + 1, faults) for child in tree.children]
+            place, tree.meta.end_line, [_item(child, file, depth + 1, faults) for child in _trees(tree)]
         )
-    token = tree.children[0]
-    place = Place(file, token.line, token.column)
+    token = cast(lark.Token, tree.children[0])
+    place = Place(file, token.line or 1, token.column or 1)
     if tree.data == "comment":
         return Comment(str(token).rstrip(), place)
     return Atom(token.type, _value(token), str(token), place)
@@ -204,7 +235,8 @@
 def _value(token: lark.Token) -> str | float:
     text = str(token)
     if token.type == "STRING":
-        out, at = [], 1
+        out = []
+        at = 1
         while at < len(text) - 1:
             step = 2 if text[at] == "\\" else 1
             out.append(_ESCAPES.get(text[at : at + step], text[at : at + step]))
@@ -217,8 +249,18 @@
     return float(text) if token.type == "NUMBER" else text
 
 
+def _included_name(include: Form) -> str | None:
+    """Return the one file name of an `(include "FILE")`; None if it is anything else."""
+    names = include.items[1:]
+    if len(names) != 1 or not isinstance(names[0], Atom) or names[0].kind != "STRING":
+        return None
+    return str(names[0].value)
+
+
 def read_whole(path: str, load: Callable[[str], str]) -> list[Form | Atom]:
-    """A file and all that it includes, in order, by `load` (path to text; OSError where it can't).
+    """Return the items of a file and of all that it includes, in order. Raises FormError with all faults.
+
+    load: gives the text of a path, or raises OSError.
 
     `(include "other.sets")` at the top level names a file beside the one that holds it.
     """
@@ -230,7 +272,7 @@
         count += 1
         if path in way or count > INCLUDES_MOST:
             why = "includes itself" if path in way else f"is one of over {INCLUDES_MOST} includes"
-            faults.append(Fault(at, f"{path} {why}: {' -> '.join((*way, path))}"))
+            faults.append(Fault(at or Place(path, 1, 1), f"{path} {why}: {' -> '.join((*way, path))}"))
             return []
         try:
             items = read(load(path), path)
@@ -244,11 +286,11 @@
         out: list[Form | Atom] = []
         for item in items:
             if isinstance(item, Form) and item.head == "include":
-                names = item.items[1:]
-                if len(names) != 1 or not isinstance(names[0], Atom) or names[0].kind != "STRING":
+                name = _included_name(item)
+                if name is None:
                     faults.append(Fault(item.place, f"{item.shown} names no file", '(include "FILE")'))
                     continue
-                out += one(str(Path(path).parent / str(names[0].value)), (*way, path), item.place)
+                out += one(str(Path(path).parent / name), (*way, path), item.place)
             elif not isinstance(item, Comment):
                 out.append(item)
         return out
@@ -260,7 +302,7 @@
 
 
 def describe(item: Form | Atom | None) -> str:
-    """An item as a fault names it."""
+    """Return an item as a fault names it."""
     if item is None:
         return "nothing more"
     if isinstance(item, Form):
