--- a/weldhatch/client/api.py
+++ b/weldhatch/client/api.py
@@ -12,24 +12,35 @@
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
 PREFIX = "/v1test2/"
-BACKOFF_S, BACKOFF_MOST_S = 0.2, 10.0
+BACKOFF_S = 0.2
+BACKOFF_MOST_S = 10.0
 
 
 class ApiError(Exception):
-    """A call that was not answered with 200. `code` is 0 where nobody answered: it may have been heard."""
+    """A call that was not answered with 200.
+
+    code: the HTTP status; 0 where nobody answered: the call may have had its effect all the same.
+    status, message: as in google.rpc.Status. field: the request's field at fault, if the gateway names one.
+    retry_s: how long the gateway asks to wait before the next attempt, in seconds.
+    """
 
     def __init__(self, code: int, status: str, message: str, field: str = "", retry_s: float = 0.0) -> None:
+        """Keep what the gateway answered."""
         super().__init__(f"{code or 'no answer'} {status}: {message}".strip())
-        self.code, self.status, self.message, self.field, self.retry_s = code, status, message, field, retry_s
+        self.code = code
+        self.status = status
+        self.message = message
+        self.field = field
+        self.retry_s = retry_s
 
     @property
     def transient(self) -> bool:
-        """Might the same call do better later?"""
+        """Whether the same call may succeed later."""
         return self.code in (0, 408, 429, 500, 503)
 
 
 class Backoff:
-    """Waits between tries: doubling, spread, and never shorter than what the gateway asks for."""
+    """Exponential backoff with jitter, never shorter than what the gateway asks for (Retry-After)."""
 
     def __init__(
         self,
@@ -37,14 +48,20 @@
         first_s: float = BACKOFF_S,
         most_s: float = BACKOFF_MOST_S,
     ) -> None:
-        self._uniform, self._first, self._most = uniform, first_s, most_s
+        """uniform: a random number in [0, 1). first_s, most_s: first and longest span, in seconds."""
+        self._uniform = uniform
+        self._first = first_s
+        self._most = most_s
         self.tries = 0
 
     def next(self, advised_s: float = 0.0) -> float:
-        """How long to wait now, in seconds."""
-        span = min(self._most, self._first * 2**self.tries)
+        """Return how long to wait now, in seconds, and count the attempt.
+
+        advised_s: what the gateway asked for, in seconds.
+        """
+        span: float = min(self._most, self._first * 2**self.tries)
         self.tries += 1
-        # What was advised is kept in full; the spread comes on top, so that those turned away together part.
+        # What was advised is kept in full; the spread comes on top, so that those rejected together part.
         return advised_s + span * (0.5 + 0.5 * self._uniform())
 
 
@@ -61,9 +78,14 @@
         key: str = "",
         at_once: int = 100,
     ) -> None:
-        """address: http(s)://host:port. authority: a PEM file to trust; certificate, key: PEM files to
-        show."""
-        self.address, self._token = address.rstrip("/"), token
+        """Open no connection yet.
+
+        address: http(s)://host:port. token: the bearer token, if any.
+        authority: a PEM file to trust. certificate, key: PEM files to show.
+        at_once: calls in flight at a time; more of them queue.
+        """
+        self.address = address.rstrip("/")
+        self._token = token
         self._ssl: ssl.SSLContext | None = None
         if self.address.startswith("https"):
             self._ssl = ssl.create_default_context(cafile=authority or None)
@@ -73,12 +95,15 @@
         self._client = AsyncHTTPClient(force_instance=True, max_clients=at_once, max_buffer_size=4 << 20)
 
     async def __aenter__(self) -> Api:
+        """Return the gateway itself."""
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """Close the HTTP client."""
         self.close()
 
     def close(self) -> None:
+        """Close the HTTP client; calls in flight fail."""
         self._client.close()
 
     async def call(
@@ -91,16 +116,16 @@
         headers: dict[str, str] | None = None,
         on_data: Callable[[bytes], None] | None = None,
     ) -> Any:
-        """One call; its JSON. Raises ApiError. `wait_s`: how long the gateway may take to answer."""
+        """Make one call and return its JSON (None if `on_data` took it). Raises ApiError.
+
+        wait_s: how long the gateway may take to answer, in seconds.
+        on_data: takes the body part by part, as it comes.
+        """
         request = HTTPRequest(
             f"{self.address}{PREFIX}{path}",
             method=method,
             body=json.dumps(body) if body is not None else None,
-            headers={
-                **({"Authorization": f"Bearer {self._token}"} if self._token else {}),
-                **({"X-Server-Timeout": f"{wait_s:g}"} if wait_s else {}),
-                **(headers or {}),
-            },
+            headers=self._headers(wait_s, headers or {}),
             connect_timeout=5.0,
             request_timeout=wait_s + 10.0,
             ssl_options=self._ssl,
@@ -116,18 +141,31 @@
             raise ApiError(0, "", str(answer.error))
         if on_data is not None and answer.code == 200:
             return None
-        try:
-            tree = json.loads(answer.body or b"{}")
-        except ValueError:
-            raise ApiError(answer.code, "", "an answer that is no JSON") from None
-        if answer.code != 200:
-            raise _error(answer.code, tree)
-        return tree
+        return _decode(answer.code, answer.body)
+
+    def _headers(self, wait_s: float, extra: dict[str, str]) -> dict[str, str]:
+        headers = {}
+        if self._token:
+            headers["Authorization"] = f"Bearer {self._token}"
+        if wait_s:
+            headers["X-Server-Timeout"] = f"{wait_s:g}"
+        return headers | extra
+
+
+def _decode(code: int, body: bytes) -> Any:
+    try:
+        tree = json.loads(body or b"{}")
+    except ValueError:
+        raise ApiError(code, "", "an answer that is no JSON") from None
+    if code != 200:
+        raise _error(code, tree)
+    return tree
 
 
 def _error(code: int, tree: Any) -> ApiError:
     error = tree.get("error", {}) if isinstance(tree, dict) else {}
-    field, retry_s = "", 0.0
+    field = ""
+    retry_s = 0.0
     for detail in error.get("details", ()):
         if violations := detail.get("fieldViolations"):
             field = violations[0].get("field", "")
--- a/weldhatch/client/machine.py
+++ b/weldhatch/client/machine.py
@@ -8,6 +8,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 from datetime import datetime
+from typing import Any
 
 from weldhatch.client.api import Api, ApiError, Backoff
 
@@ -19,34 +20,37 @@
     """One task to run."""
 
     id: str
-    payload: dict
+    payload: dict[str, Any]
     assignment: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How a task ended: code 0 for well (google.rpc.Code), a message, and a result that its submitter is
-    told."""
+    """How a task ended.
+
+    code: google.rpc.Code, 0 for success. result: JSON for the submitter.
+    """
 
     code: int = 0
     message: str = ""
-    result: dict | None = None
+    result: dict[str, Any] | None = None
 
 
 class Declined(Exception):
-    """Raised by a runner that will not begin a lease: it has never run. `here`: false where it is no room."""
+    """Raised by a runner that will not begin a lease: it has never run."""
 
     def __init__(self, message: str = "", no_room: bool = True) -> None:
+        """no_room: the machine lacks capacity now; if false, it can't run the task at all."""
         super().__init__(message)
         self.code = 8 if no_room else 9
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldLease:
     lease: Lease
     state: str
     until: float  # on this machine's monotonic clock
-    work: asyncio.Task | None = None
+    work: asyncio.Task[None] | None = None
     outcome: Outcome | None = None
 
 
@@ -56,9 +60,8 @@
 class BuildMachine:
     """Keeps one session; `run` is called for each lease, and cancelled where its lease ends early.
 
-    The one rule that all else rests on: a task is stopped when its lease expires, whether or not the gateway
-    can
-    be reached.
+    The one rule that all else rests on: a task is stopped when its lease expires, whether or not the
+    gateway can be reached.
     """
 
     def __init__(
@@ -69,23 +72,36 @@
         run: Run,
         *,
         poll_s: float = 1.0,
-        worker: dict | None = None,
+        worker: dict[str, Any] | None = None,
     ) -> None:
-        self._api, self.bot_id, self._run, self._poll_s = api, bot_id, run, poll_s
+        """Open no session yet.
+
+        bot_id: the machine's name. properties: what the gateway places by (cores, memory, hall, rack).
+        run: called for each lease; it may raise `Declined`. poll_s: how long an update waits for work, in
+        seconds. worker: further fields of the session's worker.
+        """
+        self._api = api
+        self.bot_id = bot_id
+        self._run = run
+        self._poll_s = poll_s
         pairs = [{"key": key, "value": value} for key, value in properties.items()]
         self._worker = {**(worker or {}), "properties": pairs}
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _HeldLease] = {}
         self._session = ""
         self._news = asyncio.Event()
-        self._expiries: asyncio.Task | None = None
+        self._expiries: asyncio.Task[None] | None = None
         self.status = "OK"  # what the next update says; all but OK get nothing new
 
     @property
     def holding(self) -> tuple[str, ...]:
+        """Ids of the leases that are held, in the order in which they came."""
         return tuple(self._held)
 
     async def serve(self) -> None:
-        """Until cancelled. Sessions that are lost are opened anew, with all leases that are still held."""
+        """Serve until cancelled; lost sessions are opened anew, with all leases that are still held.
+
+        Raises ApiError for one that a retry can't mend.
+        """
         backoff = Backoff()
         self._expiries = asyncio.ensure_future(self._watch_expiries())
         try:
@@ -137,10 +153,12 @@
             if state in ("COMPLETED", "CANCELLED"):
                 self._held.pop(id, None)
         for tree in said["leases"]:
-            self._told(tree, begun)
+            self._handle_lease(tree, begun)
 
-    async def _interrupted(self, call: Awaitable[dict], wait: float, begun: float) -> dict | None:
-        """An update that waits for work is given up when a task ends: that is told at once.
+    async def _interrupted(
+        self, call: Awaitable[dict[str, Any]], wait: float, begun: float
+    ) -> dict[str, Any] | None:
+        """An update that waits for work is given up when a task ends: that is reported at once.
 
         The later update voids the earlier one, unless that was answered in the same moment: what its answer
         brings is taken all the same (`_late`).
@@ -161,25 +179,27 @@
         finally:
             news.cancel()
 
-    def _late(self, done: asyncio.Future, begun: float) -> None:
+    def _late(self, done: asyncio.Future[dict[str, Any]], begun: float) -> None:
         """Guards leases that were handed out in the answer to an update that had just been given up."""
         if not done.cancelled() and done.exception() is None and done.result()["name"] == self._session:
             for tree in done.result()["leases"]:
                 if tree["state"] == "PENDING":
-                    self._told(tree, begun)
+                    self._handle_lease(tree, begun)
 
     @staticmethod
-    def _listed(held: _Held) -> dict:
-        tree: dict = {"id": held.lease.id, "state": held.state}
+    def _listed(held: _HeldLease) -> dict[str, Any]:
+        tree: dict[str, Any] = {"id": held.lease.id, "state": held.state}
         if held.outcome is not None:
             tree["status"] = {"code": held.outcome.code, "message": held.outcome.message}
             if held.outcome.result is not None:
                 tree["result"] = held.outcome.result
         return tree
 
-    def _told(self, tree: dict, begun: float) -> None:
-        """One lease as the gateway lists it. Its expiry is counted from when the update was sent: never
-        late."""
+    def _handle_lease(self, tree: dict[str, Any], begun: float) -> None:
+        """Handle one lease as the gateway lists it.
+
+        Its expiry is counted from when the update was sent: never late.
+        """
         held = self._held.get(tree["id"])
         if tree["state"] == "CANCELLED":
             if held is not None:
@@ -187,7 +207,7 @@
             return
         span = max(0.0, _unix(tree["expireTime"]) - time.time())
         if held is None and tree["state"] == "PENDING" and "payload" in tree:
-            held = _Held(
+            held = _HeldLease(
                 Lease(tree["id"], tree["payload"], tree.get("assignment", "")),
                 "ACTIVE",
                 time.monotonic() + span - SAFETY_S,
@@ -198,27 +218,28 @@
         elif held is not None and held.state == "ACTIVE":
             held.until = min(begun, time.monotonic()) + span - SAFETY_S
 
-    async def _work(self, held: _Held) -> None:
+    async def _work(self, held: _HeldLease) -> None:
         try:
             held.outcome = await self._run(held.lease)
             held.state = "COMPLETED"
         except Declined as fault:
-            held.outcome, held.state = Outcome(fault.code, str(fault)), "COMPLETED"
+            held.outcome = Outcome(fault.code, str(fault))
+            held.state = "COMPLETED"
         except asyncio.CancelledError:
             held.state = "CANCELLED"
         except Exception as fault:
-            held.outcome, held.state = Outcome(2, f"{type(fault).__name__}: {fault}"), "COMPLETED"
+            held.outcome = Outcome(2, f"{type(fault).__name__}: {fault}")
+            held.state = "COMPLETED"
         self._news.set()
 
-    def _stop(self, held: _Held) -> None:
+    def _stop(self, held: _HeldLease) -> None:
         if held.work is not None and not held.work.done():
             held.work.cancel()
         else:
             self._held.pop(held.lease.id, None)
 
     async def _watch_expiries(self) -> None:
-        """Guards against running on where the gateway can't be reached: the task may be on its way
-        elsewhere."""
+        """Stop leases that expire, also where the gateway can't be reached: the task may be elsewhere then."""
         while True:
             now = time.monotonic()
             for held in list(self._held.values()):
--- a/weldhatch/client/submitter.py
+++ b/weldhatch/client/submitter.py
@@ -8,6 +8,7 @@
 import uuid
 from collections.abc import AsyncIterator
 from dataclasses import dataclass, field
+from typing import Any
 from urllib.parse import urlencode
 
 from weldhatch.client.api import Api, ApiError, Backoff
@@ -26,10 +27,11 @@
     tenant: str = ""
     idem: str = ""
     blob: str = ""
-    requirements: dict = field(default_factory=dict)
+    requirements: dict[str, Any] = field(default_factory=dict)
 
-    def body(self, request_id: str, again: bool, left_s: float) -> dict:
-        tree: dict = {
+    def body(self, request_id: str, again: bool, left_s: float) -> dict[str, Any]:
+        """Return the JSON of one call; `again` marks a retry of a task that was rejected."""
+        tree: dict[str, Any] = {
             "class": self.class_name,
             "key": self.key,
             "left": int(left_s * 1000),
@@ -59,12 +61,13 @@
 
     @property
     def placed(self) -> bool:
+        """Whether a machine took the task."""
         return self.answer == "placed"
 
 
 @dataclass(slots=True, frozen=True)
 class Operation:
-    """A submission as the gateway tells of it."""
+    """A submission as the gateway reports it."""
 
     name: str
     state: str
@@ -74,19 +77,20 @@
     error: str = ""
 
     @staticmethod
-    def read(tree: dict) -> Operation:
-        told = tree["metadata"].get("answer")
+    def read(tree: dict[str, Any]) -> Operation:
+        """Decode the gateway's JSON."""
+        answer = tree["metadata"].get("answer")
         return Operation(
             tree["name"],
             tree["metadata"]["state"],
             tree.get("done", False),
-            _answer(told) if told else None,
+            _answer(answer) if answer else None,
             tree.get("response", {}).get("result"),
             tree.get("error", {}).get("message", ""),
         )
 
 
-def _answer(tree: dict) -> Answer:
+def _answer(tree: dict[str, Any]) -> Answer:
     return Answer(
         tree["answer"],
         tree.get("name", ""),
@@ -100,15 +104,19 @@
     """Submits under request ids of its own, so that a call that got no answer can be made again."""
 
     def __init__(self, api: Api) -> None:
+        """Submit to the gateway of `api`, which the caller closes."""
         self._api = api
 
     async def submit(self, task: Task, *, again_s: float = 0.0) -> Answer:
-        """The final answer; with `again_s`, refusals are tried again for so long, as the gateway advises.
+        """Submit and return the final answer.
+
+        again_s: for so many seconds, rejections are retried as the gateway advises.
 
         Raises ApiError where nobody answers within the task's time, or the task can't be taken.
         """
         end = time.monotonic() + max(again_s, task.left_s)
-        backoff, again = Backoff(), False
+        backoff = Backoff()
+        again = False
         while True:
             answer = await self._once(task, min(task.left_s, end - time.monotonic()), again)
             wait = backoff.next(answer.wait_s) if answer.answer == "refused" else 0.0
@@ -119,7 +127,9 @@
 
     async def _once(self, task: Task, left_s: float, again: bool) -> Answer:
         """One submission under one request id, whatever happens to its calls."""
-        request_id, end, backoff = uuid.uuid4().hex, time.monotonic() + left_s, Backoff()
+        request_id = uuid.uuid4().hex
+        end = time.monotonic() + left_s
+        backoff = Backoff()
         while True:
             try:
                 body = task.body(request_id, again, max(0.001, end - time.monotonic()))
@@ -131,42 +141,46 @@
                 await asyncio.sleep(wait)
 
     async def begin(self, task: Task, request_id: str = "") -> Operation:
-        """Submit without waiting; the operation's name is good also after a restart of the gateway."""
+        """Submit without waiting; the operation's name is valid also after a restart of the gateway."""
         body = task.body(request_id or uuid.uuid4().hex, False, task.left_s)
         return Operation.read(await self._api.call("POST", "operations", body))
 
     async def batch(self, tasks: list[Task]) -> list[Operation | ApiError]:
+        """Submit several tasks in one call; return for each its operation or its error, in order."""
         body = {"requests": [task.body(uuid.uuid4().hex, False, task.left_s) for task in tasks]}
-        told = await self._api.call("POST", "operations:batchSubmit", body)
+        batch = await self._api.call("POST", "operations:batchSubmit", body)
         return [
             Operation.read(one["operation"])
             if "operation" in one
             else ApiError(one["error"]["code"], one["error"]["status"], one["error"]["message"])
-            for one in told["responses"]
+            for one in batch["responses"]
         ]
 
     async def get(self, name: str) -> Operation:
+        """Return the operation as it is now. Raises ApiError, with code 404 for an unknown name."""
         return Operation.read(await self._api.call("GET", name))
 
     async def wait(self, name: str, within_s: float) -> Operation:
-        """The operation once it is over, or as it is when the time is up."""
+        """Return the operation once it is over, or as it is after `within_s` seconds."""
         end = time.monotonic() + within_s
         while True:
             left = max(0.0, min(30.0, end - time.monotonic()))
-            told = Operation.read(
+            operation = Operation.read(
                 await self._api.call("POST", f"{name}:wait", {"timeout": f"{left:.3f}s"}, wait_s=left)
             )
-            if told.done or time.monotonic() >= end:
-                return told
+            if operation.done or time.monotonic() >= end:
+                return operation
 
     async def cancel(self, name: str) -> Operation:
+        """Ask for the operation's end, and return it as it is then."""
         return Operation.read(await self._api.call("POST", f"{name}:cancel", {}))
 
     async def delete(self, name: str) -> None:
+        """Let the gateway forget the operation."""
         await self._api.call("DELETE", name)
 
     async def list(self, filter: str = "", page_size: int = 100) -> AsyncIterator[Operation]:
-        """All operations that the filter lets through, page by page."""
+        """Yield all operations that the filter lets through, page by page."""
         token = ""
         while True:
             query = urlencode({"filter": filter, "pageSize": page_size, "pageToken": token})
@@ -178,7 +192,7 @@
                 return
 
     async def watch(self, name: str) -> AsyncIterator[Operation]:
-        """Each state from now to the end, as the gateway sends them."""
+        """Yield each state from now to the end, as the gateway sends them."""
         events: asyncio.Queue[Operation | None] = asyncio.Queue()
         rest = b""
 
