--- a/weldhatch/client/machine.py
+++ b/weldhatch/client/machine.py
@@ -239,7 +239,7 @@
             self._held.pop(held.lease.id, None)
 
     async def _watch_expiries(self) -> None:
-        """Stop leases that expire, also where the gateway can't be reached: the task may be elsewhere then."""
+        """Stop leases that expire, also where the gateway can't be reached: a task may be elsewhere then."""
         while True:
             now = time.monotonic()
             for held in list(self._held.values()):
--- a/weldhatch/conform/runner.py
+++ b/weldhatch/conform/runner.py
@@ -7,12 +7,15 @@
 import traceback
 from dataclasses import dataclass
 
-import weldhatch.conform.checks  # noqa: F401 - it fills CHECKS
+import weldhatch.conform.session_checks  # it fills CHECKS
+import weldhatch.conform.task_checks  # noqa: F401 - it fills CHECKS
 from weldhatch.conform.suite import CHECKS, LONG_S, Bench, Check, Target
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
+    """Whether one numbered sentence holds, the check's name, and what was received where it does not."""
+
     number: str
     name: str
     holds: bool
@@ -20,7 +23,10 @@
 
 
 async def run(target: Target, only: str = "") -> list[Verdict]:
-    """All checks, one after the other, by their numbers; `only`: those that begin so."""
+    """Run all checks in the order of their numbers, one after the other.
+
+    only: run those whose number begins so.
+    """
     out: dict[Check, Verdict] = {}
     verdicts = []
     for number in sorted(CHECKS, key=lambda one: [int(part) for part in one.split(".")]):
@@ -44,6 +50,7 @@
 
 
 def report(verdicts: list[Verdict], as_json: bool) -> str:
+    """Return the verdicts as JSON (schema weldhatch.conform/1) or as lines for people."""
     if as_json:
         return json.dumps(
             {
--- a/weldhatch/conform/suite.py
+++ b/weldhatch/conform/suite.py
@@ -7,6 +7,7 @@
 import uuid
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
+from typing import Any, TypeVar
 from urllib.parse import urlsplit
 
 from weldhatch.client import Api, ApiError
@@ -14,6 +15,9 @@
 
 LONG_S = 20.0
 
+Json = dict[str, Any]
+_Result = TypeVar("_Result")
+
 
 @dataclass(slots=True, frozen=True)
 class Target:
@@ -31,7 +35,7 @@
 
 
 def holds(*numbers: str) -> Callable[[Check], Check]:
-    """This check is what stands behind these sentences of docs/pullqueue.md."""
+    """Register a check as the one of these sentences of docs/pullqueue.md."""
 
     def keep(check: Check) -> Check:
         for number in numbers:
@@ -42,23 +46,29 @@
 
 
 def expect(truth: object, said: object = "") -> None:
+    """Raise AssertionError with what was received unless `truth` holds."""
     if not truth:
         raise AssertionError(said)
 
 
 class Bench:
-    """A machine, a submitter and a raw connection, for one check. Nothing of one check is left for the
-    next."""
+    """A machine, a submitter and a raw connection, for one check.
+
+    Nothing of one check is left for the next.
+    """
 
     def __init__(self, target: Target) -> None:
-        self.target, self.api = target, Api(target.url, at_once=50)
+        """Prepare a machine with a name of its own; no session is opened yet."""
+        self.target = target
+        self.api = Api(target.url, at_once=50)
         self.bot = f"conform-{uuid.uuid4().hex[:8]}"
         self.session = ""
-        self._jobs: list[asyncio.Task] = []
+        self._jobs: list[asyncio.Task[Any]] = []
         split = urlsplit(target.url)
         self._address = (split.hostname, split.port)
 
     async def close(self) -> None:
+        """Cancel what is under way and end the session."""
         for job in self._jobs:
             job.cancel()
         await asyncio.gather(*self._jobs, return_exceptions=True)
@@ -71,7 +81,8 @@
                     break
         self.api.close()
 
-    def later(self, job: Awaitable) -> asyncio.Task:
+    def later(self, job: Awaitable[_Result]) -> asyncio.Task[_Result]:
+        """Start a call without waiting for it; it is cancelled at the latest by `close`."""
         task = asyncio.ensure_future(job)
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
         self._jobs.append(task)
@@ -79,7 +90,8 @@
 
     # ---- as a machine --------------------------------------------------------------------------------------
 
-    def worker(self, **more: object) -> dict:
+    def worker(self, **more: object) -> Json:
+        """Return the worker of the session; `more` adds or replaces fields."""
         pairs = {
             "cores": "64",
             "memory": "256",
@@ -89,30 +101,35 @@
         }
         return {"properties": [{"key": key, "value": value} for key, value in pairs.items()], **more}
 
-    async def open(self, leases: list | None = None, **more: object) -> dict:
+    async def open(self, leases: list[Json] | None = None, **more: object) -> Json:
+        """Open a session that lists `leases`; `more` goes into its worker. Raises ApiError."""
         body = {"botId": self.bot, "worker": self.worker(**more), "leases": leases or []}
-        said = await self.api.call("POST", "botSessions", body)
+        said: Json = await self.api.call("POST", "botSessions", body)
         self.session = said["name"]
         return said
 
-    async def update(self, *leases: tuple[str, str], wait_s: float = 0.0, **more: object) -> dict:
+    async def update(self, *leases: tuple[str, str], wait_s: float = 0.0, **more: object) -> Json:
+        """Update the session with (id, state) of each lease, and wait `wait_s` for work. Raises ApiError."""
         listed = [{"id": name, "state": state} for name, state in leases]
-        return await self.api.call("PATCH", self.session, {"leases": listed, **more}, wait_s=wait_s)
+        body = {"leases": listed, **more}
+        said: Json = await self.api.call("PATCH", self.session, body, wait_s=wait_s)
+        return said
 
-    async def lease(self) -> dict:
-        """The next lease that is handed to this machine."""
+    async def lease(self) -> Json:
+        """Wait for the next lease that is handed to this machine, and return it."""
         end = time.monotonic() + LONG_S
         while time.monotonic() < end:
             said = await self.update(wait_s=0.5)
-            for lease in said["leases"]:
+            leases: list[Json] = said["leases"]
+            for lease in leases:
                 if lease["state"] == "PENDING":
                     return lease
         raise AssertionError("no lease came")
 
     # ---- as a submitter ------------------------------------------------------------------------------------
 
-    def task(self, cls: str = "", key: str = "", **more: object) -> dict:
-        """A task that only this check's machine can take."""
+    def task(self, cls: str = "", key: str = "", **more: object) -> Json:
+        """Return a task that only this check's machine can take."""
         return {
             "class": cls or self.target.safe,
             "left": 4000,
@@ -124,26 +141,27 @@
             **more,
         }
 
-    async def submit(self, task: dict) -> dict:
-        """The answer; a gateway that has just been started lets time pass first."""
+    async def submit(self, task: Json) -> Json:
+        """Submit and return the answer; a gateway that has just been started lets time pass first."""
         end = time.monotonic() + LONG_S
         while True:
-            answer = await self.api.call("POST", "tasks", task, wait_s=5.0)
+            answer: Json = await self.api.call("POST", "tasks", task, wait_s=5.0)
             if "former gateway" not in answer.get("reason", "") or time.monotonic() > end:
                 return answer
             await asyncio.sleep(answer["waitMs"] / 1000)
 
-    async def standing(self, task: dict | None = None) -> tuple[str, str]:
-        """A task that stands at this check's machine: lease and task."""
+    async def standing(self, task: Json | None = None) -> tuple[str, str]:
+        """Place a task on this check's machine; return the names of its lease and of the task."""
         await self.open()
         answer = self.later(self.submit(task or self.task()))
         lease = await self.lease()
         await self.update((lease["id"], "ACTIVE"))
-        told = await asyncio.wait_for(answer, LONG_S)
-        expect(told["answer"] == "placed", told)
-        return lease["id"], told["name"]
+        placed = await asyncio.wait_for(answer, LONG_S)
+        expect(placed["answer"] == "placed", placed)
+        return lease["id"], placed["name"]
 
     async def fault(self, code: int, field: str, method: str, path: str, body: object = None) -> None:
+        """Make a call and expect this error, with the field at fault."""
         try:
             await self.api.call(method, path, body)
         except ApiError as fault:
@@ -156,9 +174,11 @@
 
     async def raw(
         self, data: bytes, count: int = 1, more: bytes = b"", until: int = 0
-    ) -> list[tuple[int, dict, bytes]]:
-        """Send bytes and read so many answers, or until one has the code `until`; `more` goes out after the
-        first of them."""
+    ) -> list[tuple[int, dict[str, str], bytes]]:
+        """Send bytes and read `count` answers, or until one has the code `until`.
+
+        more: goes out after the first answer. Returns code, headers (lower case) and body of each.
+        """
         reader, writer = await asyncio.open_connection(*self._address)
         try:
             writer.write(data)
@@ -180,6 +200,7 @@
 
 
 def ask(method: str, path: str, body: bytes = b"", *headers: str) -> bytes:
+    """Return the bytes of one HTTP/1.1 request."""
     lines = [f"{method} {PREFIX}{path} HTTP/1.1", *headers]
     if not any("chunked" in line for line in headers):
         lines.append(f"Content-Length: {len(body)}")
--- a/weldhatch/sexpr/reader.py
+++ b/weldhatch/sexpr/reader.py
@@ -257,6 +257,20 @@
     return str(names[0].value)
 
 
+def _read_file(
+    path: str, load: Callable[[str], str], at: Place | None, faults: list[Fault]
+) -> list[Form | Atom | Comment]:
+    """Read one file that is included `at` a place; where it can't be read, add to `faults`."""
+    try:
+        return read(load(path), path)
+    except (OSError, UnicodeDecodeError) as error:
+        reason = getattr(error, "strerror", None) or str(error)
+        faults.append(Fault(at or Place(path, 1, 1), f"{path}: {reason}"))
+    except FormError as error:
+        faults.extend(error.faults)
+    return []
+
+
 def read_whole(path: str, load: Callable[[str], str]) -> list[Form | Atom]:
     """Return the items of a file and of all that it includes, in order. Raises FormError with all faults.
 
@@ -269,36 +283,27 @@
 
     def one(path: str, way: tuple[str, ...], at: Place | None) -> list[Form | Atom]:
         nonlocal count
+        out: list[Form | Atom] = []
         count += 1
         if path in way or count > INCLUDES_MOST:
             why = "includes itself" if path in way else f"is one of over {INCLUDES_MOST} includes"
             faults.append(Fault(at or Place(path, 1, 1), f"{path} {why}: {' -> '.join((*way, path))}"))
-            return []
-        try:
-            items = read(load(path), path)
-        except (OSError, UnicodeDecodeError) as fault:
-            reason = getattr(fault, "strerror", None) or str(fault)
-            faults.append(Fault(at or Place(path, 1, 1), f"{path}: {reason}"))
-            return []
-        except FormError as error:
-            faults.extend(error.faults)
-            return []
-        out: list[Form | Atom] = []
-        for item in items:
+            return out
+        for item in _read_file(path, load, at, faults):
             if isinstance(item, Form) and item.head == "include":
                 name = _included_name(item)
-                if name is None:
+                if name is not None:
+                    out += one(str(Path(path).parent / name), (*way, path), item.place)
+                else:
                     faults.append(Fault(item.place, f"{item.shown} names no file", '(include "FILE")'))
-                    continue
-                out += one(str(Path(path).parent / name), (*way, path), item.place)
             elif not isinstance(item, Comment):
                 out.append(item)
         return out
 
-    whole = one(path, (), None)
+    items = one(path, (), None)
     if faults:
         raise FormError(faults)
-    return whole
+    return items
 
 
 def describe(item: Form | Atom | None) -> str:
