--- a/weldhatch/cli/keys.py
+++ b/weldhatch/cli/keys.py
@@ -13,6 +13,7 @@
 
 
 def now() -> datetime.datetime:
+    """Return the time of day, in UTC."""
     return datetime.datetime.now(datetime.UTC)
 
 
--- a/weldhatch/cli/logs.py
+++ b/weldhatch/cli/logs.py
@@ -15,7 +15,7 @@
 def no_secrets(_logger: object, _method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     """Guards against a key or a token that finds its way into a log line."""
     for name in event:
-        if any(word in name.lower() for word in SECRET):
+        if any(mark in name.lower() for mark in SECRET):
             event[name] = "(not shown)"
     return event
 
@@ -23,7 +23,7 @@
 def configure(*, as_json: bool = False, level: str = "info", stream: TextIO | None = None) -> None:
     """Set up all loggers of this process. `level` is one of debug, info, warning, error."""
     shown = stream or sys.stderr
-    processors: list = [
+    processors: list[Any] = [
         structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
         no_secrets,
@@ -41,4 +41,5 @@
 
 
 def logger(name: str) -> Any:
+    """Return the structured logger of the part `name`."""
     return structlog.get_logger(part=name)
