--- a/weldhatch/testbed/sample_settings.py
+++ b/weldhatch/testbed/sample_settings.py
@@ -1,8 +1,10 @@
-"""Settings of a made-up deployment, for plays here and for rigs of real processes."""
+"""Settings of a made-up deployment, for simulation runs and for clusters of real processes."""
 
 from __future__ import annotations
 
-PLAIN = {  # settings of three classes, one of each effect
+from typing import Any
+
+PLAIN: dict[str, Any] = {  # settings of three classes, one of each effect
     "kinds": ["build"],
     "zones": ["hall-a", "hall-b"],
     "registryMode": "automatic",
