--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -39,7 +39,7 @@
         """Propose settings and wait until they are in force; their version."""
 
 
-class Governed(Protocol):
+class GroupSettings(Protocol):
     """What a group has agreed on, as this gateway holds it."""
 
     @property
@@ -62,7 +62,7 @@
         clock: Callable[[], float],
     ) -> None:
         self._tree, self._front, self._restart, self._clock = tree, front, restart, clock
-        self.governor: Governed | None = None  # where a group of gateways agrees on its rules
+        self.front_controller: GroupSettings | None = None  # where a group of gateways agrees on its rules
         super().__init__(address, log)
 
     async def _route(self, request: Request) -> tuple[dict, dict[str, str]]:
@@ -80,22 +80,24 @@
                 return self._sites_word(request.json()), {}
             case "PUT", path if path.startswith("/v1/machines/"):
                 machine = path.removeprefix("/v1/machines/")
-                if self.governor is not None:
-                    return await self.governor.control_api.set_machine_state(machine, request.json()), {}
+                if self.front_controller is not None:
+                    return await self.front_controller.control_api.set_machine_state(
+                        machine, request.json()
+                    ), {}
                 return self._operate(machine, request.json()), {}
         raise HttpError(404, "path: nothing is there", "path")
 
     def _agreed(self) -> None:
         """In a group, the settings are those that the group has agreed on."""
-        if self.governor is not None:
-            self._tree = {**self._tree, "settings": self.governor.tree}
+        if self.front_controller is not None:
+            self._tree = {**self._tree, "settings": self.front_controller.tree}
 
     async def _apply_in_group(self, plan: dict) -> dict:
         """Settings are the group's: a plan that changes them becomes a proposal. The rest is ours alone."""
         self._agreed()
         target = plan.get("target")
         if (
-            self.governor is None
+            self.front_controller is None
             or not isinstance(target, dict)
             or plan.get("base") != reconfiguration.fingerprint(self._tree)
         ):
@@ -112,7 +114,7 @@
             config.pull_queue_config(target)
         except config.ConfigError as fault:
             raise HttpError(400, str(fault), str(fault).split(" ")[0]) from None
-        number = await self.governor.control_api.propose_and_wait(
+        number = await self.front_controller.control_api.propose_and_wait(
             target["settings"], "a plan of settings was applied"
         )
         self._tree = target
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -110,7 +110,7 @@
             zones = None
         self._front_controller = FrontController(pull_queue.agreement, settings, front, log, time.time, zones)
         if self._control is not None:
-            self._control.governor = self._front_controller
+            self._control.front_controller = self._front_controller
 
     def restart(self, tree: dict[str, Any]) -> None:
         """End, and start anew with this tree of a pull queue's file."""
