--- a/tests/test_failover_leader.py
+++ b/tests/test_failover_leader.py
@@ -195,12 +195,14 @@
         self.assertIs(place.phase, Phase.LEFT)
         part = place.shed["lookup"]
         self.assertTrue(0.2 < part < 0.6, place)
-        self.assertEqual((place.shed_part("lookup", "acme"), place.shed_part("lookup", "cogs")), (0.0, 0.0))
-        self.assertAlmostEqual(place.shed_part("lookup", "bolt") * 5.0, part * 8.0, delta=0.1)
-        self.assertEqual(place.shed_part("lookup", "nobody"), part)  # of whom nothing is told
+        self.assertEqual(
+            (place.shed_fraction("lookup", "acme"), place.shed_fraction("lookup", "cogs")), (0.0, 0.0)
+        )
+        self.assertAlmostEqual(place.shed_fraction("lookup", "bolt") * 5.0, part * 8.0, delta=0.1)
+        self.assertEqual(place.shed_fraction("lookup", "nobody"), part)  # of whom nothing is told
         # The rest is nearly full, so as much is turned away; another one asks too much now.
         place = run_until(4.5, 27.0, {"acme": 6.0, "bolt": 1.0, "cogs": 1.0})
-        self.assertGreater(place.shed_part("lookup", "acme"), place.shed_part("lookup", "bolt"))
+        self.assertGreater(place.shed_fraction("lookup", "acme"), place.shed_fraction("lookup", "bolt"))
 
     def test_a_single_member_moves_nobody_whatever_it_reports(self):
         self.run_for(5.0, lambda n: {zone: "down" for zone in ZONES} if n == 0 else {})
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -128,7 +128,7 @@
 def report_of_observations(observations, now, named):
     """The part of a report that is observed, as it is sent."""
     isolation, places = observations.isolation(now).value, observations.by_place(now, named)
-    tree = ZoneReport(observations.own, isolation, places).to_tree()
+    tree = ZoneReport(observations.own_zone, isolation, places).to_tree()
     return json.dumps({key: tree[key] for key in ("zone", "cut", "looks")}, separators=(",", ":"))
 
 
@@ -197,7 +197,7 @@
             record.add(
                 "counts",
                 {
-                    p: [c.listed, c.answering, c.failing, c.known, c.is_enough, c.fails, c.health()]
+                    p: [c.listed, c.answering, c.failing, c.known, c.has_enough_results, c.fails, c.health()]
                     for p, c in sight.counts(now).items()
                 },
             )
@@ -370,9 +370,9 @@
                 record.add("fence", zones.apply_fence(place, keys, "g1"))
             record.add(
                 "phase",
-                zones.narrowest_phase("z1", "z1/2"),
+                zones.most_restrictive_phase("z1", "z1/2"),
                 zones.another_serves("z1", ZONES),
-                last.shed_part("lookup", "acme"),
+                last.shed_fraction("lookup", "acme"),
             )
         text = json.dumps(zones.to_tree())
         record.add("state", text)
--- a/tests/test_zone_capacity.py
+++ b/tests/test_zone_capacity.py
@@ -42,20 +42,20 @@
         self.assertEqual(
             load_shedding.tenant_weights((Tenant("a"), Tenant("b", portion=1.0))), {"a": 1.0, "b": 1.0}
         )
-        self.assertEqual(load_shedding.tenant_parts({"lookup": 0.5}, [], some), {})
+        self.assertEqual(load_shedding.tenant_shed_fractions({"lookup": 0.5}, [], some), {})
         told = [
             report(tenant_rates={"lookup": {"a": 4.0, "nobody": 50.0}}),
             report(tenant_rates={"lookup": {"b": 4.0}}),
         ]
         self.assertEqual(
-            load_shedding.tenant_parts({"lookup": 0.5, "import": 1.0}, told, some),
+            load_shedding.tenant_shed_fractions({"lookup": 0.5, "import": 1.0}, told, some),
             {"lookup": {"a": 0.5, "b": 0.5}},
         )
 
     def test_a_report_names_the_greatest_rates(self):
         rates = {("lookup", f"tenant-{n}"): float(n) for n in range(40)}
         self.assertEqual(
-            list(load_shedding.greatest_rates(rates)["lookup"]), [f"tenant-{n}" for n in range(39, 31, -1)]
+            list(load_shedding.highest_rates(rates)["lookup"]), [f"tenant-{n}" for n in range(39, 31, -1)]
         )
 
 
@@ -100,7 +100,7 @@
 
 class RetriesAndMigration(unittest.TestCase):
     def test_retries_are_a_share_of_first_attempts_while_degraded(self):
-        attempts = RetryBudget(left=0.0)
+        attempts = RetryBudget(remaining=0.0)
         self.assertTrue(all(attempts.try_retry(False) for _ in range(50)))
         for _ in range(10):
             attempts.add_first_attempt()
--- a/tests/test_zone_evidence.py
+++ b/tests/test_zone_evidence.py
@@ -10,7 +10,7 @@
 from weldhatch.zones.failover_member import FailoverMember
 from weldhatch.zones.observations import ExchangeResult, Observations
 from weldhatch.zones.reports import Isolation, PlaceHealth, ZoneReport
-from weldhatch.zones.silence_detector import DEAF_AFTER_S, INITIAL_TIMEOUT_S, SilenceDetector
+from weldhatch.zones.silence_detector import INITIAL_TIMEOUT_S, OTHER_ZONES_QUIET_S, SilenceDetector
 
 ZONES = ("z0", "z1", "z2")
 SETTINGS = zone_settings(3, 8)
@@ -88,7 +88,9 @@
         for n in range(1200):
             observations.machine_listed(n, f"zone-{n % 6}", f"zone-{n % 6}/{n // 6 % 40}")
             observations.add_result(1.0, n, ExchangeResult.SILENT)
-        report = ZoneReport(observations.own, observations.isolation(1.0).value, observations.by_place(1.0))
+        report = ZoneReport(
+            observations.own_zone, observations.isolation(1.0).value, observations.by_place(1.0)
+        )
         self.assertLess(len(json.dumps(report.to_tree())), 1000)
 
 
@@ -129,7 +131,7 @@
         self.assertFalse(self.detector.is_silent(3.0, "z1", False))  # nobody else was heard lately either
         self.detector.answer_received(3.0, "z0", 0)
         self.assertTrue(self.detector.is_silent(3.0, "z1", False))
-        self.assertFalse(self.detector.is_silent(3.0 + DEAF_AFTER_S + 0.1, "z1", False))
+        self.assertFalse(self.detector.is_silent(3.0 + OTHER_ZONES_QUIET_S + 0.1, "z1", False))
 
     def test_what_was_not_sent_or_timed_out_or_came_in_a_stall_is_not_pending(self):
         for machine in (1, 4, 7):
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -1,6 +1,6 @@
-"""Zones where dispatchers share nothing: one front, its clock and its log round `zones.standalone`.
+"""Zone failover of a dispatcher without a group: connects `zones.standalone` to the clock, policy and log.
 
-Imported only where `zones.alone` is set.
+Imported only if the setting `zones.alone` is true.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 
 
 class StandaloneZones:
-    """What the core asks (`core.ports.Rules`), and the timer that drives it. Owns the timer."""
+    """Implements `core.ports.Rules` with a `StandaloneFailover`, and owns the timer that drives it."""
 
     def __init__(self, timing: FailoverTiming, log: Callable[[str], None]) -> None:
-        """Wait for `begin`; until then only the endpoint list is followed."""
+        """Track only the endpoint list until `begin` is called."""
         self._timing = timing
         self._log = log
         self._overlay = EndpointOverlay()
         self.rev = 0
 
     def list_changed(self, topology: Mapping[str, Any], machines: tuple[Machine, ...]) -> None:
-        """Take one event of the list, as the policy got it; also before `begin` (`server.ListObserver`)."""
+        """Process an update of the endpoint list, also before `begin` (implements `gateway.ListObserver`)."""
         if topology.get("all"):
-            for machine_id in self._overlay.entries.keys() - {one.id for one in machines}:
+            for machine_id in self._overlay.entries.keys() - {machine.id for machine in machines}:
                 self._overlay.machine_removed(machine_id)
         for machine in machines:
             self._overlay.machine_listed(machine)
 
     def begin(self, settings: Settings, driver: Driver, seed: int) -> None:
-        """Follow what the policy gets, from now on."""
+        """Start failover with the known endpoint list, and process the policy's events from now on."""
         self._settings = settings
         self._driver = driver
         self._failover = StandaloneFailover(settings, self._timing, Random(seed), time.monotonic())
@@ -68,33 +68,33 @@
             self._notify_policy(now)
 
     def _check_ended(self, machine: int) -> Callable[[Outcome, tuple[float, ...]], None]:
-        """Return what is called with the result of a health check."""
+        """Return the callback for the result of a health check."""
         return lambda outcome, report: self._driver.post(ProbeAnswered(machine, outcome, 0, report))
 
     def _notify_policy(self, now: float) -> None:
-        """Tell the policy of machines that count as draining here, and of those that count as ready again."""
+        """Post to the policy the machines whose effective state has changed to draining or back to ready."""
         member = self._failover.member
         machines = self._overlay.changes(
             self._overlay.entries, lambda machine: member.effective_state(now, machine.id)
         )
         if machines:
-            # Not through `post`, which would have us take it for our own list's event.
+            # `post` would deliver the event to our own watcher as an update of the endpoint list.
             self._driver.post_unwatched(MachinesChanged(ListForm.DELTA, machines))
 
-    # ---- what the core asks ------------------------------------------------------------------------------
+    # ---- core.ports.Rules --------------------------------------------------------------------------------
 
     def away_us(self, task: Task) -> int | None:
-        """Return the wait before a retry in microseconds; None where a request is admitted."""
+        """Return the wait before a retry in microseconds, or None if the request is admitted."""
         rejection = self._failover.member.rejection(
             time.monotonic(), task.class_index, task.key, task.tenant, task.cores
         )
         if rejection is None:
             return None
-        longest_us = self._settings.max_retry_after_us if self._settings.retry_after else 0
-        return min(int(1e6 * rejection.retry_after_s), longest_us)
+        max_wait_us = self._settings.max_retry_after_us if self._settings.retry_after else 0
+        return min(int(1e6 * rejection.retry_after_s), max_wait_us)
 
     def stops(self, class_index: int, machine: int, attempt: int = -1) -> str:
-        """Return why a start may not leave now; '' where it may."""
+        """Return why a start is refused, or '' if it is admitted."""
         return self._failover.member.start_refusal(time.monotonic(), machine, attempt)
 
     def close(self) -> None:
--- a/weldhatch/zones/__init__.py
+++ b/weldhatch/zones/__init__.py
@@ -1,1 +1,4 @@
-"""Leaving a zone that fails as a fleet, and returning at a pace that its servers bear. Decisions, no I/O."""
+"""Zone failover: all dispatchers leave a failed zone together and return to it step by step.
+
+The modules decide and do no I/O.
+"""
--- a/weldhatch/zones/capacity.py
+++ b/weldhatch/zones/capacity.py
@@ -1,7 +1,8 @@
-"""Decide what the other zones can take when a zone is left, and how much new work is shed for that. Pure.
+"""Computes the free capacity of the other zones when a zone is left, and how much new work is shed. Pure.
 
-Figures are cores, from the members' reports: the size of each zone as they see it, and their own tasks there.
-A shed level counts classes by their priority weight: 1.3 is all of the least, and 30% of the next.
+Quantities are cores from the members' reports: the usable cores of each zone, and the member's own tasks
+there. A shed level counts classes in ascending order of priority weight: 1.3 sheds all new work of the class
+with the lowest weight and 30% of the class with the next one.
 """
 
 from __future__ import annotations
@@ -13,82 +14,91 @@
 from weldhatch.scheduling.types import RequestClass
 from weldhatch.zones.reports import ZoneReport
 
-RESERVE = 0.1  # the part of the free capacity not counted on: reported late, and by a few machines
-MIN_SHED = 0.02  # a smaller shortfall is not worth rejecting anybody for
-MIN_LEVEL = 0.05
-LEVEL_STEP = 0.25
-SAMPLE_S = 0.25
-PEAK_S = 6.0  # a zone is taken to carry the most that was reported within so long
+RESERVE_FRACTION = 0.1  # of the free capacity, kept unused: reports are late and cover few machines
+MIN_SHED_FRACTION = 0.02  # nothing is shed for a smaller shortfall
+MIN_SHED_LEVEL = 0.05
+SHED_LEVEL_STEP = 0.25
+SAMPLE_INTERVAL_S = 0.25
+PEAK_WINDOW_S = 6.0  # the load of a place is its highest reported value within this window
 
 
 @dataclass(slots=True, frozen=True)
 class CapacityNeed:
-    """Cores of the tasks that a place carries, and the cores that the other zones have free for them."""
+    """Cores of the tasks that run in a place, and the free cores of the other zones."""
 
     carried: float
     free: float
 
     @property
     def shortfall(self) -> float:
-        """The part of the carried work, 0 to 1, for which the other zones have no capacity."""
+        """The fraction of the carried work, 0 to 1, for which the other zones have no capacity."""
         if self.carried <= 0:
             return 0.0
-        return min(1.0, max(0.0, 1.0 - self.free * (1 - RESERVE) / self.carried))
+        return min(1.0, max(0.0, 1.0 - self.free * (1 - RESERVE_FRACTION) / self.carried))
 
 
 class PeakLoad:
-    """The most that each place carried lately: once it fails its tasks are lost, and it carries nothing."""
+    """The recent peak load of each place.
+
+    The current load cannot be used: once a place fails, its tasks are lost and its load drops to 0.
+    """
 
     def __init__(self) -> None:
-        """Begin without any sample."""
-        self._samples: dict[str, list[tuple[float, float]]] = {}  # falling: the first is the peak
+        """Create an empty record."""
+        self._samples: dict[str, list[tuple[float, float]]] = {}  # by place: (time, cores), cores descending
 
     def add_sample(self, now: float, place: str, cores: float) -> None:
-        """Take what a place carries now; more often than each `SAMPLE_S` it is left out."""
+        """Record the load of a place; ignored within `SAMPLE_INTERVAL_S` of the last recorded sample."""
         last = self._samples.get(place)
-        if last and now - last[-1][0] < SAMPLE_S:
+        if last and now - last[-1][0] < SAMPLE_INTERVAL_S:
             return
-        larger = [one for one in self._samples.get(place, ()) if now - one[0] <= PEAK_S and one[1] > cores]
+        larger = [
+            (at, sample)
+            for at, sample in self._samples.get(place, ())
+            if now - at <= PEAK_WINDOW_S and sample > cores
+        ]
         self._samples[place] = [*larger, (now, cores)]
 
     def peak(self, now: float, place: str) -> float:
-        """Return the most cores that a place carried within `PEAK_S`."""
-        return next((cores for at, cores in self._samples.get(place, ()) if now - at <= PEAK_S), 0.0)
+        """Return the highest load of a place within `PEAK_WINDOW_S`, in cores."""
+        return next((cores for at, cores in self._samples.get(place, ()) if now - at <= PEAK_WINDOW_S), 0.0)
 
 
 def free_capacity(reports: Iterable[ZoneReport], zones: Iterable[str]) -> tuple[float, float]:
-    """Return the free cores of those zones, and all of their cores.
+    """Return the free cores and the total cores of the given zones.
 
-    The size is the median of what is reported, so that no single member can inflate it; what is in use is the
-    sum of their own tasks.
+    The total is the median of the reported values, so that no single member can inflate it. The cores in use
+    are the sum over the members of their own tasks.
     """
     known = list(reports)
     size = 0.0
     used = 0.0
     for zone in zones:
-        sizes = [one.usable_cores[zone] for one in known if zone in one.usable_cores]
+        sizes = [report.usable_cores[zone] for report in known if zone in report.usable_cores]
         if sizes:
             size += max(0.0, median(sizes))
-            used += sum(one.running_cores.get(zone, 0.0) for one in known)
+            used += sum(report.running_cores.get(zone, 0.0) for report in known)
     return max(0.0, size - used), size
 
 
-# ---- how much is shed -----------------------------------------------------------------------------------
+# ---- shed level ----------------------------------------------------------------------------------------
 
 
 def by_priority_weight(classes: Iterable[RequestClass]) -> list[str]:
-    """Return class names, the least weight first: those are shed first."""
+    """Return the class names in the order in which they are shed: lowest priority weight first."""
     return [cls.name for cls in sorted(classes, key=lambda cls: (cls.priority_weight, cls.priority))]
 
 
 def shed_by_class(level: float, classes: Iterable[RequestClass]) -> dict[str, float]:
-    """Return by class the part of its new work to shed at a level."""
+    """Return by class the fraction of its new work that is shed at a level."""
     names = by_priority_weight(classes)
-    return {name: round(min(1.0, level - n), 2) for n, name in enumerate(names) if level - n >= MIN_LEVEL}
+    return {
+        name: round(min(1.0, level - n), 2) for n, name in enumerate(names) if level - n >= MIN_SHED_LEVEL
+    }
 
 
 def shed_level(shed: Mapping[str, float]) -> float:
-    """Return the level that `shed_by_class` made these parts of."""
+    """Return the level of which `shed_by_class` returns these fractions."""
     return sum(shed.values())
 
 
@@ -97,10 +107,13 @@
     rates: Mapping[str, float],
     classes: Iterable[RequestClass],
 ) -> float:
-    """Return the level at which a zone is left: its shortfall, as a part of all new work by `rates`."""
+    """Return the shed level at the time when a zone is left.
+
+    The work to shed is the shortfall as a fraction of all new work. `rates`: new work by class.
+    """
     excess = need.shortfall * sum(rates.values())
     level = 0.0
-    if need.shortfall < MIN_SHED:
+    if need.shortfall < MIN_SHED_FRACTION:
         return level
     for name in by_priority_weight(classes):
         rate = rates.get(name, 0.0)
@@ -112,10 +125,13 @@
 
 
 def next_shed_level(level: float, free: float, size: float, classes: int) -> float:
-    """Return the next level: more where the other zones fill up, less where they have capacity."""
+    """Return the next shed level: higher if the other zones are nearly full, lower if they have capacity.
+
+    `free` and `size`: free and total cores of the other zones; `classes`: the number of classes.
+    """
     if size <= 0:
         return level
-    part = free / size
-    if part < RESERVE / 2:
-        return min(float(classes), level + LEVEL_STEP)
-    return max(0.0, level - LEVEL_STEP) if part > 2 * RESERVE else level
+    free_fraction = free / size
+    if free_fraction < RESERVE_FRACTION / 2:
+        return min(float(classes), level + SHED_LEVEL_STEP)
+    return max(0.0, level - SHED_LEVEL_STEP) if free_fraction > 2 * RESERVE_FRACTION else level
--- a/weldhatch/zones/endpoint_overlay.py
+++ b/weldhatch/zones/endpoint_overlay.py
@@ -1,4 +1,4 @@
-"""What the policy was told of machines instead of our own endpoint list: each difference once. Pure."""
+"""Tracks which machines the policy sees as draining although the endpoint list has them as ready. Pure."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class EndpointOverlay:
-    """Machines of our own list, and those among them that count as draining here."""
+    """The machines of the endpoint list, and those of them that the policy was told are draining."""
 
     def __init__(self) -> None:
-        """Begin with an empty list."""
+        """Create an empty overlay."""
         self.entries: dict[int, Machine] = {}
         self._draining: set[int] = set()
 
     def machine_listed(self, machine: Machine) -> None:
-        """Note what the policy has just been told, as our own list says it."""
+        """Record the state in the endpoint list, which was just passed to the policy."""
         self._draining.discard(machine.id)
         if machine.state is MachineState.REMOVED:
             self.entries.pop(machine.id, None)
@@ -27,22 +27,22 @@
             self.entries[machine.id] = machine
 
     def machine_removed(self, machine: int) -> None:
-        """Forget a machine that our own list names no more."""
+        """Remove a machine that is no longer in the endpoint list."""
         self.entries.pop(machine, None)
         self._draining.discard(machine)
 
     def changes(self, machines: Iterable[int], state_of: Callable[[Machine], str]) -> tuple[Machine, ...]:
-        """Return those machines of which the policy should be told another state than last time, with that.
+        """Return the machines whose state for the policy has changed since the last call, with the new state.
 
-        `state_of`: what a machine counts as here, 'ready' or another state.
+        `state_of`: returns 'ready', or another state for a machine that new work must avoid.
         """
         changed: list[Machine] = []
         for machine_id in {*machines, *self._draining}:
             machine = self.entries.get(machine_id)
             if machine is None or machine.state is not MachineState.READY:
                 continue
-            drains = state_of(machine) != READY
-            if drains is not (machine_id in self._draining):
+            is_draining = state_of(machine) != READY
+            if is_draining is not (machine_id in self._draining):
                 self._draining.symmetric_difference_update({machine_id})
-                changed.append(replace(machine, state=MachineState.DRAINING) if drains else machine)
+                changed.append(replace(machine, state=MachineState.DRAINING) if is_draining else machine)
         return tuple(changed)
--- a/weldhatch/zones/exchange_tracker.py
+++ b/weldhatch/zones/exchange_tracker.py
@@ -1,4 +1,4 @@
-"""What a dispatcher learns of zones from the events that its policy gets. Pure."""
+"""Distributes the events of the policy to the components that observe zones. Pure."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from weldhatch.zones.start_gate import StartGate
 from weldhatch.zones.task_fences import TaskFences
 
-RESULTS = {
+RESULT_BY_OUTCOME = {
     Outcome.OK: ExchangeResult.ANSWER,
     Outcome.FULL: ExchangeResult.ANSWER,
     Outcome.ERROR: ExchangeResult.ERROR,
@@ -29,14 +29,18 @@
     Outcome.CONNECT_FAILED: ExchangeResult.REFUSED,
     Outcome.RESET: ExchangeResult.RESET,
 }
-LOST_OFFER = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # it may run all the same
-LOST_TASK = (Outcome.RESET,)
-FAILED = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
-EVICTED = (Reason.EVICTED, Reason.QUEUE_FULL)
+# Outcomes of an offer, and of a running task, after which the task may still run on the machine.
+LOST_OFFER_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
+LOST_TASK_OUTCOMES = (Outcome.RESET,)
+FAILED_OUTCOMES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
+EVICTION_REASONS = (Reason.EVICTED, Reason.QUEUE_FULL)
 
 
 class ExchangeTracker:
-    """Pass each event on to all that observe zones."""
+    """Updates a member's observations, load accounting, silence detector, task fences and start gate.
+
+    The input is the stream of events that the policy receives.
+    """
 
     def __init__(
         self,
@@ -47,7 +51,7 @@
         fences: TaskFences,
         gate: StartGate,
     ) -> None:
-        """Report to what the parts of a member share."""
+        """Update the given components, which the parts of a member share."""
         self._view = view
         self._observations = observations
         self._load = load
@@ -56,7 +60,7 @@
         self._gate = gate
 
     def handle_event(self, now: float, event: Event) -> None:
-        """Take one event that the policy gets."""
+        """Process one event that the policy receives."""
         match event:
             case MachinesChanged():
                 self._machines_changed(event)
@@ -71,7 +75,7 @@
             case Note(_, _, machine):
                 self._exchange_ended(now, machine, ExchangeResult.ANSWER)
             case ProbeAnswered(machine, outcome):
-                if (result := RESULTS.get(outcome)) is not None:
+                if (result := RESULT_BY_OUTCOME.get(outcome)) is not None:
                     self._exchange_ended(now, machine, result)
             case AttemptEnded():
                 self._attempt_ended(now, event)
@@ -101,20 +105,20 @@
         self._observations.machine_removed(machine)
 
     def connection_lost(self, machine: int) -> None:
-        """Take a machine for a new process, whatever lists say: its connection has ended."""
+        """Treat a machine whose connection has ended as a new process, whatever the endpoint list says."""
         self._gate.answering_since.pop(machine, None)
 
     # ---- exchanges ---------------------------------------------------------------------------------------
 
     def _exchange_ended(self, now: float, machine: int, result: ExchangeResult) -> None:
-        """Tell all that look at zones how an exchange ended."""
+        """Record the result of an exchange with a machine."""
         self._observations.add_result(now, machine, result)
         if result in (ExchangeResult.REFUSED, ExchangeResult.RESET):
             self.connection_lost(machine)
         places = self._view.places_of(machine)
         if not places:
             return
-        if result in (ExchangeResult.ANSWER, ExchangeResult.ERROR):  # an error is an answer, too
+        if result in (ExchangeResult.ANSWER, ExchangeResult.ERROR):  # an error is an answer too
             self._gate.answering_since.setdefault(machine, now)
             self._silence.answer_received(now, places[0], machine)
         else:
@@ -130,16 +134,19 @@
     def _attempt_ended(self, now: float, event: AttemptEnded) -> None:
         pending = self._load.pending(event.request)
         task = self._load.task_ended(event.request)
-        if event.outcome in (LOST_OFFER if task is None else LOST_TASK) and not event.reason:
+        if (
+            event.outcome in (LOST_OFFER_OUTCOMES if task is None else LOST_TASK_OUTCOMES)
+            and not event.reason
+        ):
             self._fences.note_lost(now, task or pending, event.machine)
         if event.closed:
             self._load.request_closed(event.request)
-        result = RESULTS.get(event.outcome)
-        if result is None:  # cancelled, or never sent: no answer is owed
+        result = RESULT_BY_OUTCOME.get(event.outcome)
+        if result is None:  # cancelled or never sent: no answer is pending
             if places := self._view.places_of(event.machine):
                 self._silence.exchange_ended(places[0], event.machine)
             return
-        failed = event.outcome in FAILED or event.reason in EVICTED
+        failed = event.outcome in FAILED_OUTCOMES or event.reason in EVICTION_REASONS
         if task is None:
             self._start_ended(now, event.machine, result, failed)
         elif event.outcome is not Outcome.OK:
--- a/weldhatch/zones/failover_leader.py
+++ b/weldhatch/zones/failover_leader.py
@@ -1,8 +1,9 @@
-"""The leader's part: reports in, changes of zones proposed, quotas of a return handed out. Pure.
+"""The leader's side of zone failover: evaluates reports, proposes phase changes, grants start quotas. Pure.
 
-What it remembers is of this leader alone; what has been decided is the group's. It puts together the
-witnesses (`witnesses`), what is remembered of each place (`place_watch`), the rules (`failover_rules`), load
-and capacity (`shed_planner`), and the quotas of starts (`start_quota`).
+Decisions are stored in the replicated state of the group; all other state here belongs to this leader and is
+lost with it. `FailoverLeader` combines the members' reports (`witnesses`), the timing of each place
+(`place_watch`), the rules (`failover_rules`), load and capacity (`shed_planner`) and the start quotas
+(`start_quota`).
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 
 
 class FailoverLeader:
-    """`receive_report` takes reports, `due_changes` gives changes, `quotas_for` answers one who asks."""
+    """Processes members' reports, returns the phase changes that are due, and grants start quotas."""
 
     def __init__(
         self, now: float, name: str, timing: FailoverTiming, window_s: float, span_s: float, drift: float
     ) -> None:
-        """Begin to lead at `now`, under a `name` that no other leader has.
+        """Start leading at `now`, under a `name` that no other leader has.
 
-        `window_s`: in which a machine just back bears its starts; `span_s`: for which a quota holds; `drift`:
-        the part by which clocks may differ in rate.
+        `window_s`: the window in which a returning machine accepts a limited number of starts; `span_s`: the
+        validity of a quota; `drift`: the maximum relative difference between clock rates.
         """
         self.quota_ledger = QuotaLedger(now, name, window_s, span_s, drift)
         self._witnesses = Witnesses(timing.fresh, timing.quorum)
@@ -44,37 +45,37 @@
 
     @property
     def timeline(self) -> list[dict[str, Any]]:
-        """Samples over time, for operators."""
+        """Samples over time, shown to operators."""
         return self._timeline.samples
 
     # ---- reports -----------------------------------------------------------------------------------------
 
     def receive_report(self, now: float, name: str, incarnation: str, report: ZoneReport) -> None:
-        """Take one member's report; `incarnation` names the run of its process."""
-        self._witnesses.receive(now, name, incarnation, report)
-        self._planner.receive(now, report)
+        """Record a member's report; `incarnation` identifies the run of its process."""
+        self._witnesses.receive_report(now, name, incarnation, report)
+        self._planner.receive_report(now, report)
 
     def set_members(self, names: Collection[str]) -> None:
-        """Take who is a member: others are forgotten."""
+        """Set the members of the group; reports of others are discarded."""
         self._witnesses.set_members(names)
 
     # ---- changes -----------------------------------------------------------------------------------------
 
     def due_changes(
-        self, now: float, zones: ZoneStates, settings: Settings, is_held_by_all: Callable[[int], bool]
+        self, now: float, zones: ZoneStates, settings: Settings, is_applied_by_all: Callable[[int], bool]
     ) -> list[ZoneChange]:
         """Return the changes that are due.
 
-        `is_held_by_all`: whether all dispatchers hold the group's state at an index of its log.
+        `is_applied_by_all`: whether all dispatchers have applied the group's log up to an index.
         """
         changes: list[ZoneChange] = []
         for name in self._places(now, zones, settings):
             if zone_of(name) not in settings.zones:
                 continue
             place = zones.place(name)
-            testimony = self._witnesses.testimony(now, name)
-            watch = self._watches.update(now, name, place, testimony)
-            situation = Situation(now, name, place, watch, testimony, zones, settings, is_held_by_all)
+            witness_groups = self._witnesses.witness_groups(now, name)
+            watch = self._watches.update(now, name, place, witness_groups)
+            situation = Situation(now, name, place, watch, witness_groups, zones, settings, is_applied_by_all)
             change = self._rules.change_of(situation)
             if change is not None:
                 changes.append(change)
@@ -82,64 +83,72 @@
         return changes
 
     def _places(self, now: float, zones: ZoneStates, settings: Settings) -> dict[str, None]:
-        """Return all zones, places with a state of their own, and those that anybody calls down."""
+        """Return all zones, places with an entry in the state, and places that any member reports down."""
         names = dict.fromkeys([*settings.zones, *zones.entries])
-        for one in self._witnesses.fresh(now):
+        for received in self._witnesses.fresh_reports(now):
             names |= dict.fromkeys(
-                place for place, seen in one.report.places.items() if seen.health is PlaceHealth.DOWN
+                place
+                for place, observation in received.report.places.items()
+                if observation.health is PlaceHealth.DOWN
             )
         return names
 
     def operator_command(
         self, now: float, request: Mapping[str, Any], zones: ZoneStates, settings: Settings
     ) -> dict[str, Any]:
-        """Return an operator's request as a command for the log, or as {"error": ...}."""
+        """Convert an operator's request into a command for the log, or into {"error": ...}."""
         return self._operator_commands.command(now, request, zones, settings)
 
     def capacity_need(self, now: float, name: str, zones: ZoneStates, settings: Settings) -> CapacityNeed:
-        """Return what a zone carries beside what the zones that still serve have free."""
-        return self._planner.need(now, name, zones, settings)
+        """Return the load of a zone and the free capacity of the other zones in service."""
+        return self._planner.capacity_need(now, name, zones, settings)
 
     def initial_shed(self, now: float, name: str, zones: ZoneStates, settings: Settings) -> dict[str, float]:
-        """Return by class the part of new work to shed where a zone is left now."""
-        return self._planner.initial(now, name, zones, settings)
+        """Return by class the fraction of new work to shed if the zone is left now."""
+        return self._planner.initial_shed(now, name, zones, settings)
 
     # ---- quotas ------------------------------------------------------------------------------------------
 
     def quotas_for(
         self, now: float, incarnation: str, zones: ZoneStates, settings: Settings
     ) -> list[StartQuota]:
-        """Return what one dispatcher may start on machines that return, and for how long."""
+        """Return the start quotas of one dispatcher for machines that return."""
         quotas: list[StartQuota] = []
-        present = {one.incarnation: one.report.zone for one in self._witnesses.fresh(now)}
+        zone_by_incarnation = {
+            received.incarnation: received.report.zone for received in self._witnesses.fresh_reports(now)
+        }
         for name, place in zones.entries.items():
             if place.phase is Phase.RETURNING:
                 step = place.step
-                holders = list(present)
-            elif place.phase in NO_NEW_WORK and place.inside:  # machines that start anew under those inside
+                holders = list(zone_by_incarnation)
+            elif place.phase in NO_NEW_WORK and place.inside:
+                # Machines may restart cold while the dispatchers inside the place continue there.
                 step = 1
-                holders = [one for one, own in present.items() if own == zone_of(name)]
+                holders = [
+                    holder for holder, own_zone in zone_by_incarnation.items() if own_zone == zone_of(name)
+                ]
             else:
                 continue
-            # Only those inside have quotas of a left place; in a return, also one without a fresh report.
+            # For a left place only dispatchers inside it get quotas. During a return every dispatcher gets
+            # one, even without a fresh report.
             if place.phase is Phase.RETURNING or incarnation in holders:
-                pace = settings.warm_up_offers * step / RETURN_STEPS
-                quota = self.quota_ledger.allocate(now, name, incarnation, pace, holders)
+                starts_per_window = settings.warm_up_offers * step / RETURN_STEPS
+                quota = self.quota_ledger.allocate(now, name, incarnation, starts_per_window, holders)
                 if quota is not None:
                     quotas.append(quota)
         return quotas
 
-    # ---- operators ---------------------------------------------------------------------------------------
+    # ---- status for operators ----------------------------------------------------------------------------
 
     def status(self, now: float, names: Iterable[str]) -> dict[str, Any]:
-        """Return what the leader knows of some places, under the names that operators see."""
+        """Return witnesses of the named places, quotas and reports, under the keys that operators see."""
         witnesses: dict[str, dict[str, list[str]]] = {}
         for name in names:
-            testimony = self._witnesses.testimony(now, name)
+            witness_groups = self._witnesses.witness_groups(now, name)
             witnesses[name] = {
-                "down": list(testimony.down),
-                "up": list(testimony.up),
-                "inside": list(testimony.inside),
+                "down": list(witness_groups.down),
+                "up": list(witness_groups.up),
+                "inside": list(witness_groups.inside),
             }
         return {
             "witnesses": witnesses,
@@ -147,10 +156,10 @@
             "kept_last": sorted(self._rules.last_zones_kept),
             "reports": {
                 name: {
-                    "age_s": round(now - one.received_at, 2),
-                    "cut": one.report.isolation,
-                    "zone": one.report.zone,
+                    "age_s": round(now - received.received_at, 2),
+                    "cut": received.report.isolation,
+                    "zone": received.report.zone,
                 }
-                for name, one in self._witnesses.reports.items()
+                for name, received in self._witnesses.reports.items()
             },
         }
--- a/weldhatch/zones/failover_member.py
+++ b/weldhatch/zones/failover_member.py
@@ -1,9 +1,9 @@
-"""One dispatcher's part: what it observes, what it may start where at this moment, what it reports. Pure.
+"""One dispatcher's side of zone failover: its observations, admission of requests and starts, reports. Pure.
 
-It follows the events that the policy gets, and is asked when a request arrives and when a start leaves. It
-puts together what it observes (`observations`, `silence_detector`, `load_accounting`, fed by
-`exchange_tracker`), what it admits (`request_admission`, `task_fences`), what it starts (`start_gate`), and
-its reports (`member_reports`).
+`FailoverMember` processes the events that the policy receives, and is consulted when a request arrives and
+before a start is sent. It combines observation (`observations`, `silence_detector` and `load_accounting`,
+updated by `exchange_tracker`), request admission (`request_admission`, `task_fences`), start admission
+(`start_gate`) and reports to the leader (`member_reports`).
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 from weldhatch.zones.state import NO_NEW_WORK, Phase, ZoneStates
 from weldhatch.zones.task_fences import TaskFences
 
-HEALTH_CHECK_EVERY_S = 0.25  # a place that was left, or is silent, gets one health check so often
-CHECKS_WHEN_SILENT = 3  # and so many where it has just gone silent: their time-outs are evidence
-STALL_S = 0.5  # a tick that comes so late says more of us: what failed meanwhile does too
+HEALTH_CHECK_INTERVAL_S = 0.25  # interval between health checks of a left or silent place
+INITIAL_CHECKS_WHEN_SILENT = 3  # of a zone that has just gone silent: their time-outs serve as evidence
+STALL_S = 0.5  # after a longer gap between ticks this process was stalled; failures since then are discarded
 
 
 class FailoverMember:
-    """Put together by its parts, which share one `LocalView`."""
+    """Combines the components of a member, which share one `LocalView`."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         uid_of: Callable[[int], str],
         fences: bool = True,
     ) -> None:
-        """Begin with all places serving.
+        """Start with all places in service.
 
-        `drift`: the part by which clocks may differ in rate; `uid_of`: what all dispatchers call a machine,
-        '' for one that is not known; `fences`: whether tasks that may run behind a cut are kept from a second
-        start here, and not by their owners.
+        `drift`: the maximum relative difference between clock rates; `uid_of`: returns the name of a machine
+        that all dispatchers use, or '' if it is unknown; `fences`: whether this dispatcher prevents a second
+        start of tasks that may still run behind a network partition, or leaves that to their owners.
         """
         self._random = random
         self._view = LocalView(settings, uid_of)
@@ -67,43 +67,43 @@
             self._view, self.observations, self.load, self.silence, self._fences, self._gate
         )
         self._reports = MemberReports(self._view, self.observations, self.load)
-        self._left_at: dict[str, float] = {}  # places that we have left
-        self._checked_at: dict[str, float] = {}  # places that got a health check
+        self._left_at: dict[str, float] = {}  # when this dispatcher left a place
+        self._checked_at: dict[str, float] = {}  # last health check of a place
         self._last_tick = float("-inf")
         self._isolation = Isolation.NONE  # as of the last tick
 
     @property
     def zones(self) -> ZoneStates:
-        """The agreed states, as they are held here."""
+        """The agreed states of zones that this dispatcher has applied."""
         return self._view.zones
 
     @property
     def silent_zones(self) -> frozenset[str]:
-        """Zones that we hold back from, as of the last tick."""
+        """Zones from which starts are withheld because they are silent, as of the last tick."""
         return self._gate.silent_zones
 
     @property
     def rejected(self) -> int:
-        """Requests that were rejected because of the zones."""
+        """Number of requests rejected because of the state of the zones."""
         return self._admission.rejected
 
     # ---- events ------------------------------------------------------------------------------------------
 
     def handle_event(self, now: float, event: Event) -> None:
-        """Take one event that the policy gets."""
+        """Process one event that the policy receives."""
         self._tracker.handle_event(now, event)
 
     def connection_lost(self, machine: int) -> None:
-        """Take a machine for a new process, whatever lists say: its connection has ended."""
+        """Treat a machine whose connection has ended as a new process, whatever the endpoint list says."""
         self._tracker.connection_lost(machine)
 
     def update_settings(self, settings: Settings) -> None:
-        """Take other settings: classes keep their places in them, and zones do."""
+        """Replace the settings. Known classes and zones must keep their positions in them."""
         self._view.settings = settings
         self.observations.set_zones(settings.zones)
 
     def apply_agreed_state(self, now: float, zones: ZoneStates) -> None:
-        """Take the group's state of zones, as it is held here from now on."""
+        """Replace the agreed states of zones, and update left places, fences and quotas accordingly."""
         self._view.zones = zones
         for name, place in zones.entries.items():
             is_left = place.phase in NO_NEW_WORK and not self._view.continues_inside(place, name)
@@ -115,7 +115,7 @@
                 self.quota_lease.revoke(name)
 
     def _leave(self, now: float, name: str) -> None:
-        """Send nothing new there from now on. What runs there is looked after as before."""
+        """Start the migration ramp and fence possibly running tasks. Running tasks are handled as before."""
         self._left_at[name] = now
         remaining_rate = sum(
             self._start_rates.rate(now, zone)
@@ -126,54 +126,55 @@
         self._fences.place_left(now, name)
 
     def receive_quotas(self, quotas: Iterable[StartQuota], asked_at: float) -> bool:
-        """Take quotas that came with an answer; True where any is new.
+        """Accept quotas from a response of the leader; return True if any is new.
 
-        `asked_at`: when they were asked for, by our clock.
+        `asked_at`: when they were requested, by this dispatcher's clock.
         """
         return sum(self.quota_lease.accept(quota, asked_at) for quota in quotas) > 0
 
-    # ---- questions ---------------------------------------------------------------------------------------
+    # ---- queries -----------------------------------------------------------------------------------------
 
     def phase(self, machine: int) -> tuple[Phase, str]:
-        """Return the phase of a machine as it counts for this dispatcher, and the place that has it."""
+        """Return the phase of a machine that applies to this dispatcher, and the place that has it."""
         return self._view.phase(machine)
 
     def effective_state(self, now: float, machine: int) -> EffectiveState:
-        """Return what the policy should take a machine for."""
+        """Return the state of a machine that the policy should use."""
         return self._gate.effective_state(now, machine)
 
     def start_refusal(self, now: float, machine: int, attempt: int) -> str:
-        """Return why a start may not leave now; '' where it may, which spends what it needs.
+        """Return why a start is refused, or '' if it is admitted, which spends retry budget and quota.
 
-        `attempt`: counted from 0; -1 for one that has been asked for, and has not left yet.
+        `attempt`: counted from 0; -1 for a start that was admitted before and has not been sent yet.
         """
         return self._gate.start_refusal(now, machine, attempt)
 
     def rejection(
         self, now: float, class_index: int, key: int, tenant: int = 0, cores: float = 0.0
     ) -> Rejection | None:
-        """Return why a request is rejected when it arrives; None where it is admitted."""
+        """Return why an arriving request is rejected, or None if it is admitted."""
         return self._admission.rejection(
             now, class_index, key, tenant, cores, self._isolation, self._left_at.keys()
         )
 
     def unreported_fences(self) -> tuple[str, list[str]]:
-        """Return a place, and keys of ours that may still run there, for the group to fence; ('', [])."""
+        """Return a place and keys of own tasks there that the group is to fence; ('', []) if none."""
         return self._fences.unreported()
 
     def report(self, now: float) -> ZoneReport:
-        """Return what the leader is to know."""
+        """Return the report to the leader."""
         return self._reports.report(now, self.rejected)
 
     # ---- time --------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[int]:
-        """Look at all zones, and return the machines to send a health check to.
+        """Update isolation and silent zones, and return the machines to which a health check is due.
 
-        Call it every tenth of a second.
+        To be called every 100 ms.
         """
         if now - self._last_tick > STALL_S and self._last_tick > 0:
-            # Guards against a process that was stopped: all that was under way has timed out at once.
+            # After this process was stopped, all exchanges in flight time out at once, through no fault of
+            # the zones.
             self.observations.discard_failures(self._last_tick)
             self.silence.restart_waits(now)
         self._last_tick = now
@@ -181,9 +182,13 @@
         newly_silent = self._gate.update_silent_zones(now)
         checks: list[int] = []
         for place in self._left_at.keys() | self.silent_zones:
-            fresh = place in newly_silent and place not in self._left_at
-            if fresh or now - self._checked_at.get(place, float("-inf")) >= HEALTH_CHECK_EVERY_S:
+            is_new = place in newly_silent and place not in self._left_at
+            if is_new or now - self._checked_at.get(place, float("-inf")) >= HEALTH_CHECK_INTERVAL_S:
                 self._checked_at[place] = now
-                there = [machine for machine in self._view.machines if place in self._view.places_of(machine)]
-                checks += self._random.sample(there, min(len(there), CHECKS_WHEN_SILENT if fresh else 1))
+                machines = [
+                    machine for machine in self._view.machines if place in self._view.places_of(machine)
+                ]
+                checks += self._random.sample(
+                    machines, min(len(machines), INITIAL_CHECKS_WHEN_SILENT if is_new else 1)
+                )
         return checks
--- a/weldhatch/zones/failover_rules.py
+++ b/weldhatch/zones/failover_rules.py
@@ -1,4 +1,4 @@
-"""When a place changes its phase: the rules that the failover leader proposes changes by. Pure."""
+"""Rules by which the failover leader proposes phase changes of a place. Pure."""
 
 from __future__ import annotations
 
@@ -19,53 +19,53 @@
     is_rack,
     zone_of,
 )
-from weldhatch.zones.witnesses import Testimony, Witnesses
+from weldhatch.zones.witnesses import Witnesses, WitnessGroups
 
-FAILED_PART = 0.2  # of the starts of a step: from here on it goes one step back
-MIN_FAILED = 4
-MAX_STRETCH = 8.0
-MAX_DOUBLINGS = 10  # of the stay, by flaps
+FAILED_START_FRACTION = 0.2  # a return goes one step back if a larger fraction of starts fails
+MIN_FAILED_STARTS = 4
+MAX_STEP_LENGTH_FACTOR = 8.0
+MAX_STAY_DOUBLINGS = 10  # of the minimum time away, one for each flap
 
 
 @dataclass(slots=True, frozen=True)
 class FailoverTiming:
-    """How long the leader takes its time, in seconds; the names are keys of the settings.
+    """Durations of failover decisions in seconds; the field names are keys of the settings.
 
-    `quorum`: witnesses without whom no place is left (1 only where there is nobody else).
+    `quorum`: the minimum number of witnesses for leaving a place (1 only for a standalone dispatcher).
     """
 
-    fresh: float = 1.0  # a report speaks for its member for so long
-    confirm: float = 0.25  # a suspicion stands for so long before a place is left
-    calm: float = 1.0  # or falls after so long without a quorum
-    alive: float = 1.0  # a left place answers for so long before it returns
-    stay: float = 2.0  # the least time away; doubles with each flap
-    stay_most: float = 60.0
-    step: float = 0.5  # of a return's steps, the least; together they last for the warm-up time at least
-    served: float = 60.0  # after so long a place has no flaps any more
+    fresh: float = 1.0  # validity of a member's report
+    confirm: float = 0.25  # a suspicion must last this long before the place is left
+    calm: float = 1.0  # a suspicion is dropped after this long without a quorum
+    alive: float = 1.0  # a left place must answer for this long before it returns
+    stay: float = 2.0  # minimum time away; doubles with each flap
+    stay_most: float = 60.0  # upper limit of the time away
+    step: float = 0.5  # minimum length of a return step; all steps together last at least the warm-up time
+    served: float = 60.0  # after this time in service the flaps of a place are reset
     quorum: int = 2
 
 
 @dataclass(slots=True, frozen=True)
 class Situation:
-    """All that a decision on one place rests on."""
+    """The input of a decision on one place."""
 
     now: float
     name: str
     place: PlaceState
     watch: PlaceWatch
-    testimony: Testimony
+    witness_groups: WitnessGroups
     zones: ZoneStates
     settings: Settings
-    is_held_by_all: Callable[[int], bool]  # whether all dispatchers hold the group's state at an index
+    is_applied_by_all: Callable[[int], bool]  # up to an index of the group's log
 
     @property
     def age_s(self) -> float:
-        """For how long the place has had its phase, or step."""
+        """Seconds since the place entered its phase or return step."""
         return self.now - self.watch.since
 
     @property
     def unchanged(self) -> ZoneChange:
-        """A change that leaves all as it is, to be replaced in part."""
+        """A change that changes nothing, as a base for `dataclasses.replace`."""
         return ZoneChange(
             place=self.name,
             number=self.place.number,
@@ -79,26 +79,26 @@
 
 
 class FailoverRules:
-    """`change_of` returns the change that is due for a place."""
+    """Determines the phase change that is due for a place."""
 
     def __init__(
         self, timing: FailoverTiming, witnesses: Witnesses, watches: PlaceWatches, planner: ShedPlanner
     ) -> None:
-        """Decide from what these hold."""
+        """Use the given components, which the failover leader shares."""
         self._timing = timing
         self._witnesses = witnesses
         self._watches = watches
         self._planner = planner
-        self.last_zones_kept: set[str] = set()  # places that all call down, and that are the last to serve
+        self.last_zones_kept: set[str] = set()  # reported down, but kept as the last zone in service
 
     def change_of(self, situation: Situation) -> ZoneChange | None:
-        """Return the change that is due; None where none is."""
+        """Return the change that is due, or None."""
         place = situation.place
-        if place.phase is Phase.LEAVING:  # also where an operator holds it
+        if place.phase is Phase.LEAVING:  # also if an operator holds the place
             return self._complete_leaving(situation)
         if self._is_abandoned(situation):
-            # Guards against those inside who had not seen it fail yet when it was left: they would go on
-            # there, each by itself, and be the first to overload it when it comes back.
+            # Dispatchers inside that had not yet detected the failure when the place was left would continue
+            # to start work there without coordination, and overload the place as soon as it recovers.
             return replace(
                 situation.unchanged,
                 phase=Phase.LEFT,
@@ -124,7 +124,7 @@
 
     def _complete_leaving(self, situation: Situation) -> ZoneChange | None:
         place = situation.place
-        if not situation.is_held_by_all(place.index):
+        if not situation.is_applied_by_all(place.index):
             return None
         return replace(
             situation.unchanged,
@@ -142,14 +142,17 @@
         )
 
     def _is_covered_by_zone(self, situation: Situation) -> bool:
-        """Tell whether a rack's zone is suspected, left or returning: it needs no state of its own then."""
+        """Return whether the place is a rack in service or suspected whose zone is not in service.
+
+        Such a rack needs no phase of its own.
+        """
         name = situation.name
         if not is_rack(name) or situation.place.phase not in (Phase.SERVING, Phase.SUSPECTED):
             return False
         return situation.zones.place(zone_of(name)).phase is not Phase.SERVING
 
     def _may_leave(self, situation: Situation) -> bool:
-        """Keep the last zone that serves, whatever is said of it."""
+        """Return whether a place may be left: the last zone in service is kept, whatever the reports say."""
         name = situation.name
         if is_rack(name) or situation.zones.another_serves(zone_of(name), situation.settings.zones):
             self.last_zones_kept.discard(name)
@@ -163,8 +166,8 @@
     def _change_of_serving(self, situation: Situation) -> ZoneChange | None:
         if not situation.watch.down_since <= situation.now or not self._may_leave(situation):
             return None
-        down = situation.testimony.down
-        up = situation.testimony.up
+        down = situation.witness_groups.down
+        up = situation.witness_groups.up
         flaps = 0 if situation.age_s >= self._timing.served else situation.place.flaps
         if (
             self._is_down(situation, self._timing.confirm)
@@ -183,10 +186,11 @@
     def _change_of_suspected(self, situation: Situation) -> ZoneChange | None:
         now = situation.now
         watch = situation.watch
-        # A rack has to wait longer: a zone that fails shows first in some of its racks.
+        # A rack is confirmed for twice as long: the failure of a zone is first visible in some of its racks.
         confirm_s = self._timing.confirm * (2 if is_rack(situation.name) else 1)
-        # A new leader has reports of few: they must be a third of all members.
-        if watch.inherited and self._witnesses.are_third_of_members(situation.testimony.down):
+        # A suspicion of the previous leader is confirmed at once, by a third of all members: few may have
+        # reported to the new leader yet.
+        if watch.inherited and self._witnesses.are_third_of_members(situation.witness_groups.down):
             confirm_s = 0.0
         if self._is_down(situation, confirm_s) and self._may_leave(situation):
             return self._leave(situation, situation.place.flaps)
@@ -196,17 +200,19 @@
                 situation.unchanged,
                 phase=Phase.SERVING,
                 reason="a false alarm",
-                witnesses=situation.testimony.up,
+                witnesses=situation.witness_groups.up,
             )
         return None
 
     def _leave(self, situation: Situation, flaps: int) -> ZoneChange:
-        down = situation.testimony.down
-        up = situation.testimony.up
-        inside = situation.testimony.inside
+        down = situation.witness_groups.down
+        up = situation.witness_groups.up
+        inside = situation.witness_groups.inside
         shed: dict[str, float] = {}
         if not is_rack(situation.name):
-            shed = self._planner.initial(situation.now, situation.name, situation.zones, situation.settings)
+            shed = self._planner.initial_shed(
+                situation.now, situation.name, situation.zones, situation.settings
+            )
         reason = f"{len(down)} call it down, {len(up)} up"
         if inside:
             reason += f"; {len(inside)} inside go on there"
@@ -219,21 +225,21 @@
             witnesses=down,
             inside=bool(inside),
             shed=shed,
-            tenants=self._planner.by_tenant(situation.now, shed, situation.settings),
+            tenants=self._planner.shed_by_tenant(situation.now, shed, situation.settings),
             flaps=flaps,
             reason=reason,
         )
 
-    # ---- away --------------------------------------------------------------------------------------------
+    # ---- left --------------------------------------------------------------------------------------------
 
     def _change_of_left(self, situation: Situation) -> ZoneChange | None:
         now = situation.now
         place = situation.place
         watch = situation.watch
-        stay_s = min(self._timing.stay_most, self._timing.stay * 2 ** min(MAX_DOUBLINGS, place.flaps))
+        stay_s = min(self._timing.stay_most, self._timing.stay * 2 ** min(MAX_STAY_DOUBLINGS, place.flaps))
         is_alive = now - watch.up_since >= self._timing.alive
-        if situation.age_s >= stay_s and is_alive and situation.is_held_by_all(place.index):
-            up = situation.testimony.up
+        if situation.age_s >= stay_s and is_alive and situation.is_applied_by_all(place.index):
+            up = situation.witness_groups.up
             return replace(
                 situation.unchanged,
                 phase=Phase.RETURNING,
@@ -252,8 +258,8 @@
         now = situation.now
         place = situation.place
         settings = situation.settings
-        shed = self._planner.following(now, situation.name, situation.zones, settings)
-        tenants = self._planner.by_tenant(now, shed, settings)
+        shed = self._planner.next_shed(now, situation.name, situation.zones, settings)
+        tenants = self._planner.shed_by_tenant(now, shed, settings)
         if shed == place.shed and not load_shedding.differs(place.tenants, tenants):
             return None
         return replace(
@@ -271,19 +277,19 @@
         place = situation.place
         watch = situation.watch
         age_s = situation.age_s
-        # Guards against a return that is over before its servers are warm: after it nothing is counted.
+        # The return must not end before the servers are warm: starts are not limited after it.
         step_s = max(self._timing.step, situation.settings.warm_up_us / 1e6 / RETURN_STEPS)
         if self._is_down(situation, self._timing.confirm) and self._may_leave(situation):
             return self._leave(situation, place.flaps + 1)
         sent, succeeded, failed = self._watches.starts_in_step(situation.now, situation.name, watch)
         ended = succeeded + failed
-        if failed >= MIN_FAILED and failed > FAILED_PART * ended:
-            watch.stretch = min(MAX_STRETCH, 2 * watch.stretch)
+        if failed >= MIN_FAILED_STARTS and failed > FAILED_START_FRACTION * ended:
+            watch.step_length_factor = min(MAX_STEP_LENGTH_FACTOR, 2 * watch.step_length_factor)
             if place.step == 1 and age_s < step_s:
-                return None  # it can go no slower: the step lasts longer
+                return None  # the first step has no predecessor and only lasts longer
             return self._step(situation, max(1, place.step - 1), f"{failed} of {ended} starts went wrong")
-        # Without any start nothing has been seen: it goes on all the same, or it would wait for ever.
-        if age_s < step_s * watch.stretch * (1 if sent else 2):
+        # A step without any start gives no evidence, and continues after twice its length instead of never.
+        if age_s < step_s * watch.step_length_factor * (1 if sent else 2):
             return None
         if place.step < RETURN_STEPS:
             return self._step(situation, place.step + 1, f"{succeeded} of {ended} starts ran")
--- a/weldhatch/zones/load_shedding.py
+++ b/weldhatch/zones/load_shedding.py
@@ -1,7 +1,7 @@
-"""Decide whose work is shed where not all can be taken: what is asked over a fair share goes first. Pure.
+"""Distributes load shedding over tenants: demand above a tenant's fair share is shed first. Pure.
 
-Weighted max-min fairness (Bertsekas and Gallager 1992, 6.5.2): a tenant that asks no more than its share of
-the capacity loses nothing, and what it leaves is shared by the others. Rates are cores a second.
+Weighted max-min fairness (Bertsekas and Gallager 1992, 6.5.2): a tenant whose demand is within its share of
+the capacity loses nothing, and its unused share is divided among the others. Rates are cores per second.
 """
 
 from __future__ import annotations
@@ -11,85 +11,88 @@
 from weldhatch.scheduling.types import Tenant
 from weldhatch.zones.reports import ZoneReport
 
-MAX_REPORTED_RATES = 8  # pairs of class and tenant that one report names: it stays under 1 KB
-MIN_DIFFERENCE = 0.1  # a tenant's part that has moved by less is not worth a change of the agreed state
+MAX_REPORTED_RATES = 8  # pairs of class and tenant in one report, which keeps it under 1 KB
+MIN_SHED_CHANGE = 0.1  # a smaller change of a tenant's fraction does not update the agreed state
 
 
 def tenant_weights(tenants: Iterable[Tenant]) -> dict[str, float]:
-    """Return each tenant's weight: the first of cores, rate and portion that the settings give all of them.
+    """Return each tenant's weight: the first of cores, rate and portion that the settings define for all.
 
-    They are equal where the settings give none.
+    The weights are equal if there is none.
     """
     known = list(tenants)
     for name in ("cores", "quota_per_s", "portion"):
-        weights = {one.name: float(getattr(one, name)) for one in known}
+        weights = {tenant.name: float(getattr(tenant, name)) for tenant in known}
         if known and all(weight > 0 for weight in weights.values()):
             return weights
-    return {one.name: 1.0 for one in known}
+    return {tenant.name: 1.0 for tenant in known}
 
 
 def max_min_fair(
     rates: Mapping[str, float], weights: Mapping[str, float], capacity: float
 ) -> dict[str, float]:
-    """Return what is granted of each tenant's rate: together `capacity`, or all where that is less."""
+    """Return the granted rate of each tenant; the sum is `capacity`, or the total demand if that is lower."""
     granted: dict[str, float] = {}
-    left = max(0.0, capacity)
-    modest_first = sorted(rates, key=lambda name: rates[name] / weights.get(name, 1.0))
-    weight_left = sum(weights.get(name, 1.0) for name in modest_first)
-    for name in modest_first:
+    remaining = max(0.0, capacity)
+    by_relative_demand = sorted(rates, key=lambda name: rates[name] / weights.get(name, 1.0))
+    remaining_weight = sum(weights.get(name, 1.0) for name in by_relative_demand)
+    for name in by_relative_demand:
         weight = weights.get(name, 1.0)
-        granted[name] = min(rates[name], left * weight / weight_left)
-        left -= granted[name]
-        weight_left -= weight
+        granted[name] = min(rates[name], remaining * weight / remaining_weight)
+        remaining -= granted[name]
+        remaining_weight -= weight
     return granted
 
 
-def shed_by_tenant(part: float, rates: Mapping[str, float], weights: Mapping[str, float]) -> dict[str, float]:
-    """Return by tenant the part of its work to shed, so that `part` of all of it is.
+def shed_by_tenant(
+    fraction: float, rates: Mapping[str, float], weights: Mapping[str, float]
+) -> dict[str, float]:
+    """Return by tenant the fraction of its work to shed, so that `fraction` of all work is shed.
 
-    Tenants without a reported rate are left to `part` itself, by those who apply it.
+    Tenants without a reported rate are left out; `fraction` itself applies to them
+    (`PlaceState.shed_fraction`).
     """
-    asking = {name: rate for name, rate in rates.items() if rate > 0}
-    granted = max_min_fair(asking, weights, (1.0 - part) * sum(asking.values()))
-    return {name: round(1.0 - granted[name] / rate, 2) for name, rate in asking.items()}
+    demand = {name: rate for name, rate in rates.items() if rate > 0}
+    granted = max_min_fair(demand, weights, (1.0 - fraction) * sum(demand.values()))
+    return {name: round(1.0 - granted[name] / rate, 2) for name, rate in demand.items()}
 
 
-def tenant_parts(
+def tenant_shed_fractions(
     shed: Mapping[str, float],
     reports: Iterable[ZoneReport],
     tenants: Sequence[Tenant],
 ) -> dict[str, dict[str, float]]:
-    """Return, by class that is shed in part, each tenant's part of that, from the reported rates."""
+    """Return, for each partly shed class, the fraction to shed of each tenant, from the reported rates."""
     if len(tenants) < 2:
         return {}
     weights = tenant_weights(tenants)
     sums: dict[str, dict[str, float]] = {}
     for report in reports:
         for name, by_tenant in (report.tenant_rates or {}).items():
-            total = sums.setdefault(name, {})
+            class_sums = sums.setdefault(name, {})
             for tenant, rate in by_tenant.items():
                 if tenant in weights:
-                    total[tenant] = total.get(tenant, 0.0) + max(0.0, rate)
+                    class_sums[tenant] = class_sums.get(tenant, 0.0) + max(0.0, rate)
     return {
-        name: shed_by_tenant(part, sums[name], weights)
-        for name, part in shed.items()
-        if 0 < part < 1 and name in sums
+        name: shed_by_tenant(fraction, sums[name], weights)
+        for name, fraction in shed.items()
+        if 0 < fraction < 1 and name in sums
     }
 
 
 def differs(old: Mapping[str, Mapping[str, float]], new: Mapping[str, Mapping[str, float]]) -> bool:
-    """Tell whether any tenant's part differs from what was agreed by enough to change it."""
-    pairs = {(name, tenant) for one in (old, new) for name in one for tenant in one[name]}
+    """Return whether any tenant's fraction differs by at least `MIN_SHED_CHANGE`."""
+    pairs = {(name, tenant) for by_class in (old, new) for name in by_class for tenant in by_class[name]}
     return any(
-        abs(old.get(name, {}).get(tenant, 0.0) - new.get(name, {}).get(tenant, 0.0)) >= MIN_DIFFERENCE
+        abs(old.get(name, {}).get(tenant, 0.0) - new.get(name, {}).get(tenant, 0.0)) >= MIN_SHED_CHANGE
         for name, tenant in pairs
     )
 
 
-def greatest_rates(rates: Mapping[tuple[str, str], float]) -> dict[str, dict[str, float]]:
-    """Return the greatest rates by class and tenant, for a report."""
-    greatest: dict[str, dict[str, float]] = {}
-    for (name, tenant), rate in sorted(rates.items(), key=lambda one: -one[1])[:MAX_REPORTED_RATES]:
+def highest_rates(rates: Mapping[tuple[str, str], float]) -> dict[str, dict[str, float]]:
+    """Return the `MAX_REPORTED_RATES` highest rates by class and tenant, for a report."""
+    highest: dict[str, dict[str, float]] = {}
+    for (name, tenant), rate in sorted(rates.items(), key=lambda item: -item[1])[:MAX_REPORTED_RATES]:
         if rate > 0:
-            greatest.setdefault(name, {})[tenant] = round(rate, 1)
-    return greatest
+            highest.setdefault(name, {})[tenant] = round(rate, 1)
+    return highest
--- a/weldhatch/zones/local_view.py
+++ b/weldhatch/zones/local_view.py
@@ -1,4 +1,4 @@
-"""What one dispatcher holds: the settings in force, the listed machines, the agreed states of zones. Pure."""
+"""A dispatcher's current settings, listed machines and agreed states of zones. Pure."""
 
 from __future__ import annotations
 
@@ -9,12 +9,16 @@
 
 
 class LocalView:
-    """Shared by the parts of a member, which all read it; the member alone changes it."""
+    """State shared by the components of a member.
+
+    All components read it. `FailoverMember` replaces the settings and the zone states, and `ExchangeTracker`
+    updates the machines.
+    """
 
     def __init__(self, settings: Settings, uid_of: Callable[[int], str]) -> None:
-        """Begin without machines, and with all places serving.
+        """Start without machines and with all places in service.
 
-        `uid_of`: what all dispatchers call a machine; '' for one that is not known.
+        `uid_of`: returns the name of a machine that all dispatchers use, or '' if it is unknown.
         """
         self.settings = settings
         self.zones = ZoneStates()
@@ -23,45 +27,45 @@
         self.machines: dict[int, Machine] = {}
 
     def zone_of(self, machine: Machine) -> str:
-        """Return the name of a machine's zone; '' where the settings name none."""
+        """Return the name of a machine's zone, or '' if the settings do not define it."""
         zones = self.settings.zones
         return zones[machine.zone] if 0 <= machine.zone < len(zones) else ""
 
     def places_of(self, machine: int) -> tuple[str, ...]:
-        """Return the zone and the rack of a machine; nothing for one that is not listed."""
-        known = self.machines.get(machine)
-        if known is None:
+        """Return the zone and the rack of a machine; empty if the machine is not listed."""
+        listed = self.machines.get(machine)
+        if listed is None:
             return ()
-        zone = self.zone_of(known)
-        return zone, f"{zone}/{known.cell}"
+        zone = self.zone_of(listed)
+        return zone, f"{zone}/{listed.cell}"
 
     def tenant_name(self, tenant: int) -> str:
-        """Return a tenant's name; '' where the settings name none."""
+        """Return a tenant's name, or '' if the settings do not define it."""
         tenants = self.settings.tenants
         return tenants[tenant].name if 0 <= tenant < len(tenants) else ""
 
     def continues_inside(self, place: PlaceState, name: str) -> bool:
-        """Tell whether we go on in a left place, since we are inside."""
+        """Return whether this dispatcher may continue in a left place because it is in the same zone."""
         return place.inside and zone_of(name) == self.own_zone
 
     def phase(self, machine: int) -> tuple[Phase, str]:
-        """Return the phase of a machine as it counts for this dispatcher, and the place that has it."""
+        """Return the phase of a machine that applies to this dispatcher, and the place that has it."""
         return self.phase_of(self.places_of(machine))
 
     def phase_of(self, places: tuple[str, ...]) -> tuple[Phase, str]:
-        """Return the phase of a machine with these places, as `phase` does."""
+        """Return the same as `phase`, for a machine in the given zone and rack."""
         if not places:
             return Phase.SERVING, ""
-        phase, name = self.zones.narrowest_phase(*places)
+        phase, name = self.zones.most_restrictive_phase(*places)
         if phase in NO_NEW_WORK and self.continues_inside(self.zones.place(name), name):
             return Phase.SERVING, name
         return phase, name
 
     def returning_place(self, machine: int) -> str:
-        """Return the place of a machine that returns; '' for none."""
+        """Return the returning place of a machine, or '' if its place is not returning."""
         phase, name = self.phase(machine)
         return name if phase is Phase.RETURNING else ""
 
     def is_degraded(self) -> bool:
-        """Tell whether any place is not serving."""
-        return any(one.phase is not Phase.SERVING for one in self.zones.entries.values())
+        """Return whether any place is not in service."""
+        return any(place.phase is not Phase.SERVING for place in self.zones.entries.values())
--- a/weldhatch/zones/member_reports.py
+++ b/weldhatch/zones/member_reports.py
@@ -1,46 +1,46 @@
-"""Reports of one member to the leader: under 1 KB however many machines there are. Pure."""
+"""Builds the reports of one member to the leader: under 1 KB for any number of machines. Pure."""
 
 from __future__ import annotations
 
 from weldhatch.scheduling.types import Machine, MachineState
 from weldhatch.zones.load_accounting import LoadAccounting
-from weldhatch.zones.load_shedding import greatest_rates
+from weldhatch.zones.load_shedding import highest_rates
 from weldhatch.zones.local_view import LocalView
 from weldhatch.zones.observations import Observations
 from weldhatch.zones.reports import ZoneReport
 from weldhatch.zones.state import Phase
 
-USABLE_CORES_VALID_S = 1.0
+USABLE_CORES_VALID_S = 1.0  # how long the sum over all machines is cached
 
 
 class MemberReports:
-    """Puts reports together from what a member observes and accounts for."""
+    """Builds reports from a member's observations and load accounting."""
 
     def __init__(self, view: LocalView, observations: Observations, load: LoadAccounting) -> None:
-        """Read what the parts of a member share."""
+        """Use the given components, which the parts of a member share."""
         self._view = view
         self._observations = observations
         self._load = load
         self._usable: dict[str, float] = {}
         self._usable_at = float("-inf")
-        self._usable_of = 0  # machines that were listed then
+        self._usable_machine_count = 0  # of listed machines when `_usable` was computed
 
     def report(self, now: float, rejected: int) -> ZoneReport:
-        """Return the report of this moment; `rejected`: requests so far."""
+        """Return the current report. `rejected`: the number of requests rejected so far."""
         work_rates, by_tenant = self._work_rates(now)
         has_tenants = len(self._view.settings.tenants) > 1
         return ZoneReport(
-            zone=self._observations.own,
+            zone=self._observations.own_zone,
             isolation=self._observations.isolation(now).value,
             places=self._observations.by_place(now, self._view.zones.entries),
             running_cores=self._running_cores(),
             work_rates={name: round(rate, 1) for name, rate in work_rates.items() if rate},
             usable_cores=self._usable_cores(now),
             rejected=rejected,
-            tenant_rates=greatest_rates(by_tenant) if has_tenants else None,
+            tenant_rates=highest_rates(by_tenant) if has_tenants else None,
             starts={
-                name: (one.sent, one.succeeded, one.failed)
-                for name, one in self._load.starts.items()
+                name: (counts.sent, counts.succeeded, counts.failed)
+                for name, counts in self._load.starts.items()
                 if self._view.zones.place(name).phase is not Phase.SERVING
             },
         )
@@ -53,7 +53,7 @@
         return cores_in
 
     def _work_rates(self, now: float) -> tuple[dict[str, float], dict[tuple[str, str], float]]:
-        """Return the rates of new work by class, and by class and tenant."""
+        """Return the arrival rates of new work by class, and by class and tenant."""
         rates: dict[str, float] = {}
         by_tenant: dict[tuple[str, str], float] = {}
         for (class_index, tenant), rate in self._load.work_rates(now).items():
@@ -63,9 +63,9 @@
         return rates, by_tenant
 
     def _usable_cores(self, now: float) -> dict[str, float]:
-        """Return the cores that tasks may ask for in each zone, on machines that are not known to fail."""
+        """Return by zone the cores that tasks may reserve, on ready machines that are not known to fail."""
         machines = self._view.machines
-        if now - self._usable_at < USABLE_CORES_VALID_S and self._usable_of == len(machines):
+        if now - self._usable_at < USABLE_CORES_VALID_S and self._usable_machine_count == len(machines):
             return self._usable
         usable: dict[str, float] = {}
         booking = self._view.settings.cores_booking
@@ -78,7 +78,7 @@
             usable[zone] = usable.get(zone, 0.0) + self._cores_of(machine) * booking
         self._usable = {zone: round(cores, 1) for zone, cores in usable.items()}
         self._usable_at = now
-        self._usable_of = len(machines)
+        self._usable_machine_count = len(machines)
         return self._usable
 
     def _cores_of(self, machine: Machine) -> float:
--- a/weldhatch/zones/operator_commands.py
+++ b/weldhatch/zones/operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands on places: leave, return, hold and release, weighed before the group decides. Pure."""
+"""Operators' commands on places: leave, return, hold and release, checked before they enter the log. Pure."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 from weldhatch.scheduling.types import Settings
-from weldhatch.zones.capacity import MIN_SHED
+from weldhatch.zones.capacity import MIN_SHED_FRACTION
 from weldhatch.zones.shed_planner import ShedPlanner
 from weldhatch.zones.state import (
     FLEET,
@@ -18,24 +18,27 @@
     zone_of,
 )
 
-MAY_LEAVE = (Phase.SERVING, Phase.SUSPECTED, Phase.RETURNING)
+LEAVABLE_PHASES = (Phase.SERVING, Phase.SUSPECTED, Phase.RETURNING)
 
 Tree = dict[str, Any]
 
 
 class OperatorCommands:
-    """Turn an operator's request into a command for the group's log, or into an error.
+    """Converts an operator's request into a command for the group's log, or into an error.
 
     Requests and commands are the JSON objects of the control API and of the log; an error is
     `{"error": code, "text": ...}`.
     """
 
     def __init__(self, planner: ShedPlanner) -> None:
-        """Weigh a leave against what `planner` knows of load and capacity."""
+        """Check a leave against the load and capacity known to `planner`."""
         self._planner = planner
 
     def command(self, now: float, request: Mapping[str, Any], zones: ZoneStates, settings: Settings) -> Tree:
-        """Return the command for a request: its place, its word, and why."""
+        """Return the command for a request, or an error.
+
+        The keys of `request` are id, place, word, why, and optionally at and despite.
+        """
         name = request["place"]
         place = zones.place(name)
         command = {
@@ -55,11 +58,11 @@
             case "hold" | "release":
                 return {**command, "do": "zone_hold", "held": action == "hold"}
             case "leave":
-                fault = self._leave_fault(now, request, place, zones, settings)
-                if fault is not None:
-                    return fault
-                shed = self._planner.initial(now, name, zones, settings)
-                tenants = self._planner.by_tenant(now, shed, settings)
+                error = self._leave_error(now, request, place, zones, settings)
+                if error is not None:
+                    return error
+                shed = self._planner.initial_shed(now, name, zones, settings)
+                tenants = self._planner.shed_by_tenant(now, shed, settings)
                 return {**command, "phase": Phase.LEAVING.value, "shed": shed, "tenants": tenants}
             case "return":
                 if place.phase is not Phase.LEFT:
@@ -68,7 +71,7 @@
                 return {**command, **returning, "by": FLEET, "held": False}
         return _error("unknown", f"{action}: no such word")
 
-    def _leave_fault(
+    def _leave_error(
         self,
         now: float,
         request: Mapping[str, Any],
@@ -76,12 +79,12 @@
         zones: ZoneStates,
         settings: Settings,
     ) -> Tree | None:
-        """Return why a place is not left by hand; None where it may be."""
+        """Return the error of a leave request, or None if the place may be left."""
         name = request["place"]
-        if place.phase not in MAY_LEAVE:
+        if place.phase not in LEAVABLE_PHASES:
             return _error("order", f"{name} is {place.phase.value} already")
-        need = self._planner.need(now, name, zones, settings)
-        if request.get("despite") or is_rack(name) or need.shortfall <= MIN_SHED:
+        need = self._planner.capacity_need(now, name, zones, settings)
+        if request.get("despite") or is_rack(name) or need.shortfall <= MIN_SHED_FRACTION:
             return None
         return _error(
             "room",
--- a/weldhatch/zones/place_watch.py
+++ b/weldhatch/zones/place_watch.py
@@ -1,7 +1,7 @@
-"""What one leader remembers of each place: since when it has its phase, and since when witnesses agree. Pure.
+"""Tracks for one leader how long each place has had its phase and how long witnesses have agreed. Pure.
 
-It is of this leader alone. A new one begins its spans anew: a place stays left, or at its step, a little
-longer, and never shorter.
+The state is not replicated. A new leader restarts all durations, so a place stays left or at its return step
+a little longer after a change of leader, never shorter.
 """
 
 from __future__ import annotations
@@ -9,62 +9,64 @@
 from dataclasses import dataclass, field
 
 from weldhatch.zones.state import Phase, PlaceState
-from weldhatch.zones.witnesses import Testimony, Witnesses
+from weldhatch.zones.witnesses import Witnesses, WitnessGroups
 
 NEVER = float("inf")
 
 
 @dataclass(slots=True)
 class PlaceWatch:
-    """One place. Times are seconds of the leader's clock; inf where something does not hold now."""
+    """Timing of one place, in seconds of the leader's clock. A `_since` of inf means: not the case now."""
 
-    number: int = -1  # of the change it was seen at
+    number: int = -1  # of the last change that was processed
     phase: Phase = Phase.SERVING
-    since: float = 0.0  # when that phase, or step, was first seen here
+    since: float = 0.0  # when this leader first saw the phase or return step
     shed_reviewed_at: float = 0.0
-    down_since: float = NEVER  # a quorum calls it down
-    up_since: float = NEVER
-    calm_since: float = NEVER  # nobody calls it down, or more call it up
-    abandoned_since: float = NEVER  # nobody inside calls it up
-    inherited: bool = False  # a suspicion that a leader before this one had agreed on
-    counts_at_step: dict[str, tuple[int, ...]] = field(default_factory=dict)  # by incarnation
-    stretch: float = 1.0  # of this step's length, after a step back
+    down_since: float = NEVER  # a quorum reports the place down
+    up_since: float = NEVER  # a quorum reports it up
+    calm_since: float = NEVER  # nobody reports it down, or more report it up
+    abandoned_since: float = NEVER  # no dispatcher inside reports it up
+    inherited: bool = False  # the suspicion was agreed under a previous leader
+    counts_at_step: dict[str, tuple[int, ...]] = field(
+        default_factory=dict
+    )  # by incarnation: starts when the step began
+    step_length_factor: float = 1.0  # the step lasts longer after failed starts
 
 
 class PlaceWatches:
-    """The watches of all places that were looked at."""
+    """The timing of all places that the leader has evaluated."""
 
     def __init__(self, now: float, fresh_s: float, witnesses: Witnesses) -> None:
-        """Begin with a leader; reports count for `fresh_s` seconds."""
+        """Start at the beginning of a leader's term; reports are valid for `fresh_s` seconds."""
         self._began = now
         self._fresh_s = fresh_s
         self._witnesses = witnesses
         self._by_place: dict[str, PlaceWatch] = {}
 
-    def update(self, now: float, name: str, place: PlaceState, testimony: Testimony) -> PlaceWatch:
-        """Bring a place's watch up to date with its agreed state and what is reported."""
+    def update(self, now: float, name: str, place: PlaceState, witness_groups: WitnessGroups) -> PlaceWatch:
+        """Update and return the timing of a place, from its agreed state and its witnesses."""
         if name not in self._by_place:
-            # Guards against a leader's death in the middle of a suspicion: what it had witnesses for is not
-            # confirmed from the beginning again, those that call it down now, too, are enough.
+            # If the previous leader failed during a suspicion, the confirmation time does not start again:
+            # members that still report the place down are sufficient.
             self._by_place[name] = PlaceWatch(inherited=place.phase is Phase.SUSPECTED)
         watch = self._by_place[name]
         if watch.number != place.number:
             watch = self._by_place[name] = self._after_change(now, name, place, watch)
-        down = testimony.down
-        up = testimony.up
+        down = witness_groups.down
+        up = witness_groups.up
         enough_down = self._witnesses.are_enough(now, name, down, up)
         enough_up = self._witnesses.are_enough(now, name, up, down)
         watch.down_since = _since(watch.down_since, now, enough_down)
         watch.up_since = _since(watch.up_since, now, enough_up)
         watch.calm_since = _since(watch.calm_since, now, not down or len(up) > len(down))
-        watch.abandoned_since = _since(watch.abandoned_since, now, not testimony.inside)
+        watch.abandoned_since = _since(watch.abandoned_since, now, not witness_groups.inside)
         if watch.down_since <= now and now - self._began <= self._fresh_s:
             reported_s = self._witnesses.down_for_s(now, name, down)
             watch.down_since = min(watch.down_since, now - reported_s)
         return watch
 
     def _after_change(self, now: float, name: str, place: PlaceState, last: PlaceWatch) -> PlaceWatch:
-        # What is shed may change while a place is left: that begins nothing anew.
+        # A change of the shed fractions while a place is left does not restart the time away.
         still_left = place.phase is last.phase is Phase.LEFT
         return PlaceWatch(
             number=place.number,
@@ -76,11 +78,11 @@
             abandoned_since=last.abandoned_since,
             inherited=last.inherited and last.number < 0,
             counts_at_step=self._witnesses.start_counts(now, name),
-            stretch=last.stretch if place.phase is Phase.RETURNING else 1.0,
+            step_length_factor=last.step_length_factor if place.phase is Phase.RETURNING else 1.0,
         )
 
     def starts_in_step(self, now: float, name: str, watch: PlaceWatch) -> tuple[int, int, int]:
-        """Return the starts of all members in this step: sent, succeeded and failed."""
+        """Return the starts of all members in this step: the numbers sent, succeeded and failed."""
         totals = [0, 0, 0]
         for incarnation, counts in self._witnesses.start_counts(now, name).items():
             before = watch.counts_at_step.setdefault(incarnation, counts)
--- a/weldhatch/zones/reports.py
+++ b/weldhatch/zones/reports.py
@@ -1,7 +1,7 @@
-"""What a member reports of zones to the failover leader, and its encoded form. Pure.
+"""Zone reports of members to the failover leader, and their encoding. Pure.
 
-The only module that knows the encoded names. They are those of the first version: members and leaders of two
-versions understand each other, and `ZoneReport.from_json` is the only reader.
+Only this module knows the encoded names, and `ZoneReport.from_json` is the only reader. The names are those
+of the first version, so that members and leaders of different versions understand each other.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 from enum import Enum
 from typing import Any
 
-MAX_PLACES = 100  # that are read of one report
-MAX_TENANT_CLASSES = 16  # classes of which rates by tenant are read
+MAX_PLACES = 100  # read from one report
+MAX_TENANT_CLASSES = 16  # classes with rates by tenant, read from one report
 
 
 class PlaceHealth(str, Enum):
-    """What one member concludes about a place."""
+    """The health of a place as one member observes it."""
 
     HEALTHY = "fine"
-    DEGRADED = "gray"  # some fail, most answer ("gray failure"): the policy's outliers, no reason to leave
+    DEGRADED = "gray"  # "gray failure": the policy ejects the failing machines, the place is not left
     DOWN = "down"
     UNKNOWN = "unsure"
 
 
 class Isolation(str, Enum):
-    """Where a member looks for the fault in itself."""
+    """Whether a member attributes observed failures to itself or its zone."""
 
     NONE = ""
-    MEMBER = "cut off"  # no zone answers it
-    ZONE = "its zone is cut off"  # its own zone answers, and none of two or more others
+    MEMBER = "cut off"  # it gets no answer from any zone
+    ZONE = "its zone is cut off"  # its own zone answers, but none of two or more others
 
 
 class InvalidReportError(ValueError):
-    """A report that can't be read."""
+    """A zone report that cannot be decoded."""
 
 
 @dataclass(slots=True, frozen=True)
 class PlaceObservation:
-    """One place in a report: its health, and machines that answer, that fail, and that are listed.
+    """One place in a report: its health and its numbers of answering, failing and listed machines.
 
-    `down_ms`: for how many milliseconds it has looked down; None where it does not.
+    `down_ms`: for how many milliseconds the place has been observed down; None if it is not.
     """
 
     health: PlaceHealth
@@ -52,27 +52,27 @@
     down_ms: int | None = None
 
     def to_tree(self) -> list[str | int]:
-        """Return the encoded form: a list, the last entry left out where the place is not down."""
+        """Return the encoded form: a list, without the last entry if the place is not down."""
         tree: list[str | int] = [self.health.value, self.answering, self.failing, self.listed]
         return tree if self.down_ms is None else [*tree, self.down_ms]
 
     @classmethod
     def from_tree(cls, tree: Any) -> PlaceObservation:
-        """Read the encoded form; a health that this version does not know is UNKNOWN.
+        """Read the encoded form; a health value that this version does not know becomes UNKNOWN.
 
-        Raises IndexError, TypeError, ValueError or OverflowError for what is none.
+        Raises IndexError, TypeError, ValueError or OverflowError if the tree is malformed.
         """
         text = str(tree[0])
-        counts = [int(one) for one in tree[1:]]
-        known = {one.value: one for one in PlaceHealth}
+        counts = [int(count) for count in tree[1:]]
+        known = {health.value: health for health in PlaceHealth}
         return cls(known.get(text, PlaceHealth.UNKNOWN), *counts[:4])
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneReport:
-    """One member's report. Cores and cores a second; counts of starts are sent, succeeded and failed.
+    """One member's report. Loads are in cores, rates in cores per second.
 
-    `isolation` is a text of `Isolation`; any other one comes from another version and counts as none.
+    `isolation` is a value of `Isolation`; a value unknown to this version counts as NONE.
     """
 
     zone: str
@@ -82,20 +82,20 @@
     work_rates: Mapping[str, float] = field(default_factory=dict)  # by class
     usable_cores: Mapping[str, float] = field(default_factory=dict)  # by zone
     rejected: int = 0
-    tenant_rates: Mapping[str, Mapping[str, float]] | None = None  # by class and tenant; None for no tenants
-    starts: Mapping[str, tuple[int, ...]] = field(default_factory=dict)  # by place
+    tenant_rates: Mapping[str, Mapping[str, float]] | None = None  # by class and tenant; None without tenants
+    starts: Mapping[str, tuple[int, ...]] = field(default_factory=dict)  # by place: sent, succeeded, failed
 
     def health(self, place: str) -> PlaceHealth:
-        """Return the health of a place; UNKNOWN where the report does not name it."""
-        found = self.places.get(place)
-        return found.health if found is not None else PlaceHealth.UNKNOWN
+        """Return the health of a place; UNKNOWN if the report does not contain it."""
+        observation = self.places.get(place)
+        return observation.health if observation is not None else PlaceHealth.UNKNOWN
 
     def to_tree(self) -> dict[str, Any]:
-        """Return the encoded form, with its keys in the order in which they are written."""
+        """Return the encoded form, with the keys in the order in which they are written."""
         tree: dict[str, Any] = {
             "zone": self.zone,
             "cut": self.isolation,
-            "looks": {place: one.to_tree() for place, one in self.places.items()},
+            "looks": {place: observation.to_tree() for place, observation in self.places.items()},
             "stands": dict(self.running_cores),
             "rates": dict(self.work_rates),
             "size": dict(self.usable_cores),
@@ -108,28 +108,29 @@
         return tree
 
     def to_json(self) -> str:
-        """Return the text that is sent."""
+        """Return the report as JSON text, as it is sent."""
         return json.dumps(self.to_tree(), separators=(",", ":"))
 
     @classmethod
     def from_json(cls, text: str) -> ZoneReport:
-        """Read a text that was sent. Raises InvalidReportError for what is no report."""
+        """Read a received JSON text. Raises InvalidReportError if it is not a valid report."""
         try:
             return cls.from_tree(json.loads(text))
         except (ValueError, KeyError, TypeError, AttributeError, IndexError, OverflowError) as error:
-            raise InvalidReportError(f"a report that can't be read: {error!r}") from None
+            raise InvalidReportError(f"invalid zone report: {error!r}") from None
 
     @classmethod
     def from_tree(cls, tree: Any) -> ZoneReport:
         """Read the encoded form.
 
-        Raises ValueError, KeyError, TypeError, AttributeError, IndexError or OverflowError for what is none.
+        Raises ValueError, KeyError, TypeError, AttributeError, IndexError or OverflowError if it is
+        malformed.
         """
         places = list(tree["looks"].items())[:MAX_PLACES]
         return cls(
             zone=str(tree["zone"]),
             isolation=str(tree["cut"]),
-            places={str(place): PlaceObservation.from_tree(one) for place, one in places},
+            places={str(place): PlaceObservation.from_tree(observation) for place, observation in places},
             running_cores=_numbers(tree.get("stands", {})),
             work_rates=_numbers(tree.get("rates", {})),
             usable_cores=_numbers(tree.get("size", {})),
@@ -150,8 +151,8 @@
 
 
 def _number(value: Any) -> float:
-    """Raise ValueError for what is no finite number: one report would spoil the sums of all."""
+    """Return a number, or raise ValueError if it is not finite: it would corrupt sums over all reports."""
     number = float(value)
     if not math.isfinite(number):
-        raise ValueError(f"{number} is no finite number")
+        raise ValueError(f"{number} is not a finite number")
     return number
--- a/weldhatch/zones/request_rejection.py
+++ b/weldhatch/zones/request_rejection.py
@@ -1,10 +1,10 @@
-"""A request that a dispatcher rejects because of the state of the zones."""
+"""The rejection of a request because of the state of the zones."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-RETRY_AFTER_S = 1.0  # where nothing says more
+DEFAULT_RETRY_AFTER_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
--- a/weldhatch/zones/retry_budget.py
+++ b/weldhatch/zones/retry_budget.py
@@ -1,52 +1,52 @@
-"""Budgets of one dispatcher while a zone is left: retries, and work that migrates to the other zones. Pure.
+"""Limits of one dispatcher while a zone is left: retries, and work that migrates to the other zones. Pure.
 
-Times are seconds of the caller's monotonic clock, rates are starts a second.
+Times are seconds of the caller's monotonic clock, rates are starts per second.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-EPSILON = 1e-9  # what sums of 0.2 may lack
+EPSILON = 1e-9  # tolerance for the rounding error of sums of `ratio`
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries out of a common budget: a `share` of first attempts, kept up to `most`.
+    """A common retry budget: each first attempt adds `ratio` retries, up to `max_retries`.
 
-    Guards against a lost zone that is answered by as many retries of each request as its settings allow.
+    Without it, the loss of a zone would cause as many retries of each request as the settings allow.
     """
 
-    share: float = 0.2
-    most: float = 20.0
-    left: float = 10.0
+    ratio: float = 0.2
+    max_retries: float = 20.0
+    remaining: float = 10.0
 
     def add_first_attempt(self) -> None:
-        """Earn the share of one first attempt."""
-        self.left = min(self.most, self.left + self.share)
+        """Add the retries earned by one first attempt."""
+        self.remaining = min(self.max_retries, self.remaining + self.ratio)
 
     def try_retry(self, degraded: bool) -> bool:
-        """Spend one retry; False where none is left. Unless the fleet is `degraded`, all may go for free."""
+        """Spend one retry; return False if none remains. Retries are unlimited unless `degraded`."""
         if not degraded:
             return True
-        if self.left < 1.0 - EPSILON:
+        if self.remaining < 1.0 - EPSILON:
             return False
-        self.left -= 1.0
+        self.remaining -= 1.0
         return True
 
 
 @dataclass(slots=True)
 class MigrationRamp:
-    """Limit what a dispatcher starts in the other zones after one was left: from its rate there, up by steps.
+    """Limits a dispatcher's rate of starts after a zone was left, so that work migrates gradually.
 
-    Up to `duration_s` after `begin` the rate grows from `headroom` times that in the others, and half of that
-    in the zone which was left, to all of both; then there is no limit. `headroom`: owners of dispatchers that
-    failed with the zone come to the others, too.
+    For `duration_s` after `begin`, the limit is `headroom` times the previous rate in the other zones plus a
+    part of the previous rate in the left zone, which grows linearly from half to all of it. Then there is no
+    limit. `headroom` allows for owners that move here from dispatchers that failed with the zone.
     """
 
     duration_s: float = 2.0
     headroom: float = 1.5
-    burst_s: float = 0.25  # starts of so long may go at once
+    burst_s: float = 0.25  # burst size: the starts of this time at the current rate
     _began: float = float("-inf")
     _remaining_rate: float = 0.0
     _moved_rate: float = 0.0
@@ -54,26 +54,26 @@
     _refilled: float = 0.0
 
     def begin(self, now: float, remaining_rate: float, moved_rate: float) -> None:
-        """Begin where a place is left: rates of starts in the other zones, and in what is left."""
+        """Start when a place is left, from the rates of starts in the other zones and in the left place."""
         if now - self._began > self.duration_s:
             self._remaining_rate = remaining_rate
             self._moved_rate = moved_rate
-        else:  # a second place, while the first still migrates
+        else:  # another place is left during the ramp
             self._moved_rate += moved_rate
         self._began = now
         self._refilled = now
         self._tokens = max(1.0, self._remaining_rate * self.burst_s)
 
     def rate(self, now: float) -> float:
-        """Return the starts a second that may go now."""
-        part = min(1.0, max(0.0, (now - self._began) / self.duration_s))
-        return max(1.0, self._remaining_rate * self.headroom + self._moved_rate * (0.5 + 0.5 * part))
+        """Return the current limit in starts per second."""
+        progress = min(1.0, max(0.0, (now - self._began) / self.duration_s))
+        return max(1.0, self._remaining_rate * self.headroom + self._moved_rate * (0.5 + 0.5 * progress))
 
     def retry_after_s(self, now: float, draw: float) -> float:
-        """Take one start and return 0; where there is none, return the seconds to stay away.
+        """Admit one start and return 0, or return the seconds after which the owner may retry.
 
-        `draw`: uniform in 0 to 1. Those that are rejected come back spread over the second half of what is
-        left of the ramp: sent to the next free moment, all would come then, and most be rejected again.
+        `draw`: a uniform random number in [0, 1). Retries are spread over the second half of the remaining
+        ramp: if all rejected owners retried at the next free moment, most would be rejected again.
         """
         if now - self._began > self.duration_s:
             return 0.0
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class StartRates:
-    """Starts a second by place, over a sliding span, in slots: bounded memory at any load."""
+    """Starts per second by place over a sliding window, counted in time slots to bound the memory."""
 
     slot_s: float = 0.5
     slots: int = 8
@@ -100,12 +100,12 @@
         counts = self._counts.setdefault(place, {})
         counts[slot] = counts.get(slot, 0) + 1
         if len(counts) > self.slots + 1:
-            for old in [one for one in counts if one < slot - self.slots]:
+            for old in [counted for counted in counts if counted < slot - self.slots]:
                 del counts[old]
 
     def rate(self, now: float, place: str) -> float:
-        """Return the starts a second over the last whole slots."""
+        """Return the starts per second over the last `slots` complete slots."""
         slot = int(now / self.slot_s)
         counts = self._counts.get(place, {})
-        starts = sum(count for one, count in counts.items() if slot - self.slots <= one < slot)
+        starts = sum(count for counted, count in counts.items() if slot - self.slots <= counted < slot)
         return starts / (self.slots * self.slot_s)
--- a/weldhatch/zones/silence_detector.py
+++ b/weldhatch/zones/silence_detector.py
@@ -1,9 +1,10 @@
-"""Detect zones that have gone silent before any exchange with them has timed out. Pure.
+"""Detects zones that have gone silent, before exchanges with them time out. Pure.
 
-A zone that receives requests and answers none costs most: each start into it is lost, and shows so only when
-its time is up. So the answers that a zone owes are compared with how long answers take there, as TCP does for
-its retransmission timer (Jacobson 1988; RFC 6298). Silence moves no zone: one dispatcher holds back from it
-and sends health checks. Times are seconds of the caller's monotonic clock.
+A zone that receives requests without answering is the most expensive failure: each start sent to it is lost,
+and is known to be lost only after its time-out. The age of pending answers is therefore compared with the
+usual response time of the zone, as TCP does for its retransmission timer (Jacobson 1988; RFC 6298). Silence
+alone changes no phase: the dispatcher that detects it withholds starts from the zone and sends health checks.
+Times are seconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,45 +13,45 @@
 from dataclasses import dataclass, field
 
 MIN_LATE_MACHINES = 3
-INITIAL_TIMEOUT_S = 0.5  # what answers may take where none has been received yet
+INITIAL_TIMEOUT_S = 0.5  # before the first answer of a zone
 MIN_TIMEOUT_S = 0.12
 MAX_TIMEOUT_S = 1.0
 SMOOTHING = 1 / 8  # alpha of RFC 6298
 VARIATION_SMOOTHING = 1 / 4  # beta of RFC 6298
 VARIATION_FACTOR = 4  # K of RFC 6298
-MAX_PENDING_MACHINES = 256  # of a zone; what comes over it is not followed
-DEAF_AFTER_S = 2.0  # who receives nothing of any other zone for so long may be deaf itself
-MAX_PENDING_S = 4.0  # an answer owed for longer is not waited for: its exchange has ended unnoticed
+MAX_PENDING_MACHINES = 256  # tracked by zone; further ones are ignored
+OTHER_ZONES_QUIET_S = 2.0  # without answers from other zones, this dispatcher itself may receive nothing
+MAX_PENDING_S = 4.0  # an older pending answer is discarded: its exchange ended without notice
 
 
 @dataclass(slots=True)
 class PendingAnswers:
-    """One zone: since when which machines owe an answer (the oldest first), and how long answers take."""
+    """The pending answers of one zone by machine, the oldest first, and its estimated response time."""
 
-    since: dict[int, float] = field(default_factory=dict)
-    last_answer: float = float("-inf")  # when any of its machines answered
+    since: dict[int, float] = field(default_factory=dict)  # by machine
+    last_answer: float = float("-inf")  # of any machine of the zone
     smoothed_s: float = 0.0
     variation_s: float = 0.0
     silent_since: float = float("inf")
 
     @property
     def timeout_s(self) -> float:
-        """How long an answer may take before its machine counts as late."""
+        """Seconds after which a machine that has not answered counts as late."""
         if not self.smoothed_s:
             return INITIAL_TIMEOUT_S
         return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, self.smoothed_s + VARIATION_FACTOR * self.variation_s))
 
-    def add_sample(self, took_s: float) -> None:
-        """Take one answer's time into the estimate (RFC 6298, 2.2 and 2.3)."""
+    def add_sample(self, response_s: float) -> None:
+        """Update the estimate with one response time (RFC 6298, 2.2 and 2.3)."""
         if not self.smoothed_s:
-            self.smoothed_s = took_s
-            self.variation_s = took_s / 2
+            self.smoothed_s = response_s
+            self.variation_s = response_s / 2
             return
-        self.variation_s += VARIATION_SMOOTHING * (abs(took_s - self.smoothed_s) - self.variation_s)
-        self.smoothed_s += SMOOTHING * (took_s - self.smoothed_s)
+        self.variation_s += VARIATION_SMOOTHING * (abs(response_s - self.smoothed_s) - self.variation_s)
+        self.smoothed_s += SMOOTHING * (response_s - self.smoothed_s)
 
     def shows_silence(self, now: float, rack_of: Callable[[int], str], single_rack: bool) -> bool:
-        """Tell whether enough machines, in more than one rack, are late with an answer."""
+        """Return whether enough machines are late, in more than one rack unless there is a `single_rack`."""
         timeout_s = self.timeout_s
         racks: set[str] = set()
         late = 0
@@ -62,17 +63,17 @@
                 break
             late += 1
             racks.add(rack_of(machine))
-            # Guards against one rack, or one busy machine, that is taken for its whole zone.
+            # One late rack or one busy machine must not count as its whole zone.
             if late >= MIN_LATE_MACHINES and (len(racks) > 1 or single_rack):
                 return True
         return False
 
 
 class SilenceDetector:
-    """Follow requests and answers by zone; `is_silent` tells whether a zone answers nothing."""
+    """Tracks requests and answers by zone, and detects zones that do not answer."""
 
     def __init__(self, rack_of: Callable[[int], str]) -> None:
-        """Ask `rack_of` for the rack of a machine that owes an answer."""
+        """`rack_of` returns the rack of a machine with a pending answer."""
         self._rack_of = rack_of
         self._zones: dict[str, PendingAnswers] = {}
 
@@ -80,13 +81,13 @@
         return self._zones.setdefault(zone, PendingAnswers())
 
     def request_sent(self, now: float, zone: str, machine: int) -> None:
-        """Follow a request that wants an answer."""
+        """Record a request that expects an answer."""
         pending = self._pending(zone)
         if len(pending.since) < MAX_PENDING_MACHINES:
             pending.since.setdefault(machine, now)
 
     def answer_received(self, now: float, zone: str, machine: int) -> None:
-        """Note that a machine has said anything: its zone is there."""
+        """Record an answer of a machine: its zone is not silent."""
         pending = self._pending(zone)
         pending.last_answer = now
         pending.silent_since = float("inf")
@@ -95,29 +96,31 @@
             pending.add_sample(now - since)
 
     def exchange_ended(self, zone: str, machine: int) -> None:
-        """Forget an answer that is owed no more: not sent, or timed out, which is evidence itself."""
+        """Remove a pending answer: the request was not sent, or its time-out is counted as a failure."""
         self._pending(zone).since.pop(machine, None)
 
     def restart_waits(self, now: float) -> None:
-        """Let all waits begin anew. Guards against our own stalls: answers of that time are not read yet."""
+        """Restart all waits at `now`, after this process was stalled: answers may not have been read yet."""
         for pending in self._zones.values():
             pending.since = dict.fromkeys(pending.since, now)
 
     def is_silent(self, now: float, zone: str, single_rack: bool) -> bool:
-        """Tell whether a zone is silent.
+        """Return whether a zone is silent.
 
-        Some of its machines, and of more than one rack unless it has a `single_rack`, owe an answer for
-        longer than answers take, and none of all has answered meanwhile.
+        A zone is silent if at least `MIN_LATE_MACHINES` machines, in more than one rack unless it has a
+        `single_rack`, are late and no machine of the zone has answered within the timeout. It stays silent
+        until its next answer.
         """
         pending = self._zones.get(zone)
         if pending is None:
             return False
         others_last = max(
-            (one.last_answer for name, one in self._zones.items() if name != zone), default=float("-inf")
+            (other.last_answer for name, other in self._zones.items() if name != zone), default=float("-inf")
         )
         if pending.silent_since <= now:
-            return now - others_last <= DEAF_AFTER_S
-        # Guards against our own receiving side: a zone is silent only while another one answers.
+            return now - others_last <= OTHER_ZONES_QUIET_S
+        # A zone is silent only while another zone answers: otherwise this dispatcher itself may receive
+        # nothing.
         timeout_s = pending.timeout_s
         if now - pending.last_answer <= timeout_s or now - others_last > timeout_s:
             return False
--- a/weldhatch/zones/start_gate.py
+++ b/weldhatch/zones/start_gate.py
@@ -1,4 +1,4 @@
-"""Which starts a dispatcher lets out at this moment, by the state of the zones. Pure."""
+"""Admits or refuses starts depending on the state of the zones. Pure."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class EffectiveState(str, Enum):
-    """What the policy should take a machine for."""
+    """The state of a machine that the policy should use."""
 
     READY = "ready"
-    DRAINING = "draining"  # nothing new may go there
+    DRAINING = "draining"  # no new starts
 
 
 class StartGate:
-    """Agreed phases, quotas, the retry budget, and silence that this dispatcher alone has detected."""
+    """Admits starts by agreed phases, start quotas, the retry budget, and locally detected silence."""
 
     def __init__(
         self,
@@ -32,10 +32,10 @@
         quota_lease: QuotaLease,
         start_rates: StartRates,
     ) -> None:
-        """Ask and count in what the parts of a member share."""
+        """Use the given components, which the parts of a member share."""
         self.retry_budget = RetryBudget()
-        self.silent_zones: frozenset[str] = frozenset()  # that we hold back from, as of the last tick
-        self.answering_since: dict[int, float] = {}  # machines that answer without a break
+        self.silent_zones: frozenset[str] = frozenset()  # starts are withheld from these, as of the last tick
+        self.answering_since: dict[int, float] = {}  # by machine: first answer without an interruption since
         self._view = view
         self._observations = observations
         self._load = load
@@ -44,7 +44,7 @@
         self._start_rates = start_rates
 
     def effective_state(self, now: float, machine: int) -> EffectiveState:
-        """Return what the policy should take a machine for."""
+        """Return the state of a machine that the policy should use."""
         places = self._view.places_of(machine)
         phase, place = self._view.phase_of(places)
         if phase in NO_NEW_WORK or self._is_held_back(now, places):
@@ -57,9 +57,9 @@
         return EffectiveState.READY
 
     def start_refusal(self, now: float, machine: int, attempt: int) -> str:
-        """Return why a start may not leave now; '' where it may, which spends what it needs.
+        """Return why a start is refused, or '' if it is admitted, which spends retry budget and quota.
 
-        `attempt`: counted from 0; -1 for one that has been asked for, and has not left yet.
+        `attempt`: counted from 0; -1 for a start that was admitted before and has not been sent yet.
         """
         places = self._view.places_of(machine)
         phase, place = self._view.phase_of(places)
@@ -81,11 +81,12 @@
         return ""
 
     def _needs_quota(self, now: float, machine: int, phase: Phase, place: str) -> bool:
-        """Tell whether starts on a machine are taken from a quota.
+        """Return whether starts on a machine need a quota.
 
-        They are where its place returns, and for those inside a left one unless it has answered for the
-        warm-up time without a break. Guards against those who go on in a zone that is cut one way, and whose
-        servers come back cold before the others notice: each by itself would be the first to overload them.
+        They do if its place is returning, and for dispatchers that continue inside a left place, unless the
+        machine has answered for the warm-up time without interruption. Otherwise, in a zone that is cut off
+        in one direction, these dispatchers would overload servers that come back cold before the others
+        notice.
         """
         if phase is Phase.RETURNING:
             return True
@@ -97,14 +98,14 @@
         )
 
     def _is_held_back(self, now: float, places: tuple[str, ...]) -> bool:
-        """Tell whether a machine's zone is silent, by what we detect alone, and until its first answer."""
+        """Return whether starts are withheld because this dispatcher detects that the zone is silent."""
         return bool(places) and self._is_silent(now, places[0])
 
     def _is_silent(self, now: float, zone: str) -> bool:
-        """Tell whether to hold back from a zone.
+        """Return whether to withhold starts from a silent zone.
 
-        Guards against starts that are sent into a zone while those before them are still to time out. What is
-        left, or returns, goes by what was agreed; and somewhere work has to go.
+        Prevents further starts in a zone while earlier ones have not timed out yet. Zones that are left or
+        returning follow the agreed phase instead, and at least one other zone must take work.
         """
         zones = self._view.zones
         return (
@@ -119,7 +120,7 @@
         )
 
     def update_silent_zones(self, now: float) -> frozenset[str]:
-        """Look at all zones, and return those that have gone silent since the last look."""
+        """Update `silent_zones`, and return the zones that have gone silent since the last update."""
         before = self.silent_zones
         self.silent_zones = frozenset(zone for zone in self._observations.zones if self._is_silent(now, zone))
         return self.silent_zones - before
--- a/weldhatch/zones/start_quota.py
+++ b/weldhatch/zones/start_quota.py
@@ -1,13 +1,14 @@
-"""Starts on machines that return, in quotas for a span of time: spent or expired, never used twice. Pure.
+"""Start quotas for returning machines: valid for a limited span, and never used twice. Pure.
 
-A machine just back bears a number of starts within a window from all dispatchers together. The leader hands
-each dispatcher one of `holders` positions in an epoch; a position may start on a machine as often as it is
-among the machine's tokens of that epoch. Everybody computes that alike from the machine's name, so no list
-has to be the same for all. A quota is spent within its span, by its holder's clock, counted from when it was
-asked for: a lease on a part of a shared counter (escrow, O'Neil 1986).
+A machine that has just come back accepts a limited number of starts within a window from all dispatchers
+together. In each epoch the leader assigns each dispatcher one of `holders` positions, and the tokens of each
+machine are distributed over the positions. Every dispatcher computes the distribution from the machine's
+name, so endpoint lists may differ. A quota is valid for its span, by the holder's clock, counted from when it
+was requested: a lease on a part of a shared counter (escrow, O'Neil 1986).
 
-An epoch lasts for the window, the time in which its quotas are handed out, and the span: so no window holds
-what two epochs allow, whoever is late, stopped or dead. What dead ones held simply expires.
+An epoch lasts for the window, the time in which its quotas are assigned, and the span. No window therefore
+contains starts of two epochs, even if dispatchers are late, stopped or dead. The quotas of dead dispatchers
+expire unused.
 """
 
 from __future__ import annotations
@@ -17,23 +18,23 @@
 from hashlib import blake2b
 from typing import Any
 
-MAX_ROUNDS = 64  # tokens of a machine in one epoch
+MAX_TOKENS = 64  # of a machine in one epoch
 
 
 @dataclass(slots=True, frozen=True)
 class StartQuota:
-    """One dispatcher's part of one epoch. `span_s`: seconds from when it was asked for."""
+    """One dispatcher's quota in one epoch. `span_s`: its validity, counted from the request."""
 
     place: str
-    epoch: str  # a name that no other epoch has, also under another leader
-    epoch_number: int  # decides who is first at which machine
+    epoch: str  # unique, also among the epochs of other leaders
+    epoch_number: int  # rotates the distribution of tokens over positions
     position: int
     holders: int
-    tokens: int  # of each machine, over all holders
+    tokens: int  # of each machine, for all holders together
     span_s: float
 
     def to_tree(self) -> list[Any]:
-        """Return the encoded form: the fields in their order."""
+        """Return the encoded form: the fields in order."""
         return [
             self.place,
             self.epoch,
@@ -46,52 +47,50 @@
 
     @classmethod
     def from_tree(cls, tree: Any) -> StartQuota:
-        """Read the encoded form. Raises TypeError for what has not as many fields."""
+        """Read the encoded form. Raises TypeError if the number of fields is wrong."""
         return cls(*tree)
 
 
 def token_offset(uid: str) -> int:
-    """Return where a machine's tokens begin: the same for all who know its name."""
+    """Return the offset of a machine's first token, derived from its name alone."""
     return int.from_bytes(blake2b(uid.encode(), digest_size=4).digest(), "big")
 
 
 def starts_allowed(quota: StartQuota, uid: str) -> int:
-    """Return how many starts on that machine the quota holds. Over all quotas of an epoch: `tokens`."""
+    """Return the number of starts on a machine that a quota allows; over all quotas of an epoch, `tokens`."""
     first = (token_offset(uid) + quota.epoch_number * quota.tokens) % quota.holders
-    whole, rest = divmod(min(quota.tokens, MAX_ROUNDS), quota.holders)
-    return whole + ((quota.position - first) % quota.holders < rest)
+    per_holder, remainder = divmod(min(quota.tokens, MAX_TOKENS), quota.holders)
+    return per_holder + ((quota.position - first) % quota.holders < remainder)
 
 
 class QuotaLease:
-    """A dispatcher's quotas: `accept` what the leader has handed out, `spend` at the moment of a start."""
+    """The quotas of one dispatcher: accepted from the leader, spent when a start is sent."""
 
     def __init__(self, drift: float) -> None:
-        """Take `drift`, the part by which clocks may differ in rate."""
+        """`drift`: the maximum relative difference between clock rates."""
         self._drift = drift
-        self._held: dict[str, tuple[StartQuota, float]] = {}  # by place: the quota and when it expires
-        self._spent: dict[str, dict[str, int]] = {}  # by place: by machine
-        self._last: dict[
-            str, tuple[str, float]
-        ] = {}  # by place: the last epoch taken, and when it was asked for
+        self._held: dict[str, tuple[StartQuota, float]] = {}  # by place: quota, expiry
+        self._spent: dict[str, dict[str, int]] = {}  # by place, by machine
+        self._last_accepted: dict[str, tuple[str, float]] = {}  # by place: epoch, time of the request
 
     def accept(self, quota: StartQuota, asked_at: float) -> bool:
-        """Take a quota; True where it is new.
+        """Accept a quota; return True if it is new.
 
-        Guards against a quota that is spent twice: one that is repeated, or overtaken by a later one, adds
-        nothing.
+        A repeated quota, or one requested before the last accepted one, is ignored so that none is spent
+        twice.
         """
-        epoch, last_asked_at = self._last.get(quota.place, ("", float("-inf")))
+        epoch, last_asked_at = self._last_accepted.get(quota.place, ("", float("-inf")))
         if epoch == quota.epoch or asked_at <= last_asked_at:
             return False
-        self._last[quota.place] = quota.epoch, asked_at
+        self._last_accepted[quota.place] = quota.epoch, asked_at
         self._held[quota.place] = quota, asked_at + quota.span_s * (1 - self._drift)
         self._spent[quota.place] = {}
         return True
 
     def remaining(self, now: float, place: str, uid: str) -> int:
-        """Return the starts that may still go to a machine.
+        """Return the remaining number of starts on a machine.
 
-        Asked at the send, too: a span ends while the process is stopped.
+        Also checked when a start is sent: the span may have ended while the process was stopped.
         """
         quota, expires_at = self._held.get(place, (None, 0.0))
         if quota is None or now >= expires_at:
@@ -99,7 +98,7 @@
         return starts_allowed(quota, uid) - self._spent[place].get(uid, 0)
 
     def spend(self, now: float, place: str, uid: str) -> bool:
-        """Spend one start; False where it may not leave."""
+        """Spend one start; return False if none remains."""
         if self.remaining(now, place, uid) <= 0:
             return False
         spent = self._spent[place]
@@ -107,13 +106,13 @@
         return True
 
     def next_expiry(self, now: float) -> float:
-        """Return when the first quota that is held expires; inf for none."""
+        """Return the earliest expiry of a valid quota, or inf if there is none."""
         return min(
             (expires_at for _, expires_at in self._held.values() if expires_at > now), default=float("inf")
         )
 
     def revoke(self, place: str) -> None:
-        """Drop what is held of a place that returns no more: it must not be spent."""
+        """Drop the quota of a place that is no longer returning: it must not be spent."""
         self._held.pop(place, None)
 
 
@@ -131,46 +130,48 @@
 
 
 class QuotaLedger:
-    """The leader's side for all places that return. Made anew with each leader."""
+    """The leader's record of start quotas for all returning places. Each leader creates its own."""
 
     def __init__(self, now: float, name: str, window_s: float, span_s: float, drift: float) -> None:
-        """Begin at `now`, under a `name` that no other leader has.
+        """Start at `now`, under a `name` that no other leader has.
 
-        `window_s`: in which a machine bears its starts; `span_s`: for which a quota holds.
+        `window_s`: the window in which a machine accepts a limited number of starts; `span_s`: the validity
+        of a quota; `drift`: the maximum relative difference between clock rates.
         """
         self._name = name
         self._window_s = window_s
         self._span_s = span_s
         self._drift = drift
-        self._handout_s = span_s  # quotas of an epoch are handed out for so long after its beginning
-        # Guards against quotas that the leader before has handed out and that are not known here: by then
-        # all of them have expired, and a window has passed since.
-        self._starts_at = now + (span_s + window_s) * (1 + drift)
+        self._handout_s = span_s  # quotas are assigned for this time from the beginning of an epoch
+        # The quotas that the previous leader assigned are unknown here. After this time all of them have
+        # expired and another window has passed.
+        self._first_epoch_at = now + (span_s + window_s) * (1 + drift)
         self._epochs: dict[str, QuotaEpoch] = {}
         self._last_numbers: dict[str, int] = {}
 
     def set_window(self, window_s: float) -> None:
-        """Take another window, of another version of the settings, from the next epoch on."""
+        """Set the window of a new version of the settings, effective from the next epoch."""
         self._window_s = window_s
 
     @property
     def epoch_length_s(self) -> float:
-        """Of an epoch in which a machine's whole number of tokens is handed out."""
+        """Length of an epoch with at least one start per window and machine."""
         return (self._window_s + self._handout_s + self._span_s) * (1 + self._drift)
 
     def allocate(
-        self, now: float, place: str, incarnation: str, pace: float, present: Iterable[str]
+        self, now: float, place: str, incarnation: str, starts_per_window: float, eligible: Iterable[str]
     ) -> StartQuota | None:
-        """Return one dispatcher's quota; None where it has none now.
+        """Return one dispatcher's quota, or None if it has none now.
 
-        `pace`: starts that each machine bears in a window, over all dispatchers; under 1, epochs are longer.
-        `present`: the incarnations that may ask in an epoch that begins now; a later one has no part of it.
+        `starts_per_window`: on each machine, by all dispatchers together; epochs are longer if it is below 1.
+        `eligible`: the incarnations that share an epoch that begins now; incarnations beyond their number get
+        no quota in it.
         """
-        if now < self._starts_at or pace <= 0:
+        if now < self._first_epoch_at or starts_per_window <= 0:
             return None
         epoch = self._epochs.get(place)
         if epoch is None or now >= epoch.began + epoch.length_s:
-            epoch = self._begin_epoch(now, place, pace, len(set(present) | {incarnation}))
+            epoch = self._begin_epoch(now, place, starts_per_window, len(set(eligible) | {incarnation}))
         if now > epoch.began + self._handout_s:
             return None
         if incarnation not in epoch.positions:
@@ -187,7 +188,7 @@
             self._span_s,
         )
 
-    def _begin_epoch(self, now: float, place: str, pace: float, holders: int) -> QuotaEpoch:
+    def _begin_epoch(self, now: float, place: str, starts_per_window: float, holders: int) -> QuotaEpoch:
         number = self._last_numbers.get(place, -1) + 1
         self._last_numbers[place] = number
         epoch = self._epochs[place] = QuotaEpoch(
@@ -195,13 +196,13 @@
             number=number,
             began=now,
             holders=holders,
-            tokens=max(1, int(pace)),
-            length_s=self.epoch_length_s / min(1.0, pace),
+            tokens=max(1, int(starts_per_window)),
+            length_s=self.epoch_length_s / min(1.0, starts_per_window),
         )
         return epoch
 
     def status(self, now: float) -> dict[str, dict[str, Any]]:
-        """Return the quotas that are out, by place, under the names that operators see."""
+        """Return the assigned quotas by place, under the keys that operators see."""
         return {
             place: {
                 "turn": epoch.number,
--- a/weldhatch/zones/state.py
+++ b/weldhatch/zones/state.py
@@ -1,9 +1,10 @@
-"""What the dispatchers have agreed on zones and racks: a state machine under the group's commands. Pure.
+"""The agreed state of zones and racks: a state machine driven by the commands in the group's log. Pure.
 
     serving -> suspected -> leaving -> left -> returning 1, 2, 3, 4 -> serving
 
-Each change names the change that it was made on; one made on another changes nothing and says so. The encoded
-names of commands and of the state are those of the first version: logs and snapshots stay readable.
+Each change names the number of the change that it is based on; a change based on an outdated number is
+rejected with an error. The encoded names of commands and state are those of the first version, so that older
+logs and snapshots remain readable.
 """
 
 from __future__ import annotations
@@ -13,34 +14,34 @@
 from enum import Enum
 from typing import Any
 
-RETURN_STEPS = 4  # of a return: quarters of the pace that machines just back bear
+RETURN_STEPS = 4  # each step adds a quarter of the starts that a returning machine accepts
 MAX_HISTORY = 100
-MAX_FENCED = 5_000  # each change of the agreed state is digested whole
+MAX_FENCED = 5_000  # limits the state, which is digested completely after each change
 MAX_WITNESSES = 16
 
 
 class Phase(str, Enum):
-    """Where a zone or rack stands."""
+    """The failover phase of a zone or rack."""
 
     SERVING = "serving"
     SUSPECTED = "suspected"
-    LEAVING = "leaving"  # nothing new goes there, and not everybody is known to hold that
+    LEAVING = "leaving"  # takes no new work; not yet applied by all dispatchers
     LEFT = "left"
     RETURNING = "returning"
 
 
-_FOLLOWING = {
+_NEXT_PHASES = {
     Phase.SERVING: {Phase.SUSPECTED, Phase.LEAVING},
     Phase.SUSPECTED: {Phase.SERVING, Phase.LEAVING},
     Phase.LEAVING: {Phase.LEFT},
-    Phase.LEFT: {Phase.RETURNING, Phase.LEFT},  # LEFT again: what is shed has changed
+    Phase.LEFT: {Phase.RETURNING, Phase.LEFT},  # LEFT again: the shed fractions have changed
     Phase.RETURNING: {Phase.RETURNING, Phase.LEAVING, Phase.SERVING},
 }
-# The later allows less.
-_NARROWING = [Phase.SERVING, Phase.SUSPECTED, Phase.RETURNING, Phase.LEAVING, Phase.LEFT]
+# In ascending order of restriction.
+_BY_RESTRICTION = [Phase.SERVING, Phase.SUSPECTED, Phase.RETURNING, Phase.LEAVING, Phase.LEFT]
 NO_NEW_WORK = (Phase.LEAVING, Phase.LEFT)
 FLEET = "fleet"
-OPERATOR = "operator"  # who has a place left by hand: the fleet does not bring it back by itself
+OPERATOR = "operator"  # a place that an operator left does not return automatically
 
 
 def zone_of(place: str) -> str:
@@ -49,7 +50,7 @@
 
 
 def is_rack(place: str) -> bool:
-    """Tell whether a place is a rack, named as ZONE/RACK."""
+    """Return whether a place is a rack, named as ZONE/RACK."""
     return "/" in place
 
 
@@ -58,20 +59,20 @@
     """The agreed state of one zone or rack."""
 
     phase: Phase = Phase.SERVING
-    number: int = 0  # of the change that made it so
+    number: int = 0  # of the last change
     index: int = 0  # of that change in the group's log
-    step: int = 0  # of a return
-    inside: bool = False  # dispatchers in the zone go on there: only those outside have left
-    shed: dict[str, float] = field(default_factory=dict)  # by class, the part that the other zones can't take
-    tenants: dict[str, dict[str, float]] = field(default_factory=dict)  # by class, each tenant's part of it
-    flaps: int = 0  # times it was left again soon
-    held: bool = False  # by an operator: nothing changes by itself
+    step: int = 0  # of a return; 0 in other phases
+    inside: bool = False  # dispatchers inside the zone continue there; only others have left
+    shed: dict[str, float] = field(default_factory=dict)  # by class: fraction without capacity elsewhere
+    tenants: dict[str, dict[str, float]] = field(default_factory=dict)  # by class and tenant: shed fraction
+    flaps: int = 0  # number of times it was left again soon after a return
+    held: bool = False  # by an operator: no automatic changes
     decided_by: str = ""
     reason: str = ""
     witnesses: list[str] = field(default_factory=list)
 
-    def shed_part(self, class_name: str, tenant: str = "") -> float:
-        """Return the part of a tenant's new work of a class that is shed while the place is left."""
+    def shed_fraction(self, class_name: str, tenant: str = "") -> float:
+        """Return the fraction of a tenant's new work of a class that is shed while the place is left."""
         return self.tenants.get(class_name, {}).get(tenant, self.shed.get(class_name, 0.0))
 
     def to_tree(self) -> dict[str, Any]:
@@ -93,19 +94,20 @@
 
     @classmethod
     def from_tree(cls, tree: Mapping[str, Any]) -> PlaceState:
-        """Read the encoded form. Raises KeyError, TypeError or ValueError for what is none."""
-        known = {_FIELDS.get(key, key): value for key, value in tree.items()}
+        """Read the encoded form. Raises KeyError, TypeError or ValueError if it is malformed."""
+        known = {_FIELD_OF_KEY.get(key, key): value for key, value in tree.items()}
         return cls(**{**known, "phase": Phase(tree["phase"])})
 
 
-_FIELDS = {"by": "decided_by", "why": "reason"}  # of encoded names that differ
+_FIELD_OF_KEY = {"by": "decided_by", "why": "reason"}  # encoded keys that differ from the field names
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneChange:
-    """A change of one place, as the leader proposes it. `number`: of the change that it is made on.
+    """A change of one place, as proposed by the leader. `number`: of the change that it is based on.
 
-    A `step`, `witnesses`, `flaps` or `held` of None is not encoded; the last two then stay as they are.
+    `flaps` and `held` keep their value in the state if they are None. A `step` or `witnesses` of None is left
+    out of the encoded form, which counts as 0 and empty.
     """
 
     place: str
@@ -120,10 +122,10 @@
     tenants: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
     flaps: int | None = None
     held: bool | None = None
-    at: float = 0  # when an operator said so, Unix time
+    at: float = 0  # Unix time of an operator's request
 
     def to_tree(self) -> dict[str, Any]:
-        """Return the command, with its keys in the order that they always had: logs stay the same."""
+        """Return the command. The order of its keys is fixed, so that logs are identical in all versions."""
         tree: dict[str, Any] = {
             "do": "zone",
             "place": self.place,
@@ -145,7 +147,7 @@
 
     @classmethod
     def from_tree(cls, tree: Mapping[str, Any]) -> ZoneChange:
-        """Read a command. Raises KeyError, TypeError or ValueError for what is none."""
+        """Read a command. Raises KeyError, TypeError or ValueError if it is malformed."""
         flaps = tree.get("flaps")
         held = tree.get("held")
         return cls(
@@ -166,43 +168,42 @@
 
 
 class ZoneStates:
-    """`apply` carries a command out; `entries` holds every place that is not simply serving, or was not."""
+    """The states of all places. `entries` contains every place that has ever been changed."""
 
     def __init__(self) -> None:
-        """Begin with all places serving."""
+        """Start with all places in service."""
         self.entries: dict[str, PlaceState] = {}
         self.history: list[dict[str, Any]] = []
-        self.fenced: dict[str, list[str]] = {}  # key: [place, who says so]; may still run behind a cut
+        self.fenced: dict[str, list[str]] = {}  # by key: [place, reporter]; the task may still run there
         self.number = 0  # of the last change
 
     def place(self, name: str) -> PlaceState:
-        """Return the state of a place; one that was never changed serves."""
+        """Return the state of a place; a place that was never changed is in service."""
         return self.entries.get(name) or PlaceState()
 
-    def narrowest_phase(self, zone: str, rack: str = "") -> tuple[Phase, str]:
-        """Return the narrowest phase of a machine's zone and rack, and which of the two has it."""
+    def most_restrictive_phase(self, zone: str, rack: str = "") -> tuple[Phase, str]:
+        """Return the more restrictive phase of a machine's zone and rack, and the place that has it."""
         return max(
             ((self.place(name).phase, name) for name in (zone, rack) if name),
-            key=lambda one: _NARROWING.index(one[0]),
+            key=lambda phase_of_place: _BY_RESTRICTION.index(phase_of_place[0]),
         )
 
     def another_serves(self, zone: str, zones: Iterable[str]) -> bool:
-        """Tell whether any zone but this one still takes new work."""
+        """Return whether any other zone takes new work."""
         return any(self.place(other).phase not in NO_NEW_WORK for other in zones if other != zone)
 
     # ---- commands ----------------------------------------------------------------------------------------
 
     def apply(self, index: int, command: Mapping[str, Any], zones: Iterable[str]) -> dict[str, Any]:
-        """Carry out one change, and return its result.
+        """Apply one change and return its result; a change that would leave the last zone is an error.
 
-        `index`: of the command in the group's log; `zones`: all that the settings name. Never are all of them
-        left.
+        `index`: of the command in the group's log; `zones`: all zones of the settings.
         """
         change = ZoneChange.from_tree(command)
         last = self.place(change.place)
-        fault = self._fault(change, last, zones)
-        if fault is not None:
-            return fault
+        error = self._change_error(change, last, zones)
+        if error is not None:
+            return error
         self.number += 1
         self.entries[change.place] = PlaceState(
             phase=change.phase,
@@ -219,12 +220,14 @@
             witnesses=list(change.witnesses or ())[:MAX_WITNESSES],
         )
         if change.phase is Phase.SERVING:
-            self.fenced = {key: one for key, one in self.fenced.items() if one[0] != change.place}
-        self._remember(change.place, {"at": change.at})
+            self.fenced = {key: fence for key, fence in self.fenced.items() if fence[0] != change.place}
+        self._add_to_history(change.place, {"at": change.at})
         return {"ok": True, "number": self.number, "index": index}
 
-    def _fault(self, change: ZoneChange, last: PlaceState, zones: Iterable[str]) -> dict[str, Any] | None:
-        """Return why a change can't be made; None where it can."""
+    def _change_error(
+        self, change: ZoneChange, last: PlaceState, zones: Iterable[str]
+    ) -> dict[str, Any] | None:
+        """Return the error of a change, or None if it can be applied."""
         name = change.place
         zone = zone_of(name)
         if zone not in set(zones):
@@ -235,25 +238,28 @@
                 f"{name} is {last.phase.value} by change {last.number}, and this was made "
                 f"on {change.number}",
             )
-        if change.phase is not last.phase and change.phase not in _FOLLOWING[last.phase]:
+        if change.phase is not last.phase and change.phase not in _NEXT_PHASES[last.phase]:
             return _error("order", f"{name} is {last.phase.value}: it can't be {change.phase.value} next")
         if change.phase is Phase.LEAVING and not is_rack(name) and not self.another_serves(zone, zones):
             return _error("last", f"{name} is the last zone that serves: it is not left")
         return None
 
     def apply_hold(self, index: int, command: Mapping[str, Any]) -> dict[str, Any]:
-        """Hold a place for an operator, so that nothing changes by itself, or release it."""
+        """Hold a place for an operator, which prevents automatic changes, or release it."""
         place = self.entries.setdefault(command["place"], PlaceState())
         self.number += 1
         place.held = command["held"]
         place.number = self.number
         place.index = index
-        said = {"by": command.get("by", ""), "why": command.get("why", ""), "at": command.get("at", 0)}
-        self._remember(command["place"], said)
+        details = {"by": command.get("by", ""), "why": command.get("why", ""), "at": command.get("at", 0)}
+        self._add_to_history(command["place"], details)
         return {"ok": True, "number": self.number, "index": index}
 
     def apply_fence(self, place: str, keys: Iterable[str], reported_by: str) -> dict[str, Any]:
-        """Fence tasks that may run behind a cut: nobody starts them again until that is known."""
+        """Fence tasks that may still run behind a network partition: they are not started again meanwhile.
+
+        The fences end when the place serves again.
+        """
         phase = self.place(place).phase
         if phase not in NO_NEW_WORK:
             return _error("moved", f"{place} is {phase.value}: nothing is fenced there")
@@ -262,16 +268,16 @@
             self.fenced.setdefault(key, [place, reported_by])
         return {"ok": True, "kept": len(self.fenced)}
 
-    def _remember(self, name: str, more: Mapping[str, Any]) -> None:
-        self.history.append({"place": name, **self.entries[name].to_tree(), **more})
+    def _add_to_history(self, name: str, details: Mapping[str, Any]) -> None:
+        self.history.append({"place": name, **self.entries[name].to_tree(), **details})
         del self.history[:-MAX_HISTORY]
 
-    # ---- the state as a whole ----------------------------------------------------------------------------
+    # ---- encoding ----------------------------------------------------------------------------------------
 
     def to_tree(self) -> dict[str, Any]:
-        """Return the encoded form, as snapshots and the control API have it."""
+        """Return the encoded form for snapshots and the control API."""
         return {
-            "entries": {name: one.to_tree() for name, one in self.entries.items()},
+            "entries": {name: place.to_tree() for name, place in self.entries.items()},
             "history": self.history,
             "fenced": self.fenced,
             "number": self.number,
@@ -279,9 +285,9 @@
 
     @classmethod
     def from_tree(cls, tree: Mapping[str, Any]) -> ZoneStates:
-        """Read the encoded form. Raises KeyError, TypeError or ValueError for what is none."""
+        """Read the encoded form. Raises KeyError, TypeError or ValueError if it is malformed."""
         states = cls()
-        states.entries = {name: PlaceState.from_tree(one) for name, one in tree["entries"].items()}
+        states.entries = {name: PlaceState.from_tree(entry) for name, entry in tree["entries"].items()}
         states.history = tree["history"]
         states.fenced = tree["fenced"]
         states.number = tree["number"]
--- a/weldhatch/zones/timeline.py
+++ b/weldhatch/zones/timeline.py
@@ -1,4 +1,4 @@
-"""Samples of what the leader sees while any place is not serving, for operators' charts. Pure."""
+"""Samples of the leader's view while any place is not in service, for operators' charts. Pure."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from weldhatch.zones.witnesses import Witnesses
 
 MAX_SAMPLES = 2_000
-EVERY_S = 0.5
+SAMPLE_INTERVAL_S = 0.5
 
 
 class Timeline:
-    """Samples under the names that `weldhatch zones status --json` prints."""
+    """Samples with the keys that `weldhatch zones status --json` prints."""
 
     def __init__(self, now: float, witnesses: Witnesses, ledger: QuotaLedger) -> None:
-        """Begin with a leader; samples count seconds from `now`."""
+        """Start at the beginning of a leader's term; sample times are seconds since `now`."""
         self.samples: list[dict[str, Any]] = []
         self._began = now
         self._last = float("-inf")
@@ -24,12 +24,12 @@
         self._ledger = ledger
 
     def add_sample(self, now: float, zones: ZoneStates) -> None:
-        """Take a sample each half second while any place is not serving."""
-        calm = all(one.phase is Phase.SERVING for one in zones.entries.values())
-        if now - self._last < EVERY_S or calm:
+        """Add a sample every `SAMPLE_INTERVAL_S` while any place is not in service."""
+        all_serving = all(place.phase is Phase.SERVING for place in zones.entries.values())
+        if now - self._last < SAMPLE_INTERVAL_S or all_serving:
             return
         self._last = now
-        fresh = [one.report for one in self._witnesses.fresh(now)]
+        fresh = [received.report for received in self._witnesses.fresh_reports(now)]
         starts: dict[str, list[int]] = {}
         for report in fresh:
             for place, counts in report.starts.items():
@@ -38,9 +38,9 @@
         self.samples.append(
             {
                 "s": round(now - self._began, 2),
-                "phases": {name: [one.phase.value, one.step] for name, one in zones.entries.items()},
+                "phases": {name: [place.phase.value, place.step] for name, place in zones.entries.items()},
                 "starts": starts,
-                "shares": {name: one["shares"] for name, one in self._ledger.status(now).items()},
+                "shares": {name: quotas["shares"] for name, quotas in self._ledger.status(now).items()},
                 "refused": sum(report.rejected for report in fresh),
             }
         )
--- a/weldhatch/zones/witnesses.py
+++ b/weldhatch/zones/witnesses.py
@@ -1,4 +1,4 @@
-"""Weigh what members report of a place: who is a witness, and when witnesses are enough. Pure."""
+"""Evaluates the members' reports on a place: who is a witness, and how many are sufficient. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReceivedReport:
-    """A member's last report, and when it came. `incarnation` names the run of its process."""
+    """A member's last report and its time of receipt. `incarnation` identifies the run of its process."""
 
     received_at: float
     incarnation: str
@@ -21,8 +21,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Testimony:
-    """Names of those who call a place down, who call it up, and who do so from inside. Sorted."""
+class WitnessGroups:
+    """Sorted names of the members that report a place down, that report it up, and that do so from inside."""
 
     down: tuple[str, ...]
     up: tuple[str, ...]
@@ -30,46 +30,52 @@
 
 
 class Witnesses:
-    """The members' last reports, and what they say together."""
+    """The members' last reports, and conclusions from all of them."""
 
     def __init__(self, fresh_s: float, quorum: int) -> None:
-        """Take for how many seconds a report counts, and how many witnesses are needed at least."""
+        """`fresh_s`: validity of a report in seconds; `quorum`: minimum number of witnesses."""
         self.reports: dict[str, ReceivedReport] = {}  # by member
-        self.members = 0  # of the group, whether they report or not
+        self.members = 0  # of the group, with or without a report
         self._fresh_s = fresh_s
         self._quorum = quorum
 
-    def receive(self, now: float, name: str, incarnation: str, report: ZoneReport) -> None:
-        """Take a member's report in place of its last one."""
+    def receive_report(self, now: float, name: str, incarnation: str, report: ZoneReport) -> None:
+        """Replace a member's last report."""
         self.reports[name] = ReceivedReport(now, incarnation, report)
 
     def set_members(self, names: Collection[str]) -> None:
-        """Forget the reports of those who are no members."""
+        """Set the members of the group, and discard the reports of others."""
         self.members = len(names)
         for name in [name for name in self.reports if name not in names]:
             del self.reports[name]
 
-    def fresh(self, now: float) -> list[ReceivedReport]:
-        """Return the reports that still speak for their members."""
-        return [one for one in self.reports.values() if now - one.received_at <= self._fresh_s]
+    def fresh_reports(self, now: float) -> list[ReceivedReport]:
+        """Return the reports that are still valid."""
+        return [received for received in self.reports.values() if now - received.received_at <= self._fresh_s]
 
-    def testimony(self, now: float, place: str) -> Testimony:
-        """Return who says what of a place.
+    def witness_groups(self, now: float, place: str) -> WitnessGroups:
+        """Return which members report a place down, up, or up from inside.
 
-        A member that is cut off itself is no witness; one whose zone is cut off is one for its zone alone.
+        A member that is cut off itself is not a witness. A member whose zone is cut off is a witness for its
+        own zone only.
         """
         down: list[str] = []
         up: list[str] = []
         inside: list[str] = []
-        for name, one in self.reports.items():
-            if now - one.received_at > self._fresh_s or one.report.isolation == Isolation.MEMBER:
+        for name, received in self.reports.items():
+            if now - received.received_at > self._fresh_s or received.report.isolation == Isolation.MEMBER:
                 continue
-            health = one.report.health(place)
-            if is_rack(place) and health is PlaceHealth.DOWN and one.report.health(zone_of(place)) not in UP:
-                continue  # its whole zone may be down: that is another question
-            within = one.report.zone == zone_of(place) and not is_rack(place)  # of a rack, all are witnesses
-            if self._quorum == 1 or not within:
-                if self._quorum > 1 and one.report.isolation == Isolation.ZONE:
+            health = received.report.health(place)
+            if (
+                is_rack(place)
+                and health is PlaceHealth.DOWN
+                and received.report.health(zone_of(place)) not in UP
+            ):
+                continue  # the whole zone may be down, which is decided separately
+            # Members inside a zone are no witnesses for it. For a rack, all members are witnesses.
+            is_inside = received.report.zone == zone_of(place) and not is_rack(place)
+            if self._quorum == 1 or not is_inside:
+                if self._quorum > 1 and received.report.isolation == Isolation.ZONE:
                     continue
                 if health is PlaceHealth.DOWN:
                     down.append(name)
@@ -77,19 +83,19 @@
                     up.append(name)
             elif health in UP:
                 inside.append(name)
-        return Testimony(tuple(sorted(down)), tuple(sorted(up)), tuple(sorted(inside)))
+        return WitnessGroups(tuple(sorted(down)), tuple(sorted(up)), tuple(sorted(inside)))
 
     def are_enough(
         self, now: float, place: str, witnesses: Collection[str], opposed: Collection[str]
     ) -> bool:
-        """Tell whether `witnesses` are enough to believe.
+        """Return whether `witnesses` are sufficient for a decision.
 
-        They are a quorum, a third of all that are heard outside, and two of three of those who say anything.
-        Guards against one that is wrong, slow, cut off or lying.
+        They must be a quorum, at least a third of all reporting members outside the place, and at least twice
+        as many as `opposed`. This tolerates single members that are wrong, slow, cut off or lying.
         """
         outside = sum(
-            one.report.zone != zone_of(place) or is_rack(place) or self._quorum == 1
-            for one in self.fresh(now)
+            received.report.zone != zone_of(place) or is_rack(place) or self._quorum == 1
+            for received in self.fresh_reports(now)
         )
         return (
             len(witnesses) >= self._quorum
@@ -98,23 +104,27 @@
         )
 
     def are_third_of_members(self, witnesses: Collection[str]) -> bool:
-        """Tell whether `witnesses` are a third of all members, of whom some may not have reported yet."""
+        """Return whether `witnesses` are a third of all members, including those without a report."""
         return 3 * len(witnesses) >= self.members
 
     def down_for_s(self, now: float, place: str, down: Collection[str]) -> float:
-        """Return for how long a third of all members, a quorum at least, have called a place down.
+        """Return for how long a third of all members, and at least a quorum, have reported a place down.
 
-        Each by its own clock. Guards a new leader against finding out anew what everybody knows, and the
-        fleet against one that says it has known for ever.
+        Durations are measured by the members' own clocks. A new leader thus need not wait for a confirmation
+        that the members have already observed, and a single member that reports a long duration has no
+        effect.
         """
         received = [self.reports[name] for name in down]
         spans = sorted(
-            (now - one.received_at + (one.report.places[place].down_ms or 0) / 1e3 for one in received),
+            (now - last.received_at + (last.report.places[place].down_ms or 0) / 1e3 for last in received),
             reverse=True,
         )
         needed = max(self._quorum, -(-self.members // 3))
         return spans[needed - 1] if len(spans) >= needed else 0.0
 
     def start_counts(self, now: float, place: str) -> dict[str, tuple[int, ...]]:
-        """Return the counts of starts there, sent, succeeded and failed, by incarnation."""
-        return {one.incarnation: one.report.starts.get(place, (0, 0, 0)) for one in self.fresh(now)}
+        """Return by incarnation the numbers of starts in a place: sent, succeeded and failed."""
+        return {
+            received.incarnation: received.report.starts.get(place, (0, 0, 0))
+            for received in self.fresh_reports(now)
+        }
