--- a/weldhatch/zones/capacity.py
+++ b/weldhatch/zones/capacity.py
@@ -53,9 +53,9 @@
         if last and now - last[-1][0] < SAMPLE_INTERVAL_S:
             return
         larger = [
-            (at, sample)
-            for at, sample in self._samples.get(place, ())
-            if now - at <= PEAK_WINDOW_S and sample > cores
+            sample
+            for sample in self._samples.get(place, ())
+            if now - sample[0] <= PEAK_WINDOW_S and sample[1] > cores
         ]
         self._samples[place] = [*larger, (now, cores)]
 
@@ -98,7 +98,7 @@
 
 
 def shed_level(shed: Mapping[str, float]) -> float:
-    """Return the level of which `shed_by_class` returns these fractions."""
+    """Return the level for which `shed_by_class` returns these fractions."""
     return sum(shed.values())
 
 
--- a/weldhatch/zones/failover_member.py
+++ b/weldhatch/zones/failover_member.py
@@ -28,7 +28,7 @@
 from weldhatch.zones.state import NO_NEW_WORK, Phase, ZoneStates
 from weldhatch.zones.task_fences import TaskFences
 
-HEALTH_CHECK_INTERVAL_S = 0.25  # interval between health checks of a left or silent place
+HEALTH_CHECK_INTERVAL_S = 0.25  # of a place that is left or silent
 INITIAL_CHECKS_WHEN_SILENT = 3  # of a zone that has just gone silent: their time-outs serve as evidence
 STALL_S = 0.5  # after a longer gap between ticks this process was stalled; failures since then are discarded
 
--- a/weldhatch/zones/start_gate.py
+++ b/weldhatch/zones/start_gate.py
@@ -35,7 +35,7 @@
         """Use the given components, which the parts of a member share."""
         self.retry_budget = RetryBudget()
         self.silent_zones: frozenset[str] = frozenset()  # starts are withheld from these, as of the last tick
-        self.answering_since: dict[int, float] = {}  # by machine: first answer without an interruption since
+        self.answering_since: dict[int, float] = {}  # by machine: start of uninterrupted answers
         self._view = view
         self._observations = observations
         self._load = load
@@ -47,7 +47,7 @@
         """Return the state of a machine that the policy should use."""
         places = self._view.places_of(machine)
         phase, place = self._view.phase_of(places)
-        if phase in NO_NEW_WORK or self._is_held_back(now, places):
+        if phase in NO_NEW_WORK or self._is_withheld(now, places):
             return EffectiveState.DRAINING
         if (
             self._needs_quota(now, machine, phase, place)
@@ -67,7 +67,7 @@
             return f"{place} is {phase.value}"
         if attempt < 0:
             return ""
-        if self._is_held_back(now, places):
+        if self._is_withheld(now, places):
             return "its zone says nothing"
         if attempt and not self.retry_budget.try_retry(self._view.is_degraded()):
             return "the budget of second attempts is spent"
@@ -97,7 +97,7 @@
             and now - self.answering_since.get(machine, now) < self._view.settings.warm_up_us / 1e6
         )
 
-    def _is_held_back(self, now: float, places: tuple[str, ...]) -> bool:
+    def _is_withheld(self, now: float, places: tuple[str, ...]) -> bool:
         """Return whether starts are withheld because this dispatcher detects that the zone is silent."""
         return bool(places) and self._is_silent(now, places[0])
 
--- a/weldhatch/zones/start_quota.py
+++ b/weldhatch/zones/start_quota.py
@@ -155,7 +155,7 @@
 
     @property
     def epoch_length_s(self) -> float:
-        """Length of an epoch with at least one start per window and machine."""
+        """Length of an epoch if each machine accepts at least one start per window."""
         return (self._window_s + self._handout_s + self._span_s) * (1 + self._drift)
 
     def allocate(
--- a/weldhatch/zones/timeline.py
+++ b/weldhatch/zones/timeline.py
@@ -25,7 +25,7 @@
 
     def add_sample(self, now: float, zones: ZoneStates) -> None:
         """Add a sample every `SAMPLE_INTERVAL_S` while any place is not in service."""
-        all_serving = all(place.phase is Phase.SERVING for place in zones.entries.values())
+        all_serving = all(state.phase is Phase.SERVING for state in zones.entries.values())
         if now - self._last < SAMPLE_INTERVAL_S or all_serving:
             return
         self._last = now
@@ -38,7 +38,7 @@
         self.samples.append(
             {
                 "s": round(now - self._began, 2),
-                "phases": {name: [place.phase.value, place.step] for name, place in zones.entries.items()},
+                "phases": {name: [state.phase.value, state.step] for name, state in zones.entries.items()},
                 "starts": starts,
                 "shares": {name: quotas["shares"] for name, quotas in self._ledger.status(now).items()},
                 "refused": sum(report.rejected for report in fresh),
--- a/weldhatch/zones/witnesses.py
+++ b/weldhatch/zones/witnesses.py
@@ -56,8 +56,8 @@
     def witness_groups(self, now: float, place: str) -> WitnessGroups:
         """Return which members report a place down, up, or up from inside.
 
-        A member that is cut off itself is not a witness. A member whose zone is cut off is a witness for its
-        own zone only.
+        A member that is cut off itself is ignored. A member whose zone is cut off counts
+        for its own zone only.
         """
         down: list[str] = []
         up: list[str] = []
@@ -72,7 +72,7 @@
                 and received.report.health(zone_of(place)) not in UP
             ):
                 continue  # the whole zone may be down, which is decided separately
-            # Members inside a zone are no witnesses for it. For a rack, all members are witnesses.
+            # Members in a zone only count as inside. For a rack, all members are witnesses.
             is_inside = received.report.zone == zone_of(place) and not is_rack(place)
             if self._quorum == 1 or not is_inside:
                 if self._quorum > 1 and received.report.isolation == Isolation.ZONE:
