--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -1,10 +1,11 @@
-"""What the zones package decides, sends and prints, recorded before its code was made readable.
+"""Compares decisions, messages and output of the zones package with recorded ones (`data/pins_zones.json`).
 
-Each part is played from seeds in a process of its own with a fixed hash seed (some sets of names are walked
-in their order), and its digest is compared with `data/pins_zones.json`.
+Guards against unintended changes of behaviour or of encoded names. Each part runs with fixed random seeds in
+a separate process with a fixed hash seed, since the iteration order of some sets of names matters. The digest
+of its steps is compared with the recorded one.
 
-    python tests/test_pins_zones.py --record          # writes that file anew
-    python tests/test_pins_zones.py PART --log FILE   # writes what a part's digest is made of
+    python tests/test_pins_zones.py --record          # records the file again
+    python tests/test_pins_zones.py PART --log FILE   # writes the steps of a part to a file
 """
 
 import hashlib
@@ -82,15 +83,15 @@
 
 DATA = Path(__file__).parent / "data" / "pins_zones.json"
 ZONES = ("z0", "z1", "z2")
-LOOKS = ("fine", "gray", "down", "unsure")
-CUTS = ("", "cut off", "its zone is cut off")
+HEALTHS = ("fine", "gray", "down", "unsure")
+ISOLATIONS = ("", "cut off", "its zone is cut off")
 TENANTS = ("acme", "bolt", "cogs")
 
-# ---- what is called, by the names of today --------------------------------------------------------------
+# ---- calls of the package -------------------------------------------------------------------------------
 
 
 def report_text(member, now):
-    """A member's report, as it is sent."""
+    """Return a member's report as it is sent."""
     return member.report(now).to_json()
 
 
@@ -99,54 +100,54 @@
 
 
 def changes(leader, now, zones, settings, held):
-    """Commands that are due, as they are sent."""
-    return [one.to_tree() for one in leader.due_changes(now, zones, settings, held)]
+    """Return the due commands as they are sent."""
+    return [change.to_tree() for change in leader.due_changes(now, zones, settings, held)]
 
 
 def quota_trees(quotas):
-    """As they are sent."""
-    return [one.to_tree() for one in quotas]
+    """Return quotas as they are sent."""
+    return [quota.to_tree() for quota in quotas]
 
 
 def rejection(found):
     return None if found is None else [found.retry_after_s, found.reason]
 
 
-def plain(value):
-    """What can be written as JSON, in the order it has."""
+def json_value(value):
+    """Convert a value to JSON types; the order is kept, and sets are sorted."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, dict):
-        return {str(key): plain(one) for key, one in value.items()}
+        return {str(key): json_value(item) for key, item in value.items()}
     if isinstance(value, set | frozenset):
-        return sorted(map(plain, value))
+        return sorted(map(json_value, value))
     if isinstance(value, list | tuple):
-        return [plain(one) for one in value]
+        return [json_value(item) for item in value]
     return value
 
 
 def report_of_observations(observations, now, named):
-    """The part of a report that is observed, as it is sent."""
+    """Return the observations in a report as they are sent."""
     isolation, places = observations.isolation(now).value, observations.by_place(now, named)
     tree = ZoneReport(observations.own_zone, isolation, places).to_tree()
     return json.dumps({key: tree[key] for key in ("zone", "cut", "looks")}, separators=(",", ":"))
 
 
 class Record:
-    """All that a part came to, one line a step."""
+    """The steps of a part, one line each."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
 
-    def add(self, what: str, *values: object) -> None:
-        self.lines.append(json.dumps([what, *map(plain, values)]))
+    def add(self, label: str, *values: object) -> None:
+        self.lines.append(json.dumps([label, *map(json_value, values)]))
 
     def digest(self) -> str:
         return hashlib.sha256("\n".join(self.lines).encode()).hexdigest()
 
 
 def settings_of(zone=0):
-    """All effects, three tenants, and more than one kind."""
+    """Return settings with all effects, three tenants and two machine kinds."""
     classes = (
         RequestClass("lookup", 700_000, 1_500_000),
         RequestClass("import", 700_000, 1_500_000, Effect.KEYED, Scope.ALL, 3_000_000, 2.0),
@@ -159,7 +160,7 @@
         zone=zone,
         kinds=(MachineKind("std", 40.0, 40.0), MachineKind("big", 80.0, 80.0)),
         tenants=tuple(
-            Tenant(name, 0.0, 0.0, part) for name, part in zip(TENANTS, (2.0, 1.0, 1.0), strict=True)
+            Tenant(name, 0.0, 0.0, portion) for name, portion in zip(TENANTS, (2.0, 1.0, 1.0), strict=True)
         ),
     )
 
@@ -174,23 +175,23 @@
 def observations(record):
     for seed in range(4):
         random, now = Random(seed), 0.0
-        sight = Observations(ZONES[: 2 + seed % 2], "z0")
+        observed = Observations(ZONES[: 2 + seed % 2], "z0")
         for _ in range(700):
             now += random.expovariate(12.0)
             n = random.randrange(36)
             draw = random.random()
             if draw < 0.12:
-                zone = random.choice(sight.zones)
-                sight.machine_listed(n, zone, f"{zone}/{random.randrange(3)}")
+                zone = random.choice(observed.zones)
+                observed.machine_listed(n, zone, f"{zone}/{random.randrange(3)}")
             elif draw < 0.15:
-                sight.machine_removed(n)
+                observed.machine_removed(n)
             elif draw < 0.16:
-                sight.discard_failures(now - random.random())
+                observed.discard_failures(now - random.random())
             elif draw < 0.17:
-                sight.set_zones(ZONES)
+                observed.set_zones(ZONES)
             else:
                 bad = int(now / 4.0) % 3 == n % 3
-                sight.add_result(
+                observed.add_result(
                     now, n, random.choice(list(ExchangeResult)[1:]) if bad else ExchangeResult.ANSWER
                 )
             named = [f"z{random.randrange(4)}/{random.randrange(4)}", "z1"]
@@ -198,36 +199,41 @@
                 "counts",
                 {
                     p: [c.listed, c.answering, c.failing, c.known, c.has_enough_results, c.fails, c.health()]
-                    for p, c in sight.counts(now).items()
+                    for p, c in observed.counts(now).items()
                 },
             )
             record.add(
-                "report", now, sight.isolation(now), [sight.has_single_rack(zone) for zone in sight.zones]
+                "report",
+                now,
+                observed.isolation(now),
+                [observed.has_single_rack(zone) for zone in observed.zones],
             )
-            record.add("sent", report_of_observations(sight, now, named))
+            record.add("sent", report_of_observations(observed, now, named))
 
 
 def silence(record):
     for seed in range(4):
         random, now = Random(seed), 0.0
-        hush = SilenceDetector(lambda machine: str(machine // 3 % 2))
-        late = 0.02 * 4**seed
-        owed = []
+        detector = SilenceDetector(lambda machine: str(machine // 3 % 2))
+        response_s = 0.02 * 4**seed
+        pending = []
         for _ in range(4000):
             now += random.expovariate(60.0)
             n = random.randrange(30)
-            mute = int(now / 5.0) % 4 == n % 3
-            hush.request_sent(now, ZONES[n % 3], n)
-            if not mute:
-                owed.append((now + late * random.uniform(0.5, 1.5), n))
+            is_silent = int(now / 5.0) % 4 == n % 3
+            detector.request_sent(now, ZONES[n % 3], n)
+            if not is_silent:
+                pending.append((now + response_s * random.uniform(0.5, 1.5), n))
             elif random.random() < 0.05:
-                hush.exchange_ended(ZONES[n % 3], n)
-            for at, one in [one for one in owed if one[0] <= now]:
-                hush.answer_received(at, ZONES[one % 3], one)
-            owed = [one for one in owed if one[0] > now]
+                detector.exchange_ended(ZONES[n % 3], n)
+            for at, machine in [answer for answer in pending if answer[0] <= now]:
+                detector.answer_received(at, ZONES[machine % 3], machine)
+            pending = [answer for answer in pending if answer[0] > now]
             if random.random() < 0.003:
-                hush.restart_waits(now)
-            record.add("silent", now, [hush.is_silent(now, zone, random.random() < 0.2) for zone in ZONES])
+                detector.restart_waits(now)
+            record.add(
+                "silent", now, [detector.is_silent(now, zone, random.random() < 0.2) for zone in ZONES]
+            )
 
 
 def quotas(record):
@@ -235,7 +241,7 @@
         random, now = Random(seed), 0.0
         members = {n: QuotaLease(0.02) for n in range(7)}
         ledger = QuotaLedger(0.0, "l0", 1.0, 0.5, 0.02)
-        pace = (0.5, 1.5, 4.0, 9.0, 30.0, 0.0)[seed]
+        starts_per_window = (0.5, 1.5, 4.0, 9.0, 30.0, 0.0)[seed]
         for step in range(2500):
             now += random.random() * 0.03
             if random.random() < 0.003:
@@ -243,14 +249,14 @@
             if random.random() < 0.003:
                 ledger.set_window(random.choice((0.5, 1.0, 2.0)))
             n, place = random.randrange(7), random.choice(("z1", "z2/1"))
-            share = ledger.allocate(
-                now, place, f"d{n}", pace, [f"d{k}" for k in range(random.randrange(1, 8))]
+            quota = ledger.allocate(
+                now, place, f"d{n}", starts_per_window, [f"d{k}" for k in range(random.randrange(1, 8))]
             )
-            if share is not None:
+            if quota is not None:
                 record.add(
-                    "share", now, quota_trees([share]), [starts_allowed(share, f"m{k}") for k in range(9)]
+                    "share", now, quota_trees([quota]), [starts_allowed(quota, f"m{k}") for k in range(9)]
                 )
-                record.add("taken", members[n].accept(share, now - random.random() * 0.1))
+                record.add("taken", members[n].accept(quota, now - random.random() * 0.1))
             n, uid = random.randrange(7), f"m{random.randrange(9)}"
             record.add(
                 "spend",
@@ -279,7 +285,7 @@
         )
         record.add("parts", load_shedding.shed_by_tenant(random.random(), rates, {"acme": 2.0}))
         need = capacity.CapacityNeed(random.uniform(0, 80), random.uniform(0, 80))
-        by_class = {one.name: random.uniform(0, 30) for one in settings.classes if random.random() < 0.8}
+        by_class = {cls.name: random.uniform(0, 30) for cls in settings.classes if random.random() < 0.8}
         level = capacity.initial_shed_level(need, by_class, settings.classes)
         shed = capacity.shed_by_class(level, settings.classes)
         size = random.uniform(0, 90)
@@ -293,42 +299,42 @@
         )
     for seed in range(4):
         random, now = Random(seed), 0.0
-        attempts, ramp, rates = RetryBudget(), MigrationRamp(), StartRates()
-        tally, carried = LoadAccounting(), capacity.PeakLoad()
+        budget, ramp, rates = RetryBudget(), MigrationRamp(), StartRates()
+        accounting, peaks = LoadAccounting(), capacity.PeakLoad()
         for step in range(900):
             now += random.expovariate(20.0)
             place = random.choice(ZONES)
             rates.add(now, place)
             if random.random() < 0.01:
                 ramp.begin(now, rates.rate(now, "z0"), rates.rate(now, "z1"))
-            attempts.add_first_attempt()
+            budget.add_first_attempt()
             record.add(
                 "budget",
                 now,
-                attempts.try_retry(random.random() < 0.7),
+                budget.try_retry(random.random() < 0.7),
                 ramp.retry_after_s(now, random.random()),
                 ramp.rate(now),
                 rates.rate(now, place),
             )
-            tally.request_arrived(
+            accounting.request_arrived(
                 now, RequestArrived(step, step % 3, 0, 1, random.random() * 3, 1.0, step + 7, step % 2)
             )
             if random.random() < 0.7:
-                tally.task_placed(step - random.randrange(9), random.randrange(12))
+                accounting.task_placed(step - random.randrange(9), random.randrange(12))
             if random.random() < 0.6:
-                one = tally.task_ended(step - random.randrange(30))
-                record.add("ended", one and [one.class_index, one.cores, one.key, one.machine])
+                task = accounting.task_ended(step - random.randrange(30))
+                record.add("ended", task and [task.class_index, task.cores, task.key, task.machine])
             if random.random() < 0.2:
-                tally.request_closed(step - random.randrange(30))
-            carried.add_sample(now, place, random.uniform(0, 50))
-            asked = tally.pending(step - 3)
+                accounting.request_closed(step - random.randrange(30))
+            peaks.add_sample(now, place, random.uniform(0, 50))
+            request = accounting.pending(step - 3)
             record.add(
                 "tally",
-                {str(k): v for k, v in tally.work_rates(now).items()},
-                tally.cores_on,
-                tally.requests_on,
-                asked and [asked.class_index, asked.cores, asked.key],
-                carried.peak(now, place),
+                {str(k): v for k, v in accounting.work_rates(now).items()},
+                accounting.cores_on,
+                accounting.requests_on,
+                request and [request.class_index, request.cores, request.key],
+                peaks.peak(now, place),
             )
 
 
@@ -340,7 +346,7 @@
             last = zones.place(place)
             draw = random.random()
             if draw < 0.85:
-                told = {
+                command = {
                     "place": place,
                     "phase": random.choice(list(Phase)).value,
                     "number": last.number - (random.random() < 0.05),
@@ -358,8 +364,8 @@
                     ("witnesses", [f"d{n}" for n in range(random.randrange(20))]),
                 ):
                     if random.random() < 0.5:
-                        told[key] = value
-                record.add("take", zones.apply(index, told, ZONES))
+                        command[key] = value
+                record.add("take", zones.apply(index, command, ZONES))
             elif draw < 0.92:
                 record.add(
                     "hold",
@@ -380,10 +386,10 @@
 
 
 def change_of(random, zones, index):
-    """A change that can follow, of a random place."""
+    """Apply a valid change of a random place."""
     place = random.choice((*ZONES, "z1/2", "z0/0"))
     last = zones.place(place)
-    nexts = {
+    next_phases = {
         "serving": "suspected",
         "suspected": random.choice(("leaving", "serving")),
         "leaving": "left",
@@ -395,7 +401,7 @@
         index,
         {
             "place": place,
-            "phase": nexts[last.phase.value],
+            "phase": next_phases[last.phase.value],
             "number": last.number,
             "step": random.randrange(1, 5),
             "inside": random.random() < 0.4,
@@ -407,7 +413,7 @@
 
 
 def member(record):
-    """Every kind of event, with all outcomes, at one dispatcher; what it answers to every question."""
+    """One dispatcher: all kinds of events with all outcomes, and the results of all queries."""
     outcomes = list(Outcome)
     for seed in range(6):
         random, now = Random(seed), 0.0
@@ -415,8 +421,8 @@
         one = FailoverMember(
             settings, 0.02, Random(seed + 50), lambda machine: f"m{machine}", fences=seed != 5
         )
-        heard = one.handle_event
-        heard(now, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(36))))
+        handle = one.handle_event
+        handle(now, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(36))))
         zones, index, serial = ZoneStates(), 0, 0
         for step in range(1500):
             now += random.expovariate(40.0)
@@ -428,7 +434,7 @@
             draw = random.random()
             if draw < 0.3:
                 serial += 1
-                heard(
+                handle(
                     now,
                     RequestArrived(
                         serial,
@@ -442,26 +448,26 @@
                     ),
                 )
             elif draw < 0.4:
-                heard(now, Placed(request, 0, n, 0))
+                handle(now, Placed(request, 0, n, 0))
             elif draw < 0.43:
                 serial += 1
-                heard(now, TaskAdopted(serial, serial % 3, 1, 1.0, 1.0, n, serial))
+                handle(now, TaskAdopted(serial, serial % 3, 1, 1.0, 1.0, n, serial))
             elif draw < 0.46:
-                heard(now, Note(request, 0, n, 1, 0.5))
+                handle(now, Note(request, 0, n, 1, 0.5))
             elif draw < 0.6:
-                heard(now, ProbeAnswered(n, outcome))
+                handle(now, ProbeAnswered(n, outcome))
             elif draw < 0.8:
-                heard(now, AttemptEnded(request, 0, n, outcome, 0, reason, random.random() < 0.6))
+                handle(now, AttemptEnded(request, 0, n, outcome, 0, reason, random.random() < 0.6))
             elif draw < 0.82:
-                heard(now, RequestAbandoned(request))
+                handle(now, RequestAbandoned(request))
             elif draw < 0.83:
                 form = random.choice(list(ListForm))
                 states = [random.choice(list(MachineState)) for _ in range(36)]
                 few = random.sample(range(36), 4)
-                for k in range(36):  # one that is gone while it owes an answer is another matter
+                for k in range(36):  # a removed machine must not have a pending answer
                     if states[k] is MachineState.REMOVED or k not in few:
-                        heard(now, AttemptEnded(0, 0, k, Outcome.CANCELLED))
-                heard(
+                        handle(now, AttemptEnded(0, 0, k, Outcome.CANCELLED))
+                handle(
                     now,
                     MachinesChanged(
                         form,
@@ -475,7 +481,7 @@
             elif draw < 0.84:
                 one.connection_lost(n)
             elif draw < 0.841:
-                now += 1.0  # it was stopped
+                now += 1.0  # the process was stopped
             elif draw < 0.86:
                 index += 1
                 change_of(random, zones, index)
@@ -485,10 +491,10 @@
                 one.update_settings(settings)
             elif draw < 0.88:
                 place = random.choice(("z1", "z0", "z1/2"))
-                share = StartQuota(
+                quota = StartQuota(
                     place, f"e{step}", step, random.randrange(3), 3, random.randrange(1, 9), 0.5
                 )
-                record.add("take", one.receive_quotas([share], now - 0.01))
+                record.add("take", one.receive_quotas([quota], now - 0.01))
             else:
                 for _ in range(random.choice((1, 1, 1, 8))):
                     record.add("stops", n, one.start_refusal(now, n, random.choice((-1, 0, 1, 1))))
@@ -506,23 +512,23 @@
 
 
 def report_of(random, now, n, truth, sums):
-    """One dispatcher's report on a world in which `truth` holds, with noise; `sums` counts its starts."""
-    looks = {}
+    """Return a dispatcher's report on places with health `truth`, with noise; `sums` counts its starts."""
+    observations_by_place = {}
     for place in (*ZONES, "z1/2"):
-        look = truth[place] if random.random() < 0.985 else random.choice(LOOKS)
-        looks[place] = [look, random.randrange(9), random.randrange(9), 12]
-        if look == "down":
-            looks[place].append(random.randrange(900))
+        health = truth[place] if random.random() < 0.985 else random.choice(HEALTHS)
+        observations_by_place[place] = [health, random.randrange(9), random.randrange(9), 12]
+        if health == "down":
+            observations_by_place[place].append(random.randrange(900))
     for place in ("z0", "z1", "z1/2"):
-        row = sums.setdefault((n, place), [0, 0, 0])
-        row[0] += 2
-        row[1] += 2 * (truth[place] != "down")
-        row[2] += truth[place] == "down" or random.random() < 0.06
+        counts = sums.setdefault((n, place), [0, 0, 0])
+        counts[0] += 2
+        counts[1] += 2 * (truth[place] != "down")
+        counts[2] += truth[place] == "down" or random.random() < 0.06
     return json.dumps(
         {
             "zone": f"z{n % 3}",
-            "cut": random.choice(CUTS) if random.random() < 0.04 else "",
-            "looks": looks,
+            "cut": random.choice(ISOLATIONS) if random.random() < 0.04 else "",
+            "looks": observations_by_place,
             "stands": {zone: round(random.uniform(0, 40), 1) for zone in ZONES},
             "rates": {"lookup": round(random.uniform(0, 9), 1), "import": 2.0, "writer": 1.0},
             "size": {zone: 160.0 for zone in ZONES if random.random() < 0.95},
@@ -535,43 +541,45 @@
 
 def leader(record):
     settings = settings_of()
-    words = ("leave", "return", "hold", "release", "other")
+    actions = ("leave", "return", "hold", "release", "other")
     for seed in range(6):
         random, now, zones = Random(seed), 0.0, ZoneStates()
-        times = FailoverTiming(quorum=1) if seed == 5 else FailoverTiming(served=20.0)
-        one = FailoverLeader(0.0, "l0.1", times, 1.0, 0.5, 0.02)
-        truth, sums, bearers = dict.fromkeys((*ZONES, "z1/2"), "fine"), {}, range(8)
+        timing = FailoverTiming(quorum=1) if seed == 5 else FailoverTiming(served=20.0)
+        one = FailoverLeader(0.0, "l0.1", timing, 1.0, 0.5, 0.02)
+        truth, sums, reporters = dict.fromkeys((*ZONES, "z1/2"), "fine"), {}, range(8)
         for step in range(1000):
             now += 0.05
             if random.random() < 0.02:
                 place = random.choice(list(truth))
-                truth[place] = random.choice(("down", "down", *LOOKS)) if truth[place] == "fine" else "fine"
+                truth[place] = random.choice(("down", "down", *HEALTHS)) if truth[place] == "fine" else "fine"
                 if place == "z1":
                     truth["z1/2"] = truth["z1"]
             if random.random() < 0.004:
-                one = FailoverLeader(now, f"l{step}.1", times, 1.0, 0.5, 0.02)
+                one = FailoverLeader(now, f"l{step}.1", timing, 1.0, 0.5, 0.02)
             if random.random() < 0.01:
-                bearers = random.sample(range(8), random.randrange(4, 9))
-            for n in bearers:
+                reporters = random.sample(range(8), random.randrange(4, 9))
+            for n in reporters:
                 if random.random() < 0.3:
                     receive(one, now, f"d{n}", f"d{n}.1.t", report_of(random, now, n, truth, sums))
-                    got = one.quotas_for(now, f"d{n}.1.t", zones, settings)
-                    if got:
-                        record.add("shares", quota_trees(got))
+                    quotas = one.quotas_for(now, f"d{n}.1.t", zones, settings)
+                    if quotas:
+                        record.add("shares", quota_trees(quotas))
             one.set_members({f"d{n}" for n in range(8)} if step % 100 else {f"d{n}" for n in range(6)})
-            wait = random.random() < 0.2
-            for command in changes(one, now, zones, settings, lambda index, wait=wait: not wait):
+            is_pending = random.random() < 0.2
+            for command in changes(
+                one, now, zones, settings, lambda index, is_pending=is_pending: not is_pending
+            ):
                 record.add("command", command, zones.apply(zones.number + 1, command, ZONES))
             if random.random() < 0.02:
-                told = {
+                request = {
                     "id": f"o{step}",
                     "place": random.choice((*ZONES, "z1/2", "z7")),
                     "why": "power",
-                    "word": random.choice(words),
+                    "word": random.choice(actions),
                     "despite": random.random() < 0.7,
                     "at": step,
                 }
-                command = one.operator_command(now, told, zones, settings)
+                command = one.operator_command(now, request, zones, settings)
                 record.add("operator", command)
                 if command.get("do") == "zone":
                     record.add("done", zones.apply(zones.number + 1, command, ZONES))
@@ -592,17 +600,17 @@
 
 
 class RecordedRealm(Realm):
-    """Writes down what each dispatcher sends, holds, probes and starts, and what the leader answers."""
+    """Records what each dispatcher sends, applies, checks and starts, and the responses of the leader."""
 
     record: Record
 
-    def _asked(self, n, told, sent, held):
-        self.record.add("report", n, self.now, told, held)
-        super()._asked(n, told, sent, held)
+    def _asked(self, n, report, sent, applied):
+        self.record.add("report", n, self.now, report, applied)
+        super()._asked(n, report, sent, applied)
 
-    def _answered(self, n, shares, sent, state):
-        self.record.add("answer", n, self.now, quota_trees(shares), state)
-        super()._answered(n, shares, sent, state)
+    def _answered(self, n, quotas, sent, state):
+        self.record.add("answer", n, self.now, quota_trees(quotas), state)
+        super()._answered(n, quotas, sent, state)
 
     def _exchange(self, n, machine, request=0):
         self.record.add("exchange", n, self.now, machine, request)
@@ -654,35 +662,35 @@
             now += 0.025
             down = () if now < 3.0 or 7.0 < now < 21.0 else (1,)
             machine = step % 30
-            state, stopped = (
+            state, refusal = (
                 one.member.effective_state(now, machine),
                 one.member.start_refusal(now, machine, step % 2),
             )
-            record.add("may", state, stopped)
-            asked = [machine] if state == "ready" and not stopped else []
-            probes, changed = one.tick(now)
-            for n in [*asked, *probes]:
+            record.add("may", state, refusal)
+            started = [machine] if state == "ready" and not refusal else []
+            checks, changed = one.tick(now)
+            for n in [*started, *checks]:
                 outcome = Outcome.TIMEOUT if n % 3 in down else Outcome.OK
                 one.member.handle_event(now, ProbeAnswered(n, outcome))
             record.add(
                 "tick",
-                probes,
+                checks,
                 changed,
-                [[c.place, c.phase, c.step or 0, c.reason] for c in one.changes],
+                [[change.place, change.phase, change.step or 0, change.reason] for change in one.changes],
             )
             one.changes.clear()
             if changed:
-                news = overlay.changes(
+                machines = overlay.changes(
                     range(30), lambda entry, one=one, now=now: one.member.effective_state(now, entry.id)
                 )
-                record.add("news", [[entry.id, entry.state] for entry in news])
+                record.add("news", [[entry.id, entry.state] for entry in machines])
         record.add("state", one.zones.to_tree())
 
 
 def messages(record):
-    """What crosses between a member and the leader, byte by byte."""
+    """The encoded messages between members and the leader."""
     settings, zones, group, now = settings_of(), ZoneStates(), StateMachine(), 0.0
-    zoning = ZoneLeader(
+    zone_leader = ZoneLeader(
         0.0,
         "g0",
         3,
@@ -712,37 +720,39 @@
             for _ in range(4):
                 serial += 1
                 machine = (serial * 7) % 36
-                gone = machine % 3 == 1 and 1.0 < now < 4.0
+                is_down = machine % 3 == 1 and 1.0 < now < 4.0
                 one.handle_event(now, RequestArrived(serial, serial % 3, 0, 1, 1.0, 1.0, serial, serial % 3))
                 if not one.start_refusal(now, machine, 0):
-                    if gone:
+                    if is_down:
                         one.handle_event(
                             now,
                             AttemptEnded(serial, 0, machine, Outcome.CONNECT_FAILED, closed=True),
                         )
                     else:
                         one.handle_event(now, Placed(serial, 0, machine, 0))
-                for probed in one.tick(now):
-                    silent = probed % 3 == 1 and 1.0 < now < 4.0
+                for checked in one.tick(now):
+                    silent = checked % 3 == 1 and 1.0 < now < 4.0
                     one.handle_event(
                         now,
-                        ProbeAnswered(probed, Outcome.TIMEOUT if silent else Outcome.OK),
+                        ProbeAnswered(checked, Outcome.TIMEOUT if silent else Outcome.OK),
                     )
             if step % 4 == n % 4:
-                ask = LeaseRequest(
+                request = LeaseRequest(
                     7, f"d{n}", 1, "t", now, group.index, "x", zone_report=report_text(one, now)
                 )
-                zoning.receive_report(now, group, ask)
-                shares = zoning.start_quotas(now, group, ask)
-                learn = LeaseResponse(7, now, True, "", "", 0, (), "", group.index, "x", start_quotas=shares)
-                for word in (ask, learn):
-                    stream, data = codec.encode(word)
+                zone_leader.receive_report(now, group, request)
+                quotas = zone_leader.start_quotas(now, group, request)
+                response = LeaseResponse(
+                    7, now, True, "", "", 0, (), "", group.index, "x", start_quotas=quotas
+                )
+                for message in (request, response):
+                    stream, data = codec.encode(message)
                     record.add("word", stream, data.hex())
-        for command in zoning.due_commands(now, group):
+        for command in zone_leader.due_commands(now, group):
             record.add("command", json.dumps(command), group.apply(group.index + 1, json.dumps(command)))
             for one in members:
                 one.apply_agreed_state(now, zones)
-    record.add("status", json.dumps(zoning.status(now, group)))
+    record.add("status", json.dumps(zone_leader.status(now, group)))
     record.add("group", group.snapshot())
 
 
@@ -761,13 +771,13 @@
 } | {f"simulation {name}": simulation(name, *((1, 7) if name == "mixed" else (2,))) for name in SCENARIOS}
 
 
-def played(name: str) -> Record:
+def record_of(name: str) -> Record:
     record = Record()
     PARTS[name](record)
     return record
 
 
-def in_a_process(*arguments: str) -> str:
+def run_in_process(*arguments: str) -> str:
     return subprocess.run(
         [sys.executable, __file__, *arguments],
         text=True,
@@ -778,15 +788,15 @@
 
 
 @pytest.mark.parametrize("name", PARTS)
-def test_it_decides_and_sends_what_it_did(name):
-    assert json.loads(in_a_process(name)) == json.loads(DATA.read_text())["digests"][name]
+def test_decisions_and_messages_match_the_recorded_digest(name):
+    assert json.loads(run_in_process(name)) == json.loads(DATA.read_text())["digests"][name]
 
 
-# ---- what is kept in clear: encoded names ---------------------------------------------------------------
+# ---- encoded names --------------------------------------------------------------------------------------
 
 
 def samples() -> dict:
-    """One of each form that leaves the package, with the names that are written."""
+    """Return one sample of each encoded form that leaves the package."""
     one = FailoverMember(settings_of(), 0.02, Random(1), str)
     one.handle_event(0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(36))))
     for serial in range(1, 37):
@@ -817,10 +827,10 @@
         "quotas": [quota_trees(leader.quotas_for(1.8, f"d{n}.1.t", zones, settings_of())) for n in range(3)],
         "commands": commands,
         "operator": {
-            word: leader.operator_command(
-                1.7, {"id": "o", "place": place, "word": word, "why": "w", "at": 9}, zones, settings_of()
+            action: leader.operator_command(
+                1.7, {"id": "o", "place": place, "word": action, "why": "w", "at": 9}, zones, settings_of()
             )
-            for word, place in (
+            for action, place in (
                 ("leave", "z1"),
                 ("hold", "z1"),
                 ("release", "z0"),
@@ -833,16 +843,22 @@
     }
 
 
-def test_encoded_names_are_what_they_were():
-    assert json.loads(in_a_process("--samples")) == json.loads(DATA.read_text())["samples"]
+def test_encoded_names_match_the_recorded_samples():
+    assert json.loads(run_in_process("--samples")) == json.loads(DATA.read_text())["samples"]
 
 
 @pytest.mark.parametrize("command", ("status", "history"))
-def test_the_command_line_prints_the_names_that_it_did(command):
-    kept = json.loads(DATA.read_text())["samples"]
-    page = {**kept["state"], "fenced": 0, "name": "g0", "footing": "lease", "seen_by_leader": kept["status"]}
+def test_the_command_line_prints_the_recorded_names(command):
+    recorded = json.loads(DATA.read_text())["samples"]
+    status = {
+        **recorded["state"],
+        "fenced": 0,
+        "name": "g0",
+        "footing": "lease",
+        "seen_by_leader": recorded["status"],
+    }
     with (
-        mock.patch.object(cli_zones, "control_address", lambda *_: SimpleNamespace(call=lambda *_: page)),
+        mock.patch.object(cli_zones, "control_address", lambda *_: SimpleNamespace(call=lambda *_: status)),
         tempfile.NamedTemporaryFile("w", suffix=".json") as file,
     ):
         as_json = CliRunner().invoke(
@@ -851,22 +867,22 @@
         as_text = CliRunner().invoke(
             root, ["zones", command, "--pullqueue", file.name], standalone_mode=False
         )
-    assert json.loads(as_json.stdout) == (page if command == "status" else {"history": page["history"]})
+    assert json.loads(as_json.stdout) == (status if command == "status" else {"history": status["history"]})
     assert [as_json.return_value, as_text.return_value] == [1 if command == "status" else None] * 2
-    for word in ("z0", "returning", "1/4"):
-        assert word in as_text.stdout
+    for text in ("z0", "returning", "1/4"):
+        assert text in as_text.stdout
 
 
 def main(arguments: list[str]) -> None:
     if arguments[0] == "--record":
-        digests = {name: json.loads(in_a_process(name)) for name in PARTS}
-        kept = {"digests": digests, "samples": json.loads(in_a_process("--samples"))}
-        DATA.write_text(json.dumps(kept, indent=1) + "\n")
+        digests = {name: json.loads(run_in_process(name)) for name in PARTS}
+        recorded = {"digests": digests, "samples": json.loads(run_in_process("--samples"))}
+        DATA.write_text(json.dumps(recorded, indent=1) + "\n")
         return
     if arguments[0] == "--samples":
         print(json.dumps(samples()))
         return
-    record = played(arguments[0])
+    record = record_of(arguments[0])
     if arguments[1:2] == ["--log"]:
         Path(arguments[2]).write_text("\n".join(record.lines) + "\n")
     print(json.dumps([len(record.lines), record.digest()]))
--- a/tests/test_standalone_zones.py
+++ b/tests/test_standalone_zones.py
@@ -1,4 +1,4 @@
-"""One dispatcher that shares nothing leaves a zone that fails by its own evidence, and returns to it."""
+"""Zone failover of a dispatcher without a group: it decides by its own observations."""
 
 import asyncio
 import contextlib
@@ -25,8 +25,8 @@
 from weldhatch.zones.state import Phase
 
 
-class Pure(unittest.TestCase):
-    """On a virtual clock: ten machines in each of three zones, one start each 20 ms."""
+class StandaloneDecisions(unittest.TestCase):
+    """With a virtual clock, ten machines in each of three zones, and one start every 20 ms."""
 
     def run_until(self, standalone, now, end, down=()):
         member = standalone.member
@@ -40,13 +40,13 @@
                 self.starts.append((now, machine))
                 outcome = Outcome.TIMEOUT if machine % 3 in down else Outcome.OK
                 member.handle_event(now, ProbeAnswered(machine, outcome))
-            probes, _ = standalone.tick(now)
-            for machine in probes:
+            checks, _ = standalone.tick(now)
+            for machine in checks:
                 outcome = Outcome.TIMEOUT if machine % 3 in down else Outcome.OK
                 member.handle_event(now, ProbeAnswered(machine, outcome))
         return now
 
-    def test_it_leaves_by_its_own_evidence_and_takes_its_part_of_a_return(self):
+    def test_a_failed_zone_is_left_by_own_observations_and_a_return_gets_a_fraction_of_the_starts(self):
         self.starts = []
         standalone = StandaloneFailover(zone_settings(3, 6, 12.0), FailoverTiming(), Random(1), 0.0)
         standalone.member.handle_event(
@@ -57,18 +57,18 @@
         now = self.run_until(standalone, now, 6.0, down=(1,))
         self.assertIs(standalone.zones.place("z1").phase, Phase.LEFT)
         self.assertEqual([machine for at, machine in self.starts if at > 5.0 and machine % 3 == 1], [])
-        back = now = self.run_until(standalone, now, 9.0)
+        recovered_at = now = self.run_until(standalone, now, 9.0)
         self.assertIs(standalone.zones.place("z1").phase, Phase.RETURNING)
         now = self.run_until(standalone, now, 11.0)
-        mine = [machine for at, machine in self.starts if back < at and machine % 3 == 1]
-        # Six of its kind and a quarter of 12 starts a machine: half a start each, for ten machines.
-        self.assertTrue(0 < len(mine) <= 10, mine)
+        returning = [machine for at, machine in self.starts if recovered_at < at and machine % 3 == 1]
+        # Six dispatchers and a quarter of 12 starts for each machine: half a start each on ten machines.
+        self.assertTrue(0 < len(returning) <= 10, returning)
         self.run_until(standalone, now, 40.0)
         self.assertIs(standalone.zones.place("z1").phase, Phase.SERVING)
 
 
-class Front(Scenario):
-    servers = 6  # s1 to s3 in the east, s4 to s6 in the west
+class GatewayWithStandaloneZones(Scenario):
+    servers = 6  # s1 to s3 in zone east, s4 to s6 in zone west
 
     async def start(self):
         zones = StandaloneZones(FailoverTiming(quorum=1), self.logged.append)
@@ -90,68 +90,70 @@
         )
 
     def target(self, name, state="ready"):
-        told = super().target(name, state)
-        return {**told, "az": "west" if int(name[1:]) > 3 else "east", "pod_group": int(name[1:]) % 2}
+        target = super().target(name, state)
+        return {**target, "az": "west" if int(name[1:]) > 3 else "east", "pod_group": int(name[1:]) % 2}
 
-    async def test_a_zone_whose_servers_refuse_is_left_and_comes_back(self):
+    async def test_a_zone_whose_servers_refuse_connections_is_left_and_returns(self):
         owner = self.parties["owner"] = Owner()
         await owner.open(self.gateway.listener.address)
-        asked = 0
+        requests = 0
 
-        async def ask():
-            nonlocal asked
+        async def send_requests():
+            nonlocal requests
             while True:
-                asked += 1
+                requests += 1
                 owner.send(
                     "START",
-                    f"t{asked:06d}",
+                    f"t{requests:06d}",
                     {
-                        "key": f"{asked:x}",
+                        "key": f"{requests:x}",
                         "left": "1500",
-                        "extras": f"cores:1;memory:2;service:{asked % 30:016x}",
+                        "extras": f"cores:1;memory:2;service:{requests % 30:016x}",
                     },
                     "v=0",
                 )
                 await asyncio.sleep(0.02)
 
-        task = asyncio.create_task(ask())
+        task = asyncio.create_task(send_requests())
         try:
             for name in ("s4", "s5", "s6"):
                 party = self.parties[name]
                 party.server.close()
                 party.reset()
-            await until(lambda: any("west is leaving" in text for text in self.logged), LONG, "it is left")
+            await until(lambda: any("west is leaving" in text for text in self.logged), LONG, "west is left")
             await until(
                 lambda: all(
-                    node.entry.state is not MachineState.READY  # in the module's next batch
+                    node.entry.state is not MachineState.READY  # with the next batch of events to the policy
                     for node in self.gateway.driver._policy._cluster.machines.values()
                     if node.entry.zone == 1
                 ),
                 LONG,
-                "the module avoids it",
+                "the policy avoids west",
             )
             for name in ("s4", "s5", "s6"):
                 await self.parties[name].listen(self.parties[name].endpoint)
-            await until(lambda: any("west is returning" in text for text in self.logged), LONG, "it returns")
+            await until(
+                lambda: any("west is returning" in text for text in self.logged), LONG, "west returns"
+            )
         finally:
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await task
 
 
-class Program(unittest.TestCase):
-    def test_a_faulty_key_ends_the_program_with_one_line(self):
-        with tempfile.TemporaryDirectory() as folder:
-            path = Path(folder) / "queue.json"
+class CommandLine(unittest.TestCase):
+    def test_an_invalid_zone_setting_ends_the_program_with_one_line(self):
+        with tempfile.TemporaryDirectory() as directory:
+            path = Path(directory) / "queue.json"
             path.write_text(
                 json.dumps({"enabled": False, "zones": {"alone": True, "stay": "long"}, "settings": SETTINGS})
             )
-            out = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "weldhatch", "--pullqueue", str(path)],
                 text=True,
                 capture_output=True,
                 env={**os.environ, "PROXY_CONFIG": "none"},
                 check=False,
             )
-        self.assertEqual((out.returncode, out.stderr.count("\n")), (2, 1))
-        self.assertIn("zones.stay", out.stderr)
+        self.assertEqual((completed.returncode, completed.stderr.count("\n")), (2, 1))
+        self.assertIn("zones.stay", completed.stderr)
