--- a/tests/test_failover_leader.py
+++ b/tests/test_failover_leader.py
@@ -18,12 +18,12 @@
 from weldhatch.zones.state import Phase, ZoneStates
 
 ZONES = ("z0", "z1", "z2")
-SETTINGS, EIGHT = zone_settings(3, 8), tuple(range(8))
+SETTINGS, EIGHT_MEMBERS = zone_settings(3, 8), tuple(range(8))
 
 
-def change(zones, place, phase, index=1, **more):
+def change(zones, place, phase, index=1, **fields):
     number = zones.place(place).number
-    return zones.apply(index, {"place": place, "phase": phase, "number": number, **more}, ZONES)
+    return zones.apply(index, {"place": place, "phase": phase, "number": number, **fields}, ZONES)
 
 
 class AgreedState(unittest.TestCase):
@@ -64,11 +64,11 @@
         self.assertEqual(zones.fenced, {})
 
 
-def encoded_report(zone, health_by_place, cut="", **more):
+def encoded_report(zone, health_by_place, cut="", **fields):
     return {
         "zone": zone,
         "cut": cut,
-        **more,
+        **fields,
         "looks": {place: [health, 3, 3, 10] for place, health in health_by_place.items()},
     }
 
@@ -80,7 +80,7 @@
         self.leader = FailoverLeader(0.0, "l", FailoverTiming(), 1.0, 0.5, 0.02)
         self.zones, self.now, self.applied_by_all = ZoneStates(), 0.0, True
 
-    def run_for(self, seconds, health_by_place, members=EIGHT, zone_cut=(), **more):
+    def run_for(self, seconds, health_by_place, members=EIGHT_MEMBERS, zone_cut=(), **fields):
         """Report for a while and apply the leader's changes; return the state of z1.
 
         `health_by_place`: for all members, or a function of the member's number; other zones are healthy.
@@ -99,7 +99,7 @@
                             f"z{n % 3}",
                             {"z0": "fine", "z1": "fine", "z2": "fine", **reported},
                             "its zone is cut off" if n in zone_cut else "",
-                            **more,
+                            **fields,
                         )
                     ),
                 )
@@ -174,7 +174,7 @@
             nonlocal now
             while now < until:
                 now += 0.05
-                for n in EIGHT:
+                for n in EIGHT_MEMBERS:
                     health_by_place = (
                         {"z0": "fine", "z1": "down", "z2": "fine"}
                         if now > 1.0
@@ -284,10 +284,10 @@
     def test_operator_commands_depend_on_the_capacity_of_the_other_zones_and_on_the_phase(self):
         self.run_for(1.0, {}, stands={"z1": 30.0}, size={"z0": 100.0, "z2": 100.0}, rates={"lookup": 5.0})
 
-        def command_for(action, **more):
+        def command_for(action, **fields):
             return self.leader.operator_command(
                 self.now,
-                {"id": "x", "place": "z1", "word": action, "why": "power", **more},
+                {"id": "x", "place": "z1", "word": action, "why": "power", **fields},
                 self.zones,
                 SETTINGS,
             )
--- a/tests/test_failover_member.py
+++ b/tests/test_failover_member.py
@@ -38,8 +38,8 @@
 SETTINGS = zone_settings(3, 8)
 
 
-def change(zones, place, phase, **more):
-    zones.apply(1, {"place": place, "phase": phase, "number": zones.place(place).number, **more}, ZONES)
+def change(zones, place, phase, **fields):
+    zones.apply(1, {"place": place, "phase": phase, "number": zones.place(place).number, **fields}, ZONES)
 
 
 class Member(unittest.TestCase):
@@ -51,9 +51,9 @@
         )
         self.zones = ZoneStates()
 
-    def agree(self, now, *phases, **more):
+    def agree(self, now, *phases, **fields):
         for phase in phases:
-            change(self.zones, "z1", phase, **more)
+            change(self.zones, "z1", phase, **fields)
         self.member.apply_agreed_state(
             now, ZoneStates.from_tree(json.loads(json.dumps(self.zones.to_tree())))
         )
--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -418,10 +418,10 @@
     for seed in range(6):
         random, now = Random(seed), 0.0
         settings = settings_of(seed % 3)
-        one = FailoverMember(
+        failover_member = FailoverMember(
             settings, 0.02, Random(seed + 50), lambda machine: f"m{machine}", fences=seed != 5
         )
-        handle = one.handle_event
+        handle = failover_member.handle_event
         handle(now, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(36))))
         zones, index, serial = ZoneStates(), 0, 0
         for step in range(1500):
@@ -479,33 +479,39 @@
                     ),
                 )
             elif draw < 0.84:
-                one.connection_lost(n)
+                failover_member.connection_lost(n)
             elif draw < 0.841:
                 now += 1.0  # the process was stopped
             elif draw < 0.86:
                 index += 1
                 change_of(random, zones, index)
-                one.apply_agreed_state(now, ZoneStates.from_tree(json.loads(json.dumps(zones.to_tree()))))
+                failover_member.apply_agreed_state(
+                    now, ZoneStates.from_tree(json.loads(json.dumps(zones.to_tree())))
+                )
             elif draw < 0.862:
                 settings = settings_of(seed % 3)
-                one.update_settings(settings)
+                failover_member.update_settings(settings)
             elif draw < 0.88:
                 place = random.choice(("z1", "z0", "z1/2"))
                 quota = StartQuota(
                     place, f"e{step}", step, random.randrange(3), 3, random.randrange(1, 9), 0.5
                 )
-                record.add("take", one.receive_quotas([quota], now - 0.01))
+                record.add("take", failover_member.receive_quotas([quota], now - 0.01))
             else:
                 for _ in range(random.choice((1, 1, 1, 8))):
-                    record.add("stops", n, one.start_refusal(now, n, random.choice((-1, 0, 1, 1))))
-            record.add("state", now, one.effective_state(now, n), one.phase(n))
+                    record.add(
+                        "stops", n, failover_member.start_refusal(now, n, random.choice((-1, 0, 1, 1)))
+                    )
+            record.add("state", now, failover_member.effective_state(now, n), failover_member.phase(n))
             record.add(
-                "away", rejection(one.rejection(now, step % 3, serial - 5, serial % 4, 1.0)), one.rejected
+                "away",
+                rejection(failover_member.rejection(now, step % 3, serial - 5, serial % 4, 1.0)),
+                failover_member.rejected,
             )
             if not step % 4:
-                record.add("tick", one.tick(now), one.silent_zones)
-                record.add("sent", report_text(one, now))
-                place, keys = one.unreported_fences()
+                record.add("tick", failover_member.tick(now), failover_member.silent_zones)
+                record.add("sent", report_text(failover_member, now))
+                place, keys = failover_member.unreported_fences()
                 record.add("fences", place, keys)
                 if keys and random.random() < 0.3:
                     zones.apply_fence(place, keys, "d0")
@@ -545,7 +551,7 @@
     for seed in range(6):
         random, now, zones = Random(seed), 0.0, ZoneStates()
         timing = FailoverTiming(quorum=1) if seed == 5 else FailoverTiming(served=20.0)
-        one = FailoverLeader(0.0, "l0.1", timing, 1.0, 0.5, 0.02)
+        failover_leader = FailoverLeader(0.0, "l0.1", timing, 1.0, 0.5, 0.02)
         truth, sums, reporters = dict.fromkeys((*ZONES, "z1/2"), "fine"), {}, range(8)
         for step in range(1000):
             now += 0.05
@@ -555,19 +561,23 @@
                 if place == "z1":
                     truth["z1/2"] = truth["z1"]
             if random.random() < 0.004:
-                one = FailoverLeader(now, f"l{step}.1", timing, 1.0, 0.5, 0.02)
+                failover_leader = FailoverLeader(now, f"l{step}.1", timing, 1.0, 0.5, 0.02)
             if random.random() < 0.01:
                 reporters = random.sample(range(8), random.randrange(4, 9))
             for n in reporters:
                 if random.random() < 0.3:
-                    receive(one, now, f"d{n}", f"d{n}.1.t", report_of(random, now, n, truth, sums))
-                    quotas = one.quotas_for(now, f"d{n}.1.t", zones, settings)
+                    receive(
+                        failover_leader, now, f"d{n}", f"d{n}.1.t", report_of(random, now, n, truth, sums)
+                    )
+                    quotas = failover_leader.quotas_for(now, f"d{n}.1.t", zones, settings)
                     if quotas:
                         record.add("shares", quota_trees(quotas))
-            one.set_members({f"d{n}" for n in range(8)} if step % 100 else {f"d{n}" for n in range(6)})
+            failover_leader.set_members(
+                {f"d{n}" for n in range(8)} if step % 100 else {f"d{n}" for n in range(6)}
+            )
             is_pending = random.random() < 0.2
             for command in changes(
-                one, now, zones, settings, lambda index, is_pending=is_pending: not is_pending
+                failover_leader, now, zones, settings, lambda index, is_pending=is_pending: not is_pending
             ):
                 record.add("command", command, zones.apply(zones.number + 1, command, ZONES))
             if random.random() < 0.02:
@@ -579,23 +589,23 @@
                     "despite": random.random() < 0.7,
                     "at": step,
                 }
-                command = one.operator_command(now, request, zones, settings)
+                command = failover_leader.operator_command(now, request, zones, settings)
                 record.add("operator", command)
                 if command.get("do") == "zone":
                     record.add("done", zones.apply(zones.number + 1, command, ZONES))
                 elif command.get("do") == "zone_hold" and (not command["held"] or random.random() < 0.2):
                     record.add("done", zones.apply_hold(zones.number + 1, command))
             if not step % 10:
-                record.add("status", one.status(now, [*ZONES, "z1/2"]))
-                need = one.capacity_need(now, "z1", zones, settings)
+                record.add("status", failover_leader.status(now, [*ZONES, "z1/2"]))
+                need = failover_leader.capacity_need(now, "z1", zones, settings)
                 record.add(
                     "need",
                     need.carried,
                     need.free,
                     need.shortfall,
-                    one.initial_shed(now, "z1", zones, settings),
+                    failover_leader.initial_shed(now, "z1", zones, settings),
                 )
-        record.add("timeline", one.timeline)
+        record.add("timeline", failover_leader.timeline)
         record.add("state", zones.to_tree())
 
 
@@ -618,42 +628,44 @@
 
 
 def realm(record):
-    def zone(one):
-        one.at(2.0, lambda: one.fail_zone(1))
-        one.at(6.0, lambda: one.return_zone(1))
+    def zone(sim):
+        sim.at(2.0, lambda: sim.fail_zone(1))
+        sim.at(6.0, lambda: sim.return_zone(1))
 
-    def kills(one):
-        zone(one)
+    def kills(sim):
+        zone(sim)
         for at in (2.4, 7.0):
-            one.at(at, one.kill_leader)
+            sim.at(at, sim.kill_leader)
 
-    def rack(one):
-        one.at(2.0, lambda: one.fail_zone(1, cell=2))
-        one.at(3.0, lambda: one.liars.add(0))
+    def rack(sim):
+        sim.at(2.0, lambda: sim.fail_zone(1, cell=2))
+        sim.at(3.0, lambda: sim.liars.add(0))
 
-    def blind(one):
-        one.blind = {0: {0, 1, 2}, 1: {0, 2}, 4: {0, 2}}
-        one.at(2.0, lambda: one.cut_off.update({2, 5}))
-        one.at(4.0, lambda: one.fail_zone(2))
+    def blind(sim):
+        sim.blind = {0: {0, 1, 2}, 1: {0, 2}, 4: {0, 2}}
+        sim.at(2.0, lambda: sim.cut_off.update({2, 5}))
+        sim.at(4.0, lambda: sim.fail_zone(2))
 
     for seed, (fault, until, silence_s) in enumerate(
         ((zone, 15.0, 0.27), (kills, 11.0, 0.27), (rack, 6.0, 0.27), (blind, 7.0, 0.27), (zone, 5.0, 1.0))
     ):
-        one = RecordedRealm(
+        sim = RecordedRealm(
             dispatchers=7, machines=63, zones=3, racks=5, seed=seed, every_s=0.06, silence_s=silence_s
         )
-        one.record = record
-        fault(one)
-        one.run(until)
-        record.add("changes", one.changes, one.starts, one.unheard, one.peak)
-        record.add("left", {str(key): at for key, at in one.left_at.items()}, one.zones.to_tree())
-        record.add("timeline", one.leader.timeline)
+        sim.record = record
+        fault(sim)
+        sim.run(until)
+        record.add("changes", sim.changes, sim.starts, sim.unheard, sim.peak)
+        record.add("left", {str(key): at for key, at in sim.left_at.items()}, sim.zones.to_tree())
+        record.add("timeline", sim.leader.timeline)
 
 
 def standalone(record):
     for seed in range(2):
-        one = StandaloneFailover(realm_settings(3, 6, 12.0), FailoverTiming(), Random(seed), 0.0)
-        one.member.handle_event(0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(30))))
+        failover = StandaloneFailover(realm_settings(3, 6, 12.0), FailoverTiming(), Random(seed), 0.0)
+        failover.member.handle_event(
+            0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(30)))
+        )
         overlay = EndpointOverlay()
         for n in range(30):
             overlay.machine_listed(machine_of(n))
@@ -663,28 +675,32 @@
             down = () if now < 3.0 or 7.0 < now < 21.0 else (1,)
             machine = step % 30
             state, refusal = (
-                one.member.effective_state(now, machine),
-                one.member.start_refusal(now, machine, step % 2),
+                failover.member.effective_state(now, machine),
+                failover.member.start_refusal(now, machine, step % 2),
             )
             record.add("may", state, refusal)
             started = [machine] if state == "ready" and not refusal else []
-            checks, changed = one.tick(now)
+            checks, changed = failover.tick(now)
             for n in [*started, *checks]:
                 outcome = Outcome.TIMEOUT if n % 3 in down else Outcome.OK
-                one.member.handle_event(now, ProbeAnswered(n, outcome))
+                failover.member.handle_event(now, ProbeAnswered(n, outcome))
             record.add(
                 "tick",
                 checks,
                 changed,
-                [[change.place, change.phase, change.step or 0, change.reason] for change in one.changes],
+                [
+                    [change.place, change.phase, change.step or 0, change.reason]
+                    for change in failover.changes
+                ],
             )
-            one.changes.clear()
+            failover.changes.clear()
             if changed:
                 machines = overlay.changes(
-                    range(30), lambda entry, one=one, now=now: one.member.effective_state(now, entry.id)
+                    range(30),
+                    lambda entry, failover=failover, now=now: failover.member.effective_state(now, entry.id),
                 )
                 record.add("news", [[entry.id, entry.state] for entry in machines])
-        record.add("state", one.zones.to_tree())
+        record.add("state", failover.zones.to_tree())
 
 
 def messages(record):
@@ -710,35 +726,39 @@
     zones = group.zones
     members = []
     for n in range(6):
-        one = FailoverMember(settings_of(n % 3), 0.02, Random(n), str)
-        one.handle_event(0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(k) for k in range(36))))
-        members.append(one)
+        failover_member = FailoverMember(settings_of(n % 3), 0.02, Random(n), str)
+        failover_member.handle_event(
+            0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(k) for k in range(36)))
+        )
+        members.append(failover_member)
     serial = 0
     for step in range(260):
         now += 0.05
-        for n, one in enumerate(members):
+        for n, failover_member in enumerate(members):
             for _ in range(4):
                 serial += 1
                 machine = (serial * 7) % 36
                 is_down = machine % 3 == 1 and 1.0 < now < 4.0
-                one.handle_event(now, RequestArrived(serial, serial % 3, 0, 1, 1.0, 1.0, serial, serial % 3))
-                if not one.start_refusal(now, machine, 0):
+                failover_member.handle_event(
+                    now, RequestArrived(serial, serial % 3, 0, 1, 1.0, 1.0, serial, serial % 3)
+                )
+                if not failover_member.start_refusal(now, machine, 0):
                     if is_down:
-                        one.handle_event(
+                        failover_member.handle_event(
                             now,
                             AttemptEnded(serial, 0, machine, Outcome.CONNECT_FAILED, closed=True),
                         )
                     else:
-                        one.handle_event(now, Placed(serial, 0, machine, 0))
-                for checked in one.tick(now):
+                        failover_member.handle_event(now, Placed(serial, 0, machine, 0))
+                for checked in failover_member.tick(now):
                     silent = checked % 3 == 1 and 1.0 < now < 4.0
-                    one.handle_event(
+                    failover_member.handle_event(
                         now,
                         ProbeAnswered(checked, Outcome.TIMEOUT if silent else Outcome.OK),
                     )
             if step % 4 == n % 4:
                 request = LeaseRequest(
-                    7, f"d{n}", 1, "t", now, group.index, "x", zone_report=report_text(one, now)
+                    7, f"d{n}", 1, "t", now, group.index, "x", zone_report=report_text(failover_member, now)
                 )
                 zone_leader.receive_report(now, group, request)
                 quotas = zone_leader.start_quotas(now, group, request)
@@ -750,8 +770,8 @@
                     record.add("word", stream, data.hex())
         for command in zone_leader.due_commands(now, group):
             record.add("command", json.dumps(command), group.apply(group.index + 1, json.dumps(command)))
-            for one in members:
-                one.apply_agreed_state(now, zones)
+            for failover_member in members:
+                failover_member.apply_agreed_state(now, zones)
     record.add("status", json.dumps(zone_leader.status(now, group)))
     record.add("group", group.snapshot())
 
@@ -766,8 +786,8 @@
 
 
 PARTS: dict[str, Callable[[Record], None]] = {
-    one.__name__: one
-    for one in (observations, silence, quotas, load, agreed, member, leader, realm, standalone, messages)
+    part.__name__: part
+    for part in (observations, silence, quotas, load, agreed, member, leader, realm, standalone, messages)
 } | {f"simulation {name}": simulation(name, *((1, 7) if name == "mixed" else (2,))) for name in SCENARIOS}
 
 
@@ -797,25 +817,25 @@
 
 def samples() -> dict:
     """Return one sample of each encoded form that leaves the package."""
-    one = FailoverMember(settings_of(), 0.02, Random(1), str)
-    one.handle_event(0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(36))))
+    failover_member = FailoverMember(settings_of(), 0.02, Random(1), str)
+    failover_member.handle_event(0.0, MachinesChanged(ListForm.FULL, tuple(machine_of(n) for n in range(36))))
     for serial in range(1, 37):
         n = serial - 1
-        one.handle_event(1.0, RequestArrived(serial, n % 3, 0, 1, 2.0, 1.0, serial, n % 3))
+        failover_member.handle_event(1.0, RequestArrived(serial, n % 3, 0, 1, 2.0, 1.0, serial, n % 3))
         if n % 3 == 1:
-            one.handle_event(1.0, AttemptEnded(serial, 0, n, Outcome.TIMEOUT, closed=True))
+            failover_member.handle_event(1.0, AttemptEnded(serial, 0, n, Outcome.TIMEOUT, closed=True))
         else:
-            one.handle_event(1.0, Placed(serial, 0, n, 0))
+            failover_member.handle_event(1.0, Placed(serial, 0, n, 0))
     zones = ZoneStates()
     for index, phase in enumerate(("suspected", "leaving", "left", "returning"), 1):
         zones.apply(index, {"place": "z0", "phase": phase, "number": index - 1, "step": 1}, ZONES)
-    one.apply_agreed_state(1.0, zones)
-    one.receive_quotas([StartQuota("z0", "g0.3.0", 0, 0, 1, 30, 0.5)], 1.0)
-    one.start_refusal(1.1, 0, 0)
-    one.handle_event(1.1, Placed(99, 0, 0, 0))
-    one.handle_event(1.1, AttemptEnded(98, 0, 3, Outcome.ERROR, closed=True))
+    failover_member.apply_agreed_state(1.0, zones)
+    failover_member.receive_quotas([StartQuota("z0", "g0.3.0", 0, 0, 1, 30, 0.5)], 1.0)
+    failover_member.start_refusal(1.1, 0, 0)
+    failover_member.handle_event(1.1, Placed(99, 0, 0, 0))
+    failover_member.handle_event(1.1, AttemptEnded(98, 0, 3, Outcome.ERROR, closed=True))
     leader = FailoverLeader(0.0, "g0.3", FailoverTiming(), 1.0, 0.5, 0.02)
-    report = report_text(one, 1.2)
+    report = report_text(failover_member, 1.2)
     for n in range(3):
         receive(leader, 1.7, f"d{n}", f"d{n}.1.t", report)
     down = json.loads(report)
--- a/weldhatch/zones/failover_rules.py
+++ b/weldhatch/zones/failover_rules.py
@@ -217,8 +217,8 @@
         if inside:
             reason += f"; {len(inside)} inside go on there"
         if shed:
-            parts = ", ".join(f"{part:.0%} of {class_name}" for class_name, part in shed.items())
-            reason += f"; the rest can't bear all: {parts}"
+            fractions = ", ".join(f"{fraction:.0%} of {class_name}" for class_name, fraction in shed.items())
+            reason += f"; the rest can't bear all: {fractions}"
         return replace(
             situation.unchanged,
             phase=Phase.LEAVING,
--- a/weldhatch/zones/place_watch.py
+++ b/weldhatch/zones/place_watch.py
@@ -27,9 +27,7 @@
     calm_since: float = NEVER  # nobody reports it down, or more report it up
     abandoned_since: float = NEVER  # no dispatcher inside reports it up
     inherited: bool = False  # the suspicion was agreed under a previous leader
-    counts_at_step: dict[str, tuple[int, ...]] = field(
-        default_factory=dict
-    )  # by incarnation: starts when the step began
+    counts_at_step: dict[str, tuple[int, ...]] = field(default_factory=dict)  # starts, by incarnation
     step_length_factor: float = 1.0  # the step lasts longer after failed starts
 
 
--- a/weldhatch/zones/witnesses.py
+++ b/weldhatch/zones/witnesses.py
@@ -8,7 +8,7 @@
 from weldhatch.zones.reports import Isolation, PlaceHealth, ZoneReport
 from weldhatch.zones.state import is_rack, zone_of
 
-UP = (PlaceHealth.HEALTHY, PlaceHealth.DEGRADED)
+UP_HEALTHS = (PlaceHealth.HEALTHY, PlaceHealth.DEGRADED)
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,8 +56,7 @@
     def witness_groups(self, now: float, place: str) -> WitnessGroups:
         """Return which members report a place down, up, or up from inside.
 
-        A member that is cut off itself is ignored. A member whose zone is cut off counts
-        for its own zone only.
+        A member that is cut off itself is ignored. A member whose zone is cut off counts only for its zone.
         """
         down: list[str] = []
         up: list[str] = []
@@ -69,7 +68,7 @@
             if (
                 is_rack(place)
                 and health is PlaceHealth.DOWN
-                and received.report.health(zone_of(place)) not in UP
+                and received.report.health(zone_of(place)) not in UP_HEALTHS
             ):
                 continue  # the whole zone may be down, which is decided separately
             # Members in a zone only count as inside. For a rack, all members are witnesses.
@@ -79,9 +78,9 @@
                     continue
                 if health is PlaceHealth.DOWN:
                     down.append(name)
-                elif health in UP:
+                elif health in UP_HEALTHS:
                     up.append(name)
-            elif health in UP:
+            elif health in UP_HEALTHS:
                 inside.append(name)
         return WitnessGroups(tuple(sorted(down)), tuple(sorted(up)), tuple(sorted(inside)))
 
