--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -340,7 +340,7 @@
             saved,
             {name: f"{name}:1" for name in VOTERS} if seat.name in VOTERS and not seat.disk else None,
         )
-        seat.member.report_zones_by(lambda now: self.report(seat))
+        seat.member.set_zone_observer(lambda now: self.report(seat))
         if seat.held[1]:
             seat.member.lease_holder.restore(seat.held[1], seat.held[0])
         for other in self.seats.values():
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -60,7 +60,7 @@
         """Take part in a group. `machines`: those that the policy heard of before we listened to it."""
         self.member.handle_event(self._clock(), MachinesChanged(ListForm.DELTA, machines))
         self._node = node
-        node.coordination.report_zones_by(self.report)
+        node.coordination.set_zone_observer(self.report)
 
     def report(self, now: float) -> str:
         """Return what the leader is to hear with the next request (JSON); '' where it was sent lately."""
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -103,7 +103,7 @@
         """The state as the voter here has it."""
         return self._voter.state_machine if self._voter is not None else self._no_state
 
-    def report_zones_by(self, observe: Callable[[float], str]) -> None:
+    def set_zone_observer(self, observe: Callable[[float], str]) -> None:
         """Send what `observe` returns (JSON) at a time with each request for a lease."""
         self._client.observe_zones = observe
 
