--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -42,8 +42,8 @@
         self.applied[name] = saved.snapshot_index
         for other in self.names:
             if other != name and other in self.nodes:
-                self.nodes[other].greet(name)
-                node.greet(other)
+                self.nodes[other].handle_link_up(name)
+                node.handle_link_up(other)
 
     def crash(self, name, back):
         self.down[name] = back
@@ -325,8 +325,8 @@
     assert list(survivor.voters) == [survivor.name]
     for name in others:  # the lost ones come back after all: nobody hears them, and they can't decide
         voters.down[name] = voters.now
-    voters.nodes[others[0]].greet(survivor.name)
-    voters.nodes[others[1]].greet(survivor.name)
+    voters.nodes[others[0]].handle_link_up(survivor.name)
+    voters.nodes[others[1]].handle_link_up(survivor.name)
     voters.until(lambda: all(voters.nodes[name].lost_reason for name in others))  # they hear of it, and stop
     assert survivor.role == "leader"
     index = survivor.change_voters(voters.now, {**survivor.voters, others[0]: ""})
@@ -365,7 +365,7 @@
         (VoterState, "lost_reason", property(lambda self: ""), test_a_store_that_lost_its_end_votes_no_more),
         (
             Leadership,
-            "forgive_late_tick",
+            "suspend_timeouts_after_late_tick",
             lambda self, now: None,
             test_voters_that_were_held_up_receive_what_waits_before_they_judge,
         ),
@@ -379,7 +379,7 @@
 
 
 def test_without_patience_late_answers_bring_one_election_after_another(monkeypatch):
-    monkeypatch.setattr(leadership, "QUORUM_PATIENCE", 1.0)
+    monkeypatch.setattr(leadership, "CHECK_QUORUM_ELECTION_TIMEOUTS", 1.0)
     with pytest.raises(AssertionError):
         test_a_leader_lasts_where_answers_are_late()
 
@@ -417,18 +417,18 @@
     for bad in (b"[]", b'["entry", 9, 1, "command", "x"]', b'["vote", 1]', b"\xff", b'["what"]', b"7"):
         with pytest.raises(ValueError):
             again.apply_encoded(bad)
-    assert replication.MAX_ENTRIES
+    assert replication.MAX_ENTRIES_PER_MESSAGE
 
 
 def test_a_voter_that_comes_back_receives_from_enough_others_before_it_votes():
     five = ("a", "b", "c", "d", "e")
     one = RejoinGuard(10.0)
     assert one.required_log(0.0, "a", five) is None
-    one.note_peer("b", 3, LogPosition(2, 7))
-    one.note_peer("c", 4, LogPosition(3, 1))
-    one.note_peer("z", 9, LogPosition(9, 9))  # no voter of ours
+    one.record_peer_position("b", 3, LogPosition(2, 7))
+    one.record_peer_position("c", 4, LogPosition(3, 1))
+    one.record_peer_position("z", 9, LogPosition(9, 9))  # no voter of ours
     assert one.required_log(1.0, "a", five) is None  # two others may be a majority's that did not count it
-    one.note_peer("d", 4, LogPosition(1, 50))
+    one.record_peer_position("d", 4, LogPosition(1, 50))
     assert one.required_log(1.0, "a", five) == (3, 1)
     assert one.required_log(1.0, "a", ("a", "b")) == (2, 7) and one.required_log(1.0, "a", ("a",)) == (0, 0)
     assert one.required_log(1.0, "a", ("a", "b", "y")) is None  # of three, both
@@ -478,11 +478,11 @@
     for record in voters.disks[back]:
         saved.apply_encoded(json.dumps(record).encode())
     one = Raft(back, saved, Timing(), voters.random, voters.now)
-    one.greet(other)
+    one.handle_link_up(other)
     (asked,) = [say.message for say in one.effects]
     assert asked.wants_reply
     voters.nodes[other].receive(voters.now, back, asked)
     told = voters.nodes[other].effects[-1].message
     assert (told.wants_reply, told.last_index) == (False, voters.nodes[other].persistent.last_index)
-    voters.nodes[other].greet(back)
+    voters.nodes[other].handle_link_up(back)
     assert not voters.nodes[other].effects[-1].message.wants_reply  # it has never been down
--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -196,8 +196,8 @@
             node.bootstrap({one: f"{one}:1" for one in VOTERS})
         for other in self.nodes:
             if other != name:
-                self.nodes[other].greet(name)
-                node.greet(other)
+                self.nodes[other].handle_link_up(name)
+                node.handle_link_up(other)
 
     def carry(self, name):
         node = self.nodes[name]
--- a/weldhatch/consensus/election.py
+++ b/weldhatch/consensus/election.py
@@ -36,10 +36,10 @@
     def tick(self, now: float) -> None:
         """Stand where no leader has been heard for the time that was drawn."""
         state = self._state
-        if self._may_stand(now) and now - state.election_timer_started > state.election_timeout:
-            self._stand(now, pre_vote=True)
+        if self._may_start_election(now) and now - state.election_timer_started > state.election_timeout:
+            self._start_election(now, pre_vote=True)
 
-    def _may_stand(self, now: float) -> bool:
+    def _may_start_election(self, now: float) -> bool:
         required = self._required_log(now)
         return (
             self._state.can_vote and required is not None and self._state.persistent.last_position >= required
@@ -48,7 +48,7 @@
     def _required_log(self, now: float) -> LogPosition | None:
         return self._rejoin.required_log(now, self._state.name, self._state.voters)
 
-    def _stand(self, now: float, *, pre_vote: bool, transfer: bool = False) -> None:
+    def _start_election(self, now: float, *, pre_vote: bool, transfer: bool = False) -> None:
         state = self._state
         persistent = state.persistent
         if self._rejoin.may_have_voted(now, persistent.term + 1):
@@ -85,26 +85,30 @@
         if not state.is_majority(self._votes):
             return
         if state.role is Role.PRE_CANDIDATE:
-            self._stand(now, pre_vote=False)
+            self._start_election(now, pre_vote=False)
         elif state.role is Role.CANDIDATE:
             self._on_elected(now)
 
     def handle_response(self, now: float, name: str, response: RequestVoteResponse) -> None:
         """Count a vote, or hear of a later term."""
         state = self._state
-        asked_for = state.persistent.term + response.pre_vote
+        expected_term = state.persistent.term + response.pre_vote
         role = Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE
         if response.term > state.persistent.term + (response.pre_vote and response.granted):
             state.become_follower(response.term, "", now)
-        elif response.granted and state.role is role and response.term == asked_for:
+        elif response.granted and state.role is role and response.term == expected_term:
             self._votes.add(name)
             self._count_votes(now)
 
     def handle_timeout_now(self, now: float, message: TimeoutNow) -> None:
         """Stand at once: the leader transfers leadership to this voter."""
         state = self._state
-        if message.term == state.persistent.term and self._may_stand(now) and state.role is Role.FOLLOWER:
-            self._stand(now, pre_vote=False, transfer=True)
+        if (
+            message.term == state.persistent.term
+            and self._may_start_election(now)
+            and state.role is Role.FOLLOWER
+        ):
+            self._start_election(now, pre_vote=False, transfer=True)
 
     # ---- voting ----------------------------------------------------------------------------------------
 
@@ -112,12 +116,12 @@
         """Vote for another, or not; say nothing while a leader lives."""
         state = self._state
         position = LogPosition(request.last_term, request.last_index)
-        self._rejoin.note_peer(name, 0, position)
+        self._rejoin.record_peer_position(name, 0, position)
         required = self._required_log(now)
         up_to_date = required is not None and position >= max(state.persistent.last_position, required)
         # Guards a leader that lives, and what it has promised, against a voter that can't hear it.
-        leader_lives = now - state.last_leader_contact < state.timing.election_timeout or state.is_leader
-        if not state.can_vote or (leader_lives and not request.transfer):
+        leader_is_alive = now - state.last_leader_contact < state.timing.election_timeout or state.is_leader
+        if not state.can_vote or (leader_is_alive and not request.transfer):
             return
         if request.pre_vote:
             self._answer_pre_vote(name, request, up_to_date)
@@ -137,10 +141,10 @@
         persistent = state.persistent
         if request.term > persistent.term:
             state.become_follower(request.term, "", now)
-        free = persistent.voted_for == name or (
+        vote_available = persistent.voted_for == name or (
             not persistent.voted_for and not self._rejoin.may_have_voted(now, request.term)
         )
-        granted = up_to_date and request.term == persistent.term and free
+        granted = up_to_date and request.term == persistent.term and vote_available
         if granted and not persistent.voted_for:
             state.write(VoteRecord(persistent.lineage, persistent.term, name))
             state.election_timer_started = now
--- a/weldhatch/consensus/leadership.py
+++ b/weldhatch/consensus/leadership.py
@@ -10,8 +10,12 @@
 from weldhatch.consensus.replication import Replication
 from weldhatch.consensus.voter_state import VoterState
 
-QUORUM_PATIENCE = 2.0  # election timeouts without a majority's answer, after which a leader steps down
-LATE_TICK = 0.5  # of an election timeout: a tick that comes so late tells of this process, not of others
+CHECK_QUORUM_ELECTION_TIMEOUTS = (
+    2.0  # election timeouts without a majority's answer, after which a leader steps down
+)
+LATE_TICK_FRACTION = (
+    0.5  # of an election timeout: a tick that comes so late tells of this process, not of others
+)
 
 
 class Leadership:
@@ -24,7 +28,7 @@
         self._transferring_to = ""
         self._transfer_started = 0.0
         self._ticked_at = now
-        self.silence_counts_from = now  # before then, that nothing was heard proves nothing
+        self.timeouts_suspended_until = now  # before then, that nothing was heard proves nothing
 
     @property
     def transferring_to(self) -> str:
@@ -35,17 +39,17 @@
         """Nothing of a former leadership goes on."""
         self._transferring_to = ""
 
-    def forgive_late_tick(self, now: float) -> None:
+    def suspend_timeouts_after_late_tick(self, now: float) -> None:
         """Let what waits unread be heard before silence counts; for a heartbeat, and not without end.
 
         Guards against a process that was held up: a leader's messages, or answers to its own, may wait
         unread, and that the clock has run on meanwhile proves nothing.
         """
         timing = self._state.timing
-        was_late = now - self._ticked_at > LATE_TICK * timing.election_timeout
+        was_late = now - self._ticked_at > LATE_TICK_FRACTION * timing.election_timeout
         self._ticked_at = now
-        if was_late and now - self.silence_counts_from > timing.election_timeout:
-            self.silence_counts_from = now + timing.heartbeat
+        if was_late and now - self.timeouts_suspended_until > timing.election_timeout:
+            self.timeouts_suspended_until = now + timing.heartbeat
 
     def tick(self, now: float) -> None:
         """Send heartbeats, or step down.
@@ -56,9 +60,11 @@
         """
         state = self._state
         timeout = state.timing.election_timeout
-        transfer_late = self._transferring_to and now - self._transfer_started > timeout
-        unheard = now - self._replication.quorum_acknowledged_at(now) > QUORUM_PATIENCE * timeout
-        if transfer_late or (unheard and now >= self.silence_counts_from):
+        transfer_timed_out = self._transferring_to and now - self._transfer_started > timeout
+        quorum_lost = (
+            now - self._replication.quorum_acknowledged_at(now) > CHECK_QUORUM_ELECTION_TIMEOUTS * timeout
+        )
+        if transfer_timed_out or (quorum_lost and now >= self.timeouts_suspended_until):
             # One that transferred to a voter that did not stand in time may still be replaced by a late
             # message, so it does not lead on either.
             state.become_follower(state.persistent.term, "", now)
--- a/weldhatch/consensus/log_follower.py
+++ b/weldhatch/consensus/log_follower.py
@@ -24,18 +24,18 @@
         state = self._state
         persistent = state.persistent
         if message.term < persistent.term:
-            self._refuse(name, message, match_index=0)
+            self._reject(name, message, match_index=0)
             return
         state.become_follower(message.term, name, now)
         previous = message.prev_index
         if previous > persistent.snapshot_index and persistent.term_at(previous) != message.prev_term:
-            self._refuse(name, message, match_index=min(persistent.last_index, previous - 1))
+            self._reject(name, message, match_index=min(persistent.last_index, previous - 1))
             return
-        match_index = self._take_entries(message)
+        match_index = self._append_entries(message)
         self._acknowledge(name, match_index, message.sent_at)
         state.commit_up_to(min(message.leader_commit, match_index))
 
-    def _take_entries(self, message: AppendEntries) -> int:
+    def _append_entries(self, message: AppendEntries) -> int:
         persistent = self._state.persistent
         index = message.prev_index
         for entry in message.entries:
@@ -47,7 +47,7 @@
                 self._state.refresh_voters()
         return index
 
-    def _refuse(self, name: str, message: AppendEntries, match_index: int) -> None:
+    def _reject(self, name: str, message: AppendEntries, match_index: int) -> None:
         persistent = self._state.persistent
         response = AppendEntriesResponse(
             persistent.lineage, persistent.term, False, match_index, message.sent_at
@@ -71,8 +71,8 @@
         elif message.term >= state.persistent.term:
             state.become_follower(message.term, name, now)
             if message.last_index > state.commit_index:
-                self._install(message)
-                self._load(name, message)
+                self._write_snapshot(message)
+                self._load_snapshot(name, message)
             else:
                 self._acknowledge(name, state.commit_index, message.sent_at)
 
@@ -82,13 +82,13 @@
         state.leader = name
         state.last_leader_contact = now
         state.election_timer_started = now
-        self._install(message)
+        self._write_snapshot(message)
         self._rejoin.trust_store()
         if state.lost_reason:
             state.write(LostRecord(""))  # what it may have voted in the lineage before is void
-        self._load(name, message)
+        self._load_snapshot(name, message)
 
-    def _install(self, message: InstallSnapshot) -> None:
+    def _write_snapshot(self, message: InstallSnapshot) -> None:
         state = self._state
         state.write(
             SnapshotRecord(
@@ -98,7 +98,7 @@
         if message.term > state.persistent.term:
             state.write(VoteRecord(message.lineage, message.term, ""))
 
-    def _load(self, name: str, message: InstallSnapshot) -> None:
+    def _load_snapshot(self, name: str, message: InstallSnapshot) -> None:
         state = self._state
         state.refresh_voters()
         state.commit_index = message.last_index
--- a/weldhatch/consensus/raft.py
+++ b/weldhatch/consensus/raft.py
@@ -35,7 +35,9 @@
 from weldhatch.consensus.store_check import StoreCheck
 from weldhatch.consensus.voter_state import Role, Timing, VoterState
 
-REJOIN_PATIENCE = 20.0  # election timeouts for which one that comes back hears others before it votes
+REJOIN_WAIT_ELECTION_TIMEOUTS = (
+    20.0  # election timeouts for which one that comes back hears others before it votes
+)
 
 
 class Raft:
@@ -47,13 +49,13 @@
         """Start as a follower with what the store holds."""
         self._state = VoterState(name, persistent, timing, random.random, now)
         self._store_check = StoreCheck(self._state)
-        self._rejoin = RejoinGuard(now + REJOIN_PATIENCE * timing.election_timeout)
+        self._rejoin = RejoinGuard(now + REJOIN_WAIT_ELECTION_TIMEOUTS * timing.election_timeout)
         if not persistent.record_count:
             self._rejoin.trust_store()
         self._replication = Replication(self._state, self._store_check)
         self._leadership = Leadership(self._state, self._replication, now)
         self._follower = LogFollower(self._state, self._rejoin)
-        self._election = Election(self._state, self._rejoin, self._store_check, self._begin_to_lead)
+        self._election = Election(self._state, self._rejoin, self._store_check, self._become_leader)
 
     # ---- what is known ---------------------------------------------------------------------------------
 
@@ -125,13 +127,13 @@
 
     def tick(self, now: float) -> None:
         """Act on the time. Call every few hundredths of a second."""
-        self._leadership.forgive_late_tick(now)
+        self._leadership.suspend_timeouts_after_late_tick(now)
         if self._state.is_leader:
             self._leadership.tick(now)
-        elif now >= self._leadership.silence_counts_from:
+        elif now >= self._leadership.timeouts_suspended_until:
             self._election.tick(now)
 
-    def _begin_to_lead(self, now: float) -> None:
+    def _become_leader(self, now: float) -> None:
         self._state.role = Role.LEADER
         self._state.leader = self._state.name
         self._leadership.begin_term()
@@ -140,7 +142,7 @@
 
     # ---- messages --------------------------------------------------------------------------------------
 
-    def greet(self, name: str) -> None:
+    def handle_link_up(self, name: str) -> None:
         """Begin a new link to a voter: say what we know of its store, and how far we are."""
         self._send_hello(name, wants_reply=self._rejoin.is_waiting)
 
@@ -182,7 +184,7 @@
             self._state.send(name, response)
         else:
             # It decides no more, until the group that goes on takes it in.
-            self._state.distrust_store(f"{name} is of a recovery by hand that left this voter behind")
+            self._state.mark_store_lost(f"{name} is of a recovery by hand that left this voter behind")
         return False
 
     def _handle(self, now: float, name: str, message: Message) -> None:
@@ -200,7 +202,9 @@
             case TimeoutNow():
                 self._election.handle_timeout_now(now, message)
             case Hello():
-                self._rejoin.note_peer(name, message.term, LogPosition(message.last_term, message.last_index))
+                self._rejoin.record_peer_position(
+                    name, message.term, LogPosition(message.last_term, message.last_index)
+                )
                 if message.wants_reply:
                     self._send_hello(name, wants_reply=False)
 
@@ -279,4 +283,4 @@
         voters = LogEntry(persistent.term, EntryKind.VOTERS, json.dumps({state.name: address}))
         state.write(EntryRecord(persistent.last_index + 1, voters))
         state.refresh_voters()
-        self._begin_to_lead(now)
+        self._become_leader(now)
--- a/weldhatch/consensus/rejoin.py
+++ b/weldhatch/consensus/rejoin.py
@@ -35,7 +35,7 @@
         """Note that there is nothing that the store could have lost: it is new, or counts from now on."""
         self._trusted_from = _TRUSTED
 
-    def note_peer(self, name: str, term: int, position: LogPosition) -> None:
+    def record_peer_position(self, name: str, term: int, position: LogPosition) -> None:
         """Another voter has said how far it is."""
         self.highest_term = max(self.highest_term, term)
         self._positions[name] = max(self._positions.get(name, _NO_LOG), position)
--- a/weldhatch/consensus/replication.py
+++ b/weldhatch/consensus/replication.py
@@ -19,7 +19,7 @@
 from weldhatch.consensus.store_check import StoreCheck
 from weldhatch.consensus.voter_state import VoterState
 
-MAX_ENTRIES = 64  # in one message
+MAX_ENTRIES_PER_MESSAGE = 64  # in one message
 SEND_SNAPSHOT = -1  # as a match index: nothing of the sender's log is of this lineage
 NEVER = -1e9
 
@@ -125,7 +125,7 @@
             self._state.send(voter, self._snapshot(now))
             progress.next_index = persistent.snapshot_index + 1
             return
-        entries = persistent.entries_from(next_index, MAX_ENTRIES)
+        entries = persistent.entries_from(next_index, MAX_ENTRIES_PER_MESSAGE)
         message = AppendEntries(
             lineage=persistent.lineage,
             term=persistent.term,
--- a/weldhatch/consensus/store_check.py
+++ b/weldhatch/consensus/store_check.py
@@ -41,7 +41,7 @@
             isinstance(message, RequestVote | AppendEntries | Hello)
             and message.known_record_count > record_count
         ):
-            self._state.distrust_store(
+            self._state.mark_store_lost(
                 f"{name} has been told of {message.known_record_count} records of this store, it holds "
                 f"{record_count}: it has lost its end, or is an older copy"
             )
--- a/weldhatch/consensus/voter_state.py
+++ b/weldhatch/consensus/voter_state.py
@@ -38,14 +38,14 @@
         name: str,
         persistent: PersistentState,
         timing: Timing,
-        draw: Callable[[], float],
+        random_fraction: Callable[[], float],
         now: float,
     ) -> None:
         """Start as a follower with what the store holds. `draw`: a random number of [0, 1)."""
         self.name = name
         self.persistent = persistent
         self.timing = timing
-        self._draw = draw
+        self._random_fraction = random_fraction
         self.effects: list[Effect] = []
         self.role = Role.FOLLOWER
         self.leader = ""  # the name of the one that is known
@@ -55,15 +55,15 @@
         # Guards a leader's lease: a voter that has just started may have forgotten that it heard one.
         self.last_leader_contact = now
         self.election_timer_started = now
-        self.election_timeout = self._draw_election_timeout()
+        self.election_timeout = self._random_election_timeout()
 
-    def _draw_election_timeout(self) -> float:
-        return self.timing.election_timeout * (1 + self._draw())
+    def _random_election_timeout(self) -> float:
+        return self.timing.election_timeout * (1 + self._random_fraction())
 
     def restart_election_timer(self, now: float) -> None:
         """Wait for a newly drawn time before the next election."""
         self.election_timer_started = now
-        self.election_timeout = self._draw_election_timeout()
+        self.election_timeout = self._random_election_timeout()
 
     @property
     def is_leader(self) -> bool:
@@ -107,7 +107,7 @@
             self.last_leader_contact = now
             self.restart_election_timer(now)
 
-    def distrust_store(self, reason: str) -> None:
+    def mark_store_lost(self, reason: str) -> None:
         """Vote no more, and remember so."""
         if not self.lost_reason:
             self.write(LostRecord(reason))
--- a/weldhatch/coordination/activation.py
+++ b/weldhatch/coordination/activation.py
@@ -26,12 +26,12 @@
     """Wait until nobody can act on rules that contradict the next ones. Made anew at each election."""
 
     def __init__(
-        self, timing: LeaseTiming, grants: LeaseGrants, read: Callable[[JsonObject], Settings]
+        self, timing: LeaseTiming, grants: LeaseGrants, parse_settings: Callable[[JsonObject], Settings]
     ) -> None:
         """Judge by `grants`. `read`: a version's settings, ConfigError (a ValueError) for none."""
         self._timing = timing
         self._grants = grants
-        self._read = read
+        self._parse_settings = parse_settings
         self._differences: dict[tuple[int, int], Difference] = {}
 
     def _difference(self, active: SettingsVersion | None, prepared: SettingsVersion) -> Difference:
@@ -40,8 +40,8 @@
             return Difference([], affects_safe_work=True)
         key = active.number, prepared.number
         if key not in self._differences:
-            old = self._read(active.tree)
-            new = self._read(prepared.tree)
+            old = self._parse_settings(active.tree)
+            new = self._parse_settings(prepared.tree)
             changes = compatibility.find_changes(old, new)
             difference = Difference(changes, compatibility.affects_safe_work(changes, old, new))
             self._differences = {key: difference}
--- a/weldhatch/coordination/command_log.py
+++ b/weldhatch/coordination/command_log.py
@@ -58,7 +58,7 @@
         """Forget commands, but not changes of the voters."""
         self._requesters.clear()
 
-    def enter(self, voter: Voter, now: float, command: JsonObject, requester: str = "") -> None:
+    def append_command(self, voter: Voter, now: float, command: JsonObject, requester: str = "") -> None:
         """Enter one command into the log, once under its id."""
         command_id = command["id"]
         if command_id in self._requesters:
--- a/weldhatch/coordination/compatibility.py
+++ b/weldhatch/coordination/compatibility.py
@@ -15,7 +15,7 @@
     Overlap,
     OverlapRule,
     SettingRule,
-    is_local,
+    dispatcher_local,
 )
 from weldhatch.scheduling.types import Effect, MachineKind, RequestClass, Scope, Settings, Tenant
 
@@ -30,7 +30,7 @@
     old: object
     new: object
     overlap: Overlap
-    of: str = ""
+    class_name: str = ""
 
 
 def find_changes(old: Settings, new: Settings) -> list[Change]:
@@ -42,7 +42,7 @@
         change
         for field, rule in SETTINGS.items()
         if (change := _change(rule.key, rule.overlap, getattr(old, field), getattr(new, field)))
-        and rule.overlap is not is_local
+        and rule.overlap is not dispatcher_local
     ]
     changes += compare_items("classes", CLASSES, old.classes, new.classes, of_class=True)
     changes += compare_items("kinds", KINDS, old.kinds, new.kinds)
@@ -56,11 +56,15 @@
     return changes
 
 
-def _change(key: str, overlap: OverlapRule, old: object, new: object, of: str = "") -> Change | None:
-    return None if old == new else Change(key, _shown(old), _shown(new), overlap(old, new), of)
+def _change(key: str, overlap: OverlapRule, old: object, new: object, class_name: str = "") -> Change | None:
+    return (
+        None
+        if old == new
+        else Change(key, _display_value(old), _display_value(new), overlap(old, new), class_name)
+    )
 
 
-def _shown(value: object) -> object:
+def _display_value(value: object) -> object:
     return value.value if isinstance(value, Effect | Scope) else value
 
 
@@ -88,8 +92,8 @@
             if change is not None:
                 yield change
     for added in new[len(old) :]:
-        of = added.name if of_class else ""
-        yield Change(f"{list_key}.{added.name}", None, "added", Overlap.WIDENS, of)
+        class_name = added.name if of_class else ""
+        yield Change(f"{list_key}.{added.name}", None, "added", Overlap.WIDENS, class_name)
 
 
 def _check_items(list_key: str, old_names: list[str], new_names: list[str]) -> None:
@@ -123,7 +127,7 @@
 
     It has the places of `old`: what is added waits. Raises IncompatibleChangeError.
     """
-    switched = [change.of for change in find_changes(old, new) if change.overlap is Overlap.SWITCHES]
+    switched = [change.class_name for change in find_changes(old, new) if change.overlap is Overlap.SWITCHES]
     settings = replace(
         old,
         **_tightened(SETTINGS, old, new),
@@ -167,5 +171,6 @@
         if request_class.effect is Effect.SAFE
     }
     return any(
-        change.overlap is not Overlap.FREE and (not change.of or change.of in safe) for change in changes
+        change.overlap is not Overlap.FREE and (not change.class_name or change.class_name in safe)
+        for change in changes
     )
--- a/weldhatch/coordination/drain_reports.py
+++ b/weldhatch/coordination/drain_reports.py
@@ -43,12 +43,12 @@
     def merge(self, revision: int, entries: Mapping[str, str], by: str) -> None:
         """Take what a list of that revision says. What does not restrict ends what an older list said."""
         for uid, state in entries.items():
-            self._merge_one(revision, uid, state, by)
+            self._merge_entry(revision, uid, state, by)
         while len(self.entries) > MAX_ENTRIES:
             # Guards against machines that were removed long ago: the oldest of them is forgotten first.
             del self.entries[min(self.entries, key=lambda uid: self.entries[uid].revision)]
 
-    def _merge_one(self, revision: int, uid: str, state: str, by: str) -> None:
+    def _merge_entry(self, revision: int, uid: str, state: str, by: str) -> None:
         known = self.entries.get(uid)
         if known is not None and revision < known.revision:
             return  # newer never gives way to older
--- a/weldhatch/coordination/group_client.py
+++ b/weldhatch/coordination/group_client.py
@@ -100,10 +100,10 @@
         self.leader = name
         if response.start_quotas:
             self._outbox.add(QuotaReceived(response.start_quotas, response.sent_at))
-        self._take_state(now, response)
+        self._apply_response(now, response)
         self._report_status(now)
 
-    def _take_state(self, now: float, response: LeaseResponse) -> None:
+    def _apply_response(self, now: float, response: LeaseResponse) -> None:
         holder = self._lease_holder
         before = holder.rules
         if not holder.handle_response(now, response):
--- a/weldhatch/coordination/leader.py
+++ b/weldhatch/coordination/leader.py
@@ -15,9 +15,9 @@
     """What one leader remembers. Made anew at each election."""
 
     def __init__(
-        self, timing: LeaseTiming, elected_at: float, read: Callable[[JsonObject], Settings]
+        self, timing: LeaseTiming, elected_at: float, parse_settings: Callable[[JsonObject], Settings]
     ) -> None:
         """Know of no grant. `read`: a version's settings, ConfigError (a ValueError) for none."""
         self.timing = timing
         self.grants = LeaseGrants(timing, elected_at)
-        self.activation = Activation(timing, self.grants, read)
+        self.activation = Activation(timing, self.grants, parse_settings)
--- a/weldhatch/coordination/leader_duties.py
+++ b/weldhatch/coordination/leader_duties.py
@@ -55,43 +55,45 @@
     def update(self, now: float) -> None:
         """Begin or end to lead, and enter commands that are due."""
         if not self._raft.is_leader:
-            self._end_to_lead()
+            self._end_leadership()
             return
         if self.leader is None:
-            self.leader = self._begin_to_lead(now)
-        if now < self.sure_until(now):
-            self._enter_due_commands(now, self.leader)
+            self.leader = self._begin_leadership(now)
+        if now < self.may_grant_until(now):
+            self._append_due_commands(now, self.leader)
 
-    def _end_to_lead(self) -> None:
+    def _end_leadership(self) -> None:
         if self.leader is not None:
             self.leader = None
             self.zone_leader = None
             self._log.clear()
             self._outbox.event("leads_no_more", term=self._raft.persistent.term, leader=self._raft.leader)
 
-    def _begin_to_lead(self, now: float) -> Leader:
+    def _begin_leadership(self, now: float) -> Leader:
         setup = self._setup
-        leader = Leader(setup.timing, now, setup.read)
+        leader = Leader(setup.timing, now, setup.parse_settings)
         term = self._raft.persistent.term
         if setup.zone_times is not None:
-            self.zone_leader = ZoneLeader(now, self._raft.name, term, setup.zone_times, leader, setup.read)
+            self.zone_leader = ZoneLeader(
+                now, self._raft.name, term, setup.zone_times, leader, setup.parse_settings
+            )
         self._outbox.event("leads", term=term)
         return leader
 
-    def _enter_due_commands(self, now: float, leader: Leader) -> None:
+    def _append_due_commands(self, now: float, leader: Leader) -> None:
         if not self.state_machine.versions.last_number and self.state_machine.members:
-            self._enter(now, commands.propose_first(self._setup.first_settings, self._raft.name))
+            self._append_command(now, commands.propose_first(self._setup.first_settings, self._raft.name))
         for command in leader.activation.due_commands(now, self.state_machine):
             command_id = f"{command['do']}-{command.get('number', command.get('rev'))}"
-            self._enter(now, {**command, "id": command_id})
+            self._append_command(now, {**command, "id": command_id})
         if self.zone_leader is not None:
             for command in self.zone_leader.due_commands(now, self.state_machine):
-                self._enter(now, command)
+                self._append_command(now, command)
 
-    def _enter(self, now: float, command: JsonObject, requester: str = "") -> None:
-        self._log.enter(self._voter, now, command, requester)
+    def _append_command(self, now: float, command: JsonObject, requester: str = "") -> None:
+        self._log.append_command(self._voter, now, command, requester)
 
-    def sure_until(self, now: float) -> float:
+    def may_grant_until(self, now: float) -> float:
         """Return until when a leader may grant leases and activate; -inf where it may not.
 
         Guards against a leader whose own state is not yet what leaders before it have decided, because its
@@ -105,9 +107,9 @@
         if self.leader is None:
             return
         data = entry.data if entry.kind == EntryKind.COMMAND else ""
-        self.leader.grants.note_commit(index, data)
+        self.leader.grants.record_commit(index, data)
         if self._raft.is_leader:
-            news = LeaseResponse(
+            announcement = LeaseResponse(
                 lineage=self._raft.persistent.lineage,
                 sent_at=0.0,
                 granted=False,
@@ -121,20 +123,20 @@
                 voters=json.dumps(self._raft.voters),
             )
             for name in self.state_machine.members:
-                self._outbox.send(name, news)
+                self._outbox.send(name, announcement)
 
     # ---- leases ----------------------------------------------------------------------------------------
 
     def handle_lease_request(self, now: float, name: str, request: LeaseRequest) -> None:
         """Answer a dispatcher. Only a leader that is sure of it answers with a lease."""
         if self.leader is None or not self._raft.is_leader:
-            self._name_leader(name, request)
+            self._redirect_to_leader(name, request)
         elif request.leaving:
-            self._enter(now, commands.leave(request))
+            self._append_command(now, commands.leave(request))
         else:
-            self._answer(now, name, request, self.leader)
+            self._answer_lease_request(now, name, request, self.leader)
 
-    def _name_leader(self, name: str, request: LeaseRequest) -> None:
+    def _redirect_to_leader(self, name: str, request: LeaseRequest) -> None:
         if self._raft.leader in ("", self._raft.name):
             return
         response = LeaseResponse(
@@ -152,10 +154,10 @@
         )
         self._outbox.send(name, response)
 
-    def _answer(self, now: float, name: str, request: LeaseRequest, leader: Leader) -> None:
+    def _answer_lease_request(self, now: float, name: str, request: LeaseRequest, leader: Leader) -> None:
         machine = self.state_machine
         lineage = self._raft.persistent.lineage
-        response = leader.grants.answer(now, machine, request, lineage, self.sure_until(now))
+        response = leader.grants.answer(now, machine, request, lineage, self.may_grant_until(now))
         if DenialKind.of(response.denial) is DenialKind.UNKNOWN:
             self._join(now, request)
         quotas = ""
@@ -171,7 +173,7 @@
         incarnation = Incarnation.of(request)
         if now - self._joining.get(incarnation, NEVER) > REJOIN_INTERVAL_S:
             self._joining[incarnation] = now
-            self._enter(now, commands.join(request))
+            self._append_command(now, commands.join(request))
 
     # ---- commands of dispatchers -----------------------------------------------------------------------
 
@@ -195,7 +197,7 @@
             case RequestKind.TRANSFER_LEADERSHIP:
                 self._transfer_leadership(now, requester, command["to"])
             case _:
-                self._enter(now, command, requester.name)
+                self._append_command(now, command, requester.name)
 
     def _operate_zone(self, now: float, requester: Requester, request: JsonObject) -> None:
         """An operator's word on a zone: weighed here, where the reports are, then decided by the group."""
@@ -205,7 +207,7 @@
         if is_error(command):
             self._log.send_result(Requester(requester.name, request["id"]), command)
         else:
-            self._enter(now, command, requester.name)
+            self._append_command(now, command, requester.name)
 
     def _transfer_leadership(self, now: float, requester: Requester, to: str) -> None:
         try:
@@ -217,7 +219,7 @@
 
     # ---- operators -------------------------------------------------------------------------------------
 
-    def recover(self, now: float, address: str, by: str, reason: str, unix: float) -> JsonObject:
+    def recover(self, now: float, address: str, by: str, reason: str, unix_time: float) -> JsonObject:
         """Have the voter go on alone, as an operator says that the majority is lost for good."""
         self.leader = None
         self._log.forget_commands()
@@ -225,7 +227,7 @@
         self._voter.carry_out()
         self.update(now)
         lineage = self._raft.persistent.lineage
-        self._enter(now, commands.recovered(lineage, by, reason, unix))
+        self._append_command(now, commands.recovered(lineage, by, reason, unix_time))
         self._outbox.event("recovered", by=by, why=reason, lineage=lineage)
         return ok_result(lineage=lineage)
 
@@ -245,7 +247,7 @@
             "waits": pending,
             "index": machine.index,
             "zones": zones,
-            "sure_s": round(max(0.0, self.sure_until(now) - now), 3),
+            "sure_s": round(max(0.0, self.may_grant_until(now) - now), 3),
         }
 
     def _member_status(self, now: float, leader: Leader) -> JsonObject:
--- a/weldhatch/coordination/lease_grants.py
+++ b/weldhatch/coordination/lease_grants.py
@@ -16,7 +16,7 @@
 from weldhatch.coordination.timing import LeaseTiming
 
 MAX_COMMANDS = 200  # that are sent as a difference; more, and the whole state goes
-_DIRECTIVE = f'"do":"{CommandKind.DIRECT_MACHINE}"'
+_DIRECTIVE_MARKER = f'"do":"{CommandKind.DIRECT_MACHINE}"'
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class StateUpdate:
     """What a dispatcher lacks: commands after those it has, or the whole state."""
 
     commands: tuple[str, ...] = ()
@@ -49,7 +49,7 @@
 
     # ---- commands --------------------------------------------------------------------------------------
 
-    def note_commit(self, index: int, data: str) -> None:
+    def record_commit(self, index: int, data: str) -> None:
         """Keep a decided command: members that are a little behind get it from here."""
         self._commands[index] = data
         self._commands.pop(index - MAX_COMMANDS, None)
@@ -57,18 +57,18 @@
     def last_directive_index(self, machine: StateMachine) -> int:
         """Return from which index on a member holds the newest directive: that of the directive, or later."""
         for index in sorted(self._commands, reverse=True):
-            if _DIRECTIVE in self._commands[index].replace(" ", ""):  # parsed, it would take long
+            if _DIRECTIVE_MARKER in self._commands[index].replace(" ", ""):  # parsed, it would take long
                 return index
         return machine.index
 
     # ---- granting --------------------------------------------------------------------------------------
 
     def answer(
-        self, now: float, machine: StateMachine, request: LeaseRequest, lineage: int, sure_until: float
+        self, now: float, machine: StateMachine, request: LeaseRequest, lineage: int, may_grant_until: float
     ) -> LeaseResponse:
         """Answer one dispatcher. `sure_until`: no other voter can lead before then."""
-        denial = self._denial(now, machine, request, lineage, sure_until)
-        news = self._news(machine, request, lineage)
+        denial = self._denial(now, machine, request, lineage, may_grant_until)
+        update = self._missing_update(machine, request, lineage)
         if not denial or DenialKind.of(denial) is DenialKind.REFUSES:
             grant = self._grant_of(Incarnation.of(request))
             grant.applied_index = request.applied_index
@@ -82,16 +82,16 @@
             granted=not denial,
             denial=denial,
             leader="",
-            base_index=request.applied_index if not news.snapshot else 0,
-            commands=news.commands,
-            snapshot=news.snapshot,
+            base_index=request.applied_index if not update.snapshot else 0,
+            commands=update.commands,
+            snapshot=update.snapshot,
             applied_index=machine.index,
             digest=machine.digest,
         )
 
     @staticmethod
     def _denial(
-        now: float, machine: StateMachine, request: LeaseRequest, lineage: int, sure_until: float
+        now: float, machine: StateMachine, request: LeaseRequest, lineage: int, may_grant_until: float
     ) -> str:
         """Return why there is no lease, beginning with a `DenialKind`; '' where there is one."""
         known = machine.members.get(request.name)
@@ -103,22 +103,22 @@
             if known.epoch > request.epoch:
                 return f"fenced: another process has come under the name {request.name}, epoch {known.epoch}"
             return "unknown: a new life of it has not joined yet"
-        if now >= sure_until:
+        if now >= may_grant_until:
             return "the leader is not sure that it still leads"
-        if request.rejection and _rejection_counts(machine, request):
+        if request.rejection and _rejection_applies(machine, request):
             # Guards the group against one that goes on by the old rules: it has what it holds until then.
             return f"refuses version {request.reviewed_version}: {request.rejection}"
         return ""
 
-    def _news(self, machine: StateMachine, request: LeaseRequest, lineage: int) -> News:
+    def _missing_update(self, machine: StateMachine, request: LeaseRequest, lineage: int) -> StateUpdate:
         same_lineage = request.lineage == lineage
         if same_lineage and (request.applied_index, request.digest) == (machine.index, machine.digest):
-            return News()
+            return StateUpdate()
         lacking = range(request.applied_index + 1, machine.index + 1)
         is_known = len(lacking) and all(index in self._commands for index in lacking)
         if same_lineage and request.applied_index and is_known:
-            return News(commands=tuple(self._commands[index] for index in lacking))
-        return News(snapshot=machine.snapshot())
+            return StateUpdate(commands=tuple(self._commands[index] for index in lacking))
+        return StateUpdate(snapshot=machine.snapshot())
 
     def _grant_of(self, incarnation: Incarnation) -> Grant:
         if incarnation not in self.entries:
@@ -135,14 +135,14 @@
         Name to reason, for people to read. `version`: one that each has to have looked at, too.
         """
         pending = self._pending_members(now, machine, index, span, version)
-        lapsed = self._timing.by_granter_clock(span)
+        granter_span = self._timing.by_granter_clock(span)
         for incarnation, grant in self.entries.items():
             if (
                 not _is_current(machine, incarnation)
                 and grant.applied_index < index
-                and now - grant.granted_at <= lapsed
+                and now - grant.granted_at <= granter_span
             ):
-                left = lapsed - (now - grant.granted_at)
+                left = granter_span - (now - grant.granted_at)
                 pending[incarnation.name] = f"an earlier life of it may have a lease for {left:.2f} s"
         return pending
 
@@ -150,7 +150,7 @@
         self, now: float, machine: StateMachine, index: int, span: float, version: int
     ) -> dict[str, str]:
         pending = {}
-        lapsed = self._timing.by_granter_clock(span)
+        granter_span = self._timing.by_granter_clock(span)
         may_refuse = machine.prepared.may_refuse if machine.prepared is not None else []
         for name, member in machine.members.items():
             grant = self.entries.get(Incarnation(name, member.epoch, member.token))
@@ -160,8 +160,8 @@
                 if not grant.rejection:
                     continue
                 reason = f"refuses: {grant.rejection}"
-            if now - granted_at <= lapsed:
-                pending[name] = f"{reason}; its lease ends in {lapsed - (now - granted_at):.2f} s"
+            if now - granted_at <= granter_span:
+                pending[name] = f"{reason}; its lease ends in {granter_span - (now - granted_at):.2f} s"
             elif grant is not None and grant.rejection and version and name not in may_refuse:
                 pending[name] = reason
         return pending
@@ -184,7 +184,7 @@
         }
 
 
-def _rejection_counts(machine: StateMachine, request: LeaseRequest) -> bool:
+def _rejection_applies(machine: StateMachine, request: LeaseRequest) -> bool:
     was_left_out = machine.active is not None and request.name in machine.active.may_refuse
     is_of_prepared = machine.prepared is not None and request.reviewed_version == machine.prepared.number
     return was_left_out or is_of_prepared
--- a/weldhatch/coordination/lease_holder.py
+++ b/weldhatch/coordination/lease_holder.py
@@ -47,8 +47,8 @@
         self,
         incarnation: Incarnation,
         timing: LeaseTiming,
-        read: Callable[[JsonObject], Settings],
-        fits: Callable[[Settings], str] = lambda settings: "",
+        parse_settings: Callable[[JsonObject], Settings],
+        unsupported_reason: Callable[[Settings], str] = lambda settings: "",
     ) -> None:
         """Hold nothing yet.
 
@@ -57,8 +57,8 @@
         """
         self.incarnation = incarnation
         self.timing = timing
-        self._read = read
-        self._fits = fits
+        self._parse_settings = parse_settings
+        self._unsupported_reason = unsupported_reason
         self.state_machine = StateMachine()
         self.lineage = 0
         self.rules: ActiveRules | None = None
@@ -93,7 +93,7 @@
         if response.leader or response.lineage < self.lineage:
             return False
         self.last_response_at = now
-        changed = self._take_news(response)
+        changed = self._apply_update(response)
         holds_state = self.state_machine.index >= response.applied_index
         if response.granted and holds_state and not self._find_conflict(response):
             # Counted from when it was asked, by our own clock: never longer than the granter thinks.
@@ -120,7 +120,7 @@
         machine.index = 0  # the next answer brings the whole state
         return True
 
-    def _take_news(self, response: LeaseResponse) -> bool:
+    def _apply_update(self, response: LeaseResponse) -> bool:
         machine = self.state_machine
         before = (self.lineage, machine.index)
         if response.snapshot:
@@ -134,16 +134,16 @@
         self.lineage = max(self.lineage, response.lineage)
         if (self.lineage, machine.index) == before:
             return False
-        self._review()
+        self._review_versions()
         return True
 
     def restore(self, snapshot: str, lineage: int) -> None:
         """Take what a former incarnation held: shown, and not acted on before the group is heard."""
         self.state_machine.load(snapshot)
         self.lineage = lineage
-        self._review()
+        self._review_versions()
 
-    def _review(self) -> None:
+    def _review_versions(self) -> None:
         """Work out what is acted on, from what is held."""
         machine = self.state_machine
         if machine.prepared is not None:
@@ -157,10 +157,10 @@
         """Return '' where this dispatcher can act on such a version, or the key and the reason."""
         active = self.state_machine.active
         try:
-            new = self._read(tree)
+            new = self._parse_settings(tree)
             if active is not None:
-                compatibility.find_changes(self._read(active.tree), new)
-            return self._fits(new)
+                compatibility.find_changes(self._parse_settings(active.tree), new)
+            return self._unsupported_reason(new)
         except ValueError as error:  # ConfigError names its key, and so does IncompatibleChangeError
             return str(error)
 
@@ -175,10 +175,10 @@
         if active is None or self._rejects_active():
             return None
         try:
-            settings = self._read(active.tree)
+            settings = self._parse_settings(active.tree)
             restricted = compatibility.RestrictedSettings(settings)
             if prepared is not None and not self._rejection:
-                restricted = compatibility.intersect(settings, self._read(prepared.tree))
+                restricted = compatibility.intersect(settings, self._parse_settings(prepared.tree))
         except ValueError as error:
             self._reviewed_version = active.number
             self._rejection = str(error)
--- a/weldhatch/coordination/machine_directives.py
+++ b/weldhatch/coordination/machine_directives.py
@@ -55,7 +55,7 @@
         self.revision = 0  # of the last directive
         self.unsettled = 0  # the newest revision that widens and is not settled; 0 for none
 
-    def direct(self, command: JsonObject) -> JsonObject:
+    def apply_command(self, command: JsonObject) -> JsonObject:
         """Carry out an operator's word on a machine; its result."""
         machine = command["machine"]
         last = self.entries.get(machine)
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -52,8 +52,10 @@
         """
         self.name = setup.incarnation.name
         self._outbox = Outbox(self.name)
-        self.lease_holder = LeaseHolder(setup.incarnation, setup.timing, setup.read, setup.fits)
-        self._no_state = StateMachine()  # of one that never votes
+        self.lease_holder = LeaseHolder(
+            setup.incarnation, setup.timing, setup.parse_settings, setup.unsupported_reason
+        )
+        self._empty_state = StateMachine()  # of one that never votes
         self._log = CommandLog(self._outbox)
         self._voter: Voter | None = None
         self._duties: LeaderDuties | None = None
@@ -101,7 +103,7 @@
     @property
     def state_machine(self) -> StateMachine:
         """The state as the voter here has it."""
-        return self._voter.state_machine if self._voter is not None else self._no_state
+        return self._voter.state_machine if self._voter is not None else self._empty_state
 
     def set_zone_observer(self, observe: Callable[[float], str]) -> None:
         """Send what `observe` returns (JSON) at a time with each request for a lease."""
@@ -111,7 +113,7 @@
 
     def tick(self, now: float) -> None:
         """Act on the time. Call every few hundredths of a second."""
-        if self._voter is not None and self._voter.accepts_more:
+        if self._voter is not None and self._voter.accepts_input:
             self._voter.tick(now)
             self._update_duties(now)
         self._client.tick(now)
@@ -132,7 +134,7 @@
         """Begin to use a link to a voter: it can be reached (again)."""
         self._client.reachable.add(name)
         if self._voter is not None:
-            self._voter.raft.greet(name)
+            self._voter.raft.handle_link_up(name)
             self._voter.carry_out()
         self._client.request_lease(now)
         self._handle_own_messages(now)
@@ -145,7 +147,7 @@
         """Handle one message of another process."""
         if not isinstance(message, Message):
             self._handle(now, name, message)
-        elif self._voter is not None and self._voter.accepts_more:
+        elif self._voter is not None and self._voter.accepts_input:
             self._voter.receive(now, name, message)
             self._update_duties(now)
         self._handle_own_messages(now)
@@ -190,14 +192,14 @@
         """Send a command no more. It may still be carried out."""
         self._client.forget_command(command_id)
 
-    def recover(self, now: float, address: str, by: str, reason: str, unix: float) -> JsonObject:
+    def recover(self, now: float, address: str, by: str, reason: str, unix_time: float) -> JsonObject:
         """Go on alone: the majority of the voters is lost for good, an operator says.
 
         `address`: of this voter; `unix`: Unix seconds, for people to read.
         """
         if self._duties is None:
             return error_result("refused", "only a voter can be recovered: this process listens nowhere")
-        return self._duties.recover(now, address, by, reason, unix)
+        return self._duties.recover(now, address, by, reason, unix_time)
 
     def leader_status(self, now: float) -> JsonObject:
         """Return what only the leader knows: who holds what, and what is waited for."""
--- a/weldhatch/coordination/node_setup.py
+++ b/weldhatch/coordination/node_setup.py
@@ -24,7 +24,7 @@
 
     incarnation: Incarnation
     timing: LeaseTiming
-    read: Callable[[JsonObject], Settings]
-    fits: Callable[[Settings], str]
+    parse_settings: Callable[[JsonObject], Settings]
+    unsupported_reason: Callable[[Settings], str]
     first_settings: JsonObject
     zone_times: FailoverTiming | None = None
--- a/weldhatch/coordination/setting_rules.py
+++ b/weldhatch/coordination/setting_rules.py
@@ -35,12 +35,12 @@
     overlap: OverlapRule
 
 
-def is_free(old: Any, new: Any) -> Overlap:
+def always_free(old: Any, new: Any) -> Overlap:
     """Dispatchers may differ."""
     return Overlap.FREE
 
 
-def switches(old: Any, new: Any) -> Overlap:
+def always_switches(old: Any, new: Any) -> Overlap:
     """Neither value allows less than the other."""
     return Overlap.SWITCHES
 
@@ -60,7 +60,7 @@
     return lower_is_stricter(old or float("inf"), new or float("inf"))
 
 
-def one_kind_is_stricter(old: int, new: int) -> Overlap:
+def specific_kind_is_stricter(old: int, new: int) -> Overlap:
     """-1 is any kind of machine."""
     if -1 in (old, new):
         return Overlap.TIGHTENS if old == -1 else Overlap.WIDENS
@@ -72,26 +72,26 @@
     return Overlap.SWITCHES if (old >= LARGE_GROUP) != (new >= LARGE_GROUP) else higher_is_stricter(old, new)
 
 
-def is_local(old: Any, new: Any) -> Overlap:
+def dispatcher_local(old: Any, new: Any) -> Overlap:
     """Each dispatcher's own: it is taken from its own file, whatever a version says."""
     return Overlap.FREE
 
 
 SETTINGS: dict[str, SettingRule] = {  # by field
-    "zone": SettingRule("locality", is_local),
-    "me": SettingRule("me", is_local),
-    "tick_us": SettingRule("resolutionUs", is_local),
+    "zone": SettingRule("locality", dispatcher_local),
+    "me": SettingRule("me", dispatcher_local),
+    "tick_us": SettingRule("resolutionUs", dispatcher_local),
     "group_size": SettingRule("groupSize", group_size_overlap),
     "max_attempts": SettingRule("limits.mostTries", lower_is_stricter),
-    "may_probe": SettingRule("limits.probes", is_free),
+    "may_probe": SettingRule("limits.probes", always_free),
     "may_cancel": SettingRule("limits.mayCancel", lower_is_stricter),
     "hedged_requests": SettingRule("limits.secondCopies", lower_is_stricter),
-    "retry_after": SettingRule("limits.retryAfter", is_free),
-    "max_retry_after_us": SettingRule("limits.maxRetryAfterUs", is_free),
-    "subscribe": SettingRule("registryMode", is_free),
+    "retry_after": SettingRule("limits.retryAfter", always_free),
+    "max_retry_after_us": SettingRule("limits.maxRetryAfterUs", always_free),
+    "subscribe": SettingRule("registryMode", always_free),
     "drain_grace_us": SettingRule("rules.drainGraceUs", lower_is_stricter),
-    "answer_slack_us": SettingRule("rules.answerSlackUs", is_free),
-    "poll_within_us": SettingRule("rules.mustAskInUs", is_free),
+    "answer_slack_us": SettingRule("rules.answerSlackUs", always_free),
+    "poll_within_us": SettingRule("rules.mustAskInUs", always_free),
     "warm_up_us": SettingRule("rules.coldUs", higher_is_stricter),
     "warm_up_offers": SettingRule("extra.coldSends", lower_is_stricter),
     "start_capacity": SettingRule("rules.startCapacity", lower_is_stricter),
@@ -99,59 +99,59 @@
     "fall_us": SettingRule("rules.fallUs", higher_is_stricter),
     "cores_booking": SettingRule("extra.cpuBooking", lower_is_stricter),
     "memory_booking": SettingRule("extra.memBooking", lower_is_stricter),
-    "lists_free": SettingRule("extra.listsFree", is_free),
-    "reports_asked": SettingRule("extra.measuredBy", switches),
-    "report_fields": SettingRule("stats.fields", is_free),
-    "by_service": SettingRule("extra.byService", switches),
-    "confirms_running": SettingRule("extra.confirms", switches),
-    "preempts_tasks": SettingRule("extra.makesRoom", is_free),
-    "reports_usage": SettingRule("extra.tellsUse", is_free),
-    "pressure_notes": SettingRule("extra.pressureNotes", is_free),
-    "owner_wait_us": SettingRule("extra.ownerWaitUs", is_free),
-    "usual_cores": SettingRule("extra.usualCores", is_free),
-    "usual_memory": SettingRule("extra.usualMemory", is_free),
-    "over_quota_priority_weight": SettingRule("overShareWorth", is_free),
-    "prices": SettingRule("prices", is_free),
+    "lists_free": SettingRule("extra.listsFree", always_free),
+    "reports_asked": SettingRule("extra.measuredBy", always_switches),
+    "report_fields": SettingRule("stats.fields", always_free),
+    "by_service": SettingRule("extra.byService", always_switches),
+    "confirms_running": SettingRule("extra.confirms", always_switches),
+    "preempts_tasks": SettingRule("extra.makesRoom", always_free),
+    "reports_usage": SettingRule("extra.tellsUse", always_free),
+    "pressure_notes": SettingRule("extra.pressureNotes", always_free),
+    "owner_wait_us": SettingRule("extra.ownerWaitUs", always_free),
+    "usual_cores": SettingRule("extra.usualCores", always_free),
+    "usual_memory": SettingRule("extra.usualMemory", always_free),
+    "over_quota_priority_weight": SettingRule("overShareWorth", always_free),
+    "prices": SettingRule("prices", always_free),
 }
 CLASSES: dict[str, SettingRule] = {
-    "name": SettingRule("name", switches),
-    "latency_objective_us": SettingRule("aimUs", is_free),
+    "name": SettingRule("name", always_switches),
+    "latency_objective_us": SettingRule("aimUs", always_free),
     "deadline_us": SettingRule("hardLimitUs", lower_is_stricter),
-    "effect": SettingRule("effect", switches),
-    "group": SettingRule("group", switches),
-    "window_us": SettingRule("dedupWindowUs", switches),
-    "priority_weight": SettingRule("worth", is_free),
-    "late_priority_weight": SettingRule("lateWorth", is_free),
-    "start_priority_weight_s": SettingRule("extra.promptStartS", is_free),
-    "calm": SettingRule("extra.calmLevel", is_free),
-    "fade": SettingRule("extra.fadeSpan", is_free),
-    "kind": SettingRule("extra.kindByClass", one_kind_is_stricter),
-    "priority": SettingRule("extra.priorityByClass", is_free),
-    "spread_over": SettingRule("extra.spreadOver", switches),
+    "effect": SettingRule("effect", always_switches),
+    "group": SettingRule("group", always_switches),
+    "window_us": SettingRule("dedupWindowUs", always_switches),
+    "priority_weight": SettingRule("worth", always_free),
+    "late_priority_weight": SettingRule("lateWorth", always_free),
+    "start_priority_weight_s": SettingRule("extra.promptStartS", always_free),
+    "calm": SettingRule("extra.calmLevel", always_free),
+    "fade": SettingRule("extra.fadeSpan", always_free),
+    "kind": SettingRule("extra.kindByClass", specific_kind_is_stricter),
+    "priority": SettingRule("extra.priorityByClass", always_free),
+    "spread_over": SettingRule("extra.spreadOver", always_switches),
     "spread_most": SettingRule("extra.spreadMost", lower_bound_is_stricter),
 }
 KINDS: dict[str, SettingRule] = {
-    "name": SettingRule("kinds", switches),
+    "name": SettingRule("kinds", always_switches),
     "cores": SettingRule("extra.sizeCores", lower_is_stricter),
     "memory": SettingRule("extra.memOfKind", lower_is_stricter),
 }
 TENANTS: dict[str, SettingRule] = {
-    "name": SettingRule("name", is_free),
-    "quota_per_s": SettingRule("quotaPerS", is_free),
-    "portion": SettingRule("portion", is_free),
-    "cores": SettingRule("extra.shareCores", is_free),
+    "name": SettingRule("name", always_free),
+    "quota_per_s": SettingRule("quotaPerS", always_free),
+    "portion": SettingRule("portion", always_free),
+    "cores": SettingRule("extra.shareCores", always_free),
 }
 LISTS = {"classes", "kinds", "zones", "tenants"}  # handled item by item, below
 
 
-def check_complete(kind: type, rows: dict[str, SettingRule], besides: Set[str] = frozenset()) -> None:
+def check_complete(kind: type, rows: dict[str, SettingRule], exempt: Set[str] = frozenset()) -> None:
     """Raise AssertionError for a field of `kind` that has no row and is not handled `besides`.
 
     Guards against a setting that nobody said anything of.
     """
     known = {field.name for field in fields(kind)}
-    if known != rows.keys() | besides:
-        raise AssertionError(f"setting_rules: {kind.__name__}: {sorted(known ^ (rows.keys() | besides))}")
+    if known != rows.keys() | exempt:
+        raise AssertionError(f"setting_rules: {kind.__name__}: {sorted(known ^ (rows.keys() | exempt))}")
 
 
 check_complete(Settings, SETTINGS, LISTS)
--- a/weldhatch/coordination/settings_versions.py
+++ b/weldhatch/coordination/settings_versions.py
@@ -77,7 +77,7 @@
             command.get("despite", []),
         )
         self.prepared_at = index
-        self._note(index, self.prepared, "proposed", command["why"])
+        self._record_outcome(index, self.prepared, "proposed", command["why"])
         return ok_result(number=self.last_number)
 
     def activate(self, index: int, command: JsonObject) -> JsonObject:
@@ -89,7 +89,7 @@
         self.trees[self.active.number] = self.active.tree
         for old in sorted(self.trees)[:-MAX_TREES]:
             del self.trees[old]
-        self._note(index, self.active, "active", command.get("why", ""))
+        self._record_outcome(index, self.active, "active", command.get("why", ""))
         return ok_result()
 
     def drop(self, index: int, command: JsonObject) -> JsonObject:
@@ -98,10 +98,10 @@
             return _not_prepared(command)
         dropped = self.prepared
         self.prepared = None
-        self._note(index, dropped, "dropped", command["why"])
+        self._record_outcome(index, dropped, "dropped", command["why"])
         return ok_result()
 
-    def _note(self, index: int, version: SettingsVersion, outcome: str, reason: str) -> None:
+    def _record_outcome(self, index: int, version: SettingsVersion, outcome: str, reason: str) -> None:
         self.history.append(
             {
                 "number": version.number,
--- a/weldhatch/coordination/state_machine.py
+++ b/weldhatch/coordination/state_machine.py
@@ -189,7 +189,7 @@
     CommandKind.PROPOSE: lambda machine, command: machine.versions.propose(machine.index, command),
     CommandKind.ACTIVATE: lambda machine, command: machine.versions.activate(machine.index, command),
     CommandKind.DROP: lambda machine, command: machine.versions.drop(machine.index, command),
-    CommandKind.DIRECT_MACHINE: lambda machine, command: machine.directives.direct(command),
+    CommandKind.DIRECT_MACHINE: lambda machine, command: machine.directives.apply_command(command),
     CommandKind.SETTLE_DIRECTIVES: StateMachine._settle_directives,
     CommandKind.REPORT_DRAINS: StateMachine._report_drains,
     CommandKind.CHANGE_ZONE: StateMachine._change_zone,
--- a/weldhatch/coordination/voter.py
+++ b/weldhatch/coordination/voter.py
@@ -18,8 +18,10 @@
 from weldhatch.coordination.outbox import Outbox
 from weldhatch.coordination.state_machine import StateMachine
 
-SNAPSHOT_INTERVAL = 400  # entries
-MAX_BACKLOG = 2000  # effects that wait for a disk; with more, the voter is silent until it takes records
+SNAPSHOT_INTERVAL_ENTRIES = 400  # entries
+MAX_PENDING_EFFECTS = (
+    2000  # effects that wait for a disk; with more, the voter is silent until it takes records
+)
 
 CommitListener = Callable[[int, LogEntry, JsonObject], None]
 
@@ -33,15 +35,15 @@
         self.state_machine = StateMachine()
         self._outbox = outbox
         self._on_commit = on_commit
-        self._waiting: deque[voter_effects.Effect] = deque()
+        self._pending: deque[voter_effects.Effect] = deque()
         self._is_writing = False
         if raft.persistent.snapshot_state:
             self.state_machine.load(raft.persistent.snapshot_state)
 
     @property
-    def accepts_more(self) -> bool:
+    def accepts_input(self) -> bool:
         """Whether it may act on time and messages: the disk keeps up."""
-        return len(self._waiting) < MAX_BACKLOG
+        return len(self._pending) < MAX_PENDING_EFFECTS
 
     def tick(self, now: float) -> None:
         """Act on the time."""
@@ -67,26 +69,26 @@
         Guards against a vote or an answer that a restart would not remember.
         """
         self._collect()
-        while self._waiting and not self._is_writing:
+        while self._pending and not self._is_writing:
             records = self._next_records()
             if records:
                 self._write(records)
                 return
-            self._carry_out_one(self._waiting.popleft())
+            self._carry_out_effect(self._pending.popleft())
             self._collect()
 
     def _collect(self) -> None:
-        self._waiting += self.raft.effects
+        self._pending += self.raft.effects
         self.raft.effects.clear()
         if self.raft.name in self.raft.voters:  # those in its log count as soon as they stand there
             self._outbox.connect(dict(self.raft.voters))
 
     def _next_records(self) -> tuple[Record, ...]:
         """Take the records that come next, all of which may be written at once."""
-        writes = takewhile(lambda effect: isinstance(effect, voter_effects.WriteRecord), self._waiting)
+        writes = takewhile(lambda effect: isinstance(effect, voter_effects.WriteRecord), self._pending)
         records = tuple(effect.record for effect in writes if isinstance(effect, voter_effects.WriteRecord))
         for _ in records:
-            self._waiting.popleft()
+            self._pending.popleft()
         return records
 
     def _write(self, records: tuple[Record, ...]) -> None:
@@ -96,7 +98,7 @@
         self._is_writing = True
         self._outbox.add(WriteRecords(records))
 
-    def _carry_out_one(self, effect: voter_effects.Effect) -> None:
+    def _carry_out_effect(self, effect: voter_effects.Effect) -> None:
         match effect:
             case voter_effects.Send(to, message):
                 self._outbox.add(Send(to, message))
@@ -113,5 +115,5 @@
         data = entry.data if entry.kind == EntryKind.COMMAND else ""
         result = self.state_machine.apply(index, data)
         self._on_commit(index, entry, result)
-        if index - self.raft.persistent.snapshot_index >= SNAPSHOT_INTERVAL:
+        if index - self.raft.persistent.snapshot_index >= SNAPSHOT_INTERVAL_ENTRIES:
             self.raft.compact(self.state_machine.snapshot(), index)
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -22,13 +22,13 @@
 from weldhatch.zones.state import ZoneChange
 
 REVIEW_INTERVAL_S = 0.05  # witnesses are weighed as often
-QUOTA_SPAN = (
+QUOTA_SPAN_FRACTION = (
     0.25  # of the consistency bound: for which a quota holds. Shorter than a lease: it lapses with it
 )
 
 
 @dataclass(slots=True, frozen=True)
-class _Current:
+class _FailoverContext:
     """What decides, and the settings in force."""
 
     failover: FailoverLeader
@@ -43,29 +43,29 @@
         elected_at: float,
         name: str,
         term: int,
-        times: FailoverTiming,
+        failover_timing: FailoverTiming,
         leader: Leader,
-        read: Callable[[JsonObject], Settings],
+        parse_settings: Callable[[JsonObject], Settings],
     ) -> None:
         """Begin with no report. `term` tells its epochs of quotas from those of other leaders."""
         self._elected_at = elected_at
         self._name = f"{name}.{term}"
-        self._times = times
+        self._failover_timing = failover_timing
         self._leader = leader
-        self._read = read
+        self._parse_settings = parse_settings
         self._failover: FailoverLeader | None = None
         self._settings: Settings | None = None
         self._settings_number = 0
         self._reviewed_at = float("-inf")
 
-    def _current(self, machine: StateMachine) -> _Current | None:
+    def _context(self, machine: StateMachine) -> _FailoverContext | None:
         """Return nothing before a version is in force: only that names the zones."""
         active = machine.active
         if active is None:
             return None
         if self._settings is None or self._settings_number != active.number:
             self._settings_number = active.number
-            self._settings = self._read(active.tree)
+            self._settings = self._parse_settings(active.tree)
             if self._failover is not None:
                 self._failover.quota_ledger.set_window(self._settings.fall_us / 1e6)
         if self._failover is None:
@@ -73,56 +73,56 @@
             self._failover = FailoverLeader(
                 self._elected_at,
                 self._name,
-                self._times,
+                self._failover_timing,
                 self._settings.fall_us / 1e6,
-                QUOTA_SPAN * timing.consistency_bound,
+                QUOTA_SPAN_FRACTION * timing.consistency_bound,
                 timing.clock_drift,
             )
-        return _Current(self._failover, self._settings)
+        return _FailoverContext(self._failover, self._settings)
 
     def receive_report(self, now: float, machine: StateMachine, request: LeaseRequest) -> None:
         """Take a dispatcher's report. One that can't be read is of no use, and harms nobody."""
-        if not request.zone_report or (current := self._current(machine)) is None:
+        if not request.zone_report or (context := self._context(machine)) is None:
             return
         try:
             report = ZoneReport.from_json(request.zone_report)
         except InvalidReportError:
             return
-        current.failover.receive_report(now, request.name, Incarnation.of(request).label, report)
+        context.failover.receive_report(now, request.name, Incarnation.of(request).label, report)
 
     def due_commands(self, now: float, machine: StateMachine) -> list[JsonObject]:
         """Return commands that are due now."""
-        if now - self._reviewed_at < REVIEW_INTERVAL_S or (current := self._current(machine)) is None:
+        if now - self._reviewed_at < REVIEW_INTERVAL_S or (context := self._context(machine)) is None:
             return []
         self._reviewed_at = now
-        current.failover.set_members(machine.members.keys())
+        context.failover.set_members(machine.members.keys())
 
-        def is_held(index: int) -> bool:
+        def all_members_hold(index: int) -> bool:
             return not self._leader.grants.pending(now, machine, index, self._leader.timing.grace)
 
-        due = current.failover.due_changes(now, machine.zones, current.settings, is_held)
+        due = context.failover.due_changes(now, machine.zones, context.settings, all_members_hold)
         return [{**change.to_tree(), "id": _command_id(machine, change)} for change in due]
 
     def start_quotas(self, now: float, machine: StateMachine, request: LeaseRequest) -> str:
         """Return (JSON) what one who was just granted a lease may start on machines that return, or ''."""
-        if (current := self._current(machine)) is None:
+        if (context := self._context(machine)) is None:
             return ""
         label = Incarnation.of(request).label
-        quotas = current.failover.quotas_for(now, label, machine.zones, current.settings)
+        quotas = context.failover.quotas_for(now, label, machine.zones, context.settings)
         return json.dumps([quota.to_tree() for quota in quotas]) if quotas else ""
 
     def operator_command(self, now: float, machine: StateMachine, request: JsonObject) -> JsonObject:
         """Return an operator's word as a command for the log, or an error."""
-        if (current := self._current(machine)) is None:
+        if (context := self._context(machine)) is None:
             return error_result("unknown", "no rules are in force yet: nothing names the zones")
-        return current.failover.operator_command(now, request, machine.zones, current.settings)
+        return context.failover.operator_command(now, request, machine.zones, context.settings)
 
     def status(self, now: float, machine: StateMachine) -> JsonObject:
         """Return what the leader knows of the zones, for operators."""
-        if (current := self._current(machine)) is None:
+        if (context := self._context(machine)) is None:
             return {}
-        names = dict.fromkeys([*current.settings.zones, *machine.zones.entries])
-        return {**current.failover.status(now, names), "timeline": current.failover.timeline}
+        names = dict.fromkeys([*context.settings.zones, *machine.zones.entries])
+        return {**context.failover.status(now, names), "timeline": context.failover.timeline}
 
 
 def _command_id(machine: StateMachine, change: ZoneChange) -> str:
