--- a/weldhatch/consensus/__init__.py
+++ b/weldhatch/consensus/__init__.py
@@ -1,5 +1,5 @@
-"""Raft without I/O: one order of commands among a few voters.
+"""The Raft consensus algorithm without I/O: a replicated log of commands among a small group of voters.
 
-Source of the mechanism: Ongaro, "Consensus: Bridging Theory and Practice", 2014. `raft.Raft` puts together
-one class a concern; what is to be written or sent is left as effects for the caller to carry out.
+Source: Ongaro, "Consensus: Bridging Theory and Practice", 2014. `raft.Raft` combines one class per concern
+and returns disk writes and messages as effects that the caller carries out.
 """
--- a/weldhatch/consensus/effects.py
+++ b/weldhatch/consensus/effects.py
@@ -1,6 +1,6 @@
-"""What a voter wants done outside, in order.
+"""Effects of a voter: the I/O that its caller carries out, in order.
 
-What follows a `WriteRecord` happens once that is on the disk.
+Effects after a `WriteRecord` are carried out only once that record is on the disk.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteRecord:
-    """Append one record to the voter's store; all that follows waits until it is on the disk."""
+    """Append one record to the voter's store; later effects wait until the record is on the disk."""
 
     record: Record
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send a message to another voter. It may be lost, doubled or late."""
+    """Send a message to another voter. The link may lose, duplicate or delay it."""
 
     to: str
     message: Message
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EntryPersisted:
-    """All entries up to `index` are on this disk: pass it to `Raft.entry_persisted`."""
+    """All entries up to `index` are on the local disk. The caller passes this to `Raft.entry_persisted`."""
 
     index: int
     term: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Commit:
-    """Apply a decided entry. Each index comes once and in order, and is the same on every voter."""
+    """Apply a committed entry. Indexes arrive once, in order, with the same entry on every voter."""
 
     index: int
     entry: LogEntry
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadSnapshot:
-    """Put the state of a snapshot in the place of what was applied."""
+    """Replace the applied state by the state of a snapshot."""
 
     index: int
     state: str
--- a/weldhatch/consensus/election.py
+++ b/weldhatch/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections with pre-vote: who stands, who votes for whom.
+"""Leader election with pre-vote: candidacy and granting votes.
 
 Source: Ongaro 2014, sections 3.4, 4.2.3 and 9.6.
 """
@@ -15,7 +15,7 @@
 
 
 class Election:
-    """Stand for election, and vote."""
+    """Start elections for this voter, and answer the vote requests of others."""
 
     def __init__(
         self,
@@ -24,17 +24,17 @@
         store_check: StoreCheck,
         on_elected: Callable[[float], None],
     ) -> None:
-        """Call `on_elected` with the time once a majority has voted for this voter."""
+        """`on_elected` is called with the time once a majority has voted for this voter."""
         self._state = state
         self._rejoin = rejoin
         self._store_check = store_check
         self._on_elected = on_elected
         self._votes: set[str] = set()
 
-    # ---- standing --------------------------------------------------------------------------------------
+    # ---- candidacy -------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Stand where no leader has been heard for the time that was drawn."""
+        """Start a pre-vote once no leader has made contact for the randomized election timeout."""
         state = self._state
         if self._may_start_election(now) and now - state.election_timer_started > state.election_timeout:
             self._start_election(now, pre_vote=True)
@@ -90,7 +90,7 @@
             self._on_elected(now)
 
     def handle_response(self, now: float, name: str, response: RequestVoteResponse) -> None:
-        """Count a vote, or hear of a later term."""
+        """Count a granted vote, or become a follower when the response has a later term."""
         state = self._state
         expected_term = state.persistent.term + response.pre_vote
         role = Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE
@@ -101,7 +101,7 @@
             self._count_votes(now)
 
     def handle_timeout_now(self, now: float, message: TimeoutNow) -> None:
-        """Stand at once: the leader transfers leadership to this voter."""
+        """Start an election without pre-vote: the leader transfers leadership to this voter."""
         state = self._state
         if (
             message.term == state.persistent.term
@@ -113,13 +113,13 @@
     # ---- voting ----------------------------------------------------------------------------------------
 
     def handle_request(self, now: float, name: str, request: RequestVote) -> None:
-        """Vote for another, or not; say nothing while a leader lives."""
+        """Grant or deny a vote. Ignored while a leader is alive, except as part of a transfer."""
         state = self._state
         position = LogPosition(request.last_term, request.last_index)
         self._rejoin.record_peer_position(name, 0, position)
         required = self._required_log(now)
         up_to_date = required is not None and position >= max(state.persistent.last_position, required)
-        # Guards a leader that lives, and what it has promised, against a voter that can't hear it.
+        # Keeps a voter that receives nothing from the leader from ending a live leader's term and lease.
         leader_is_alive = now - state.last_leader_contact < state.timing.election_timeout or state.is_leader
         if not state.can_vote or (leader_is_alive and not request.transfer):
             return
@@ -131,8 +131,8 @@
     def _answer_pre_vote(self, name: str, request: RequestVote, up_to_date: bool) -> None:
         persistent = self._state.persistent
         granted = up_to_date and request.term > persistent.term
-        # Guards against two that never elect: one whose term is higher, as it stood once, and one that
-        # alone has all entries and would never hear of that term.
+        # A denial carries our own term. Otherwise two voters might never elect: one with a higher term from
+        # an earlier candidacy, and one that alone has all entries but never learns of that term.
         term = request.term if granted else persistent.term
         self._state.send(name, RequestVoteResponse(persistent.lineage, term, granted, pre_vote=True))
 
--- a/weldhatch/consensus/errors.py
+++ b/weldhatch/consensus/errors.py
@@ -1,4 +1,4 @@
-"""Why a voter does not do what it was asked to do."""
+"""Errors with which a voter rejects a request or a stored record."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 
 
 class NotLeaderError(ConsensusError):
-    """Only a leader takes commands."""
+    """A request that only the leader can handle reached another voter."""
 
     def __init__(self, leader: str) -> None:
-        """Carry the name of the `leader` that is known, or ''."""
+        """Create the error. `leader` is the name of the known leader, '' if none is known."""
         super().__init__(leader)
         self.leader = leader
 
 
 class BusyError(ConsensusError):
-    """The leader can't do this now; it may be asked again later."""
+    """The leader can't carry out the request at present; a later retry may succeed."""
 
     def __init__(self, reason: str) -> None:
-        """Carry the `reason`, for people to read."""
+        """Create the error with a human-readable `reason`."""
         super().__init__(reason)
         self.reason = reason
 
 
 class InvalidChangeError(ConsensusError, ValueError):
-    """The voters can't be changed, or leadership can't be transferred, in this way."""
+    """The requested change of the voters, or transfer of leadership, is not valid."""
 
     def __init__(self, reason: str) -> None:
-        """Carry the `reason`, for people to read."""
+        """Create the error with a human-readable `reason`."""
         super().__init__(reason)
         self.reason = reason
 
 
 class InvalidRecordError(ConsensusError, ValueError):
-    """A stored record can't be read, or does not follow from those before it."""
+    """A stored record can't be decoded, or does not follow from the records before it."""
 
     def __init__(self, reason: str) -> None:
-        """Carry the `reason`, for people to read."""
+        """Create the error with a human-readable `reason`."""
         super().__init__(reason)
         self.reason = reason
--- a/weldhatch/consensus/leadership.py
+++ b/weldhatch/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""How long a leader leads: its lease, check-quorum, leadership transfer.
+"""A leader's term in office: leader lease, check-quorum, leadership transfer.
 
 Source: Ongaro 2014, sections 6.2 (check-quorum), 6.4.1 (lease) and 3.10 (transfer).
 """
@@ -10,40 +10,37 @@
 from weldhatch.consensus.replication import Replication
 from weldhatch.consensus.voter_state import VoterState
 
-CHECK_QUORUM_ELECTION_TIMEOUTS = (
-    2.0  # election timeouts without a majority's answer, after which a leader steps down
-)
-LATE_TICK_FRACTION = (
-    0.5  # of an election timeout: a tick that comes so late tells of this process, not of others
-)
+CHECK_QUORUM_ELECTION_TIMEOUTS = 2.0  # a leader without answers from a majority for this long steps down
+LATE_TICK_FRACTION = 0.5  # of an election timeout: a tick this late means that this process was held up
 
 
 class Leadership:
-    """Step down in time, and promise no longer than is sure."""
+    """Decides when a leader steps down, and how long its leader lease holds."""
 
     def __init__(self, state: VoterState, replication: Replication, now: float) -> None:
-        """Judge by answers that `replication` has heard."""
+        """Create the state of a leadership. Leases depend on the answers that `replication` has received."""
         self._state = state
         self._replication = replication
         self._transferring_to = ""
         self._transfer_started = 0.0
         self._ticked_at = now
-        self.timeouts_suspended_until = now  # before then, that nothing was heard proves nothing
+        self.timeouts_suspended_until = now  # until then, missing messages are no evidence of a fault
 
     @property
     def transferring_to(self) -> str:
-        """To whom leadership is being transferred; '' for nobody."""
+        """The voter to which leadership is being transferred; '' for none."""
         return self._transferring_to
 
     def begin_term(self) -> None:
-        """Nothing of a former leadership goes on."""
+        """Reset the state of earlier terms."""
         self._transferring_to = ""
 
     def suspend_timeouts_after_late_tick(self, now: float) -> None:
-        """Let what waits unread be heard before silence counts; for a heartbeat, and not without end.
+        """Suspend election and check-quorum timeouts for one heartbeat after a late tick.
 
-        Guards against a process that was held up: a leader's messages, or answers to its own, may wait
-        unread, and that the clock has run on meanwhile proves nothing.
+        A process that was held up may have unread messages from the leader, or unread answers to its own;
+        these have to be handled before a timeout may fire. The suspension is not repeated within an election
+        timeout, so that repeated late ticks can't postpone the timeouts indefinitely.
         """
         timing = self._state.timing
         was_late = now - self._ticked_at > LATE_TICK_FRACTION * timing.election_timeout
@@ -54,9 +51,8 @@
     def tick(self, now: float) -> None:
         """Send heartbeats, or step down.
 
-        What a leader promises ends by `guaranteed_until` alone, so it may wait for answers that are late:
-        on a machine with too much to do, one that steps down at once brings another election, which is more
-        to do still.
+        The leader lease ends by `guaranteed_until` alone, so the leader can afford to wait for late answers.
+        On an overloaded machine, stepping down early would cause another election and thus more load.
         """
         state = self._state
         timeout = state.timing.election_timeout
@@ -65,18 +61,18 @@
             now - self._replication.quorum_acknowledged_at(now) > CHECK_QUORUM_ELECTION_TIMEOUTS * timeout
         )
         if transfer_timed_out or (quorum_lost and now >= self.timeouts_suspended_until):
-            # One that transferred to a voter that did not stand in time may still be replaced by a late
-            # message, so it does not lead on either.
+            # After a transfer that timed out, a late TimeoutNow may still start an election, so the leader
+            # steps down in that case, too.
             state.become_follower(state.persistent.term, "", now)
             state.election_timer_started = now
         else:
             self._replication.send_heartbeats(now)
 
     def guaranteed_until(self, now: float) -> float:
-        """Return until when no other can lead, by this clock; -inf where that is not known.
+        """Return until when no other voter can become leader, by the local clock; -inf if unknown.
 
-        Guards what a leader promises: a majority heard from it after a time that it knows, and none of them
-        votes for another until an election timeout after that.
+        A majority has received a message that was sent at a known time or later, and none of these voters
+        grants a vote until an election timeout after that.
         """
         state = self._state
         is_current = state.commit_index >= self._replication.first_index_of_term
@@ -86,7 +82,7 @@
         return self._replication.quorum_acknowledged_at(now) + span
 
     def transfer(self, now: float, name: str) -> None:
-        """Have another voter stand for election once it holds all entries. Raises InvalidChangeError."""
+        """Have another voter start an election once it has all entries. Raises InvalidChangeError."""
         if name == self._state.name or name not in self._state.voters:
             raise InvalidChangeError(f"{name!r} is no other voter")
         self._transferring_to = name
@@ -95,7 +91,7 @@
             self._replication.send_entries(name, now)
 
     def continue_transfer(self, name: str) -> bool:
-        """Tell the voter to stand if leadership is being transferred to it and it holds all entries."""
+        """Send TimeoutNow if leadership is being transferred to the voter and it has all entries."""
         if self._transferring_to != name or not self._replication.is_up_to_date(name):
             return False
         persistent = self._state.persistent
--- a/weldhatch/consensus/log_follower.py
+++ b/weldhatch/consensus/log_follower.py
@@ -1,4 +1,4 @@
-"""A follower's part: the leader's entries and snapshots taken in. Source: Ongaro 2014, sections 3.5 and 5."""
+"""The follower's side of log replication and snapshot transfer. Source: Ongaro 2014, sections 3.5 and 5."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class LogFollower:
-    """Take in the leader's log."""
+    """Accepts entries and snapshots from the leader."""
 
     def __init__(self, state: VoterState, rejoin: RejoinGuard) -> None:
-        """Follow for the voter of that state."""
+        """Create the follower of the voter with this state."""
         self._state = state
         self._rejoin = rejoin
 
     # ---- entries ---------------------------------------------------------------------------------------
 
     def handle_append(self, now: float, name: str, message: AppendEntries) -> None:
-        """Take entries where the log before them is the leader's, and decide what the leader has decided."""
+        """Append entries if the log before them matches the leader's, and advance the commit index."""
         state = self._state
         persistent = state.persistent
         if message.term < persistent.term:
@@ -41,7 +41,7 @@
         for entry in message.entries:
             index += 1
             if index <= persistent.snapshot_index:
-                continue  # behind our snapshot: decided long ago
+                continue  # covered by our snapshot, so already committed
             if persistent.term_at(index) != entry.term:
                 self._state.write(EntryRecord(index, entry))
                 self._state.refresh_voters()
@@ -64,7 +64,7 @@
     # ---- snapshots -------------------------------------------------------------------------------------
 
     def handle_snapshot(self, now: float, name: str, message: InstallSnapshot) -> None:
-        """Take a snapshot in the place of the log, also of a later lineage."""
+        """Replace the log by a snapshot, which may belong to a later lineage."""
         state = self._state
         if message.lineage > state.persistent.lineage:
             self._join_lineage(now, name, message)
@@ -85,7 +85,7 @@
         self._write_snapshot(message)
         self._rejoin.trust_store()
         if state.lost_reason:
-            state.write(LostRecord(""))  # what it may have voted in the lineage before is void
+            state.write(LostRecord(""))  # votes given in the earlier lineage are void
         self._load_snapshot(name, message)
 
     def _write_snapshot(self, message: InstallSnapshot) -> None:
--- a/weldhatch/consensus/membership.py
+++ b/weldhatch/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Voters that come and go, one at a time. Source: Ongaro 2014, section 4.1."""
+"""Membership changes: one voter is added or removed at a time. Source: Ongaro 2014, section 4.1."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 def voters_to_json(voters: dict[str, str]) -> str:
-    """Return voters, name to address, as they stand in the log."""
+    """Encode voters, name to address, for a log entry."""
     return json.dumps(voters, sort_keys=True)
 
 
 def check_change(state: VoterState, replication: Replication, voters: dict[str, str]) -> None:
-    """Check that the leader may change to these voters now. Raises InvalidChangeError, BusyError."""
+    """Check that the leader may switch to these voters now. Raises InvalidChangeError, BusyError."""
     if len(voters.keys() ^ state.voters.keys()) > 1:
         raise InvalidChangeError("voters come and go one at a time: any two majorities have to overlap")
     if not voters:
         raise InvalidChangeError("the last voter can't go")
-    # Guards against two leaders that each change the voters and never hear of the other's change.
-    undecided = state.persistent.entries[state.commit_index - state.persistent.snapshot_index :]
+    # Guards against two leaders that each change the voters without learning of the other's change.
+    uncommitted = state.persistent.entries[state.commit_index - state.persistent.snapshot_index :]
     if state.commit_index < replication.first_index_of_term or any(
-        entry.kind == EntryKind.VOTERS for entry in undecided
+        entry.kind == EntryKind.VOTERS for entry in uncommitted
     ):
         raise BusyError("the change before it is not decided yet")
--- a/weldhatch/consensus/messages.py
+++ b/weldhatch/consensus/messages.py
@@ -2,12 +2,12 @@
 
 Source: Ongaro 2014, figure 3.1, and sections 3.10 (TimeoutNow), 5.3 (InstallSnapshot) and 9.6 (pre-vote).
 
-Every message names the sender's `lineage`, which counts recoveries by hand: what a lineage before the last
-recovery says is void. `record_count` is how many records the sender's store has taken in during all its
-existence, and `known_record_count` how many the sender has been told of by the receiver: a store that is
-found with fewer later has lost its end.
+Every message carries the sender's `lineage`, the number of manual recoveries. Messages from a lineage before
+the receiver's are void. `record_count` is the number of records that were ever appended to the sender's
+store. `known_record_count` is the highest count that the sender has received from the receiver: a store that
+has fewer records later has lost its tail.
 
-Links encode fields by name. `rename` keeps the encoded names of version 0.2.0; the order of fields is part of
+Links encode fields by name. `rename` keeps the encoded names of version 0.2.0. The order of fields is part of
 the encoding, too.
 """
 
@@ -22,22 +22,22 @@
 
 
 class EntryKind(StrEnum):
-    """What a log entry holds, as it is encoded."""
+    """Kind of a log entry, as encoded."""
 
     COMMAND = "command"
-    VOTERS = "voters"  # a change of the voters: JSON of name to address
+    VOTERS = "voters"  # a change of the voters: a JSON object of name to address
     NO_OP = "first"  # the first entry of a term
 
 
 class LogPosition(NamedTuple):
-    """How far a log is: the greater is the more up-to-date (Ongaro 2014, section 3.6.1)."""
+    """End of a log. The greater position is the more up-to-date log (Ongaro 2014, section 3.6.1)."""
 
     last_term: int
     last_index: int
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One place of the log. `kind` is one of `EntryKind`."""
+    """One log entry. `kind` is an `EntryKind`."""
 
     term: int
     kind: str
@@ -47,10 +47,10 @@
 class RequestVote(
     msgspec.Struct, frozen=True, rename={"pre_vote": "pre", "transfer": "handed", **_RECORD_COUNTS}
 ):
-    """Ask for a vote.
+    """Requests a vote.
 
-    `pre_vote`: would the receiver vote for the sender? No term has begun. `transfer`: the leader has asked
-    the sender to stand for election.
+    `pre_vote`: asks whether the receiver would grant a vote, without starting a term. `transfer`: the
+    election is part of a leadership transfer that the leader started.
     """
 
     lineage: int
@@ -64,7 +64,7 @@
 
 
 class RequestVoteResponse(msgspec.Struct, frozen=True, rename={"pre_vote": "pre", "record_count": "stored"}):
-    """Answer a `RequestVote`."""
+    """Answers a `RequestVote`."""
 
     lineage: int
     term: int
@@ -76,9 +76,9 @@
 class AppendEntries(
     msgspec.Struct, frozen=True, rename={"leader_commit": "commit", "sent_at": "sent", **_RECORD_COUNTS}
 ):
-    """Replicate entries that follow `prev_index`; without entries it is a heartbeat.
+    """Replicates the entries that follow `prev_index`; without entries, the message is a heartbeat.
 
-    `sent_at`: seconds of the leader's clock, echoed in the answer.
+    `sent_at`: seconds of the leader's clock, echoed in the response.
     """
 
     lineage: int
@@ -97,9 +97,10 @@
     frozen=True,
     rename={"success": "ok", "match_index": "match", "sent_at": "sent", "record_count": "stored"},
 ):
-    """Answer an `AppendEntries` or `InstallSnapshot`.
+    """Answers an `AppendEntries` or `InstallSnapshot`.
 
-    `match_index`: up to where the log is the leader's; without `success`, up to where it may be.
+    `match_index`: the index up to which the log matches the leader's; without `success`, the highest index at
+    which the logs may match, or `replication.SEND_SNAPSHOT`.
     """
 
     lineage: int
@@ -115,9 +116,10 @@
     frozen=True,
     rename={"last_index": "index", "last_term": "index_term", "sent_at": "sent"},
 ):
-    """Bring a log up to date that ends before the first entry that the leader still has.
+    """Transfers a snapshot to a voter whose log ends before the first entry that the leader still has.
 
-    `last_index`, `last_term`: of the last entry that `state` includes; `voters`: JSON of name to address.
+    `last_index`, `last_term`: index and term of the last entry that `state` includes. `voters`: a JSON object
+    of name to address.
     """
 
     lineage: int
@@ -130,16 +132,16 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True):
-    """Transfer leadership: the receiver stands for election without waiting."""
+    """Transfers leadership: the receiver starts an election without waiting for its election timeout."""
 
     lineage: int
     term: int
 
 
 class Hello(msgspec.Struct, frozen=True, rename={"known_record_count": "seen", "wants_reply": "asks"}):
-    """Begin a new link: what the sender knows of the receiver's store, and how far its own log is.
+    """First message on a new link: the known record count of the receiver, and the end of the sender's log.
 
-    `wants_reply`: the sender wants to hear the same of the receiver, at once.
+    `wants_reply`: the receiver answers with its own `Hello` at once.
     """
 
     lineage: int
--- a/weldhatch/consensus/persistent_state.py
+++ b/weldhatch/consensus/persistent_state.py
@@ -1,4 +1,4 @@
-"""What a voter keeps on disk: its term and vote, its log, a snapshot; folded from records."""
+"""Raft's persistent state: term, vote, log and snapshot, rebuilt by replaying the records of the store."""
 
 from __future__ import annotations
 
@@ -21,30 +21,32 @@
 
 
 class PersistentState:
-    """The fold of a voter's records. `entries[0]` has the index `snapshot_index + 1`."""
+    """State after all records of a voter's store. `entries[0]` has the index `snapshot_index + 1`."""
 
     def __init__(self) -> None:
-        """Begin as an empty store."""
+        """Create the state of an empty store."""
         self.lineage = 0
         self.term = 0
-        self.voted_for = ""  # in `term`; '' for nobody yet
+        self.voted_for = ""  # in `term`; '' if no vote was given yet
         self.snapshot_index = 0
         self.snapshot_term = 0
-        self.snapshot_voters = NO_VOTERS  # JSON of name to address
+        self.snapshot_voters = NO_VOTERS  # a JSON object of name to address
         self.snapshot_state = ""
         self.entries: list[LogEntry] = []
-        self.lost_reason = ""  # why this store's voter votes no more
-        self.record_count = 0  # records taken in during all the store's existence
+        self.lost_reason = (
+            ""  # why the store is marked as lost, so that its voter no longer votes; '' if sound
+        )
+        self.record_count = 0  # records ever appended, including those that compaction has removed
 
     def apply_encoded(self, payload: bytes) -> None:
-        """Take one record as it is stored. Raises InvalidRecordError for what is none."""
+        """Apply one record in its stored form. Raises InvalidRecordError if it can't be decoded."""
         try:
             self.apply(record_from_list(json.loads(payload)))
         except (ValueError, TypeError) as error:
-            raise InvalidRecordError(f"a record that can't be read: {payload[:80]!r}: {error}") from None
+            raise InvalidRecordError(f"record {payload[:80]!r} can't be decoded: {error}") from None
 
     def apply(self, record: Record) -> None:
-        """Take one record. Raises InvalidRecordError for an entry that leaves a gap."""
+        """Apply one record. Raises InvalidRecordError for an entry that leaves a gap in the log."""
         match record:
             case VoteRecord():
                 self.lineage = record.lineage
@@ -61,7 +63,7 @@
     def _apply_entry(self, record: EntryRecord) -> None:
         if not self.snapshot_index < record.index <= self.last_index + 1:
             raise InvalidRecordError(
-                f"entry {record.index} after {self.last_index}, of {self.snapshot_index} on"
+                f"entry {record.index} is not next after {self.last_index}, snapshot at {self.snapshot_index}"
             )
         del self.entries[record.index - self.snapshot_index - 1 :]
         self.entries.append(record.entry)
@@ -80,7 +82,7 @@
         self.snapshot_state = record.state
 
     def records(self) -> Iterator[Record]:
-        """Yield the fewest records that fold to the same."""
+        """Yield a minimal list of records that rebuilds the same state."""
         records: list[Record] = [VoteRecord(self.lineage, self.term, self.voted_for)]
         if self.snapshot_index or self.snapshot_voters != NO_VOTERS:
             records.append(self._snapshot_record())
@@ -99,21 +101,21 @@
 
     @property
     def size(self) -> int:
-        """About how many records `records` yields."""
+        """Approximate number of records that `records` yields."""
         return 3 + len(self.entries)
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry."""
+        """Index of the last log entry."""
         return self.snapshot_index + len(self.entries)
 
     @property
     def last_position(self) -> LogPosition:
-        """How up-to-date the log is."""
+        """Term and index of the last log entry."""
         return LogPosition(self.term_at(self.last_index), self.last_index)
 
     def term_at(self, index: int) -> int:
-        """Return the term of an entry; -1 where it is no longer, or not yet, there."""
+        """Return the term of an entry; -1 for an entry that was compacted or does not exist yet."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if self.snapshot_index < index <= self.last_index:
@@ -121,16 +123,16 @@
         return -1
 
     def entry_at(self, index: int) -> LogEntry:
-        """Return an entry that follows the snapshot."""
+        """Return the entry at `index`, which has to be after the snapshot."""
         return self.entries[index - self.snapshot_index - 1]
 
     def entries_from(self, index: int, limit: int) -> tuple[LogEntry, ...]:
-        """Return at most `limit` entries from `index` on, which follows the snapshot."""
+        """Return at most `limit` entries from `index` on, which has to be after the snapshot."""
         start = index - self.snapshot_index - 1
         return tuple(self.entries[start : start + limit])
 
     def current_voters(self) -> dict[str, str]:
-        """Return the newest voters of the log, name to address: in force as soon as they stand in it."""
+        """Return the newest voters in the log, name to address; they apply before they are committed."""
         for entry in reversed(self.entries):
             if entry.kind == EntryKind.VOTERS:
                 return _voters_from_json(entry.data)
--- a/weldhatch/consensus/raft.py
+++ b/weldhatch/consensus/raft.py
@@ -1,7 +1,7 @@
 """One voter of a replicated log: Raft with pre-vote, check-quorum, leadership transfer, snapshots. No I/O.
 
-What it wants done it leaves in `effects`, in order: what follows a `WriteRecord` happens once that is on the
-disk. Clock (seconds, one process's own) and randomness are arguments.
+The voter leaves disk writes and messages in `effects`, in order. Effects after a `WriteRecord` are carried
+out only once that record is on the disk. The clock (in seconds) and randomness are arguments.
 """
 
 from __future__ import annotations
@@ -35,18 +35,16 @@
 from weldhatch.consensus.store_check import StoreCheck
 from weldhatch.consensus.voter_state import Role, Timing, VoterState
 
-REJOIN_WAIT_ELECTION_TIMEOUTS = (
-    20.0  # election timeouts for which one that comes back hears others before it votes
-)
+REJOIN_WAIT_ELECTION_TIMEOUTS = 20.0  # longest wait of a restarted voter for the positions of others
 
 
 class Raft:
-    """One voter, put together from its concerns. `name` votes where it is among the voters of its log."""
+    """One voter, combined from one class per concern. It votes only while its log lists `name` as a voter."""
 
     def __init__(
         self, name: str, persistent: PersistentState, timing: Timing, random: Random, now: float
     ) -> None:
-        """Start as a follower with what the store holds."""
+        """Start as a follower with the state of the store."""
         self._state = VoterState(name, persistent, timing, random.random, now)
         self._store_check = StoreCheck(self._state)
         self._rejoin = RejoinGuard(now + REJOIN_WAIT_ELECTION_TIMEOUTS * timing.election_timeout)
@@ -57,76 +55,76 @@
         self._follower = LogFollower(self._state, self._rejoin)
         self._election = Election(self._state, self._rejoin, self._store_check, self._become_leader)
 
-    # ---- what is known ---------------------------------------------------------------------------------
+    # ---- state -----------------------------------------------------------------------------------------
 
     @property
     def name(self) -> str:
-        """The name of this voter."""
+        """Name of this voter."""
         return self._state.name
 
     @property
     def effects(self) -> list[Effect]:
-        """What is to be done outside, in order. The caller removes what it carries out."""
+        """Pending effects, in order. The caller removes each effect that it carries out."""
         return self._state.effects
 
     @property
     def persistent(self) -> PersistentState:
-        """What the store holds, with what is on its way to the disk."""
+        """Persistent state, including records that are not yet on the disk."""
         return self._state.persistent
 
     @property
     def role(self) -> Role:
-        """What this voter is at present."""
+        """Present role of this voter."""
         return self._state.role
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter leads, as far as it knows."""
+        """Whether this voter is the leader of its present term."""
         return self._state.is_leader
 
     @property
     def leader(self) -> str:
-        """The name of the leader that is known, or ''."""
+        """Name of the known leader, '' if none is known."""
         return self._state.leader
 
     @property
     def voters(self) -> dict[str, str]:
-        """The newest voters of the log, name to address."""
+        """Newest voters in the log, name to address."""
         return self._state.voters
 
     @property
     def can_vote(self) -> bool:
-        """Whether it is one of the voters and its store is sound."""
+        """Whether this process is one of the voters and its store is sound."""
         return self._state.can_vote
 
     @property
     def lost_reason(self) -> str:
-        """Why it votes no more: its store is not what it was. It comes back under a new name."""
+        """Why the store is marked as lost, '' if it is sound. A lost voter has to rejoin under a new name."""
         return self._state.lost_reason
 
     @property
     def commit_index(self) -> int:
-        """Up to where the log is known to be decided."""
+        """Index of the last entry that is known to be committed."""
         return self._state.commit_index
 
     @property
     def applied_index(self) -> int:
-        """Up to where `Commit` has been given."""
+        """Index of the last entry for which a `Commit` effect was added."""
         return self._state.applied_index
 
     @property
     def first_index_of_term(self) -> int:
-        """The index of our first entry as a leader."""
+        """Index of this leader's first entry in its term."""
         return self._replication.first_index_of_term
 
     def leadership_guaranteed_until(self, now: float) -> float:
-        """Return until when no other can lead, by this clock; -inf where that is not known."""
+        """Return until when no other voter can become leader, by the local clock; -inf if unknown."""
         return self._leadership.guaranteed_until(now)
 
     # ---- time ------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Act on the time. Call every few hundredths of a second."""
+        """Handle timeouts and send heartbeats. Call every few hundredths of a second."""
         self._leadership.suspend_timeouts_after_late_tick(now)
         if self._state.is_leader:
             self._leadership.tick(now)
@@ -143,7 +141,7 @@
     # ---- messages --------------------------------------------------------------------------------------
 
     def handle_link_up(self, name: str) -> None:
-        """Begin a new link to a voter: say what we know of its store, and how far we are."""
+        """Send a `Hello` on a new link: the known record count of the peer, and the end of our log."""
         self._send_hello(name, wants_reply=self._rejoin.is_waiting)
 
     def _send_hello(self, name: str, wants_reply: bool) -> None:
@@ -160,16 +158,17 @@
         self._state.send(name, hello)
 
     def receive(self, now: float, name: str, message: Message) -> None:
-        """Handle one message of another voter."""
+        """Handle one message from another voter."""
         if message.lineage != self._state.persistent.lineage and not self._accept_lineage(name, message):
             return
         self._store_check.receive(name, message)
         self._handle(now, name, message)
 
     def _accept_lineage(self, name: str, message: Message) -> bool:
-        """Answer a message of another lineage; whether it is to be handled.
+        """Answer a message of another lineage, and return whether it is to be handled.
 
-        A lineage ends with a recovery by hand: what those say that were left behind counts no more.
+        A lineage ends with a manual recovery. Messages from voters that are still in an earlier lineage are
+        void.
         """
         lineage = self._state.persistent.lineage
         if message.lineage < lineage:
@@ -183,7 +182,7 @@
             )
             self._state.send(name, response)
         else:
-            # It decides no more, until the group that goes on takes it in.
+            # This voter takes no part in decisions until the recovered group adds it again.
             self._state.mark_store_lost(f"{name} is of a recovery by hand that left this voter behind")
         return False
 
@@ -220,7 +219,7 @@
     # ---- commands --------------------------------------------------------------------------------------
 
     def propose(self, now: float, data: str, kind: EntryKind = EntryKind.COMMAND) -> int:
-        """Append one command to the log; its index. It is decided once `Commit` says so.
+        """Append one command to the log, and return its index. `Commit` follows once it is committed.
 
         Raises NotLeaderError, BusyError.
         """
@@ -236,7 +235,7 @@
             raise NotLeaderError(self._state.leader)
 
     def change_voters(self, now: float, voters: dict[str, str]) -> int:
-        """Add or remove one voter; the index of that entry.
+        """Add or remove one voter, and return the index of the entry.
 
         Raises NotLeaderError, BusyError, InvalidChangeError.
         """
@@ -246,11 +245,11 @@
         for voter in voters:
             progress = self._replication.progress_of(voter)
             if progress.acknowledged_at == NEVER:
-                progress.acknowledged_at = now  # a new one gets an election timeout to answer
+                progress.acknowledged_at = now  # gives a new voter time to answer before check-quorum
         return index
 
     def transfer_leadership(self, now: float, name: str) -> None:
-        """Let another voter lead. This one steps down after an election timeout at the latest.
+        """Transfer leadership to another voter. This voter steps down within an election timeout.
 
         Raises NotLeaderError, InvalidChangeError.
         """
@@ -258,22 +257,25 @@
         self._leadership.transfer(now, name)
 
     def entry_persisted(self, effect: EntryPersisted) -> None:
-        """Carry out an `EntryPersisted`: our own disk counts as one of the majority."""
+        """Carry out an `EntryPersisted`: the local disk counts towards the majority."""
         self._replication.entry_persisted(effect)
 
     def compact(self, state: str, index: int) -> None:
-        """Replace the log up to `index` by the state after it: it is not needed any more."""
+        """Replace the log up to `index` by a snapshot: the state after that entry."""
         self._replication.compact(state, index)
 
-    # ---- the life of a group ---------------------------------------------------------------------------
+    # ---- bootstrap and recovery ------------------------------------------------------------------------
 
     def bootstrap(self, voters: dict[str, str]) -> None:
-        """Begin a new group with these voters, name to address: the same on each of them."""
+        """Create a new group with these voters, name to address. Every voter has to pass the same voters."""
         self._state.write(SnapshotRecord(0, 0, 0, voters_to_json(voters), ""))
         self._state.refresh_voters()
 
     def recover(self, now: float, address: str) -> None:
-        """Go on alone as a new lineage, as the majority is lost for good. `address`: of this voter."""
+        """Start a new lineage with this voter alone, after a permanent loss of the majority.
+
+        `address`: address of this voter.
+        """
         state = self._state
         persistent = state.persistent
         state.write(VoteRecord(persistent.lineage + 1, persistent.term + 1, state.name))
--- a/weldhatch/consensus/records.py
+++ b/weldhatch/consensus/records.py
@@ -1,4 +1,4 @@
-"""Records of a voter's store, and their encoding as JSON arrays.
+"""Records of a voter's store, encoded as JSON arrays.
 
 ["vote", lineage, term, name]                        ["snapshot", lineage, index, term, voters, state]
 ["entry", index, term, kind, data]                   ["lost", why]
@@ -15,32 +15,32 @@
 
 @dataclass(slots=True, frozen=True)
 class VoteRecord:
-    """The lineage and term that the voter is in, and for whom it voted there ('': nobody yet)."""
+    """Present lineage and term of the voter, and its vote in that term ('' if it has not voted)."""
 
     lineage: int
     term: int
     voted_for: str
 
     def to_list(self) -> list[object]:
-        """Return the record as it is encoded."""
+        """Return the JSON array of the record."""
         return ["vote", self.lineage, self.term, self.voted_for]
 
 
 @dataclass(slots=True, frozen=True)
 class EntryRecord:
-    """An entry of the log. It replaces all from its index on."""
+    """A log entry. It replaces all entries from its index on."""
 
     index: int
     entry: LogEntry
 
     def to_list(self) -> list[object]:
-        """Return the record as it is encoded."""
+        """Return the JSON array of the record."""
         return ["entry", self.index, self.entry.term, self.entry.kind, self.entry.data]
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotRecord:
-    """The state after the entry `index`, which had that `term`. `voters`: JSON of name to address."""
+    """State after the entry at `index`, which has that `term`. `voters`: a JSON object of name to address."""
 
     lineage: int
     index: int
@@ -49,29 +49,29 @@
     state: str
 
     def to_list(self) -> list[object]:
-        """Return the record as it is encoded."""
+        """Return the JSON array of the record."""
         return ["snapshot", self.lineage, self.index, self.term, self.voters, self.state]
 
 
 @dataclass(slots=True, frozen=True)
 class LostRecord:
-    """The voter votes no more, for this reason; '' takes that back."""
+    """Marks the store as lost, so that the voter no longer votes. The reason '' removes the mark."""
 
     reason: str
 
     def to_list(self) -> list[object]:
-        """Return the record as it is encoded."""
+        """Return the JSON array of the record."""
         return ["lost", self.reason]
 
 
 @dataclass(slots=True, frozen=True)
 class RecordCountRecord:
-    """How many records the store has taken in during all its existence."""
+    """Number of records that were ever appended to the store."""
 
     count: int
 
     def to_list(self) -> list[object]:
-        """Return the record as it is encoded."""
+        """Return the JSON array of the record."""
         return ["writes", self.count]
 
 
@@ -79,7 +79,7 @@
 
 
 def record_from_list(values: list[object]) -> Record:
-    """Decode what `to_list` gave. Raises InvalidRecordError for anything else."""
+    """Decode the result of `to_list`. Raises InvalidRecordError for anything else."""
     match values:
         case ["vote", int(lineage), int(term), str(name)]:
             return VoteRecord(lineage, term, name)
@@ -91,4 +91,4 @@
             return LostRecord(reason)
         case ["writes", int(count)]:
             return RecordCountRecord(count)
-    raise InvalidRecordError(f"a record of no known kind: {str(values)[:80]}")
+    raise InvalidRecordError(f"unknown kind of record, or wrong fields: {str(values)[:80]}")
--- a/weldhatch/consensus/rejoin.py
+++ b/weldhatch/consensus/rejoin.py
@@ -1,10 +1,12 @@
-"""A voter that comes back: what it has to hear before it votes on what its store says. Pure.
-
-Its store may be an older copy. Then it lacks entries that a majority with it has decided, and has forgotten
-votes that it gave. Each such majority had n // 2 others; so once n - n // 2 others have said how far they
-are, one of each has. Until then it neither votes nor stands, and then for nobody who is behind what it was
-told, nor in a term that somebody has reached. After a while it goes by its store all the same: else a group
-whose voters were all down, and of which one never returns, would never decide again.
+"""Protection against an outdated store: what a restarted voter must learn before it votes. No I/O.
+
+The store of a restarted voter may be an older copy. It then lacks entries that were committed with this
+voter's acknowledgement, and votes that this voter granted. Each majority that included this voter had at
+least n // 2 other members, so n - n // 2 other voters contain at least one member of every such majority.
+Until that many have reported the end of their logs, the voter neither grants votes nor starts elections.
+Afterwards it grants no vote to a log that is behind the reported ones, and none in a term that another voter
+has reached. After a time limit the voter trusts its store regardless: otherwise a group whose voters were all
+down, one of them permanently, could never commit again.
 """
 
 from __future__ import annotations
@@ -18,30 +20,30 @@
 
 
 class RejoinGuard:
-    """Remember what other voters have said of their logs since this process started."""
+    """Positions of the other voters' logs, as reported since this process started."""
 
     def __init__(self, trusted_from: float) -> None:
-        """Take the store for what it says from `trusted_from` on (seconds), whoever was heard."""
+        """Create the guard. From the time `trusted_from` (seconds) on, the store is trusted in any case."""
         self._trusted_from = trusted_from
         self._positions: dict[str, LogPosition] = {}
-        self.highest_term = 0  # that anybody has reached
+        self.highest_term = 0  # highest term that another voter has reported
 
     @property
     def is_waiting(self) -> bool:
-        """Whether it wants to hear of others: it came back with a store that holds something."""
+        """Whether the voter asks others for their positions: it restarted with a store that was not empty."""
         return self._trusted_from != _TRUSTED
 
     def trust_store(self) -> None:
-        """Note that there is nothing that the store could have lost: it is new, or counts from now on."""
+        """Trust the store at once: it is new, or a new lineage starts from its present contents."""
         self._trusted_from = _TRUSTED
 
     def record_peer_position(self, name: str, term: int, position: LogPosition) -> None:
-        """Another voter has said how far it is."""
+        """Record the term and the end of the log that another voter has reported."""
         self.highest_term = max(self.highest_term, term)
         self._positions[name] = max(self._positions.get(name, _NO_LOG), position)
 
     def required_log(self, now: float, name: str, voters: Collection[str]) -> LogPosition | None:
-        """Return how far a log has to be that `name` may vote for, its own too; None: not known yet."""
+        """Return the lowest log position that `name` may vote for, its own included; None if unknown yet."""
         if now >= self._trusted_from:
             return _NO_LOG
         others = [self._positions[voter] for voter in voters if voter != name and voter in self._positions]
@@ -50,5 +52,5 @@
         return max(others, default=_NO_LOG)
 
     def may_have_voted(self, now: float, term: int) -> bool:
-        """Whether it may have voted in that term, and forgotten it."""
+        """Whether this voter may have voted in that term and lost the record of it."""
         return now < self._trusted_from and term <= self.highest_term
--- a/weldhatch/consensus/replication.py
+++ b/weldhatch/consensus/replication.py
@@ -1,6 +1,6 @@
-"""The leader's part: its log sent to all, and what a majority holds decided.
+"""The leader's side of log replication: sending entries, and committing what a majority holds.
 
-Source: Ongaro 2014, sections 3.5 and 3.6; one `Progress` a voter, as in etcd's raft.
+Source: Ongaro 2014, sections 3.5 and 3.6. One `Progress` per voter, as in etcd's raft.
 """
 
 from __future__ import annotations
@@ -19,63 +19,63 @@
 from weldhatch.consensus.store_check import StoreCheck
 from weldhatch.consensus.voter_state import VoterState
 
-MAX_ENTRIES_PER_MESSAGE = 64  # in one message
-SEND_SNAPSHOT = -1  # as a match index: nothing of the sender's log is of this lineage
+MAX_ENTRIES_PER_MESSAGE = 64
+SEND_SNAPSHOT = -1  # as a match index: the follower's log is of another lineage, so it needs a snapshot
 NEVER = -1e9
 
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of one voter's log."""
+    """The leader's knowledge of one voter's log."""
 
-    next_index: int  # of the next entry to send; 0 for a snapshot
-    match_index: int = 0  # up to where the log is known to be the leader's
-    acknowledged_at: float = NEVER  # when the newest message that it answered was sent
+    next_index: int  # index of the next entry to send; 0 for a snapshot
+    match_index: int = 0  # index up to which the log is known to match the leader's
+    acknowledged_at: float = NEVER  # send time of the newest message that the voter answered
     sent_at: float = NEVER
 
 
 class Replication:
-    """Send the log to the voters, and decide what a majority holds."""
+    """Sends the log to the voters, and commits entries that a majority holds."""
 
     def __init__(self, state: VoterState, store_check: StoreCheck) -> None:
-        """Remember nothing of any voter yet."""
+        """Create the state without knowledge of any voter."""
         self._state = state
         self._store_check = store_check
         self._progress: dict[str, Progress] = {}
-        self.first_index_of_term = 0  # the index of our first entry as a leader
+        self.first_index_of_term = 0  # index of this leader's first entry in its term
 
     def begin_term(self, now: float) -> None:
-        """Begin to lead with an entry of the new term: with it all before is decided."""
+        """Start as leader with a no-op entry of the new term; its commit also commits all entries before."""
         next_index = self._state.persistent.last_index + 1
-        # That all have acknowledged is no promise: a lease waits for our first entry.
+        # Counting all voters as acknowledged is safe: a lease also requires the commit of our first entry.
         self._progress = {voter: Progress(next_index, acknowledged_at=now) for voter in self._state.voters}
         self.first_index_of_term = next_index
         self.append_entry(LogEntry(self._state.persistent.term, EntryKind.NO_OP))
 
     def progress_of(self, voter: str) -> Progress:
-        """Return what is known of a voter."""
+        """Return the progress of a voter."""
         progress = self._progress.get(voter)
         if progress is None:
             progress = self._progress[voter] = Progress(self._state.persistent.last_index + 1)
         return progress
 
     def is_up_to_date(self, voter: str) -> bool:
-        """Whether a voter is known to hold all entries."""
+        """Whether a voter is known to have all entries."""
         return self.progress_of(voter).match_index == self._state.persistent.last_index
 
     def quorum_acknowledged_at(self, now: float) -> float:
-        """Return a time such that a majority has answered what was sent then, or later."""
+        """Return the latest time such that a majority has answered messages sent at that time or later."""
         state = self._state
-        times = sorted(
+        acknowledged_times = sorted(
             (now if name == state.name else self.progress_of(name).acknowledged_at for name in state.voters),
             reverse=True,
         )
-        return times[len(state.voters) // 2] if times else NEVER
+        return acknowledged_times[len(state.voters) // 2] if acknowledged_times else NEVER
 
-    # ---- the log ---------------------------------------------------------------------------------------
+    # ---- log -------------------------------------------------------------------------------------------
 
     def append_entry(self, entry: LogEntry) -> int:
-        """Append an entry to our own log; its index."""
+        """Append an entry to the local log, and return its index."""
         index = self._state.persistent.last_index + 1
         self._state.write(EntryRecord(index, entry))
         self._state.refresh_voters()
@@ -83,14 +83,14 @@
         return index
 
     def entry_persisted(self, effect: EntryPersisted) -> None:
-        """Our own disk counts as one of the majority, once it holds the entry."""
+        """Count the local disk towards the majority for an entry that it now holds."""
         if self._state.is_leader and self._state.persistent.term_at(effect.index) == effect.term:
             progress = self.progress_of(self._state.name)
             progress.match_index = max(progress.match_index, effect.index)
             self._advance_commit()
 
     def compact(self, state: str, index: int) -> None:
-        """Replace the log up to `index` by the state after it."""
+        """Replace the log up to `index` by a snapshot: the state after that entry."""
         persistent = self._state.persistent
         if not persistent.snapshot_index < index <= self._state.applied_index:
             return
@@ -102,13 +102,13 @@
     # ---- sending ---------------------------------------------------------------------------------------
 
     def send_heartbeats(self, now: float) -> None:
-        """Send to all voters that have not been sent anything for a heartbeat's time."""
+        """Send to each voter to which nothing was sent for one heartbeat interval."""
         for voter in self._others():
             if now - self.progress_of(voter).sent_at >= self._state.timing.heartbeat:
                 self.send_entries(voter, now)
 
     def send_to_all(self, now: float) -> None:
-        """Send what each voter lacks, at once."""
+        """Send each voter its missing entries at once."""
         for voter in self._others():
             self.send_entries(voter, now)
 
@@ -116,7 +116,7 @@
         return [voter for voter in self._state.voters if voter != self._state.name]
 
     def send_entries(self, voter: str, now: float) -> None:
-        """Send a voter the next entries that it lacks, or a snapshot where they are no longer in the log."""
+        """Send a voter its next missing entries, or a snapshot if they are no longer in the log."""
         persistent = self._state.persistent
         progress = self.progress_of(voter)
         progress.sent_at = now
@@ -152,10 +152,10 @@
             sent_at=now,
         )
 
-    # ---- answers ---------------------------------------------------------------------------------------
+    # ---- responses -------------------------------------------------------------------------------------
 
     def handle_response(self, now: float, name: str, response: AppendEntriesResponse) -> None:
-        """Take an answer of our own term: send on, or send again from where the logs may agree."""
+        """Handle a response of the present term: send further entries, or retry at an earlier index."""
         progress = self.progress_of(name)
         progress.acknowledged_at = max(progress.acknowledged_at, response.sent_at)
         if not response.success:
@@ -173,11 +173,11 @@
             self.send_entries(name, now)
 
     def _advance_commit(self) -> None:
-        """Decide what a majority holds of our own term; and with it all before (section 3.6.2)."""
+        """Commit entries of the present term that a majority has, and all before (section 3.6.2)."""
         state = self._state
-        held = sorted((self.progress_of(name).match_index for name in state.voters), reverse=True)
-        index = held[len(held) // 2]
+        match_indexes = sorted((self.progress_of(name).match_index for name in state.voters), reverse=True)
+        index = match_indexes[len(match_indexes) // 2]
         if index > state.commit_index and state.persistent.term_at(index) == state.persistent.term:
             state.commit_up_to(index)
-            if state.name not in state.voters:  # it was removed, and that is decided now
+            if state.name not in state.voters:  # the removal of this voter is now committed
                 state.become_follower(state.persistent.term, "", state.last_leader_contact)
--- a/weldhatch/consensus/store_check.py
+++ b/weldhatch/consensus/store_check.py
@@ -1,6 +1,6 @@
-"""Find out that a voter's store has lost its end, or is an older copy.
+"""Detection of a store that has lost its tail or was replaced by an older copy.
 
-Others know how many records it had.
+Other voters remember how many records the store had.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 
 
 class StoreCheck:
-    """Compare counts of records: those that others tell of our store with its own."""
+    """Compares the record count of the local store with the counts that other voters remember of it."""
 
     def __init__(self, state: VoterState) -> None:
-        """Know of no other voter's store yet."""
+        """Create the check without knowledge of other stores."""
         self._state = state
         self._counts: dict[str, int] = {}
 
     def known_record_count(self, name: str) -> int:
-        """Return the most records of its store that a voter has told of."""
+        """Return the highest record count that a voter has reported of its store."""
         return self._counts.get(name, 0)
 
     def receive(self, name: str, message: Message) -> None:
-        """Note what a voter tells of its store, and distrust our own where it holds less than it once did."""
-        # Of candidates and leaders, too. Guards against one that decides, counting its own store, and comes
-        # back with an older one: nobody else would know what it had.
+        """Record the count of the sender's store, and mark our own store as lost if it has shrunk."""
+        # Candidates and leaders report their counts, too: a leader counts its own store towards a majority.
+        # If it restarted with an older copy, no other voter would otherwise know how many records it had.
         counted = RequestVoteResponse | AppendEntriesResponse | RequestVote | AppendEntries
         if isinstance(message, counted) and message.record_count:
             self._counts[name] = max(self.known_record_count(name), message.record_count)
         record_count = self._state.persistent.record_count
-        # Before anything is taken from it: what fills the store up again would hide that it is.
+        # Checked before the message is handled: new records would raise the count and hide the loss.
         if (
             isinstance(message, RequestVote | AppendEntries | Hello)
             and message.known_record_count > record_count
--- a/weldhatch/consensus/voter_state.py
+++ b/weldhatch/consensus/voter_state.py
@@ -1,4 +1,4 @@
-"""What all concerns of one voter share: its store, its role, its voters and the effects it wants."""
+"""State that all concerns of one voter share: store, role, voters and pending effects."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Role(StrEnum):
-    """What a voter is at present, as operators see it."""
+    """Present role of a voter; the values are shown to operators."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "asks"
@@ -23,15 +23,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Spans in seconds. `clock_drift`: by what part the clocks of two processes may run apart."""
+    """Durations in seconds. `clock_drift`: largest relative difference between two processes' clock rates."""
 
     heartbeat: float = 0.1
-    election_timeout: float = 0.4  # at random up to twice as long
+    election_timeout: float = 0.4  # minimum; randomized up to twice as long
     clock_drift: float = 0.02
 
 
 class VoterState:
-    """One voter. Clock values are seconds of this process's own clock."""
+    """Shared state of one voter. Times are seconds of the local clock."""
 
     def __init__(
         self,
@@ -41,18 +41,18 @@
         random_fraction: Callable[[], float],
         now: float,
     ) -> None:
-        """Start as a follower with what the store holds. `draw`: a random number of [0, 1)."""
+        """Start as a follower with the state of the store. `random_fraction` returns a number in [0, 1)."""
         self.name = name
         self.persistent = persistent
         self.timing = timing
         self._random_fraction = random_fraction
         self.effects: list[Effect] = []
         self.role = Role.FOLLOWER
-        self.leader = ""  # the name of the one that is known
+        self.leader = ""  # name of the known leader; '' if none is known
         self.voters = persistent.current_voters()  # name to address
         self.commit_index = persistent.snapshot_index
         self.applied_index = persistent.snapshot_index
-        # Guards a leader's lease: a voter that has just started may have forgotten that it heard one.
+        # Protects a leader's lease: before its restart, this voter may have acknowledged a live leader.
         self.last_leader_contact = now
         self.election_timer_started = now
         self.election_timeout = self._random_election_timeout()
@@ -61,44 +61,44 @@
         return self.timing.election_timeout * (1 + self._random_fraction())
 
     def restart_election_timer(self, now: float) -> None:
-        """Wait for a newly drawn time before the next election."""
+        """Restart the election timer with a new randomized timeout."""
         self.election_timer_started = now
         self.election_timeout = self._random_election_timeout()
 
     @property
     def is_leader(self) -> bool:
-        """Whether this voter leads, as far as it knows."""
+        """Whether this voter is the leader of its present term."""
         return self.role is Role.LEADER
 
     @property
     def lost_reason(self) -> str:
-        """Why it votes no more: its store is not what it was. It comes back under a new name."""
+        """Why the store is marked as lost, '' if it is sound. A lost voter has to rejoin under a new name."""
         return self.persistent.lost_reason
 
     @property
     def can_vote(self) -> bool:
-        """Whether it is one of the voters and its store is sound."""
+        """Whether this process is one of the voters and its store is sound."""
         return self.name in self.voters and not self.lost_reason
 
     def is_majority(self, names: Collection[str]) -> bool:
-        """Whether the voters among `names` are more than half of all."""
+        """Whether `names` contains more than half of the voters."""
         return len(set(names) & self.voters.keys()) * 2 > len(self.voters)
 
     def write(self, record: Record) -> None:
-        """Take a record into the store in memory, and want it on the disk."""
+        """Apply a record to the state in memory, and add an effect that writes it to the disk."""
         self.persistent.apply(record)
         self.effects.append(WriteRecord(record))
 
     def send(self, to: str, message: Message) -> None:
-        """Want a message sent."""
+        """Add an effect that sends a message."""
         self.effects.append(Send(to, message))
 
     def refresh_voters(self) -> None:
-        """The log has changed: act on the newest voters in it."""
+        """Use the newest voters in the log, after a change of the log."""
         self.voters = self.persistent.current_voters()
 
     def become_follower(self, term: int, leader: str, now: float) -> None:
-        """Follow `leader`, or nobody yet (''), in a term that is not before our own."""
+        """Become a follower in `term`, which is not before the present one. `leader` is '' while unknown."""
         if term > self.persistent.term:
             self.write(VoteRecord(self.persistent.lineage, term, ""))
         self.role = Role.FOLLOWER
@@ -108,14 +108,14 @@
             self.restart_election_timer(now)
 
     def mark_store_lost(self, reason: str) -> None:
-        """Vote no more, and remember so."""
+        """Mark the store as lost, also on the disk, so that this voter no longer votes."""
         if not self.lost_reason:
             self.write(LostRecord(reason))
             self.role = Role.FOLLOWER
             self.leader = ""
 
     def commit_up_to(self, index: int) -> None:
-        """Take all entries up to `index` for decided, and want them applied."""
+        """Commit all entries up to `index`, and add effects that apply them."""
         self.commit_index = max(self.commit_index, index)
         while self.applied_index < self.commit_index:
             self.applied_index += 1
