--- a/weldhatch/consensus/persistent_state.py
+++ b/weldhatch/consensus/persistent_state.py
@@ -63,7 +63,7 @@
     def _apply_entry(self, record: EntryRecord) -> None:
         if not self.snapshot_index < record.index <= self.last_index + 1:
             raise InvalidRecordError(
-                f"entry {record.index} is not next after {self.last_index}, snapshot at {self.snapshot_index}"
+                f"entry {record.index} out of range: last {self.last_index}, snapshot {self.snapshot_index}"
             )
         del self.entries[record.index - self.snapshot_index - 1 :]
         self.entries.append(record.entry)
--- a/weldhatch/coordination/__init__.py
+++ b/weldhatch/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""What a group of dispatchers agrees on: versions of settings, lists, leases, and what each may act on. Pure.
+"""Coordination of a group of dispatchers: settings versions, drain reports, leases, zone states. No I/O.
 
-`node.CoordinationNode` is one process as a whole; nothing here waits or does I/O.
+`node.CoordinationNode` combines the parts of one process. Nothing in this package waits.
 """
--- a/weldhatch/coordination/activation.py
+++ b/weldhatch/coordination/activation.py
@@ -1,4 +1,4 @@
-"""When a version comes into force, and when directives are settled: the leader decides. Pure."""
+"""The leader's decisions to activate or drop a version and to settle machine directives. No I/O."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """What the prepared version changes."""
+    """Changes from the active to the prepared version."""
 
     changes: list[compatibility.Change]
     affects_safe_work: bool
 
 
 class Activation:
-    """Wait until nobody can act on rules that contradict the next ones. Made anew at each election."""
+    """Activates a version once no member can act on rules that contradict it. Created at each election."""
 
     def __init__(
         self, timing: LeaseTiming, grants: LeaseGrants, parse_settings: Callable[[JsonObject], Settings]
     ) -> None:
-        """Judge by `grants`. `read`: a version's settings, ConfigError (a ValueError) for none."""
+        """Create the state. `parse_settings` raises ConfigError (a ValueError) for invalid settings."""
         self._timing = timing
         self._grants = grants
         self._parse_settings = parse_settings
         self._differences: dict[tuple[int, int], Difference] = {}
 
     def _difference(self, active: SettingsVersion | None, prepared: SettingsVersion) -> Difference:
-        """Raise IncompatibleChangeError, or ConfigError, for a version that nobody can move to."""
+        """Raises IncompatibleChangeError or ConfigError for a version that no running member can adopt."""
         if active is None:
             return Difference([], affects_safe_work=True)
         key = active.number, prepared.number
@@ -48,15 +48,16 @@
         return self._differences[key]
 
     def pending(self, now: float, machine: StateMachine) -> dict[str, str]:
-        """Return what the prepared version waits for, name to reason; nothing where it waits for nobody.
+        """Return the members for which the prepared version waits, name to reason.
 
-        Raises IncompatibleChangeError, or ConfigError (both ValueError), for one that nobody can move to.
+        Raises IncompatibleChangeError or ConfigError (both ValueError) for a version that no running member
+        can adopt.
         """
         prepared = machine.prepared
         if prepared is None:
             return {}
         difference = self._difference(machine.active, prepared)
-        # What tightens is acted on by whoever hears of it: then only the answers are waited for.
+        # Members apply a tightening change as soon as they receive it, so grace periods need not expire.
         widens = machine.active is None or compatibility.needs_all_members(difference.changes)
         in_grace = difference.affects_safe_work and widens
         span = self._timing.grace if in_grace else self._timing.lease
@@ -64,7 +65,7 @@
         return self._grants.pending(now, machine, index, span, prepared.number)
 
     def due_commands(self, now: float, machine: StateMachine) -> list[JsonObject]:
-        """Return commands that are due now, without their ids."""
+        """Return the commands that are due now, without their ids."""
         due: list[JsonObject] = []
         if machine.prepared is not None:
             due += self._decide_on_prepared(now, machine, machine.prepared.number)
--- a/weldhatch/coordination/command_log.py
+++ b/weldhatch/coordination/command_log.py
@@ -1,4 +1,4 @@
-"""Commands on their way through the log: entered once, and their results sent to who gave them. Pure."""
+"""Commands in the replicated log: each is appended once, and its result is sent to the requester. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from weldhatch.coordination.results import error_result, ok_result
 from weldhatch.coordination.voter import Voter
 
-LOGGED_KEYS = (  # of a command, in the log of events
+LOGGED_KEYS = (  # fields of a command that are copied into its log event
     "number",
     "machine",
     "state",
@@ -34,32 +34,32 @@
 
 @dataclass(slots=True, frozen=True)
 class Requester:
-    """Who waits for the result of a command."""
+    """The process that waits for the result of a command."""
 
     name: str
     command_id: str
 
 
 class CommandLog:
-    """Knows who waits for which entry of the log."""
+    """Tracks the requesters of log entries that are not yet committed."""
 
     def __init__(self, outbox: Outbox) -> None:
-        """Wait for nothing yet."""
+        """Create the log without any requester."""
         self._outbox = outbox
-        self._requesters: dict[str, str] = {}  # commands in the log, by id: who is to hear the result
-        self._voter_changes: dict[int, Requester] = {}  # by index
+        self._requesters: dict[str, str] = {}  # by command id: name of the requester; '' for none
+        self._voter_changes: dict[int, Requester] = {}  # by log index
 
     def clear(self) -> None:
-        """Forget all: what is not decided yet may never be. Its senders send it again."""
+        """Forget all requesters: uncommitted entries may never be committed, and clients retry."""
         self._requesters.clear()
         self._voter_changes.clear()
 
     def forget_commands(self) -> None:
-        """Forget commands, but not changes of the voters."""
+        """Forget the requesters of commands, but not those of changes of the voters."""
         self._requesters.clear()
 
     def append_command(self, voter: Voter, now: float, command: JsonObject, requester: str = "") -> None:
-        """Enter one command into the log, once under its id."""
+        """Append one command to the log, unless a command with its id is already in flight."""
         command_id = command["id"]
         if command_id in self._requesters:
             self._requesters[command_id] = requester or self._requesters[command_id]
@@ -72,12 +72,12 @@
         voter.carry_out()
 
     def change_voters(self, voter: Voter, now: float, requester: Requester, command: JsonObject) -> None:
-        """Add or remove voters, as a command says."""
-        if requester.command_id in (one.command_id for one in self._voter_changes.values()):
+        """Add or remove the voters that a command names."""
+        if requester.command_id in (pending.command_id for pending in self._voter_changes.values()):
             return
         before = voter.raft.voters
         voters = {**before, **command.get("add", {})}
-        voters = {name: at for name, at in voters.items() if name not in command.get("remove", [])}
+        voters = {name: address for name, address in voters.items() if name not in command.get("remove", [])}
         if voters == before:
             self.send_result(requester, ok_result(voters=voters))
             return
@@ -88,13 +88,13 @@
         voter.carry_out()
 
     def send_result(self, requester: Requester, result: JsonObject) -> None:
-        """Send a result to who waits for it."""
+        """Send a result to its requester."""
         self._outbox.send(requester.name, CommandResult(requester.command_id, json.dumps(result)))
 
-    # ---- what is decided -------------------------------------------------------------------------------
+    # ---- committed entries -----------------------------------------------------------------------------
 
     def handle_commit(self, index: int, entry: LogEntry, result: JsonObject) -> None:
-        """Send the result of a decided entry to who waits for it, and log what has happened."""
+        """Send the result of a committed entry to its requester, and log an event."""
         if entry.kind == EntryKind.VOTERS:
             self._handle_voters(index, json.loads(entry.data))
         elif entry.kind == EntryKind.COMMAND and entry.data:
--- a/weldhatch/coordination/commands.py
+++ b/weldhatch/coordination/commands.py
@@ -1,6 +1,6 @@
-"""Commands for the group's log: what each is called there, and those that the leader makes by itself.
+"""Kinds of commands in the replicated log, and constructors of commands that the leader creates.
 
-A command is a JSON object; its key "do" says which it is, and its "id" that it is carried out once.
+A command is a JSON object. Its key "do" is the kind. A command with an "id" is carried out at most once.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class CommandKind(StrEnum):
-    """What a command does, as it is encoded."""
+    """Kind of a command in the replicated log, as encoded."""
 
     JOIN = "join"
     LEAVE = "leave"
@@ -29,7 +29,7 @@
 
 
 class RequestKind(StrEnum):
-    """What is asked of the leader alone, and never stands in the log."""
+    """Kind of a request that the leader handles itself, without a command in the log."""
 
     CHANGE_VOTERS = "voters"
     STATUS = "status"
@@ -38,7 +38,7 @@
 
 
 def join(request: LeaseRequest) -> JsonObject:
-    """Take a dispatcher into the group."""
+    """Add a dispatcher to the group."""
     return {
         "do": CommandKind.JOIN,
         "id": f"join-{request.name}-{request.epoch}-{request.token}",
@@ -49,7 +49,7 @@
 
 
 def leave(request: LeaseRequest) -> JsonObject:
-    """Let a dispatcher leave the group."""
+    """Remove a dispatcher from the group."""
     return {
         "do": CommandKind.LEAVE,
         "id": f"leave-{request.name}-{request.token}",
@@ -59,7 +59,7 @@
 
 
 def propose_first(tree: JsonObject, by: str) -> JsonObject:
-    """Propose the settings of the first leader's file where a group has none yet."""
+    """Propose the settings in the first leader's file, for a group that has no version yet."""
     return {
         "do": CommandKind.PROPOSE,
         "id": "first",
@@ -71,22 +71,22 @@
 
 
 def activate(number: int) -> JsonObject:
-    """Bring the prepared version into force."""
+    """Activate the prepared version."""
     return {"do": CommandKind.ACTIVATE, "number": number}
 
 
 def drop(number: int, reason: str) -> JsonObject:
-    """Give the prepared version up."""
+    """Drop the prepared version."""
     return {"do": CommandKind.DROP, "number": number, "why": reason}
 
 
 def settle_directives(revision: int) -> JsonObject:
-    """Let directives up to this revision act as they are: everybody holds them."""
+    """Settle the directives up to this revision: every member has them."""
     return {"do": CommandKind.SETTLE_DIRECTIVES, "rev": revision}
 
 
 def recovered(lineage: int, by: str, reason: str, at: float) -> JsonObject:
-    """Note a recovery by hand. `at`: Unix seconds, for people to read."""
+    """Record a manual recovery. `at`: Unix seconds, shown to operators."""
     return {
         "do": CommandKind.RECOVERED,
         "id": f"recovered-{lineage}",
--- a/weldhatch/coordination/compatibility.py
+++ b/weldhatch/coordination/compatibility.py
@@ -1,4 +1,4 @@
-"""What contradicts what: two versions of the settings compared, and what may be acted on meanwhile. Pure."""
+"""Compatibility of two versions of the settings, and the rules that apply during the transition. No I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One value that differs. `of`: the class whose tasks it touches; '' for those of all."""
+    """One value that differs. `class_name`: the class whose tasks it affects; '' for all classes."""
 
     key: str
     old: object
@@ -36,7 +36,7 @@
 def find_changes(old: Settings, new: Settings) -> list[Change]:
     """Return all values that differ.
 
-    Raises IncompatibleChangeError where the change takes a restart of the whole group.
+    Raises IncompatibleChangeError for a change that requires a restart of the whole group.
     """
     changes = [
         change
@@ -75,9 +75,9 @@
     new: Sequence[Item],
     of_class: bool = False,
 ) -> Iterator[Change]:
-    """Yield values that differ in a list of named items. `of_class`: each touches its own tasks alone.
+    """Yield the values that differ in a list of named items. `of_class`: the items are request classes.
 
-    Raises IncompatibleChangeError where items are not only added at the end.
+    Raises IncompatibleChangeError unless `new` keeps all items of `old` in place and only appends items.
     """
     _check_items(list_key, [item.name for item in old], [item.name for item in new])
     for before, after in zip(old, new, strict=False):
@@ -98,7 +98,7 @@
 
 def _check_items(list_key: str, old_names: list[str], new_names: list[str]) -> None:
     if new_names[: len(old_names)] != old_names:
-        # Guards requests under way: they name their class and kind by its place.
+        # Requests in flight refer to their class and kind by position in the list.
         raise IncompatibleChangeError(
             list_key, "items may be added at the end; the others keep their places and names"
         )
@@ -108,9 +108,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RestrictedSettings:
-    """What may be acted on while either of two versions may be in force elsewhere.
+    """Settings that are safe while either of two versions may be in force at other dispatchers.
 
-    `blocked`: classes of which nothing new starts; `all_blocked`: of none of them.
+    `blocked`: classes of which no new task starts; `all_blocked`: no new task of any class starts.
     """
 
     settings: Settings
@@ -118,14 +118,15 @@
     all_blocked: bool = False
 
     def allows(self, name: str) -> bool:
-        """Whether anything new of the class of that name may start."""
+        """Whether new tasks of the class may start."""
         return not self.all_blocked and name not in self.blocked
 
 
 def intersect(old: Settings, new: Settings) -> RestrictedSettings:
     """Return the stricter of two versions, value by value.
 
-    It has the places of `old`: what is added waits. Raises IncompatibleChangeError.
+    The result has the items of `old` only: items that `new` adds are not usable until it is active. Raises
+    IncompatibleChangeError.
     """
     switched = [change.class_name for change in find_changes(old, new) if change.overlap is Overlap.SWITCHES]
     settings = replace(
@@ -139,14 +140,14 @@
 
 
 def _tightened(rules: dict[str, SettingRule], old: object, new: object) -> dict[str, Any]:
-    """Return the values that a new version makes stricter, by field."""
-    found = {}
+    """Return the values that the new version makes stricter, by field."""
+    tightened = {}
     for field, rule in rules.items():
         before = getattr(old, field)
         after = getattr(new, field)
         if before != after and rule.overlap(before, after) is Overlap.TIGHTENS:
-            found[field] = after
-    return found
+            tightened[field] = after
+    return tightened
 
 
 def _tightened_items(
@@ -158,12 +159,12 @@
 
 
 def needs_all_members(changes: list[Change]) -> bool:
-    """Whether a version with these changes comes into force only once everybody holds it."""
+    """Whether a version with these changes may be activated only once every member has it."""
     return any(change.overlap in (Overlap.WIDENS, Overlap.SWITCHES) for change in changes)
 
 
 def affects_safe_work(changes: list[Change], old: Settings, new: Settings) -> bool:
-    """Whether a dispatcher without a lease, which goes on with safe work, could contradict them."""
+    """Whether the changes affect safe work, which a dispatcher continues during its grace period."""
     safe = {
         request_class.name
         for settings in (old, new)
--- a/weldhatch/coordination/effects.py
+++ b/weldhatch/coordination/effects.py
@@ -1,4 +1,4 @@
-"""What a node wants done outside, in order. Types only."""
+"""Effects of a node: the I/O that its caller carries out, in order."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteRecords:
-    """Write records of the voter, and call `records_written` once they are on the disk.
+    """Append records to the voter's store, then call `records_written` once they are on the disk.
 
-    One `WriteRecords` is out at a time.
+    At most one `WriteRecords` is in progress at a time.
     """
 
     records: tuple[Record, ...]
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send a message to another process. It may be lost, doubled or late."""
+    """Send a message to another process. The link may lose, duplicate or delay it."""
 
     to: str
     message: Message | GroupMessage
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SaveState:
-    """Keep the state that is acted on, for a look after a restart: it has changed."""
+    """Save the changed state that this process acts on, to be shown after a restart."""
 
     lineage: int
     state: str
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectVoters:
-    """Keep links to these voters, name to address."""
+    """Maintain links to these voters, name to address."""
 
     voters: dict[str, str]
 
 
 @dataclass(slots=True, frozen=True)
 class CommandCompleted:
-    """The result of a command that was submitted here."""
+    """The result of a command that this process submitted."""
 
     command_id: str
     result: JsonObject
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """Log an event."""
+    """Write an event to the log."""
 
     name: str
     fields: JsonObject = field(default_factory=dict)
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaReceived:
-    """Starts on machines that return (JSON), from `asked_at` on, in seconds of our own clock."""
+    """Start quotas for returning machines (JSON), valid from `asked_at` on, in seconds of the local clock."""
 
     quotas: str
     asked_at: float
--- a/weldhatch/coordination/errors.py
+++ b/weldhatch/coordination/errors.py
@@ -1,4 +1,4 @@
-"""Why something can't be agreed on."""
+"""Errors of the coordination package."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class UnknownCommandError(CoordinationError, ValueError):
-    """A command of a kind that this version does not know."""
+    """A command of a kind that this version of the program does not support."""
 
     def __init__(self, kind: str) -> None:
-        """Carry the `kind` of the command."""
-        super().__init__(f"the unknown command {kind!r}")
+        """Create the error for a command of that `kind`."""
+        super().__init__(f"unknown kind of command {kind!r}")
         self.kind = kind
 
 
 class IncompatibleChangeError(CoordinationError, ValueError):
-    """A version of the settings that no running dispatcher can move to."""
+    """A version of the settings that no running dispatcher can adopt."""
 
     def __init__(self, key: str, reason: str) -> None:
-        """Carry the `key` that is at fault, and the `reason`."""
+        """Create the error. `key` is the setting that can't be changed that way."""
         super().__init__(f"{key}: {reason}")
         self.key = key
         self.reason = reason
--- a/weldhatch/coordination/group_client.py
+++ b/weldhatch/coordination/group_client.py
@@ -1,4 +1,4 @@
-"""A dispatcher's talk with the leader: leases asked for, commands given, answers taken. Pure."""
+"""A dispatcher's client of the leader: requests leases, submits commands, handles responses. No I/O."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command (JSON) that was given here, and when it was sent last."""
+    """A submitted command (JSON), and when it was last sent."""
 
     text: str
     sent_at: float
 
 
 class GroupClient:
-    """Asks the leader; where none is known, or it says nothing, every voter that can be reached."""
+    """Sends requests to the leader, or to all reachable voters if it is unknown or unresponsive."""
 
     def __init__(
         self,
@@ -34,15 +34,15 @@
         voter: Voter | None,
         duties: LeaderDuties | None,
     ) -> None:
-        """Ask for that holder. `voter`, `duties`: of this process, where it has them."""
+        """Create the client. `voter` and `duties` belong to this process; None if it never votes."""
         self._lease_holder = lease_holder
         self._timing = lease_holder.timing
         self._outbox = outbox
         self._voter = voter
         self._duties = duties
-        self.leader = ""  # as far as it is known
-        self.reachable: set[str] = set()  # voters that this process can send to
-        self.observe_zones: Callable[[float], str] = lambda now: ""  # JSON for each request for a lease
+        self.leader = ""  # name of the known leader; '' if none is known
+        self.reachable: set[str] = set()  # voters to which a link is up
+        self.observe_zones: Callable[[float], str] = lambda now: ""  # JSON for a lease request
         self._commands: dict[str, PendingCommand] = {}
         self._status = LeaseStatus.EXPIRED
         self._last_request_at = NEVER
@@ -52,7 +52,7 @@
         return self._voter is not None and self._voter.raft.is_leader
 
     def tick(self, now: float) -> None:
-        """Ask again for what is due."""
+        """Send requests that are due."""
         if now - self._last_request_at >= self._timing.renewal_interval:
             self.request_lease(now)
         for command_id, command in list(self._commands.items()):
@@ -61,7 +61,7 @@
         self._report_status(now)
 
     def _report_status(self, now: float) -> None:
-        """Log once that the status of the lease has changed."""
+        """Log an event if the status of the lease has changed."""
         status = self._lease_holder.lease_status(now)
         if status is not self._status:
             before = self._status.value
@@ -71,7 +71,7 @@
     # ---- leases ----------------------------------------------------------------------------------------
 
     def request_lease(self, now: float, leaving: bool = False) -> None:
-        """Ask for a lease, or leave the group."""
+        """Request a lease, or leave the group."""
         self._last_request_at = now
         request = self._lease_holder.request(now, leaving, self.observe_zones(now))
         if self._is_leader:
@@ -87,11 +87,11 @@
             self._outbox.add(Send(name, request))
 
     def handle_response(self, now: float, name: str, response: LeaseResponse) -> None:
-        """Take an answer, or news."""
+        """Handle a response to a lease request, or an announcement of new commands."""
         if response.voters:
             voters = json.loads(response.voters)
             if self._outbox.name not in voters:
-                self._outbox.connect(voters)  # also for one that votes no more, and has not heard that
+                self._outbox.connect(voters)  # also in a former voter that has not learned of its removal
         if response.leader:
             if response.leader != self.leader:
                 self.leader = response.leader
@@ -109,7 +109,7 @@
         if not holder.handle_response(now, response):
             return
         self._outbox.add(SaveState(holder.lineage, holder.state_machine.snapshot()))
-        self.request_lease(now)  # at once: whoever waits for this dispatcher hears that it holds it
+        self.request_lease(now)  # reports at once that this dispatcher has the new state
         rules = holder.rules
         if rules != before:
             number = rules.number if rules else 0
@@ -118,15 +118,15 @@
     # ---- commands --------------------------------------------------------------------------------------
 
     def submit(self, now: float, command_id: str, command: JsonObject) -> None:
-        """Have one command decided: it is sent again until its result comes, or `forget_command`."""
+        """Submit one command. It is retried until its result arrives or `forget_command` is called."""
         self._send_command(now, command_id, json.dumps({**command, "id": command_id}))
 
     def forget_command(self, command_id: str) -> None:
-        """Send a command no more. It may still be carried out."""
+        """Stop retrying a command. It may still be carried out."""
         self._commands.pop(command_id, None)
 
     def handle_result(self, result: CommandResult) -> None:
-        """Take the result of a command, once."""
+        """Handle the result of a command; a repeated result is ignored."""
         if self._commands.pop(result.command_id, None) is not None:
             self._outbox.add(CommandCompleted(result.command_id, json.loads(result.result)))
 
--- a/weldhatch/coordination/incarnation.py
+++ b/weldhatch/coordination/incarnation.py
@@ -1,4 +1,4 @@
-"""One run of a dispatcher, told from others under its name."""
+"""Identity of one run of a dispatcher."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Incarnation:
-    """`epoch` and `token` of a dispatcher's store tell one incarnation of it from another."""
+    """One run of a dispatcher. `epoch` and `token` come from its store and differ between incarnations."""
 
     name: str
     epoch: int
@@ -22,5 +22,5 @@
 
     @property
     def label(self) -> str:
-        """One text for all of it."""
+        """The incarnation as one string."""
         return f"{self.name}.{self.epoch}.{self.token}"
--- a/weldhatch/coordination/json_types.py
+++ b/weldhatch/coordination/json_types.py
@@ -1,4 +1,4 @@
-"""Types of what comes from, or goes to, JSON."""
+"""Types of decoded JSON."""
 
 from __future__ import annotations
 
--- a/weldhatch/coordination/leader.py
+++ b/weldhatch/coordination/leader.py
@@ -1,4 +1,4 @@
-"""The leading voter's part in rules and leases, put together. Pure."""
+"""The leader's state for lease grants and version activation. No I/O."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class Leader:
-    """What one leader remembers. Made anew at each election."""
+    """Volatile state of one leadership. Created at each election."""
 
     def __init__(
         self, timing: LeaseTiming, elected_at: float, parse_settings: Callable[[JsonObject], Settings]
     ) -> None:
-        """Know of no grant. `read`: a version's settings, ConfigError (a ValueError) for none."""
+        """Create the state without grants. `parse_settings` raises ConfigError for invalid settings."""
         self.timing = timing
         self.grants = LeaseGrants(timing, elected_at)
         self.activation = Activation(timing, self.grants, parse_settings)
--- a/weldhatch/coordination/leader_duties.py
+++ b/weldhatch/coordination/leader_duties.py
@@ -1,4 +1,4 @@
-"""What a process does while its voter leads: it grants leases, enters due commands, answers. Pure."""
+"""Work of the leader's process: grants leases, appends due commands, answers requests. No I/O."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 
 class LeaderDuties:
-    """Does nothing while the voter does not lead. `leader` and `zone_leader` are of one leadership."""
+    """The leader's work. `leader` and `zone_leader` are None while the local voter does not lead."""
 
     def __init__(self, setup: NodeSetup, voter: Voter, log: CommandLog, outbox: Outbox) -> None:
-        """Act for that voter."""
+        """Create the duties of that voter."""
         self._setup = setup
         self._voter = voter
         self._raft = voter.raft
@@ -47,13 +47,13 @@
 
     @property
     def state_machine(self) -> StateMachine:
-        """The state as the voter here has it."""
+        """The state machine of the local voter."""
         return self._voter.state_machine
 
-    # ---- while it leads --------------------------------------------------------------------------------
+    # ---- leadership ------------------------------------------------------------------------------------
 
     def update(self, now: float) -> None:
-        """Begin or end to lead, and enter commands that are due."""
+        """Follow changes of leadership, and append commands that are due."""
         if not self._raft.is_leader:
             self._end_leadership()
             return
@@ -94,16 +94,16 @@
         self._log.append_command(self._voter, now, command, requester)
 
     def may_grant_until(self, now: float) -> float:
-        """Return until when a leader may grant leases and activate; -inf where it may not.
+        """Return until when the leader may grant leases and activate versions; -inf if it may not.
 
-        Guards against a leader whose own state is not yet what leaders before it have decided, because its
-        disk is slow: it would grant a lease on rules that others have moved on from.
+        A new leader with a slow disk may not yet have applied all entries that earlier leaders committed. It
+        would grant leases on rules that other members have already replaced.
         """
         is_behind = self.state_machine.index < self._raft.first_index_of_term
         return NEVER if is_behind else self._raft.leadership_guaranteed_until(now)
 
     def handle_commit(self, index: int, entry: LogEntry) -> None:
-        """Send a decided command to all at once, so that they ask and are known to hold it."""
+        """Announce a committed command to all members, which confirm it with their next lease request."""
         if self.leader is None:
             return
         data = entry.data if entry.kind == EntryKind.COMMAND else ""
@@ -128,7 +128,7 @@
     # ---- leases ----------------------------------------------------------------------------------------
 
     def handle_lease_request(self, now: float, name: str, request: LeaseRequest) -> None:
-        """Answer a dispatcher. Only a leader that is sure of it answers with a lease."""
+        """Answer a lease request. Only a leader whose leadership is guaranteed grants a lease."""
         if self.leader is None or not self._raft.is_leader:
             self._redirect_to_leader(name, request)
         elif request.leaving:
@@ -175,10 +175,10 @@
             self._joining[incarnation] = now
             self._append_command(now, commands.join(request))
 
-    # ---- commands of dispatchers -----------------------------------------------------------------------
+    # ---- commands --------------------------------------------------------------------------------------
 
     def handle_command(self, now: float, requester: Requester, text: str) -> None:
-        """Take a command of a dispatcher. Not a leader's to take: its sender sends it again."""
+        """Handle a command from a dispatcher. A process that does not lead ignores it; the sender retries."""
         if not self._raft.is_leader:
             return
         results = self.state_machine.results
@@ -200,7 +200,7 @@
                 self._append_command(now, command, requester.name)
 
     def _operate_zone(self, now: float, requester: Requester, request: JsonObject) -> None:
-        """An operator's word on a zone: weighed here, where the reports are, then decided by the group."""
+        """Handle an operator's zone command: the leader checks it against its reports, then appends it."""
         command = error_result("off", "zones: this group does not leave zones; see its file")
         if self.zone_leader is not None:
             command = self.zone_leader.operator_command(now, self.state_machine, request)
@@ -220,7 +220,7 @@
     # ---- operators -------------------------------------------------------------------------------------
 
     def recover(self, now: float, address: str, by: str, reason: str, unix_time: float) -> JsonObject:
-        """Have the voter go on alone, as an operator says that the majority is lost for good."""
+        """Start a new lineage with the local voter alone, after an operator gave up the other voters."""
         self.leader = None
         self._log.forget_commands()
         self._raft.recover(now, address)
@@ -232,7 +232,7 @@
         return ok_result(lineage=lineage)
 
     def status(self, now: float) -> JsonObject:
-        """Return what only the leader knows: who holds what, and what is waited for."""
+        """Return the leader's view: state of each member, and members that a prepared version waits for."""
         leader = self.leader
         if leader is None:
             return {}
--- a/weldhatch/coordination/lease_grants.py
+++ b/weldhatch/coordination/lease_grants.py
@@ -1,8 +1,8 @@
-"""The leader's part in leases: who has one, and what each member is known to hold. Pure.
+"""The leader's records of leases: who has one, and which state each member is known to have. No I/O.
 
-A lease is a span of the holder's own clock from the moment it asked; here it is counted from the moment it
-was granted, which is later, and stretched by the drift between clocks. A new leader knows of no grant that
-the one before gave: to it, every member has one from the moment of its election.
+For its holder, a lease starts when it was requested. The leader counts from the later time of the grant, and
+extends the duration by the clock drift. A new leader does not know the grants of its predecessor, so it
+assumes that every member was granted a lease at the moment of its own election.
 """
 
 from __future__ import annotations
@@ -15,58 +15,58 @@
 from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.coordination.timing import LeaseTiming
 
-MAX_COMMANDS = 200  # that are sent as a difference; more, and the whole state goes
+MAX_COMMANDS = 200  # commands kept for members that are behind; for more, a snapshot is sent
 _DIRECTIVE_MARKER = f'"do":"{CommandKind.DIRECT_MACHINE}"'
 
 
 @dataclass(slots=True)
 class Grant:
-    """What this leader has heard of one incarnation of a member."""
+    """Last lease request of one incarnation of a member, and when a lease was last granted to it."""
 
     granted_at: float
     applied_index: int = 0
-    reviewed_version: int = 0  # the prepared version that it has looked at
+    reviewed_version: int = 0  # number of the prepared version that the member has reviewed
     rejection: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class StateUpdate:
-    """What a dispatcher lacks: commands after those it has, or the whole state."""
+    """What a dispatcher is missing: the commands after its index, or a snapshot."""
 
     commands: tuple[str, ...] = ()
     snapshot: str = ""
 
 
 class LeaseGrants:
-    """Made anew at each election."""
+    """Lease grants of one leadership. Created at each election."""
 
     def __init__(self, timing: LeaseTiming, elected_at: float) -> None:
-        """Take every member for one that was granted a lease at `elected_at`."""
+        """Create the records. Every member counts as granted a lease at `elected_at`."""
         self._timing = timing
         self._elected_at = elected_at
         self.entries: dict[Incarnation, Grant] = {}
-        self._commands: dict[int, str] = {}  # the last ones, by index
+        self._commands: dict[int, str] = {}  # the newest, by index
 
     # ---- commands --------------------------------------------------------------------------------------
 
     def record_commit(self, index: int, data: str) -> None:
-        """Keep a decided command: members that are a little behind get it from here."""
+        """Keep a committed command for members that are slightly behind."""
         self._commands[index] = data
         self._commands.pop(index - MAX_COMMANDS, None)
 
     def last_directive_index(self, machine: StateMachine) -> int:
-        """Return from which index on a member holds the newest directive: that of the directive, or later."""
+        """Return the index of the newest directive, or a later index if the directive is not known."""
         for index in sorted(self._commands, reverse=True):
-            if _DIRECTIVE_MARKER in self._commands[index].replace(" ", ""):  # parsed, it would take long
+            if _DIRECTIVE_MARKER in self._commands[index].replace(" ", ""):  # faster than parsing
                 return index
         return machine.index
 
-    # ---- granting --------------------------------------------------------------------------------------
+    # ---- grants ----------------------------------------------------------------------------------------
 
     def answer(
         self, now: float, machine: StateMachine, request: LeaseRequest, lineage: int, may_grant_until: float
     ) -> LeaseResponse:
-        """Answer one dispatcher. `sure_until`: no other voter can lead before then."""
+        """Answer one lease request. `may_grant_until`: no other voter can become leader before then."""
         denial = self._denial(now, machine, request, lineage, may_grant_until)
         update = self._missing_update(machine, request, lineage)
         if not denial or DenialKind.of(denial) is DenialKind.REFUSES:
@@ -93,7 +93,7 @@
     def _denial(
         now: float, machine: StateMachine, request: LeaseRequest, lineage: int, may_grant_until: float
     ) -> str:
-        """Return why there is no lease, beginning with a `DenialKind`; '' where there is one."""
+        """Return why the lease is denied, beginning with a `DenialKind`; '' if it is granted."""
         known = machine.members.get(request.name)
         if request.lineage > lineage:
             return "it is of a later recovery than we are"
@@ -106,7 +106,7 @@
         if now >= may_grant_until:
             return "the leader is not sure that it still leads"
         if request.rejection and _rejection_applies(machine, request):
-            # Guards the group against one that goes on by the old rules: it has what it holds until then.
+            # Ensures that the member stops acting on the old rules: its present lease expires.
             return f"refuses version {request.reviewed_version}: {request.rejection}"
         return ""
 
@@ -114,10 +114,10 @@
         same_lineage = request.lineage == lineage
         if same_lineage and (request.applied_index, request.digest) == (machine.index, machine.digest):
             return StateUpdate()
-        lacking = range(request.applied_index + 1, machine.index + 1)
-        is_known = len(lacking) and all(index in self._commands for index in lacking)
+        missing = range(request.applied_index + 1, machine.index + 1)
+        is_known = len(missing) and all(index in self._commands for index in missing)
         if same_lineage and request.applied_index and is_known:
-            return StateUpdate(commands=tuple(self._commands[index] for index in lacking))
+            return StateUpdate(commands=tuple(self._commands[index] for index in missing))
         return StateUpdate(snapshot=machine.snapshot())
 
     def _grant_of(self, incarnation: Incarnation) -> Grant:
@@ -125,14 +125,14 @@
             self.entries[incarnation] = Grant(self._elected_at)
         return self.entries[incarnation]
 
-    # ---- who may act on what ---------------------------------------------------------------------------
+    # ---- state of the members --------------------------------------------------------------------------
 
     def pending(
         self, now: float, machine: StateMachine, index: int, span: float, version: int = 0
     ) -> dict[str, str]:
-        """Return who does not hold the state at `index` yet and may have a lease of that span.
+        """Return members that may still have a lease of that duration and lack the state at `index`.
 
-        Name to reason, for people to read. `version`: one that each has to have looked at, too.
+        The values are human-readable reasons. `version`: a version that each member must have reviewed, too.
         """
         pending = self._pending_members(now, machine, index, span, version)
         granter_span = self._timing.by_granter_clock(span)
@@ -142,8 +142,8 @@
                 and grant.applied_index < index
                 and now - grant.granted_at <= granter_span
             ):
-                left = granter_span - (now - grant.granted_at)
-                pending[incarnation.name] = f"an earlier life of it may have a lease for {left:.2f} s"
+                remaining = granter_span - (now - grant.granted_at)
+                pending[incarnation.name] = f"an earlier life of it may have a lease for {remaining:.2f} s"
         return pending
 
     def _pending_members(
@@ -167,9 +167,9 @@
         return pending
 
     def rejections(self, machine: StateMachine) -> dict[str, str]:
-        """Return members that can't act on the prepared version, but for those that may refuse it.
+        """Return members that reject the prepared version, except those that are allowed to.
 
-        Name to the key that is at fault and the reason.
+        The values name the unsupported key and the reason.
         """
         prepared = machine.prepared
         if prepared is None:
--- a/weldhatch/coordination/lease_holder.py
+++ b/weldhatch/coordination/lease_holder.py
@@ -1,8 +1,8 @@
-"""A dispatcher's part: what it holds, until when, and what it may act on at this moment. Pure.
+"""A dispatcher's lease and its copy of the agreed state, which determine what it may start now. No I/O.
 
-With a lease it acts on the version in force, restricted by one that is being prepared. Without one there is a
-grace period: safe work goes on, on machines that nothing it knows excludes. Once that has ended, nothing new
-starts; what stands is looked after all the same.
+With a lease, a dispatcher acts on the active version, restricted by a version that is being prepared. Without
+a lease, a grace period follows, in which safe work continues on machines that no known list or directive
+excludes. After the grace period no new task starts; running tasks are still managed.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class LeaseStatus(Enum):
-    """How much of the rules a dispatcher is sure of, as operators see it."""
+    """Status of a dispatcher's lease; the values are shown to operators."""
 
     VALID = "lease"
     GRACE = "common ground"
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ActiveRules:
-    """What is acted on: the number in force, the one being prepared (0: none), and the stricter of both."""
+    """Rules in effect: numbers of the active and prepared version (0: none), and the stricter of both."""
 
     number: int
     prepared: int
@@ -41,7 +41,7 @@
 
 
 class LeaseHolder:
-    """One dispatcher's copy of the agreed state, and its lease. Clock values are seconds of its own clock."""
+    """One dispatcher's copy of the agreed state, and its lease. Times are seconds of the local clock."""
 
     def __init__(
         self,
@@ -50,10 +50,11 @@
         parse_settings: Callable[[JsonObject], Settings],
         unsupported_reason: Callable[[Settings], str] = lambda settings: "",
     ) -> None:
-        """Hold nothing yet.
+        """Create a holder without state or lease.
 
-        `read`: a version's settings with this dispatcher's own keys, ConfigError (a ValueError) for none.
-        `fits`: '' where this dispatcher can act on such settings, or the key and the reason.
+        `parse_settings` returns a version's settings with this dispatcher's local keys; it raises ConfigError
+        (a ValueError) for invalid settings. `unsupported_reason` returns the key and the reason if this
+        dispatcher can't act on such settings, or ''.
         """
         self.incarnation = incarnation
         self.timing = timing
@@ -64,16 +65,16 @@
         self.rules: ActiveRules | None = None
         self.lease_ends = NEVER
         self.grace_ends = NEVER
-        self.denial = "nobody has been heard"  # why there is no lease
-        self.conflicts: list[str] = []  # two states under one index: kept for operators
+        self.denial = "nobody has been heard"  # why there is no lease; '' once one is granted
+        self.conflicts: list[str] = []  # two different states at one index; shown to operators
         self.last_response_at = NEVER
         self._reviewed_version = 0
         self._rejection = ""
 
-    # ---- asking and learning ---------------------------------------------------------------------------
+    # ---- lease requests and responses ------------------------------------------------------------------
 
     def request(self, now: float, leaving: bool = False, zone_report: str = "") -> LeaseRequest:
-        """Return a request for a lease from `now` on."""
+        """Return a request for a lease that starts at `now`."""
         return LeaseRequest(
             lineage=self.lineage,
             name=self.incarnation.name,
@@ -89,14 +90,14 @@
         )
 
     def handle_response(self, now: float, response: LeaseResponse) -> bool:
-        """Take an answer; whether what may be acted on has changed."""
+        """Handle a response, and return whether the agreed state has changed."""
         if response.leader or response.lineage < self.lineage:
             return False
         self.last_response_at = now
         changed = self._apply_update(response)
         holds_state = self.state_machine.index >= response.applied_index
         if response.granted and holds_state and not self._find_conflict(response):
-            # Counted from when it was asked, by our own clock: never longer than the granter thinks.
+            # Counted from the request, by the local clock: never longer than the granter assumes.
             lease = self.timing.by_holder_clock(self.timing.lease)
             grace = self.timing.by_holder_clock(self.timing.grace)
             self.lease_ends = max(self.lease_ends, response.sent_at + lease)
@@ -110,21 +111,21 @@
         return changed
 
     def _find_conflict(self, response: LeaseResponse) -> bool:
-        """Guards against going on with a state that is not the group's."""
+        """Whether our state differs from the leader's at the same index. If so, discard ours."""
         machine = self.state_machine
         if machine.index != response.applied_index or machine.digest == response.digest:
             return False
         text = f"index {response.applied_index}: {machine.digest} here, {response.digest} at the leader"
         if text not in self.conflicts:
             self.conflicts.append(text)
-        machine.index = 0  # the next answer brings the whole state
+        machine.index = 0  # makes the next response carry a snapshot
         return True
 
     def _apply_update(self, response: LeaseResponse) -> bool:
         machine = self.state_machine
         before = (self.lineage, machine.index)
         if response.snapshot:
-            # Newer never gives way to older.
+            # A newer state is never replaced by an older one.
             if response.lineage > self.lineage or response.applied_index >= machine.index:
                 machine.load(response.snapshot)
         elif response.lineage == self.lineage and response.base_index <= machine.index:
@@ -138,13 +139,13 @@
         return True
 
     def restore(self, snapshot: str, lineage: int) -> None:
-        """Take what a former incarnation held: shown, and not acted on before the group is heard."""
+        """Load the state of a former incarnation. It is shown, but not acted on before a lease is granted."""
         self.state_machine.load(snapshot)
         self.lineage = lineage
         self._review_versions()
 
     def _review_versions(self) -> None:
-        """Work out what is acted on, from what is held."""
+        """Review the active and the prepared version, and derive the rules in effect."""
         machine = self.state_machine
         if machine.prepared is not None:
             self._rejection = self._review_prepared(machine.prepared.tree)
@@ -154,18 +155,18 @@
         self.rules = self._derive_rules()
 
     def _review_prepared(self, tree: JsonObject) -> str:
-        """Return '' where this dispatcher can act on such a version, or the key and the reason."""
+        """Return the key and the reason if this dispatcher can't act on such a version, or ''."""
         active = self.state_machine.active
         try:
             new = self._parse_settings(tree)
             if active is not None:
                 compatibility.find_changes(self._parse_settings(active.tree), new)
             return self._unsupported_reason(new)
-        except ValueError as error:  # ConfigError names its key, and so does IncompatibleChangeError
+        except ValueError as error:  # ConfigError and IncompatibleChangeError both name the key
             return str(error)
 
     def _rejects_active(self) -> bool:
-        """Whether the version in force came into force although we refused it: nothing is acted on then."""
+        """Whether the active version was activated despite our rejection; no rules are in effect then."""
         active = self.state_machine.active
         return active is not None and bool(self._rejection) and self._reviewed_version == active.number
 
@@ -185,10 +186,10 @@
             return None
         return ActiveRules(active.number, prepared.number if prepared else 0, restricted)
 
-    # ---- what may be acted on --------------------------------------------------------------------------
+    # ---- permission to start tasks ---------------------------------------------------------------------
 
     def lease_status(self, now: float) -> LeaseStatus:
-        """Return how much of the rules this dispatcher is sure of."""
+        """Return the status of the lease."""
         if now < self.lease_ends:
             return LeaseStatus.VALID
         return LeaseStatus.GRACE if now < self.grace_ends else LeaseStatus.EXPIRED
@@ -196,12 +197,12 @@
     def refusal_reason(
         self, now: float, request_class: RequestClass, machine: str = "", revision: int = 0
     ) -> str:
-        """Return why nothing of this class may start now, on that machine; '' where it may.
+        """Return why no task of this class may start now on that machine; '' if it may.
 
-        `revision`: of this dispatcher's own list of machines, 0 for none.
+        `revision`: revision of this dispatcher's own endpoint list, 0 for none.
 
-        Asked at the moment at which a start leaves, and not only when it is decided: a process that was
-        stopped in between finds its lease run out.
+        Callers check this when a start is sent, not only when it is decided: the lease of a process that was
+        paused in between may have expired.
         """
         if self.rules is None:
             return "no rules are in force here"
@@ -217,7 +218,7 @@
         return ""
 
     def machine_state(self, machine: str, revision: int = 0, own: str = "ready") -> str:
-        """Return the state of a machine that counts for new work, by operators and all dispatchers' lists."""
+        """Return a machine's state for new tasks, from directives and all dispatchers' endpoint lists."""
         directive = self.state_machine.directives.entries.get(machine)
         state = stricter(own, directive.effective_state) if directive is not None else own
         return self.state_machine.drain_reports.effective_state(machine, revision, state)
--- a/weldhatch/coordination/machine_directives.py
+++ b/weldhatch/coordination/machine_directives.py
@@ -1,4 +1,4 @@
-"""What operators have said of machines, for every dispatcher. Pure."""
+"""Operators' directives on machines, which apply at every dispatcher. No I/O."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 
 @dataclass(slots=True)
 class MachineDirective:
-    """What operators last said of a machine.
+    """Newest directive on a machine.
 
-    Until it is settled, the stricter of `state` and `previous` acts. `fence` orders what operators say,
-    `operation` names what said it, and `revision` counts directives of all machines.
+    Until the directive is settled, the stricter of `state` and `previous` applies. `fence` orders the
+    directives of one machine, `operation` names the operation that issued the directive, and `revision`
+    counts the directives of all machines.
     """
 
     state: str
     fence: int
     operation: str
     revision: int
-    previous: str = ""  # '' once settled
+    previous: str = ""  # state before the directive; '' once settled
 
     @property
     def effective_state(self) -> str:
-        """The state that counts for new work."""
+        """The state that applies to new tasks."""
         return stricter(self.state, self.previous) if self.previous else self.state
 
     def to_tree(self) -> JsonObject:
-        """Return the directive as a snapshot holds it."""
+        """Return the directive as encoded in snapshots."""
         return {
             "state": self.state,
             "fence": self.fence,
@@ -42,21 +43,21 @@
 
     @classmethod
     def from_tree(cls, tree: JsonObject) -> MachineDirective:
-        """Decode what `to_tree` gave. Raises KeyError for anything else."""
+        """Decode the result of `to_tree`. Raises KeyError for anything else."""
         return cls(tree["state"], tree["fence"], tree["op"], tree["rev"], tree.get("before", ""))
 
 
 class MachineDirectives:
-    """As agreed, by the machine's name."""
+    """Agreed directives, by machine name."""
 
     def __init__(self) -> None:
-        """Begin with no directive."""
+        """Create an empty set of directives."""
         self.entries: dict[str, MachineDirective] = {}
-        self.revision = 0  # of the last directive
-        self.unsettled = 0  # the newest revision that widens and is not settled; 0 for none
+        self.revision = 0  # revision of the last directive
+        self.unsettled = 0  # newest unsettled revision that allows more than before; 0 for none
 
     def apply_command(self, command: JsonObject) -> JsonObject:
-        """Carry out an operator's word on a machine; its result."""
+        """Apply an operator's directive on a machine, and return the result."""
         machine = command["machine"]
         last = self.entries.get(machine)
         if last is not None and command["fence"] < last.fence:
@@ -75,7 +76,7 @@
         return {"ok": True, "rev": self.revision}
 
     def settle(self, revision: int) -> None:
-        """Note that everybody holds the directives up to this revision."""
+        """Settle the directives up to this revision: every member has them."""
         for directive in self.entries.values():
             if directive.revision <= revision:
                 directive.previous = ""
--- a/weldhatch/coordination/messages.py
+++ b/weldhatch/coordination/messages.py
@@ -1,6 +1,6 @@
 """Messages between dispatchers and the leader, and the names under which links encode their fields.
 
-Links encode fields by name. `rename` keeps the encoded names of version 0.2.0; the order of fields is part of
+Links encode fields by name. `rename` keeps the encoded names of version 0.2.0. The order of fields is part of
 the encoding, too.
 """
 
@@ -12,11 +12,11 @@
 
 
 class DenialKind(StrEnum):
-    """Why no lease was granted: how the text of a denial begins."""
+    """Why no lease was granted: the first word of a denial's text."""
 
     UNKNOWN = "unknown"  # the dispatcher, or this incarnation of it, has not joined yet
     FENCED = "fenced"  # a later incarnation has joined under its name
-    REFUSES = "refuses"  # the dispatcher can't act on a version
+    REFUSES = "refuses"  # the dispatcher rejects a version
     OTHER = ""
 
     @classmethod
@@ -37,12 +37,12 @@
         "zone_report": "sight",
     },
 ):
-    """Ask for a lease, and for what the dispatcher does not know yet.
+    """Requests a lease, and the part of the agreed state that the dispatcher is missing.
 
-    `sent_at`: seconds of its own clock, echoed in the answer. `applied_index`, `digest`: the state that it
-    holds. `reviewed_version`: a prepared version that it has looked at, and `rejection`: '' where it can act
-    on it, or the key and the reason. `zone_report`: JSON of what it observes of the zones; '' where it has
-    reported that lately.
+    `sent_at`: seconds of the dispatcher's clock, echoed in the response. `applied_index`, `digest`: the state
+    that the dispatcher has. `reviewed_version`: the prepared version that it has reviewed. `rejection`: the
+    key and the reason why it can't act on that version, or ''. `zone_report`: JSON of its observations of the
+    zones; '' if it has reported them recently.
     """
 
     lineage: int
@@ -70,12 +70,13 @@
         "start_quotas": "shares",
     },
 ):
-    """Answer a `LeaseRequest`, or bring news without one.
+    """Answers a `LeaseRequest`, or announces committed commands without a request.
 
-    `granted`: a lease from `sent_at` on, for one who holds the state at `applied_index`; `denial`: why there
-    is none; `leader`: whom to ask instead. `commands` follow `base_index`; `snapshot` takes their place where
-    they are not all there. `voters`: JSON of name to address. `start_quotas`: JSON of starts on machines that
-    return, for a span from `sent_at` on.
+    `granted`: whether a lease from `sent_at` on is granted to a dispatcher that has the state at
+    `applied_index`. `denial`: why the lease is denied. `leader`: the leader, if the sender is not the leader.
+    `commands` follow `base_index`; `snapshot` replaces them if the leader no longer has all of them.
+    `voters`: a JSON object of name to address. `start_quotas`: JSON of start quotas for returning machines,
+    valid for a limited time from `sent_at` on.
     """
 
     lineage: int
@@ -93,14 +94,14 @@
 
 
 class CommandRequest(msgspec.Struct, frozen=True, rename={"command_id": "id"}):
-    """Have a command (JSON) decided. Sent again under the same id until its result comes."""
+    """Submits a command (JSON). The sender retries with the same id until the result arrives."""
 
     command_id: str
     command: str
 
 
 class CommandResult(msgspec.Struct, frozen=True, rename={"command_id": "id"}):
-    """The result (JSON) of a command."""
+    """Returns the result (JSON) of a command."""
 
     command_id: str
     result: str
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -1,7 +1,7 @@
-"""One process of a group as a whole: its voter, the leader's part where it leads, its lease holder. Pure.
+"""One process of a group: its voter, its duties while it is the leader, and its lease holder. No I/O.
 
-What is to be done outside leaves in `effects`, in order. What follows a `WriteRecords` in the voter's order
-waits until `records_written` says that it is on the disk.
+The node leaves its I/O in `effects`, in order. Effects of the voter after a `WriteRecords` are held back
+until `records_written` is called.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class CoordinationNode:
-    """Feed it time and messages; carry out what it leaves in `effects`. Nothing here waits."""
+    """Receives time and messages from its caller, which carries out `effects`. No method waits."""
 
     def __init__(
         self,
@@ -47,15 +47,15 @@
     ) -> None:
         """Start one process.
 
-        `persistent`: a voter's store, None for one that never votes. `first_voters`: name to address, to
-        begin a new group.
+        `persistent`: the state of the voter's store, None for a process that never votes. `first_voters`:
+        name to address, to create a new group.
         """
         self.name = setup.incarnation.name
         self._outbox = Outbox(self.name)
         self.lease_holder = LeaseHolder(
             setup.incarnation, setup.timing, setup.parse_settings, setup.unsupported_reason
         )
-        self._empty_state = StateMachine()  # of one that never votes
+        self._empty_state = StateMachine()  # for a process that never votes
         self._log = CommandLog(self._outbox)
         self._voter: Voter | None = None
         self._duties: LeaderDuties | None = None
@@ -70,49 +70,49 @@
             self._voter.carry_out()
         self._client = GroupClient(self.lease_holder, self._outbox, self._voter, self._duties)
 
-    # ---- what is known ---------------------------------------------------------------------------------
+    # ---- state -----------------------------------------------------------------------------------------
 
     @property
     def effects(self) -> list[Effect]:
-        """What is to be done outside, in order."""
+        """Pending effects, in order."""
         return self._outbox.effects
 
     def take_effects(self) -> list[Effect]:
-        """Return what is to be done outside, in order, and begin anew."""
+        """Remove and return all pending effects, in order."""
         effects = self._outbox.effects
         self._outbox.effects = []
         return effects
 
     @property
     def raft(self) -> Raft | None:
-        """The voter here, None for one that never votes."""
+        """The local voter, None for a process that never votes."""
         return self._voter.raft if self._voter is not None else None
 
     @property
     def is_leader(self) -> bool:
-        """Whether this process's voter leads, as far as it knows."""
+        """Whether the local voter is the leader of its present term."""
         return self._voter is not None and self._voter.raft.is_leader
 
     @property
     def leader_name(self) -> str:
-        """The leader that is known here, or ''."""
+        """Name of the known leader, '' if none is known."""
         if self.is_leader:
             return self.name
         return (self._voter.raft.leader if self._voter is not None else "") or self._client.leader
 
     @property
     def state_machine(self) -> StateMachine:
-        """The state as the voter here has it."""
+        """The state machine of the local voter; empty in a process that never votes."""
         return self._voter.state_machine if self._voter is not None else self._empty_state
 
     def set_zone_observer(self, observe: Callable[[float], str]) -> None:
-        """Send what `observe` returns (JSON) at a time with each request for a lease."""
+        """Send the result of `observe` (JSON) with each lease request."""
         self._client.observe_zones = observe
 
-    # ---- what comes in ---------------------------------------------------------------------------------
+    # ---- events ----------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Act on the time. Call every few hundredths of a second."""
+        """Handle timeouts and due requests. Call every few hundredths of a second."""
         if self._voter is not None and self._voter.accepts_input:
             self._voter.tick(now)
             self._update_duties(now)
@@ -124,14 +124,14 @@
             self._duties.update(now)
 
     def records_written(self, now: float) -> None:
-        """Go on: the `WriteRecords` that was out is on the disk."""
+        """Continue after the `WriteRecords` in progress has reached the disk."""
         if self._voter is not None:
             self._voter.records_written()
         self._update_duties(now)
         self._handle_own_messages(now)
 
     def peer_up(self, now: float, name: str) -> None:
-        """Begin to use a link to a voter: it can be reached (again)."""
+        """Start to use a new link to a voter."""
         self._client.reachable.add(name)
         if self._voter is not None:
             self._voter.raft.handle_link_up(name)
@@ -140,11 +140,11 @@
         self._handle_own_messages(now)
 
     def peer_down(self, name: str) -> None:
-        """A voter can't be reached any more."""
+        """Stop using the link to a voter: it is down."""
         self._client.reachable.discard(name)
 
     def receive(self, now: float, name: str, message: Message | GroupMessage) -> None:
-        """Handle one message of another process."""
+        """Handle one message from another process."""
         if not isinstance(message, Message):
             self._handle(now, name, message)
         elif self._voter is not None and self._voter.accepts_input:
@@ -174,37 +174,37 @@
         if self._duties is not None:
             self._duties.handle_commit(index, entry)
 
-    # ---- what is asked of it ---------------------------------------------------------------------------
+    # ---- requests --------------------------------------------------------------------------------------
 
     def request_lease(self, now: float, leaving: bool = False) -> None:
-        """Ask for a lease at once, or leave the group."""
+        """Request a lease at once, or leave the group."""
         self._client.request_lease(now, leaving)
 
     def submit(self, now: float, command_id: str, command: JsonObject) -> None:
-        """Have one command decided: `CommandCompleted` brings its result.
+        """Submit one command. A `CommandCompleted` effect carries its result.
 
-        It is sent again until then, or `forget_command`.
+        The command is retried until then, or until `forget_command` is called.
         """
         self._client.submit(now, command_id, command)
         self._handle_own_messages(now)
 
     def forget_command(self, command_id: str) -> None:
-        """Send a command no more. It may still be carried out."""
+        """Stop retrying a command. It may still be carried out."""
         self._client.forget_command(command_id)
 
     def recover(self, now: float, address: str, by: str, reason: str, unix_time: float) -> JsonObject:
-        """Go on alone: the majority of the voters is lost for good, an operator says.
+        """Start a new lineage with this voter alone, after an operator gave up the other voters.
 
-        `address`: of this voter; `unix`: Unix seconds, for people to read.
+        `address`: address of this voter. `unix_time`: Unix seconds, shown to operators.
         """
         if self._duties is None:
             return error_result("refused", "only a voter can be recovered: this process listens nowhere")
         return self._duties.recover(now, address, by, reason, unix_time)
 
     def leader_status(self, now: float) -> JsonObject:
-        """Return what only the leader knows: who holds what, and what is waited for."""
+        """Return the leader's view of the members; {} in a process that does not lead."""
         return self._duties.status(now) if self._duties is not None else {}
 
     def status(self, now: float) -> JsonObject:
-        """Return what this process holds and may act on, for operators."""
+        """Return the state and the lease of this process, for operators."""
         return status_of(self.lease_holder, self.raft, self.leader_name, now)
--- a/weldhatch/coordination/node_setup.py
+++ b/weldhatch/coordination/node_setup.py
@@ -1,4 +1,4 @@
-"""What a node of the group is given once, at its start."""
+"""Parameters of a node that are fixed at its start."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeSetup:
-    """One process of a group.
+    """Parameters of one process of a group.
 
-    `read`: a version's settings with this dispatcher's own keys, ConfigError (a ValueError) for none.
-    `fits`: '' where this dispatcher can act on such settings, or the key and the reason. `first_settings`:
-    those that are proposed where a group has none yet. `zone_times`: where the group leaves zones that fail,
-    how long it takes its time.
+    `parse_settings` returns a version's settings with this dispatcher's local keys; it raises ConfigError (a
+    ValueError) for invalid settings. `unsupported_reason` returns the key and the reason if this dispatcher
+    can't act on such settings, or ''. `first_settings`: proposed if the group has no version yet.
+    `zone_times`: timing of zone failover, None if the group does not use it.
     """
 
     incarnation: Incarnation
--- a/weldhatch/coordination/node_status.py
+++ b/weldhatch/coordination/node_status.py
@@ -1,4 +1,4 @@
-"""What a process holds and may act on, as the control address shows it. Names of keys are fixed."""
+"""Status of a process, as served on the control address. The names of the keys are fixed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def status_of(holder: LeaseHolder, raft: Raft | None, leader: str, now: float) -> JsonObject:
-    """Return the status of one process, as JSON."""
+    """Return the status of one process as a JSON object."""
     machine = holder.state_machine
     zones = {
         name: {"phase": place.phase.value, "step": place.step, "held": place.held}
@@ -34,7 +34,7 @@
         "zones": zones,
         "lost": raft.lost_reason if raft else "",
         "members": sorted(machine.members),
-        "narrowed": len(machine.drain_reports.entries),  # machines that somebody's list takes out for all
+        "narrowed": len(machine.drain_reports.entries),  # machines that some dispatcher's list restricts
         "conflicts": [*holder.conflicts, *machine.drain_reports.conflicts],
         "recoveries": list(machine.recoveries),
     }
--- a/weldhatch/coordination/outbox.py
+++ b/weldhatch/coordination/outbox.py
@@ -1,4 +1,4 @@
-"""What one process wants done, in order, and what it says to itself."""
+"""Pending effects of one process, and messages that it sends to itself."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 class Outbox:
-    """Collects effects. Messages to this process itself wait in `to_self` for their turn."""
+    """Collects effects. Messages to this process itself are queued in `to_self`."""
 
     def __init__(self, name: str) -> None:
-        """Collect for the process of that name."""
+        """Create the outbox of the process of that name."""
         self.name = name
         self.effects: list[Effect] = []
         self.to_self: deque[GroupMessage] = deque()
         self._connected: dict[str, str] = {}
 
     def add(self, effect: Effect) -> None:
-        """Want something done, after all that is wanted already."""
+        """Append an effect."""
         self.effects.append(effect)
 
     def event(self, name: str, **fields: object) -> None:
-        """Want an event logged."""
+        """Append an effect that logs an event."""
         self.effects.append(LogEvent(name, fields))
 
     def send(self, to: str, message: GroupMessage) -> None:
-        """Send a message to a process, also to this one; '' is nobody."""
+        """Send a message to a process, possibly this one; a message to '' is discarded."""
         if to == self.name:
             self.to_self.append(message)
         elif to:
             self.effects.append(Send(to, message))
 
     def connect(self, voters: dict[str, str]) -> None:
-        """Want links to these voters, name to address."""
+        """Append an effect that maintains links to these voters, name to address, if they have changed."""
         if voters != self._connected:
             self._connected = voters
             self.effects.append(ConnectVoters(voters))
--- a/weldhatch/coordination/results.py
+++ b/weldhatch/coordination/results.py
@@ -1,4 +1,4 @@
-"""Results of commands, as they are encoded and replicated."""
+"""Results of commands. They are part of the replicated state."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def error_result(code: str, text: str) -> JsonObject:
-    """Return the result of a command that was not carried out. `text` is for people to read."""
+    """Return the result of a command that was not carried out. `text` is human-readable."""
     return {"error": code, "text": text}
 
 
--- a/weldhatch/coordination/setting_rules.py
+++ b/weldhatch/coordination/setting_rules.py
@@ -1,7 +1,7 @@
-"""How two values of each setting may overlap while dispatchers move from one version to the next.
+"""How two values of each setting may overlap while dispatchers move from one version to the next. No I/O.
 
-One row for each field of `scheduling.types.Settings` and of its classes, kinds and tenants. A field without a
-row is an error at import, so that nobody adds a setting without saying what two values of it come to. Pure.
+There is one row for each field of `scheduling.types.Settings` and of its classes, kinds and tenants. A field
+without a row raises an error at import, so that each new setting gets a rule.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 
 from weldhatch.scheduling.types import MachineKind, RequestClass, Settings, Tenant
 
-LARGE_GROUP = 8  # dispatchers from which on a service starts at its first home, as the policy has it
+LARGE_GROUP = 8  # dispatchers; from this size on, the policy starts a service at its first home
 
 
 class Overlap(Enum):
-    """How a change of a value may be acted on."""
+    """How dispatchers may act on a change of a value."""
 
-    FREE = "free"  # dispatchers may differ: it changes what is preferred, not what is allowed
-    TIGHTENS = "tightens"  # whoever hears of it acts on it at once
-    WIDENS = "widens"  # acted on only once everybody holds it
-    SWITCHES = "switches"  # neither the old nor the new is acted on until everybody holds it
+    FREE = "free"  # dispatchers may differ: the value affects preferences, not permissions
+    TIGHTENS = "tightens"  # each dispatcher applies the new value as soon as it receives it
+    WIDENS = "widens"  # applied only once every dispatcher has it
+    SWITCHES = "switches"  # neither value is applied until every dispatcher has the new one
 
 
 OverlapRule = Callable[[Any, Any], Overlap]
 
 
 class SettingRule(NamedTuple):
-    """One setting: its `key` in files, and how an old and a new value of it overlap."""
+    """Rule of one setting: its `key` in files, and the overlap of an old and a new value."""
 
     key: str
     overlap: OverlapRule
 
 
 def always_free(old: Any, new: Any) -> Overlap:
-    """Dispatchers may differ."""
+    """Dispatchers may use different values."""
     return Overlap.FREE
 
 
@@ -56,28 +56,28 @@
 
 
 def lower_bound_is_stricter(old: int, new: int) -> Overlap:
-    """The lower value allows less, and 0 is no bound at all."""
+    """The lower value allows less; 0 means no bound."""
     return lower_is_stricter(old or float("inf"), new or float("inf"))
 
 
 def specific_kind_is_stricter(old: int, new: int) -> Overlap:
-    """-1 is any kind of machine."""
+    """A specific kind of machine allows less than -1, which means any kind."""
     if -1 in (old, new):
         return Overlap.TIGHTENS if old == -1 else Overlap.WIDENS
     return Overlap.SWITCHES
 
 
 def group_size_overlap(old: int, new: int) -> Overlap:
-    """A larger group gives each a smaller share of a cold machine; homes change where it becomes many."""
+    """A larger group gives each member a smaller quota on a cold machine; homes change at LARGE_GROUP."""
     return Overlap.SWITCHES if (old >= LARGE_GROUP) != (new >= LARGE_GROUP) else higher_is_stricter(old, new)
 
 
 def dispatcher_local(old: Any, new: Any) -> Overlap:
-    """Each dispatcher's own: it is taken from its own file, whatever a version says."""
+    """Each dispatcher uses the value in its own file, not the one of the version."""
     return Overlap.FREE
 
 
-SETTINGS: dict[str, SettingRule] = {  # by field
+SETTINGS: dict[str, SettingRule] = {  # by field name
     "zone": SettingRule("locality", dispatcher_local),
     "me": SettingRule("me", dispatcher_local),
     "tick_us": SettingRule("resolutionUs", dispatcher_local),
@@ -141,17 +141,19 @@
     "portion": SettingRule("portion", always_free),
     "cores": SettingRule("extra.shareCores", always_free),
 }
-LISTS = {"classes", "kinds", "zones", "tenants"}  # handled item by item, below
+LISTS = {"classes", "kinds", "zones", "tenants"}  # compared item by item in `compatibility`
 
 
 def check_complete(kind: type, rows: dict[str, SettingRule], exempt: Set[str] = frozenset()) -> None:
-    """Raise AssertionError for a field of `kind` that has no row and is not handled `besides`.
+    """Raise AssertionError unless each field of `kind` has a row in `rows` or is `exempt`.
 
-    Guards against a setting that nobody said anything of.
+    Guards against a new setting without a rule.
     """
     known = {field.name for field in fields(kind)}
     if known != rows.keys() | exempt:
-        raise AssertionError(f"setting_rules: {kind.__name__}: {sorted(known ^ (rows.keys() | exempt))}")
+        raise AssertionError(
+            f"setting_rules: {kind.__name__}: unmatched fields {sorted(known ^ (rows.keys() | exempt))}"
+        )
 
 
 check_complete(Settings, SETTINGS, LISTS)
--- a/weldhatch/coordination/settings_versions.py
+++ b/weldhatch/coordination/settings_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the settings: proposed, prepared, in force or dropped. Pure."""
+"""Versions of the settings: proposed, prepared, active or dropped. No I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from weldhatch.coordination.results import error_result, ok_result
 
 MAX_HISTORY = 100
-MAX_TREES = 20  # versions whose settings are kept, to show what differs between them
+MAX_TREES = 20  # versions whose settings are kept for comparison
 
 
 @dataclass(slots=True)
 class SettingsVersion:
-    """One version. `base`: the number of the one that it was proposed on.
+    """One version. `base`: number of the version that it was derived from.
 
-    `may_refuse`: members that may refuse it, and get no lease then.
+    `may_refuse`: members that may reject the version; they get no lease in that case.
     """
 
     number: int
@@ -26,7 +26,7 @@
     may_refuse: list[str] = field(default_factory=list)
 
     def to_tree(self) -> JsonObject:
-        """Return the version as a snapshot holds it."""
+        """Return the version as encoded in snapshots."""
         return {
             "number": self.number,
             "base": self.base,
@@ -38,26 +38,26 @@
 
     @classmethod
     def from_tree(cls, tree: JsonObject) -> SettingsVersion:
-        """Decode what `to_tree` gave. Raises KeyError for anything else."""
+        """Decode the result of `to_tree`. Raises KeyError for anything else."""
         return cls(
             tree["number"], tree["base"], tree["tree"], tree["why"], tree["by"], tree.get("despite", [])
         )
 
 
 class SettingsVersions:
-    """As agreed: one version in force, and at most one that is being prepared."""
+    """Agreed versions: at most one is active, and at most one is being prepared."""
 
     def __init__(self) -> None:
-        """Begin with nothing in force."""
+        """Create the history without any version."""
         self.active: SettingsVersion | None = None
         self.prepared: SettingsVersion | None = None
-        self.prepared_at = 0  # the index at which it was proposed
-        self.last_number = 0  # whatever became of that version
-        self.trees: dict[int, JsonObject] = {}  # settings by number, of the last versions in force
+        self.prepared_at = 0  # log index at which it was proposed
+        self.last_number = 0  # of any version ever proposed
+        self.trees: dict[int, JsonObject] = {}  # settings by version number, of the last active versions
         self.history: list[JsonObject] = []
 
     def propose(self, index: int, command: JsonObject) -> JsonObject:
-        """Begin to prepare a version; its number, or what differs from the one that it was made on."""
+        """Start to prepare a version. The result has its number, or the settings of its base and of now."""
         if self.prepared is not None:
             return error_result("busy", f"version {self.prepared.number} is being prepared: wait, or drop it")
         base = self.active.number if self.active is not None else 0
@@ -81,7 +81,7 @@
         return ok_result(number=self.last_number)
 
     def activate(self, index: int, command: JsonObject) -> JsonObject:
-        """Bring the prepared version into force: the leader says that all hold it."""
+        """Activate the prepared version: the leader has confirmed that every member has it."""
         if self.prepared is None or self.prepared.number != command["number"]:
             return _not_prepared(command)
         self.active = self.prepared
@@ -93,7 +93,7 @@
         return ok_result()
 
     def drop(self, index: int, command: JsonObject) -> JsonObject:
-        """Give the prepared version up: a dispatcher can't act on it, or an operator says so."""
+        """Drop the prepared version: a dispatcher rejects it, or an operator requested it."""
         if self.prepared is None or self.prepared.number != command["number"]:
             return _not_prepared(command)
         dropped = self.prepared
--- a/weldhatch/coordination/state_machine.py
+++ b/weldhatch/coordination/state_machine.py
@@ -1,8 +1,8 @@
-"""What a group of dispatchers has agreed on: a state machine under commands that voters decide. Pure.
+"""The replicated state machine: the state on which a group of dispatchers has agreed. No I/O.
 
-Commands are JSON objects, decided in one order by the voters; every dispatcher applies the same ones and
-comes to the same state (its `digest` tells). A command that can't be carried out changes nothing and its
-result says why.
+Commands are JSON objects in the order of the replicated log. Every dispatcher applies the same commands and
+reaches the same state, which `digest` verifies. A command that can't be carried out changes nothing, and its
+result contains the reason.
 """
 
 from __future__ import annotations
@@ -21,35 +21,35 @@
 from weldhatch.coordination.settings_versions import SettingsVersion, SettingsVersions
 from weldhatch.zones.state import ZoneStates
 
-MAX_RESULTS = 200  # commands whose results are kept: one that is sent twice is carried out once
+MAX_RESULTS = 200  # results that are kept, so that a retried command is carried out only once
 
 
 @dataclass(slots=True, frozen=True)
 class GroupMember:
-    """A dispatcher: `epoch` and `token` of its store tell one incarnation of it from another."""
+    """Incarnation of a member. `epoch` and `token` come from its store and differ between incarnations."""
 
     epoch: int
     token: str
 
 
 class StateMachine:
-    """Apply commands in order by `apply`; `index` is the place of the last one in the log."""
+    """The state after the commands that `apply` received. `index`: log index of the last one."""
 
     def __init__(self) -> None:
-        """Begin with nothing agreed on."""
+        """Create an empty state."""
         self.index = 0
         self.members: dict[str, GroupMember] = {}
         self.versions = SettingsVersions()
         self.directives = MachineDirectives()
         self.drain_reports = DrainReports()
-        self.zones = ZoneStates()  # zones and racks that are left, or return
+        self.zones = ZoneStates()  # zones and racks that are evacuated or being restored
         self.recoveries: list[JsonObject] = []
         self.results: dict[str, JsonObject] = {}
         self._digest = ""
 
     @property
     def active(self) -> SettingsVersion | None:
-        """The version of the settings that is in force."""
+        """The active version of the settings."""
         return self.versions.active
 
     @property
@@ -60,7 +60,7 @@
     # ---- commands --------------------------------------------------------------------------------------
 
     def apply(self, index: int, data: str) -> JsonObject:
-        """Apply one command; its result: {"ok": True, ...} or {"error": code, "text": ...}.
+        """Apply one command. The result is {"ok": True, ...} or {"error": code, "text": ...}.
 
         Raises UnknownCommandError.
         """
@@ -71,7 +71,7 @@
         command = json.loads(data)
         command_id = command.get("id", "")
         if command_id and command_id in self.results:
-            return self.results[command_id]  # sent again by one that did not hear the result
+            return self.results[command_id]  # a retry by a client that did not receive the result
         handler = _HANDLERS.get(command["do"])
         if handler is None:
             raise UnknownCommandError(command["do"])
@@ -103,31 +103,31 @@
         return ok_result()
 
     def _report_drains(self, command: JsonObject) -> JsonObject:
-        """One dispatcher's list says what restricts, or what ends that an older list said."""
+        """Merge restrictions, and ends of restrictions, from one dispatcher's endpoint list."""
         before = len(self.drain_reports.conflicts)
         self.drain_reports.merge(command["rev"], command["entries"], command["by"])
         return ok_result(index=self.index, conflicts=self.drain_reports.conflicts[before:])
 
     def _change_zone(self, command: JsonObject) -> JsonObject:
-        """The leader changes a zone on its witnesses' word, or an operator through the leader."""
+        """Change the phase of a zone, as decided by the leader from its witnesses or by an operator."""
         names = self.active.tree.get("zones", []) if self.active else []
         return self.zones.apply(self.index, command, names)
 
     def _fence(self, command: JsonObject) -> JsonObject:
-        """A dispatcher that has left a place names tasks of its own that may still run there."""
+        """Record the keys of tasks that may still run in a place that their dispatcher has left."""
         result = self.zones.apply_fence(command["place"], command["keys"], command["by"])
         return {**result, "index": self.index}
 
     def _recovered(self, command: JsonObject) -> JsonObject:
-        """An operator has had one voter go on alone: kept and shown for ever after."""
+        """Record a manual recovery. Recoveries are kept permanently and shown to operators."""
         recovery = {key: command[key] for key in ("by", "why", "at")}
         self.recoveries.append({**recovery, "index": self.index})
         return ok_result()
 
-    # ---- the state as a whole --------------------------------------------------------------------------
+    # ---- snapshots -------------------------------------------------------------------------------------
 
     def snapshot(self) -> str:
-        """Return all of it, as JSON. Names of keys are those of version 0.2.0."""
+        """Return the whole state as JSON. The names of the keys are those of version 0.2.0."""
         versions = self.versions
         return json.dumps(
             {
@@ -142,7 +142,7 @@
                 "number": versions.last_number,
                 "trees": {str(number): tree for number, tree in versions.trees.items()},
                 "history": versions.history,
-                "words": {name: one.to_tree() for name, one in self.directives.entries.items()},
+                "words": {name: directive.to_tree() for name, directive in self.directives.entries.items()},
                 "rev": self.directives.revision,
                 "unsettled": self.directives.unsettled,
                 "recoveries": self.recoveries,
@@ -155,7 +155,7 @@
         )
 
     def load(self, snapshot: str) -> None:
-        """Take what `snapshot` gave. Raises ValueError, KeyError or TypeError for anything else."""
+        """Load the result of `snapshot`. Raises ValueError, KeyError or TypeError for anything else."""
         tree = json.loads(snapshot)
         self.index = tree["index"]
         self.members = {
@@ -163,21 +163,21 @@
         }
         self.versions = _versions_from_tree(tree)
         self.directives.entries = {
-            name: MachineDirective.from_tree(one) for name, one in tree["words"].items()
+            name: MachineDirective.from_tree(encoded) for name, encoded in tree["words"].items()
         }
         self.directives.revision = tree["rev"]
         self.directives.unsettled = tree["unsettled"]
         self.drain_reports = DrainReports.from_tree(tree["lists"])
         self.zones = (
             ZoneStates.from_tree(tree["zones"]) if "zones" in tree else ZoneStates()
-        )  # of a version before them
+        )  # missing in snapshots of versions without zones
         self.recoveries = tree["recoveries"]
-        self.results = dict(tree["results"])  # pairs: their order says which are the oldest
+        self.results = dict(tree["results"])  # pairs, the oldest first
         self._digest = ""
 
     @property
     def digest(self) -> str:
-        """Two dispatchers at one index have the same, or something is wrong."""
+        """Hash of the state. It is the same on all dispatchers at one index, unless there is a fault."""
         if not self._digest:
             self._digest = hashlib.blake2b(self.snapshot().encode(), digest_size=8).hexdigest()
         return self._digest
--- a/weldhatch/coordination/voter.py
+++ b/weldhatch/coordination/voter.py
@@ -1,6 +1,6 @@
-"""The voter of a process: its effects carried out in order, and the state as it has it. Pure.
+"""The voter of a process: carries out Raft effects in order and feeds the state machine. No I/O.
 
-What follows a record in the voter's order waits here until it is on the disk.
+Effects after a record are held back here until the record is on the disk.
 """
 
 from __future__ import annotations
@@ -18,19 +18,17 @@
 from weldhatch.coordination.outbox import Outbox
 from weldhatch.coordination.state_machine import StateMachine
 
-SNAPSHOT_INTERVAL_ENTRIES = 400  # entries
-MAX_PENDING_EFFECTS = (
-    2000  # effects that wait for a disk; with more, the voter is silent until it takes records
-)
+SNAPSHOT_INTERVAL_ENTRIES = 400
+MAX_PENDING_EFFECTS = 2000  # with this many waiting for the disk, the voter ignores time and messages
 
 CommitListener = Callable[[int, LogEntry, JsonObject], None]
 
 
 class Voter:
-    """Owns a `Raft` and the state machine that it feeds."""
+    """Owns a `Raft` and the state machine that applies its committed entries."""
 
     def __init__(self, raft: Raft, outbox: Outbox, on_commit: CommitListener) -> None:
-        """Call `on_commit` with the index, the entry and its result, once an entry is applied."""
+        """Create the voter. `on_commit` is called with index, entry and result of each applied entry."""
         self.raft = raft
         self.state_machine = StateMachine()
         self._outbox = outbox
@@ -42,16 +40,16 @@
 
     @property
     def accepts_input(self) -> bool:
-        """Whether it may act on time and messages: the disk keeps up."""
+        """Whether the voter may handle time and messages: the disk is not too far behind."""
         return len(self._pending) < MAX_PENDING_EFFECTS
 
     def tick(self, now: float) -> None:
-        """Act on the time."""
+        """Handle timeouts."""
         self.raft.tick(now)
         self.carry_out()
 
     def receive(self, now: float, name: str, message: Message) -> None:
-        """Handle one message of another voter."""
+        """Handle one message from another voter."""
         before = self.raft.lost_reason
         self.raft.receive(now, name, message)
         if self.raft.lost_reason and not before:
@@ -59,14 +57,14 @@
         self.carry_out()
 
     def records_written(self) -> None:
-        """Go on: the `WriteRecords` that was out is on the disk."""
+        """Continue after the `WriteRecords` in progress has reached the disk."""
         self._is_writing = False
         self.carry_out()
 
     def carry_out(self) -> None:
-        """Carry the voter's effects out in order. What follows a record waits until it is on the disk.
+        """Carry out the voter's effects in order, up to the first record that is not yet on the disk.
 
-        Guards against a vote or an answer that a restart would not remember.
+        Guards against sending a vote or a response that would be forgotten in a restart.
         """
         self._collect()
         while self._pending and not self._is_writing:
@@ -80,11 +78,11 @@
     def _collect(self) -> None:
         self._pending += self.raft.effects
         self.raft.effects.clear()
-        if self.raft.name in self.raft.voters:  # those in its log count as soon as they stand there
+        if self.raft.name in self.raft.voters:  # voters in the log apply before they are committed
             self._outbox.connect(dict(self.raft.voters))
 
     def _next_records(self) -> tuple[Record, ...]:
-        """Take the records that come next, all of which may be written at once."""
+        """Remove and return the records at the front of the queue, which are written together."""
         writes = takewhile(lambda effect: isinstance(effect, voter_effects.WriteRecord), self._pending)
         records = tuple(effect.record for effect in writes if isinstance(effect, voter_effects.WriteRecord))
         for _ in records:
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -1,6 +1,6 @@
-"""The leading voter's part in zones: reports in, commands and start quotas out. Pure.
+"""The leader's zone failover: turns zone reports into commands and start quotas. No I/O.
 
-`zones.failover_leader` decides.
+The decisions are made by `zones.failover_leader`.
 """
 
 from __future__ import annotations
@@ -21,22 +21,20 @@
 from weldhatch.zones.reports import InvalidReportError, ZoneReport
 from weldhatch.zones.state import ZoneChange
 
-REVIEW_INTERVAL_S = 0.05  # witnesses are weighed as often
-QUOTA_SPAN_FRACTION = (
-    0.25  # of the consistency bound: for which a quota holds. Shorter than a lease: it lapses with it
-)
+REVIEW_INTERVAL_S = 0.05  # interval between reviews of the witnesses' reports
+QUOTA_SPAN_FRACTION = 0.25  # of the consistency bound; shorter than a lease, so a quota never outlasts one
 
 
 @dataclass(slots=True, frozen=True)
 class _FailoverContext:
-    """What decides, and the settings in force."""
+    """The deciding object, and the active settings."""
 
     failover: FailoverLeader
     settings: Settings
 
 
 class ZoneLeader:
-    """Made anew at each election."""
+    """Zone failover of one leadership. Created at each election."""
 
     def __init__(
         self,
@@ -47,7 +45,7 @@
         leader: Leader,
         parse_settings: Callable[[JsonObject], Settings],
     ) -> None:
-        """Begin with no report. `term` tells its epochs of quotas from those of other leaders."""
+        """Create the state without reports. `term` separates quota epochs of different leaders."""
         self._elected_at = elected_at
         self._name = f"{name}.{term}"
         self._failover_timing = failover_timing
@@ -59,7 +57,7 @@
         self._reviewed_at = float("-inf")
 
     def _context(self, machine: StateMachine) -> _FailoverContext | None:
-        """Return nothing before a version is in force: only that names the zones."""
+        """Return None before the first version is active, since only a version names the zones."""
         active = machine.active
         if active is None:
             return None
@@ -81,7 +79,7 @@
         return _FailoverContext(self._failover, self._settings)
 
     def receive_report(self, now: float, machine: StateMachine, request: LeaseRequest) -> None:
-        """Take a dispatcher's report. One that can't be read is of no use, and harms nobody."""
+        """Handle the zone report in a lease request. An invalid report is ignored."""
         if not request.zone_report or (context := self._context(machine)) is None:
             return
         try:
@@ -91,7 +89,7 @@
         context.failover.receive_report(now, request.name, Incarnation.of(request).label, report)
 
     def due_commands(self, now: float, machine: StateMachine) -> list[JsonObject]:
-        """Return commands that are due now."""
+        """Return the commands that are due now."""
         if now - self._reviewed_at < REVIEW_INTERVAL_S or (context := self._context(machine)) is None:
             return []
         self._reviewed_at = now
@@ -104,7 +102,7 @@
         return [{**change.to_tree(), "id": _command_id(machine, change)} for change in due]
 
     def start_quotas(self, now: float, machine: StateMachine, request: LeaseRequest) -> str:
-        """Return (JSON) what one who was just granted a lease may start on machines that return, or ''."""
+        """Return start quotas (JSON) on returning machines for a new lease holder, '' if there are none."""
         if (context := self._context(machine)) is None:
             return ""
         label = Incarnation.of(request).label
@@ -112,13 +110,13 @@
         return json.dumps([quota.to_tree() for quota in quotas]) if quotas else ""
 
     def operator_command(self, now: float, machine: StateMachine, request: JsonObject) -> JsonObject:
-        """Return an operator's word as a command for the log, or an error."""
+        """Return the log command for an operator's request, or an error result."""
         if (context := self._context(machine)) is None:
             return error_result("unknown", "no rules are in force yet: nothing names the zones")
         return context.failover.operator_command(now, request, machine.zones, context.settings)
 
     def status(self, now: float, machine: StateMachine) -> JsonObject:
-        """Return what the leader knows of the zones, for operators."""
+        """Return the leader's view of the zones, for operators."""
         if (context := self._context(machine)) is None:
             return {}
         names = dict.fromkeys([*context.settings.zones, *machine.zones.entries])
