--- a/weldhatch/consensus/replication.py
+++ b/weldhatch/consensus/replication.py
@@ -103,16 +103,16 @@
 
     def send_heartbeats(self, now: float) -> None:
         """Send to each voter to which nothing was sent for one heartbeat interval."""
-        for voter in self._others():
+        for voter in self._peers():
             if now - self.progress_of(voter).sent_at >= self._state.timing.heartbeat:
                 self.send_entries(voter, now)
 
     def send_to_all(self, now: float) -> None:
         """Send each voter its missing entries at once."""
-        for voter in self._others():
+        for voter in self._peers():
             self.send_entries(voter, now)
 
-    def _others(self) -> list[str]:
+    def _peers(self) -> list[str]:
         return [voter for voter in self._state.voters if voter != self._state.name]
 
     def send_entries(self, voter: str, now: float) -> None:
--- a/weldhatch/consensus/store_check.py
+++ b/weldhatch/consensus/store_check.py
@@ -32,8 +32,8 @@
         """Record the count of the sender's store, and mark our own store as lost if it has shrunk."""
         # Candidates and leaders report their counts, too: a leader counts its own store towards a majority.
         # If it restarted with an older copy, no other voter would otherwise know how many records it had.
-        counted = RequestVoteResponse | AppendEntriesResponse | RequestVote | AppendEntries
-        if isinstance(message, counted) and message.record_count:
+        counting_messages = RequestVoteResponse | AppendEntriesResponse | RequestVote | AppendEntries
+        if isinstance(message, counting_messages) and message.record_count:
             self._counts[name] = max(self.known_record_count(name), message.record_count)
         record_count = self._state.persistent.record_count
         # Checked before the message is handled: new records would raise the count and hide the loss.
--- a/weldhatch/coordination/activation.py
+++ b/weldhatch/coordination/activation.py
@@ -47,41 +47,41 @@
             self._differences = {key: difference}
         return self._differences[key]
 
-    def pending(self, now: float, machine: StateMachine) -> dict[str, str]:
+    def pending(self, now: float, state_machine: StateMachine) -> dict[str, str]:
         """Return the members for which the prepared version waits, name to reason.
 
         Raises IncompatibleChangeError or ConfigError (both ValueError) for a version that no running member
         can adopt.
         """
-        prepared = machine.prepared
+        prepared = state_machine.prepared
         if prepared is None:
             return {}
-        difference = self._difference(machine.active, prepared)
+        difference = self._difference(state_machine.active, prepared)
         # Members apply a tightening change as soon as they receive it, so grace periods need not expire.
-        widens = machine.active is None or compatibility.needs_all_members(difference.changes)
+        widens = state_machine.active is None or compatibility.needs_all_members(difference.changes)
         in_grace = difference.affects_safe_work and widens
         span = self._timing.grace if in_grace else self._timing.lease
-        index = machine.versions.prepared_at
-        return self._grants.pending(now, machine, index, span, prepared.number)
+        index = state_machine.versions.prepared_at
+        return self._grants.pending(now, state_machine, index, span, prepared.number)
 
-    def due_commands(self, now: float, machine: StateMachine) -> list[JsonObject]:
+    def due_commands(self, now: float, state_machine: StateMachine) -> list[JsonObject]:
         """Return the commands that are due now, without their ids."""
         due: list[JsonObject] = []
-        if machine.prepared is not None:
-            due += self._decide_on_prepared(now, machine, machine.prepared.number)
-        unsettled = machine.directives.unsettled
+        if state_machine.prepared is not None:
+            due += self._decide_on_prepared(now, state_machine, state_machine.prepared.number)
+        unsettled = state_machine.directives.unsettled
         if unsettled:
-            index = self._grants.last_directive_index(machine)
-            if not self._grants.pending(now, machine, index, self._timing.grace):
+            index = self._grants.last_directive_index(state_machine)
+            if not self._grants.pending(now, state_machine, index, self._timing.grace):
                 due.append(commands.settle_directives(unsettled))
         return due
 
-    def _decide_on_prepared(self, now: float, machine: StateMachine, number: int) -> list[JsonObject]:
-        rejections = self._grants.rejections(machine)
+    def _decide_on_prepared(self, now: float, state_machine: StateMachine, number: int) -> list[JsonObject]:
+        rejections = self._grants.rejections(state_machine)
         if rejections:
             name, reason = next(iter(rejections.items()))
             return [commands.drop(number, f"{name} refuses: {reason}")]
         try:
-            return [] if self.pending(now, machine) else [commands.activate(number)]
+            return [] if self.pending(now, state_machine) else [commands.activate(number)]
         except ValueError as error:
             return [commands.drop(number, str(error))]
--- a/weldhatch/coordination/leader_duties.py
+++ b/weldhatch/coordination/leader_duties.py
@@ -155,9 +155,9 @@
         self._outbox.send(name, response)
 
     def _answer_lease_request(self, now: float, name: str, request: LeaseRequest, leader: Leader) -> None:
-        machine = self.state_machine
+        state_machine = self.state_machine
         lineage = self._raft.persistent.lineage
-        response = leader.grants.answer(now, machine, request, lineage, self.may_grant_until(now))
+        response = leader.grants.answer(now, state_machine, request, lineage, self.may_grant_until(now))
         if DenialKind.of(response.denial) is DenialKind.UNKNOWN:
             self._join(now, request)
         quotas = ""
@@ -236,16 +236,16 @@
         leader = self.leader
         if leader is None:
             return {}
-        machine = self.state_machine
+        state_machine = self.state_machine
         try:
-            pending = leader.activation.pending(now, machine)
+            pending = leader.activation.pending(now, state_machine)
         except ValueError as error:
             pending = {"": str(error)}
-        zones = self.zone_leader.status(now, machine) if self.zone_leader is not None else None
+        zones = self.zone_leader.status(now, state_machine) if self.zone_leader is not None else None
         return {
             "members": self._member_status(now, leader),
             "waits": pending,
-            "index": machine.index,
+            "index": state_machine.index,
             "zones": zones,
             "sure_s": round(max(0.0, self.may_grant_until(now) - now), 3),
         }
--- a/weldhatch/coordination/lease_grants.py
+++ b/weldhatch/coordination/lease_grants.py
@@ -54,21 +54,26 @@
         self._commands[index] = data
         self._commands.pop(index - MAX_COMMANDS, None)
 
-    def last_directive_index(self, machine: StateMachine) -> int:
+    def last_directive_index(self, state_machine: StateMachine) -> int:
         """Return the index of the newest directive, or a later index if the directive is not known."""
         for index in sorted(self._commands, reverse=True):
             if _DIRECTIVE_MARKER in self._commands[index].replace(" ", ""):  # faster than parsing
                 return index
-        return machine.index
+        return state_machine.index
 
     # ---- grants ----------------------------------------------------------------------------------------
 
     def answer(
-        self, now: float, machine: StateMachine, request: LeaseRequest, lineage: int, may_grant_until: float
+        self,
+        now: float,
+        state_machine: StateMachine,
+        request: LeaseRequest,
+        lineage: int,
+        may_grant_until: float,
     ) -> LeaseResponse:
         """Answer one lease request. `may_grant_until`: no other voter can become leader before then."""
-        denial = self._denial(now, machine, request, lineage, may_grant_until)
-        update = self._missing_update(machine, request, lineage)
+        denial = self._denial(now, state_machine, request, lineage, may_grant_until)
+        update = self._missing_update(state_machine, request, lineage)
         if not denial or DenialKind.of(denial) is DenialKind.REFUSES:
             grant = self._grant_of(Incarnation.of(request))
             grant.applied_index = request.applied_index
@@ -85,16 +90,16 @@
             base_index=request.applied_index if not update.snapshot else 0,
             commands=update.commands,
             snapshot=update.snapshot,
-            applied_index=machine.index,
-            digest=machine.digest,
+            applied_index=state_machine.index,
+            digest=state_machine.digest,
         )
 
     @staticmethod
     def _denial(
-        now: float, machine: StateMachine, request: LeaseRequest, lineage: int, may_grant_until: float
+        now: float, state_machine: StateMachine, request: LeaseRequest, lineage: int, may_grant_until: float
     ) -> str:
         """Return why the lease is denied, beginning with a `DenialKind`; '' if it is granted."""
-        known = machine.members.get(request.name)
+        known = state_machine.members.get(request.name)
         if request.lineage > lineage:
             return "it is of a later recovery than we are"
         if known is None:
@@ -105,20 +110,25 @@
             return "unknown: a new life of it has not joined yet"
         if now >= may_grant_until:
             return "the leader is not sure that it still leads"
-        if request.rejection and _rejection_applies(machine, request):
+        if request.rejection and _rejection_applies(state_machine, request):
             # Ensures that the member stops acting on the old rules: its present lease expires.
             return f"refuses version {request.reviewed_version}: {request.rejection}"
         return ""
 
-    def _missing_update(self, machine: StateMachine, request: LeaseRequest, lineage: int) -> StateUpdate:
+    def _missing_update(
+        self, state_machine: StateMachine, request: LeaseRequest, lineage: int
+    ) -> StateUpdate:
         same_lineage = request.lineage == lineage
-        if same_lineage and (request.applied_index, request.digest) == (machine.index, machine.digest):
+        if same_lineage and (request.applied_index, request.digest) == (
+            state_machine.index,
+            state_machine.digest,
+        ):
             return StateUpdate()
-        missing = range(request.applied_index + 1, machine.index + 1)
+        missing = range(request.applied_index + 1, state_machine.index + 1)
         is_known = len(missing) and all(index in self._commands for index in missing)
         if same_lineage and request.applied_index and is_known:
             return StateUpdate(commands=tuple(self._commands[index] for index in missing))
-        return StateUpdate(snapshot=machine.snapshot())
+        return StateUpdate(snapshot=state_machine.snapshot())
 
     def _grant_of(self, incarnation: Incarnation) -> Grant:
         if incarnation not in self.entries:
@@ -128,17 +138,17 @@
     # ---- state of the members --------------------------------------------------------------------------
 
     def pending(
-        self, now: float, machine: StateMachine, index: int, span: float, version: int = 0
+        self, now: float, state_machine: StateMachine, index: int, span: float, version: int = 0
     ) -> dict[str, str]:
         """Return members that may still have a lease of that duration and lack the state at `index`.
 
         The values are human-readable reasons. `version`: a version that each member must have reviewed, too.
         """
-        pending = self._pending_members(now, machine, index, span, version)
+        pending = self._pending_members(now, state_machine, index, span, version)
         granter_span = self._timing.by_granter_clock(span)
         for incarnation, grant in self.entries.items():
             if (
-                not _is_current(machine, incarnation)
+                not _is_current(state_machine, incarnation)
                 and grant.applied_index < index
                 and now - grant.granted_at <= granter_span
             ):
@@ -147,12 +157,12 @@
         return pending
 
     def _pending_members(
-        self, now: float, machine: StateMachine, index: int, span: float, version: int
+        self, now: float, state_machine: StateMachine, index: int, span: float, version: int
     ) -> dict[str, str]:
         pending = {}
         granter_span = self._timing.by_granter_clock(span)
-        may_refuse = machine.prepared.may_refuse if machine.prepared is not None else []
-        for name, member in machine.members.items():
+        may_refuse = state_machine.prepared.may_refuse if state_machine.prepared is not None else []
+        for name, member in state_machine.members.items():
             grant = self.entries.get(Incarnation(name, member.epoch, member.token))
             granted_at = grant.granted_at if grant is not None else self._elected_at
             reason = "has not said that it holds it"
@@ -166,12 +176,12 @@
                 pending[name] = reason
         return pending
 
-    def rejections(self, machine: StateMachine) -> dict[str, str]:
+    def rejections(self, state_machine: StateMachine) -> dict[str, str]:
         """Return members that reject the prepared version, except those that are allowed to.
 
         The values name the unsupported key and the reason.
         """
-        prepared = machine.prepared
+        prepared = state_machine.prepared
         if prepared is None:
             return {}
         return {
@@ -180,18 +190,20 @@
             if grant.rejection
             and grant.reviewed_version == prepared.number
             and incarnation.name not in prepared.may_refuse
-            and _is_current(machine, incarnation)
+            and _is_current(state_machine, incarnation)
         }
 
 
-def _rejection_applies(machine: StateMachine, request: LeaseRequest) -> bool:
-    was_left_out = machine.active is not None and request.name in machine.active.may_refuse
-    is_of_prepared = machine.prepared is not None and request.reviewed_version == machine.prepared.number
+def _rejection_applies(state_machine: StateMachine, request: LeaseRequest) -> bool:
+    was_left_out = state_machine.active is not None and request.name in state_machine.active.may_refuse
+    is_of_prepared = (
+        state_machine.prepared is not None and request.reviewed_version == state_machine.prepared.number
+    )
     return was_left_out or is_of_prepared
 
 
-def _is_current(machine: StateMachine, incarnation: Incarnation) -> bool:
-    member = machine.members.get(incarnation.name)
+def _is_current(state_machine: StateMachine, incarnation: Incarnation) -> bool:
+    member = state_machine.members.get(incarnation.name)
     return member is not None and (member.epoch, member.token) == (incarnation.epoch, incarnation.token)
 
 
--- a/weldhatch/coordination/lease_holder.py
+++ b/weldhatch/coordination/lease_holder.py
@@ -112,28 +112,28 @@
 
     def _find_conflict(self, response: LeaseResponse) -> bool:
         """Whether our state differs from the leader's at the same index. If so, discard ours."""
-        machine = self.state_machine
-        if machine.index != response.applied_index or machine.digest == response.digest:
+        state_machine = self.state_machine
+        if state_machine.index != response.applied_index or state_machine.digest == response.digest:
             return False
-        text = f"index {response.applied_index}: {machine.digest} here, {response.digest} at the leader"
+        text = f"index {response.applied_index}: {state_machine.digest} here, {response.digest} at the leader"
         if text not in self.conflicts:
             self.conflicts.append(text)
-        machine.index = 0  # makes the next response carry a snapshot
+        state_machine.index = 0  # makes the next response carry a snapshot
         return True
 
     def _apply_update(self, response: LeaseResponse) -> bool:
-        machine = self.state_machine
-        before = (self.lineage, machine.index)
+        state_machine = self.state_machine
+        before = (self.lineage, state_machine.index)
         if response.snapshot:
             # A newer state is never replaced by an older one.
-            if response.lineage > self.lineage or response.applied_index >= machine.index:
-                machine.load(response.snapshot)
-        elif response.lineage == self.lineage and response.base_index <= machine.index:
+            if response.lineage > self.lineage or response.applied_index >= state_machine.index:
+                state_machine.load(response.snapshot)
+        elif response.lineage == self.lineage and response.base_index <= state_machine.index:
             for index, command in enumerate(response.commands, response.base_index + 1):
-                if index > machine.index:
-                    machine.apply(index, command)
+                if index > state_machine.index:
+                    state_machine.apply(index, command)
         self.lineage = max(self.lineage, response.lineage)
-        if (self.lineage, machine.index) == before:
+        if (self.lineage, state_machine.index) == before:
             return False
         self._review_versions()
         return True
@@ -146,10 +146,10 @@
 
     def _review_versions(self) -> None:
         """Review the active and the prepared version, and derive the rules in effect."""
-        machine = self.state_machine
-        if machine.prepared is not None:
-            self._rejection = self._review_prepared(machine.prepared.tree)
-            self._reviewed_version = machine.prepared.number
+        state_machine = self.state_machine
+        if state_machine.prepared is not None:
+            self._rejection = self._review_prepared(state_machine.prepared.tree)
+            self._reviewed_version = state_machine.prepared.number
         elif not self._rejects_active():
             self._rejection = ""
         self.rules = self._derive_rules()
--- a/weldhatch/coordination/node_status.py
+++ b/weldhatch/coordination/node_status.py
@@ -9,10 +9,10 @@
 
 def status_of(holder: LeaseHolder, raft: Raft | None, leader: str, now: float) -> JsonObject:
     """Return the status of one process as a JSON object."""
-    machine = holder.state_machine
+    state_machine = holder.state_machine
     zones = {
         name: {"phase": place.phase.value, "step": place.step, "held": place.held}
-        for name, place in machine.zones.entries.items()
+        for name, place in state_machine.zones.entries.items()
     }
     return {
         "name": holder.incarnation.name,
@@ -23,18 +23,20 @@
         "lease_s": round(max(0.0, holder.lease_ends - now), 3),
         "ground_s": round(max(0.0, holder.grace_ends - now), 3),
         "stated_s": holder.timing.consistency_bound,
-        "number": machine.active.number if machine.active else 0,
-        "prepared": machine.prepared.number if machine.prepared else 0,
-        "index": machine.index,
-        "digest": machine.digest,
-        "rev": machine.directives.revision,
+        "number": state_machine.active.number if state_machine.active else 0,
+        "prepared": state_machine.prepared.number if state_machine.prepared else 0,
+        "index": state_machine.index,
+        "digest": state_machine.digest,
+        "rev": state_machine.directives.revision,
         "leader": leader,
         "term": raft.persistent.term if raft else 0,
         "role": raft.role if raft else "learner",
         "zones": zones,
         "lost": raft.lost_reason if raft else "",
-        "members": sorted(machine.members),
-        "narrowed": len(machine.drain_reports.entries),  # machines that some dispatcher's list restricts
-        "conflicts": [*holder.conflicts, *machine.drain_reports.conflicts],
-        "recoveries": list(machine.recoveries),
+        "members": sorted(state_machine.members),
+        "narrowed": len(
+            state_machine.drain_reports.entries
+        ),  # machines that some dispatcher's list restricts
+        "conflicts": [*holder.conflicts, *state_machine.drain_reports.conflicts],
+        "recoveries": list(state_machine.recoveries),
     }
--- a/weldhatch/coordination/state_machine.py
+++ b/weldhatch/coordination/state_machine.py
@@ -186,14 +186,24 @@
 _HANDLERS: dict[str, Callable[[StateMachine, JsonObject], JsonObject]] = {
     CommandKind.JOIN: StateMachine._join,
     CommandKind.LEAVE: StateMachine._leave,
-    CommandKind.PROPOSE: lambda machine, command: machine.versions.propose(machine.index, command),
-    CommandKind.ACTIVATE: lambda machine, command: machine.versions.activate(machine.index, command),
-    CommandKind.DROP: lambda machine, command: machine.versions.drop(machine.index, command),
-    CommandKind.DIRECT_MACHINE: lambda machine, command: machine.directives.apply_command(command),
+    CommandKind.PROPOSE: lambda state_machine, command: state_machine.versions.propose(
+        state_machine.index, command
+    ),
+    CommandKind.ACTIVATE: lambda state_machine, command: state_machine.versions.activate(
+        state_machine.index, command
+    ),
+    CommandKind.DROP: lambda state_machine, command: state_machine.versions.drop(
+        state_machine.index, command
+    ),
+    CommandKind.DIRECT_MACHINE: lambda state_machine, command: state_machine.directives.apply_command(
+        command
+    ),
     CommandKind.SETTLE_DIRECTIVES: StateMachine._settle_directives,
     CommandKind.REPORT_DRAINS: StateMachine._report_drains,
     CommandKind.CHANGE_ZONE: StateMachine._change_zone,
-    CommandKind.HOLD_ZONE: lambda machine, command: machine.zones.apply_hold(machine.index, command),
+    CommandKind.HOLD_ZONE: lambda state_machine, command: state_machine.zones.apply_hold(
+        state_machine.index, command
+    ),
     CommandKind.FENCE: StateMachine._fence,
     CommandKind.RECOVERED: StateMachine._recovered,
 }
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -56,9 +56,9 @@
         self._settings_number = 0
         self._reviewed_at = float("-inf")
 
-    def _context(self, machine: StateMachine) -> _FailoverContext | None:
+    def _context(self, state_machine: StateMachine) -> _FailoverContext | None:
         """Return None before the first version is active, since only a version names the zones."""
-        active = machine.active
+        active = state_machine.active
         if active is None:
             return None
         if self._settings is None or self._settings_number != active.number:
@@ -78,9 +78,9 @@
             )
         return _FailoverContext(self._failover, self._settings)
 
-    def receive_report(self, now: float, machine: StateMachine, request: LeaseRequest) -> None:
+    def receive_report(self, now: float, state_machine: StateMachine, request: LeaseRequest) -> None:
         """Handle the zone report in a lease request. An invalid report is ignored."""
-        if not request.zone_report or (context := self._context(machine)) is None:
+        if not request.zone_report or (context := self._context(state_machine)) is None:
             return
         try:
             report = ZoneReport.from_json(request.zone_report)
@@ -88,40 +88,40 @@
             return
         context.failover.receive_report(now, request.name, Incarnation.of(request).label, report)
 
-    def due_commands(self, now: float, machine: StateMachine) -> list[JsonObject]:
+    def due_commands(self, now: float, state_machine: StateMachine) -> list[JsonObject]:
         """Return the commands that are due now."""
-        if now - self._reviewed_at < REVIEW_INTERVAL_S or (context := self._context(machine)) is None:
+        if now - self._reviewed_at < REVIEW_INTERVAL_S or (context := self._context(state_machine)) is None:
             return []
         self._reviewed_at = now
-        context.failover.set_members(machine.members.keys())
+        context.failover.set_members(state_machine.members.keys())
 
         def all_members_hold(index: int) -> bool:
-            return not self._leader.grants.pending(now, machine, index, self._leader.timing.grace)
+            return not self._leader.grants.pending(now, state_machine, index, self._leader.timing.grace)
 
-        due = context.failover.due_changes(now, machine.zones, context.settings, all_members_hold)
-        return [{**change.to_tree(), "id": _command_id(machine, change)} for change in due]
+        due = context.failover.due_changes(now, state_machine.zones, context.settings, all_members_hold)
+        return [{**change.to_tree(), "id": _command_id(state_machine, change)} for change in due]
 
-    def start_quotas(self, now: float, machine: StateMachine, request: LeaseRequest) -> str:
+    def start_quotas(self, now: float, state_machine: StateMachine, request: LeaseRequest) -> str:
         """Return start quotas (JSON) on returning machines for a new lease holder, '' if there are none."""
-        if (context := self._context(machine)) is None:
+        if (context := self._context(state_machine)) is None:
             return ""
         label = Incarnation.of(request).label
-        quotas = context.failover.quotas_for(now, label, machine.zones, context.settings)
+        quotas = context.failover.quotas_for(now, label, state_machine.zones, context.settings)
         return json.dumps([quota.to_tree() for quota in quotas]) if quotas else ""
 
-    def operator_command(self, now: float, machine: StateMachine, request: JsonObject) -> JsonObject:
+    def operator_command(self, now: float, state_machine: StateMachine, request: JsonObject) -> JsonObject:
         """Return the log command for an operator's request, or an error result."""
-        if (context := self._context(machine)) is None:
+        if (context := self._context(state_machine)) is None:
             return error_result("unknown", "no rules are in force yet: nothing names the zones")
-        return context.failover.operator_command(now, request, machine.zones, context.settings)
+        return context.failover.operator_command(now, request, state_machine.zones, context.settings)
 
-    def status(self, now: float, machine: StateMachine) -> JsonObject:
+    def status(self, now: float, state_machine: StateMachine) -> JsonObject:
         """Return the leader's view of the zones, for operators."""
-        if (context := self._context(machine)) is None:
+        if (context := self._context(state_machine)) is None:
             return {}
-        names = dict.fromkeys([*context.settings.zones, *machine.zones.entries])
+        names = dict.fromkeys([*context.settings.zones, *state_machine.zones.entries])
         return {**context.failover.status(now, names), "timeline": context.failover.timeline}
 
 
-def _command_id(machine: StateMachine, change: ZoneChange) -> str:
-    return f"zone-{change.place}-{change.number}-{machine.zones.number}-{change.phase.value}"
+def _command_id(state_machine: StateMachine, change: ZoneChange) -> str:
+    return f"zone-{change.place}-{change.number}-{state_machine.zones.number}-{change.phase.value}"
