--- a/tests/test_pins_coordination.py
+++ b/tests/test_pins_coordination.py
@@ -1,7 +1,8 @@
-"""Bytes that other processes and other versions read: links, the store, the control address, a snapshot.
+"""Encodings that other processes and other versions read: links, the store, the control address, snapshots.
 
-What is compared with was recorded from version 0.2.0 and lies under `tests/data/coordination`. It is written
-anew only where a format is meant to change: `python -m tests.test_pins_coordination` in the project's root.
+The expected values were recorded from version 0.2.0 and are stored in `tests/data/coordination`. They are
+recorded again only for an intended change of a format: `python -m tests.test_pins_coordination` in the
+project's root.
 """
 
 import asyncio
@@ -60,7 +61,7 @@
 
 
 def tree(most=3, effect="idempotency_key"):
-    """Settings as a file has them."""
+    """Settings in the form of a settings file."""
     return {
         "kinds": ["std"],
         "zones": ["a", "b"],
@@ -83,8 +84,8 @@
 
 # ---- messages on links -----------------------------------------------------------------------------------
 
-REPORT = '{"zone":"a","cut":"no","looks":{"a":["fine",3,0,3],"b":["down",0,9,9,1200]},"refused":0}'
-SHARES = '[["b","n0.3.1",1,2,5,7,0.5]]'
+ZONE_REPORT = '{"zone":"a","cut":"no","looks":{"a":["fine",3,0,3],"b":["down",0,9,9,1200]},"refused":0}'
+START_QUOTAS = '[["b","n0.3.1",1,2,5,7,0.5]]'
 MESSAGES = {
     "vote asked": RequestVote(1, 2, 3, 4, True, True, 5, 6),
     "vote asked, as by default": RequestVote(1, 2, 3, 4, False),
@@ -111,10 +112,10 @@
     "stand now": TimeoutNow(1, 2),
     "greeting": Hello(1, 2, 3, 4, 5, True),
     "greeting of another lineage": Hello(1, 0),
-    "lease asked": LeaseRequest(1, "g1", 2, "t", 3.5, 4, "d", 5, "zones: x", True, REPORT),
+    "lease asked": LeaseRequest(1, "g1", 2, "t", 3.5, 4, "d", 5, "zones: x", True, ZONE_REPORT),
     "lease asked, as by default": LeaseRequest(1, "g1", 2, "t", 3.5, 4, "d"),
     "lease granted": LeaseResponse(
-        1, 2.5, True, "", "", 3, ('{"do":"x"}', ""), "", 5, "d", '{"n0": "h:1"}', SHARES
+        1, 2.5, True, "", "", 3, ('{"do":"x"}', ""), "", 5, "d", '{"n0": "h:1"}', START_QUOTAS
     ),
     "lease denied": LeaseResponse(1, 2.5, False, "fenced: x", "n2", 0, (), '{"index":3}', 5, "d"),
     "version proposed": CommandRequest("g1-2-t-1", '{"do":"propose","base":1,"tree":{},"why":"w","by":"x"}'),
@@ -129,27 +130,27 @@
 
 
 def encoded_messages():
-    out = {}
+    encoded = {}
     for name, message in MESSAGES.items():
         stream, data = encode(message)
-        out[name] = [stream, base64.b64encode(data).decode()]
-    return out
+        encoded[name] = [stream, base64.b64encode(data).decode()]
+    return encoded
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_message_has_the_bytes_that_were_recorded_both_ways(name):
+def test_a_message_encodes_to_and_decodes_from_its_recorded_bytes(name):
     stream, text = recorded("messages")[name]
     assert encode(MESSAGES[name]) == (stream, base64.b64decode(text))
     assert decode(stream, base64.b64decode(text)) == MESSAGES[name]
 
 
-def test_every_message_that_was_recorded_is_still_looked_at():
+def test_every_recorded_message_is_compared():
     assert list(recorded("messages")) == list(MESSAGES)
     kinds = {(stream, base64.b64decode(text)[1]) for stream, text in recorded("messages").values()}
     assert kinds == {(0, n) for n in range(7)} | {(1, n) for n in range(4)}
 
 
-# ---- the voters alone ------------------------------------------------------------------------------------
+# ---- voters ----------------------------------------------------------------------------------------------
 
 
 def fields_of(effect):
@@ -157,7 +158,7 @@
 
 
 class Transcript:
-    """Everything that processes do, in order: a digest, and the count of each kind."""
+    """All effects of the processes, in order, as one digest, and the number of effects of each kind."""
 
     def __init__(self):
         self._hash, self.counts = hashlib.blake2b(digest_size=16), {}
@@ -168,38 +169,40 @@
             data = part if isinstance(part, bytes) else json.dumps(part).encode()
             self._hash.update(len(data).to_bytes(4, "big") + data)
 
-    def told(self):
+    def summary(self):
         return {"digest": self._hash.hexdigest(), "counts": dict(sorted(self.counts.items()))}
 
 
 def record_text(record):
-    """A voter's record as it stands in the store, behind its first word."""
+    """Encodes a voter's record as in the store, without the leading kind "raft"."""
     return json.dumps(record.to_list())
 
 
-class Voters:
-    """Four voters, of whom the last joins late, on one clock; dice of one seed say what breaks."""
+class VoterGroup:
+    """Four voters on one simulated clock; the last one joins later. One seed fixes all faults."""
 
     def __init__(self, seed):
         self.random, self.now, self.transcript = Random(seed), 0.0, Transcript()
         self.disks, self.nodes = {name: [] for name in NAMES}, {}
-        self.older, self.down, self.net = {}, {}, deque()
+        self.older_disks, self.down, self.in_flight = {}, {}, deque()
         for name in NAMES:
-            self.boot(name)
+            self.start(name)
 
-    def boot(self, name):
-        saved = PersistentState()
+    def start(self, name):
+        persistent = PersistentState()
         for record in self.disks[name]:
-            saved.apply_encoded(record.encode())
-        node = self.nodes[name] = Raft(name, saved, Timing(), Random(self.random.getrandbits(32)), self.now)
+            persistent.apply_encoded(record.encode())
+        node = self.nodes[name] = Raft(
+            name, persistent, Timing(), Random(self.random.getrandbits(32)), self.now
+        )
         if not self.disks[name] and name in VOTERS:
-            node.bootstrap({one: f"{one}:1" for one in VOTERS})
+            node.bootstrap({voter: f"{voter}:1" for voter in VOTERS})
         for other in self.nodes:
             if other != name:
                 self.nodes[other].handle_link_up(name)
                 node.handle_link_up(other)
 
-    def carry(self, name):
+    def carry_out_effects(self, name):
         node = self.nodes[name]
         while node.effects:
             effect = node.effects.pop(0)
@@ -211,7 +214,7 @@
                 case Send(to, message):
                     stream, data = encode(message)
                     self.transcript.add(f"message {stream} {data[1]}", name, to, data)
-                    self.net.append((name, to, stream, data))
+                    self.in_flight.append((name, to, stream, data))
                 case EntryPersisted(index, term):
                     self.transcript.add("stored", name, index, term)
                     node.entry_persisted(effect)
@@ -222,60 +225,63 @@
 
     def step(self):
         self.now += STEP_S
-        for name, back in list(self.down.items()):
-            if self.now >= back:
+        for name, restart_at in list(self.down.items()):
+            if self.now >= restart_at:
                 del self.down[name]
-                self.boot(name)
+                self.start(name)
         for name, node in self.nodes.items():
             if name not in self.down:
                 node.tick(self.now)
-                self.carry(name)
-        net, self.net = self.net, deque()
-        for name, to, stream, data in net:
-            fate = self.random.random()
-            for _ in range(0 if to in self.down or fate < 0.03 else 2 if fate < 0.06 else 1):
+                self.carry_out_effects(name)
+        in_flight, self.in_flight = self.in_flight, deque()
+        for name, to, stream, data in in_flight:
+            draw = self.random.random()
+            for _ in range(0 if to in self.down or draw < 0.03 else 2 if draw < 0.06 else 1):
                 self.nodes[to].receive(self.now, name, decode(stream, data))
-                self.carry(to)
+                self.carry_out_effects(to)
 
-    def play(self, steps):
-        rnd = self.random
+    def run(self, steps):
+        rng = self.random
         for n in range(steps):
             self.step()
-            if n == steps // 2:  # one goes on alone, and the others come after it
+            if n == steps // 2:  # n1 recovers alone; the others join its lineage
                 self.nodes["n1"].recover(self.now, "n1:1")
             if n % 400 == 0:
-                self.older = {name: list(disk) for name, disk in self.disks.items()}
-            if rnd.random() < 0.006 and not self.down:
-                name = rnd.choice(NAMES)
+                self.older_disks = {name: list(disk) for name, disk in self.disks.items()}
+            if rng.random() < 0.006 and not self.down:
+                name = rng.choice(NAMES)
                 self.nodes[name].effects.clear()
-                if rnd.random() < 0.2:
-                    self.disks[name] = list(self.older[name])
-                self.down[name] = self.now + rnd.random()
+                if rng.random() < 0.2:
+                    self.disks[name] = list(self.older_disks[name])
+                self.down[name] = self.now + rng.random()
             for name, node in self.nodes.items():
                 if name not in self.down and node.role == "leader":
-                    self.lead(node, rnd)
+                    self.propose_changes(node, rng)
             self.transcript.add(
                 "now",
-                [(one.role, one.leader, one.commit_index, one.lost_reason) for one in self.nodes.values()],
+                [
+                    (node.role, node.leader, node.commit_index, node.lost_reason)
+                    for node in self.nodes.values()
+                ],
             )
-        return self.transcript.told()
+        return self.transcript.summary()
 
-    def lead(self, node, rnd):
+    def propose_changes(self, node, rng):
         try:
-            if rnd.random() < 0.15:
-                node.propose(self.now, f"command {rnd.randrange(1000)}")
-            if rnd.random() < 0.01:
+            if rng.random() < 0.15:
+                node.propose(self.now, f"command {rng.randrange(1000)}")
+            if rng.random() < 0.01:
                 voters = {**node.voters, "n3": "n3:1"}
-                for name in [rnd.choice(NAMES)] if "n3" in node.voters else ():
+                for name in [rng.choice(NAMES)] if "n3" in node.voters else ():
                     voters.pop(name, None)
                 node.change_voters(self.now, voters)
-            if rnd.random() < 0.005 and len(node.voters) > 1:
+            if rng.random() < 0.005 and len(node.voters) > 1:
                 node.transfer_leadership(
-                    self.now, rnd.choice([one for one in node.voters if one != node.name])
+                    self.now, rng.choice([voter for voter in node.voters if voter != node.name])
                 )
-        except (BusyError, ValueError) as fault:
-            self.transcript.add("refused", str(fault))
-        if rnd.random() < 0.01 and node.applied_index:
+        except (BusyError, ValueError) as error:
+            self.transcript.add("refused", str(error))
+        if rng.random() < 0.01 and node.applied_index:
             node.compact(f"state {node.applied_index}", node.applied_index)
 
 
@@ -283,74 +289,74 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_voters_do_the_same_in_the_same_order(seed):
-    assert Voters(seed).play(3000) == recorded("voters")[str(seed)]
+def test_voters_produce_the_recorded_effects_in_order(seed):
+    assert VoterGroup(seed).run(3000) == recorded("voters")[str(seed)]
 
 
-# ---- whole processes -------------------------------------------------------------------------------------
+# ---- processes -------------------------------------------------------------------------------------------
 
 
 @dataclass
-class Seat:
-    """One process: what it has on its disk, and its clock."""
+class SimulatedProcess:
+    """One process with its disk and its clock."""
 
     name: str
-    rate: float
+    clock_rate: float
     disk: list[str] = field(default_factory=list)
     epoch: int = 0
-    member: CoordinationNode | None = None
+    node: CoordinationNode | None = None
     writing: list[str] | None = None
-    held: tuple[int, str] = (0, "")
+    saved_state: tuple[int, str] = (0, "")
 
     def now(self, time):
-        return 1000.0 + time * self.rate
+        return 1000.0 + time * self.clock_rate
 
 
-class Processes:
-    """Three voters and one that only asks, all under one seed; zone b fails for a while."""
+class ProcessGroup:
+    """Three voters and one process that never votes. Zone b fails for a while; one seed fixes all faults."""
 
     def __init__(self, seed):
         self.random, self.time, self.transcript = Random(seed), 0.0, Transcript()
-        self.seats = {name: Seat(name, 1 + 0.004 * (n - 1.5)) for n, name in enumerate(NAMES)}
-        self.down, self.net = {}, deque()
-        for seat in self.seats.values():
-            self.boot(seat)
-
-    def boot(self, seat):
-        seat.epoch, seat.writing, saved = seat.epoch + 1, None, None
-        if seat.name in VOTERS:
-            saved = PersistentState()
-            for record in seat.disk:
-                saved.apply_encoded(record.encode())
-
-        def read(told):
-            return replace(config.settings_from_json(told), zone=0)
-
-        seat.member = CoordinationNode(
+        self.processes = {name: SimulatedProcess(name, 1 + 0.004 * (n - 1.5)) for n, name in enumerate(NAMES)}
+        self.down, self.in_flight = {}, deque()
+        for process in self.processes.values():
+            self.start(process)
+
+    def start(self, process):
+        process.epoch, process.writing, persistent = process.epoch + 1, None, None
+        if process.name in VOTERS:
+            persistent = PersistentState()
+            for record in process.disk:
+                persistent.apply_encoded(record.encode())
+
+        def parse_settings(tree):
+            return replace(config.settings_from_json(tree), zone=0)
+
+        process.node = CoordinationNode(
             NodeSetup(
-                Incarnation(seat.name, seat.epoch, f"t{seat.epoch}"),
+                Incarnation(process.name, process.epoch, f"t{process.epoch}"),
                 LeaseTiming(),
-                read,
+                parse_settings,
                 lambda settings: "import: not here" if settings.classes[0].spread_most == 13 else "",
                 tree(),
                 FailoverTiming(quorum=2),
             ),
             Random(self.random.getrandbits(32)),
-            seat.now(self.time),
-            saved,
-            {name: f"{name}:1" for name in VOTERS} if seat.name in VOTERS and not seat.disk else None,
+            process.now(self.time),
+            persistent,
+            {name: f"{name}:1" for name in VOTERS} if process.name in VOTERS and not process.disk else None,
         )
-        seat.member.set_zone_observer(lambda now: self.report(seat))
-        if seat.held[1]:
-            seat.member.lease_holder.restore(seat.held[1], seat.held[0])
-        for other in self.seats.values():
-            if other.member is not None and other is not seat:
+        process.node.set_zone_observer(lambda now: self.report(process))
+        if process.saved_state[1]:
+            process.node.lease_holder.restore(process.saved_state[1], process.saved_state[0])
+        for other in self.processes.values():
+            if other.node is not None and other is not process:
                 if other.name in VOTERS:
-                    seat.member.peer_up(seat.now(self.time), other.name)
-                if seat.name in VOTERS:
-                    other.member.peer_up(other.now(self.time), seat.name)
+                    process.node.peer_up(process.now(self.time), other.name)
+                if process.name in VOTERS:
+                    other.node.peer_up(other.now(self.time), process.name)
 
-    def report(self, seat):
+    def report(self, process):
         down = 6.0 < self.time < 12.0
         sent = int(self.time * 10)
         return json.dumps(
@@ -366,90 +372,90 @@
             }
         )
 
-    def carry(self, seat):
-        for effect in seat.member.take_effects():
+    def carry_out_effects(self, process):
+        for effect in process.node.take_effects():
             match effect:
                 case effects.WriteRecords(records):
-                    seat.writing = [record_text(record) for record in records]
-                    self.transcript.add("write", seat.name, seat.writing)
-                case effects.Send(to, word):
-                    stream, data = encode(word)
-                    self.transcript.add(f"message {stream} {data[1]}", seat.name, to, data)
-                    self.net.append((seat.name, to, stream, data))
+                    process.writing = [record_text(record) for record in records]
+                    self.transcript.add("write", process.name, process.writing)
+                case effects.Send(to, message):
+                    stream, data = encode(message)
+                    self.transcript.add(f"message {stream} {data[1]}", process.name, to, data)
+                    self.in_flight.append((process.name, to, stream, data))
                 case effects.SaveState(lineage, state):
-                    seat.held = lineage, state
-                    self.transcript.add("hold", seat.name, lineage, state)
+                    process.saved_state = lineage, state
+                    self.transcript.add("hold", process.name, lineage, state)
                 case effects.ConnectVoters(voters):
-                    self.transcript.add("reach", seat.name, voters)
-                case effects.CommandCompleted(id, result):
-                    self.transcript.add("result", seat.name, id, result)
+                    self.transcript.add("reach", process.name, voters)
+                case effects.CommandCompleted(command_id, result):
+                    self.transcript.add("result", process.name, command_id, result)
                 case effects.LogEvent(name, fields):
-                    self.transcript.add(f"event {name}", seat.name, fields)
-                case effects.QuotaReceived(shares, asked):
-                    self.transcript.add("shares", seat.name, shares, asked)
+                    self.transcript.add(f"event {name}", process.name, fields)
+                case effects.QuotaReceived(quotas, asked_at):
+                    self.transcript.add("shares", process.name, quotas, asked_at)
 
     def step(self):
         self.time += STEP_S
-        for name, back in list(self.down.items()):
-            if self.time >= back:
+        for name, restart_at in list(self.down.items()):
+            if self.time >= restart_at:
                 del self.down[name]
-                self.boot(self.seats[name])
-        for seat in self.seats.values():
-            if seat.name not in self.down:
-                if seat.writing is not None:
-                    seat.disk += seat.writing
-                    seat.writing = None
-                    seat.member.records_written(seat.now(self.time))
-                seat.member.tick(seat.now(self.time))
-                self.carry(seat)
-        net, self.net = self.net, deque()
-        for name, to, stream, data in net:
-            fate = self.random.random()
-            seat = self.seats[to]
-            for _ in range(0 if to in self.down or fate < 0.02 else 2 if fate < 0.04 else 1):
-                seat.member.receive(seat.now(self.time), name, decode(stream, data))
-                self.carry(seat)
-
-    def play(self, steps, crashes):
-        given = commands()
+                self.start(self.processes[name])
+        for process in self.processes.values():
+            if process.name not in self.down:
+                if process.writing is not None:
+                    process.disk += process.writing
+                    process.writing = None
+                    process.node.records_written(process.now(self.time))
+                process.node.tick(process.now(self.time))
+                self.carry_out_effects(process)
+        in_flight, self.in_flight = self.in_flight, deque()
+        for name, to, stream, data in in_flight:
+            draw = self.random.random()
+            process = self.processes[to]
+            for _ in range(0 if to in self.down or draw < 0.02 else 2 if draw < 0.04 else 1):
+                process.node.receive(process.now(self.time), name, decode(stream, data))
+                self.carry_out_effects(process)
+
+    def run(self, steps, crashes):
+        scheduled = commands()
         for n in range(steps):
             self.step()
-            if n in given:
-                name, command = given[n]
+            if n in scheduled:
+                name, command = scheduled[n]
                 if name not in self.down:
-                    seat = self.seats[name]
-                    seat.member.submit(seat.now(self.time), f"c{n}", command)
-                    self.carry(seat)
+                    process = self.processes[name]
+                    process.node.submit(process.now(self.time), f"c{n}", command)
+                    self.carry_out_effects(process)
             if n == steps - 200 and "n2" not in self.down:
-                seat = self.seats["n2"]
-                result = seat.member.recover(seat.now(self.time), "n2:1", "x", "burnt", 5.5)
+                process = self.processes["n2"]
+                result = process.node.recover(process.now(self.time), "n2:1", "x", "burnt", 5.5)
                 self.transcript.add("recovered", result)
-                self.carry(seat)
+                self.carry_out_effects(process)
             if crashes and n % 150 == 120 and not self.down:
                 name = self.random.choice(NAMES)
-                self.seats[name].member, self.seats[name].writing = None, None
+                self.processes[name].node, self.processes[name].writing = None, None
                 self.down[name] = self.time + 0.5
             if n % 25 == 0:
-                for seat in self.seats.values():
-                    if seat.member is not None:
-                        now = seat.now(self.time)
-                        cls = config.settings_from_json(tree()).classes[1]
-                        self.transcript.add("status", seat.member.status(now))
-                        self.transcript.add("seen by the leader", seat.member.leader_status(now))
+                for process in self.processes.values():
+                    if process.node is not None:
+                        now = process.now(self.time)
+                        request_class = config.settings_from_json(tree()).classes[1]
+                        self.transcript.add("status", process.node.status(now))
+                        self.transcript.add("seen by the leader", process.node.leader_status(now))
                         self.transcript.add(
-                            "refusal", seat.member.lease_holder.refusal_reason(now, cls, "m1", 3)
+                            "refusal", process.node.lease_holder.refusal_reason(now, request_class, "m1", 3)
                         )
-        return self.transcript.told()
+        return self.transcript.summary()
 
 
 def commands():
-    """By step: whom it is given to, and what."""
+    """Commands by step: the process that submits the command, and the command."""
 
     def propose(base, **changes):
         return {"do": "propose", "base": base, "tree": tree(**changes), "why": "w", "by": "x", "despite": []}
 
-    listed = {"do": "listed", "rev": 3, "by": "n3"}
-    word = {"do": "word", "machine": "m1", "op": "x"}
+    drain_report = {"do": "listed", "rev": 3, "by": "n3"}
+    directive = {"do": "word", "machine": "m1", "op": "x"}
     return {
         60: ("n3", propose(1, most=5)),
         62: ("n0", propose(1, most=2)),
@@ -457,11 +463,11 @@
         150: ("n2", propose(3, most=13)),
         170: ("n0", {**propose(3, most=13), "despite": ["n3", "n0"]}),
         180: ("n0", {"do": "drop", "number": 5, "why": "w"}),
-        190: ("n1", {**word, "state": "draining", "fence": 1}),
-        200: ("n3", {**listed, "entries": {"m1": "draining", "m2": "gone"}}),
-        210: ("n2", {**listed, "entries": {"m1": "ready"}, "by": "n2"}),
-        220: ("n1", {**word, "state": "ready", "fence": 2}),
-        230: ("n1", {**word, "state": "off", "fence": 1}),
+        190: ("n1", {**directive, "state": "draining", "fence": 1}),
+        200: ("n3", {**drain_report, "entries": {"m1": "draining", "m2": "gone"}}),
+        210: ("n2", {**drain_report, "entries": {"m1": "ready"}, "by": "n2"}),
+        220: ("n1", {**directive, "state": "ready", "fence": 2}),
+        230: ("n1", {**directive, "state": "off", "fence": 1}),
         240: ("n0", {"do": "voters", "add": {"n3": "n3:1"}}),
         260: ("n0", {"do": "voters", "remove": ["n3"]}),
         270: ("n0", {"do": "voters", "remove": ["n1", "n2"]}),
@@ -477,18 +483,18 @@
     }
 
 
-PLAYS = {"calm": (1, False), "crashes, seed 2": (2, True), "crashes, seed 3": (3, True)}
+RUNS = {"calm": (1, False), "crashes, seed 2": (2, True), "crashes, seed 3": (3, True)}
 
 
-@pytest.mark.parametrize("name", PLAYS)
-def test_processes_do_the_same_in_the_same_order(name):
-    seed, crashes = PLAYS[name]
-    assert Processes(seed).play(1400, crashes) == recorded("processes")[name]
+@pytest.mark.parametrize("name", RUNS)
+def test_processes_produce_the_recorded_effects_in_order(name):
+    seed, crashes = RUNS[name]
+    assert ProcessGroup(seed).run(1400, crashes) == recorded("processes")[name]
 
 
 # ---- the store -------------------------------------------------------------------------------------------
 
-RECORDS = [  # as a voter of version 0.2.0 wrote them, with every kind of record
+RECORDS = [  # written by a voter of version 0.2.0, with every kind of record
     '["begins", 1, "t1"]',
     '["raft", "snapshot", 0, 0, 0, "{\\"g1\\": \\"h:1\\", \\"g2\\": \\"h:2\\"}", ""]',
     '["met", "g2", 7, "t7"]',
@@ -502,7 +508,7 @@
     '["raft", "writes", 9]',
     '["raft", "vote", 1, 2, ""]',
 ]
-FOLDED = [
+COMPACTED_RECORDS = [
     '["begins", 1, "t1"]',
     '["met", "g2", 7, "t7"]',
     '["held", 0, "{\\"index\\":2}"]',
@@ -514,27 +520,27 @@
 ]
 
 
-def test_records_of_every_kind_fold_to_the_least_that_say_the_same():
-    fold = ClusterRecords()
+def test_records_of_every_kind_are_compacted_to_the_expected_records():
+    cluster_records = ClusterRecords()
     for record in RECORDS:
-        fold.apply(record.encode())
-    assert [record.decode() for record in fold.snapshot_records()] == FOLDED
-    assert fold.snapshot_size == 2 + 1 + 3 + 1
+        cluster_records.apply(record.encode())
+    assert [record.decode() for record in cluster_records.snapshot_records()] == COMPACTED_RECORDS
+    assert cluster_records.snapshot_size == 2 + 1 + 3 + 1
 
 
 @pytest.mark.parametrize(
     "bad", ["{}", "[]", '["held", 1]', '["raft"]', '["raft", "vote", 1]', '["raft", "what", 1]', "[[1]]"]
 )
-def test_a_record_of_no_kind_is_an_error(bad):
+def test_an_unknown_or_incomplete_record_is_an_error(bad):
     with pytest.raises(ValueError):
         ClusterRecords().apply(bad.encode())
 
 
-def play_store(folder):
-    """One run on a store: what it finds, and then more of everything."""
+def use_store(directory):
+    """Opens a store, notes its contents, and appends records of every kind."""
 
     async def run():
-        store = ClusterStore(str(folder), 0.0, print)
+        store = ClusterStore(str(directory), 0.0, print)
         found = {
             "fresh": store.is_fresh,
             "epoch": store.epoch,
@@ -551,7 +557,7 @@
             raft.recover(103.0, "h:1")
         for text in ("one", "two"):
             raft.propose(103.0, text)
-        for effect in [one for one in raft.effects if isinstance(one, EntryPersisted)]:
+        for effect in [effect for effect in raft.effects if isinstance(effect, EntryPersisted)]:
             raft.entry_persisted(effect)
         if store.epoch == 1:
             raft.change_voters(103.0, {"g1": "h:1", "g2": "h:2"})
@@ -565,48 +571,50 @@
         return found
 
     found = asyncio.run(run())
-    records = [record.decode() for record in Log(folder / "agreement.log").recovered_records()]
-    token = '"begins", '  # what follows is the epoch and a token that is drawn anew
-    return found, [one[: one.rindex(",")] if token in one else one for one in records]
+    records = [record.decode() for record in Log(directory / "agreement.log").recovered_records()]
+    token = '"begins", '  # followed by the epoch and a random token
+    return found, [record[: record.rindex(",")] if token in record else record for record in records]
 
 
-def as_written(folder):
-    play_store(folder)
+def write_store(directory):
+    use_store(directory)
 
 
-def cut_down(folder):
-    """The least records that say the same, as a store has them that has grown long."""
-    play_store(folder)
-    play_store(folder)
-    fold, log = ClusterRecords(), Log(folder / "agreement.log")
+def write_compacted_store(directory):
+    """Writes a store and compacts it, as happens with a long store."""
+    use_store(directory)
+    use_store(directory)
+    cluster_records, log = ClusterRecords(), Log(directory / "agreement.log")
     for record in log.recovered_records():
-        fold.apply(record)
-    log.rewrite(fold.snapshot_records())
+        cluster_records.apply(record)
+    log.rewrite(cluster_records.snapshot_records())
 
 
-STORES = {"store_as_written": as_written, "store_cut_down": cut_down}
+STORES = {"store_as_written": write_store, "store_cut_down": write_compacted_store}
 
 
 @pytest.mark.parametrize("name", STORES)
-def test_a_store_of_version_0_2_0_is_read_and_gone_on_with(name, tmp_path):
+def test_a_store_of_version_0_2_0_can_be_read_and_extended(name, tmp_path):
     shutil.copytree(DATA / name, tmp_path / "store")
-    found, records = play_store(tmp_path / "store")
+    found, records = use_store(tmp_path / "store")
     assert recorded(name) == {"found": found, "records": records}
 
 
 @pytest.mark.parametrize("name", STORES)
-def test_a_new_store_holds_the_bytes_that_were_recorded(name, tmp_path):
+def test_a_new_store_contains_the_recorded_bytes(name, tmp_path):
     STORES[name](tmp_path)
-    of_version = list(Log(DATA / name / "agreement.log").recovered_records())
-    mine = list(Log(tmp_path / "agreement.log").recovered_records())
-    assert [without_token(one) for one in mine] == [without_token(one) for one in of_version]
+    recorded_records = list(Log(DATA / name / "agreement.log").recovered_records())
+    new_records = list(Log(tmp_path / "agreement.log").recovered_records())
+    assert [without_random_token(record) for record in new_records] == [
+        without_random_token(record) for record in recorded_records
+    ]
 
 
-def without_token(record):
+def without_random_token(record):
     return record[: record.rindex(b",")] if record.startswith(b'["begins"') else record
 
 
-# ---- the state of the group ------------------------------------------------------------------------------
+# ---- the replicated state --------------------------------------------------------------------------------
 
 STATE_COMMANDS = [
     {"do": "join", "name": "g1", "epoch": 2, "token": "t2", "id": "join-g1"},
@@ -652,28 +660,28 @@
 ]
 
 
-def play_state():
-    group, out = StateMachine(), []
+def apply_state_commands():
+    group, applied = StateMachine(), []
     for index, command in enumerate(STATE_COMMANDS, 1):
         data = json.dumps(command) if command is not None else ""
-        out.append([json.dumps(group.apply(index, data)), group.digest])
-    return {"applied": out, "state": group.snapshot()}
+        applied.append([json.dumps(group.apply(index, data)), group.digest])
+    return {"applied": applied, "state": group.snapshot()}
 
 
-def test_the_state_of_the_group_has_the_text_that_was_recorded():
-    assert play_state() == recorded("state")
+def test_the_replicated_state_has_the_recorded_results_and_digests():
+    assert apply_state_commands() == recorded("state")
 
 
-def test_a_snapshot_of_version_0_2_0_is_read_and_gone_on_with():
+def test_a_snapshot_of_version_0_2_0_can_be_loaded():
     group = StateMachine()
     group.load(recorded("state")["state"])
     assert group.snapshot() == recorded("state")["state"]
     assert group.digest == recorded("state")["applied"][-1][1]
-    told = json.loads(group.snapshot())
-    del told["zones"]  # a version before them
-    group.load(json.dumps(told))
+    state = json.loads(group.snapshot())
+    del state["zones"]  # as in a version without zones
+    group.load(json.dumps(state))
     assert json.loads(group.snapshot())["zones"] == {"entries": {}, "fenced": {}, "history": [], "number": 0}
-    assert json.loads(group.snapshot()) | {"zones": 0} == told | {"zones": 0}
+    assert json.loads(group.snapshot()) | {"zones": 0} == state | {"zones": 0}
 
 
 # ---- the control address ---------------------------------------------------------------------------------
@@ -721,37 +729,37 @@
 
 
 def shape(value):
-    """The keys of an answer, all the way down, and the kind of each value."""
+    """The keys of an answer, at all levels, and the type of each value."""
     match value:
         case dict():
-            return {key: shape(one) for key, one in value.items()}
+            return {key: shape(item) for key, item in value.items()}
         case list():
-            return [shape(one) for one in value]
+            return [shape(item) for item in value]
     return type(value).__name__
 
 
 async def call_all():
-    out, events = [], []
-    with tempfile.TemporaryDirectory() as folder:
-        told = config.cluster_config(
+    calls, events = [], []
+    with tempfile.TemporaryDirectory() as directory:
+        cluster_config = config.cluster_config(
             {
                 "agreement": {
                     "name": "g1",
                     "listen": "127.0.0.1:0",
                     "control": "127.0.0.1:0",
-                    "store": folder,
+                    "store": directory,
                     "voters": {"g1": "127.0.0.1:1"},
                     "stated": 1.0,
                 }
             }
         )
 
-        def read(told):
-            return config.settings_from_json(told)
+        def parse_settings(tree):
+            return config.settings_from_json(tree)
 
-        agreement = ClusterNode(
-            told,
-            read,
+        cluster_node = ClusterNode(
+            cluster_config,
+            parse_settings,
             lambda settings: "",
             tree(),
             lambda: None,
@@ -759,33 +767,33 @@
             lambda name, **fields: events.append([name, shape(fields)]),
             zone_times=FailoverTiming(quorum=1),
         )
-        desk = ControlApi(agreement, read, lambda text: None, lambda: 7.0)
+        control_api = ControlApi(cluster_node, parse_settings, lambda text: None, lambda: 7.0)
         try:
             end = asyncio.get_running_loop().time() + 10
-            while not agreement.lease_holder.state_machine.active:
+            while not cluster_node.lease_holder.state_machine.active:
                 assert asyncio.get_running_loop().time() < end
                 await asyncio.sleep(0.01)
             for method, path, body in CALLS:
                 try:
-                    answer, headers = await desk._route(
+                    answer, headers = await control_api._route(
                         Request(method, path, {}, json.dumps(body).encode() if body is not None else b"")
                     )
                     assert not headers
-                    out.append([method, path, shape(json.loads(json.dumps(answer)))])
-                except HttpError as fault:
-                    out.append([method, path, fault.body()])
-                if (method, path) == ("POST", "/v1/rules/propose") and isinstance(out[-1][2], dict):
-                    number = agreement.lease_holder.state_machine.versions.last_number
-                    while agreement.lease_holder.state_machine.active.number < number:
+                    calls.append([method, path, shape(json.loads(json.dumps(answer)))])
+                except HttpError as error:
+                    calls.append([method, path, error.body()])
+                if (method, path) == ("POST", "/v1/rules/propose") and isinstance(calls[-1][2], dict):
+                    number = cluster_node.lease_holder.state_machine.versions.last_number
+                    while cluster_node.lease_holder.state_machine.active.number < number:
                         await asyncio.sleep(0.01)
         finally:
-            desk.abort()
-            agreement.close()
-    names = {json.dumps(one) for one in events}
-    return {"calls": out, "events": sorted(map(json.loads, names))}
+            control_api.abort()
+            cluster_node.close()
+    distinct_events = {json.dumps(event) for event in events}
+    return {"calls": calls, "events": sorted(map(json.loads, distinct_events))}
 
 
-def test_answers_of_the_control_address_have_the_keys_that_were_recorded():
+def test_answers_on_the_control_address_have_the_recorded_keys():
     assert asyncio.run(call_all()) == recorded("control")
 
 
@@ -793,11 +801,11 @@
 
 
 def record():
-    told = {
+    recorded_data = {
         "messages": encoded_messages(),
-        "voters": {str(seed): Voters(seed).play(3000) for seed in SEEDS},
-        "processes": {name: Processes(seed).play(1400, crashes) for name, (seed, crashes) in PLAYS.items()},
-        "state": play_state(),
+        "voters": {str(seed): VoterGroup(seed).run(3000) for seed in SEEDS},
+        "processes": {name: ProcessGroup(seed).run(1400, crashes) for name, (seed, crashes) in RUNS.items()},
+        "state": apply_state_commands(),
         "control": asyncio.run(call_all()),
     }
     DATA.mkdir(parents=True, exist_ok=True)
@@ -805,12 +813,12 @@
         shutil.rmtree(DATA / name, ignore_errors=True)
         make(DATA / name)
         (DATA / name / "lock").unlink()
-        with tempfile.TemporaryDirectory() as folder:
-            shutil.copytree(DATA / name, Path(folder) / "store")
-            found, records = play_store(Path(folder) / "store")
-        told[name] = {"found": found, "records": records}
-    for name, one in told.items():
-        (DATA / f"{name}.json").write_text(json.dumps(one, indent=1) + "\n")
+        with tempfile.TemporaryDirectory() as directory:
+            shutil.copytree(DATA / name, Path(directory) / "store")
+            found, records = use_store(Path(directory) / "store")
+        recorded_data[name] = {"found": found, "records": records}
+    for name, data in recorded_data.items():
+        (DATA / f"{name}.json").write_text(json.dumps(data, indent=1) + "\n")
 
 
 if __name__ == "__main__":
