--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -26,8 +26,8 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_single_fault_at_any_step_keeps_the_group_consistent(kind):
-    for who, at in itertools.product(NAMES, FAULT_STEPS):
-        scenario([(at, kind, who)])
+    for process, step in itertools.product(NAMES, FAULT_STEPS):
+        scenario([(step, kind, process)])
 
 
 def test_pairs_of_faults_keep_the_group_consistent():
@@ -62,8 +62,8 @@
     group = Council([*NAMES, learner], 3)
     while not settled(group):
         group.step()
-    at = group.steps + 5
-    group.faults[at] = [("cut", learner)]
+    step = group.steps + 5
+    group.faults[step] = [("cut", learner)]
     group.run(6)
     group._cut = {pair: until + 400 for pair, until in group._cut.items()}
     group.give(
@@ -229,10 +229,10 @@
     """Each guard is necessary: without it, two dispatchers act on contradictory rules."""
     monkeypatch.setattr(owner, name, replacement)
     with pytest.raises(Contradiction):
-        for kind, who, at in itertools.product(
+        for kind, process, step in itertools.product(
             ("cut", "stop", "deaf", "cut_pair"), ("n1", "n2", "n3"), (76, 79, 80, 81, 82, 83)
         ):
-            scenario([(at, kind, who)], learners=1, check_end=False)
+            scenario([(step, kind, process)], learners=1, check_end=False)
 
 
 def _rules_of_active_version(self, real):
--- a/weldhatch/coordination/command_log.py
+++ b/weldhatch/coordination/command_log.py
@@ -69,7 +69,7 @@
         except (NotLeaderError, BusyError):
             return
         self._requesters[command_id] = requester
-        voter.carry_out()
+        voter.carry_out_effects()
 
     def change_voters(self, voter: Voter, now: float, requester: Requester, command: JsonObject) -> None:
         """Add or remove the voters that a command names."""
@@ -85,7 +85,7 @@
             self._voter_changes[voter.raft.change_voters(now, voters)] = requester
         except (NotLeaderError, BusyError, InvalidChangeError) as error:
             self.send_result(requester, error_result("refused", str(error)))
-        voter.carry_out()
+        voter.carry_out_effects()
 
     def send_result(self, requester: Requester, result: JsonObject) -> None:
         """Send a result to its requester."""
--- a/weldhatch/coordination/commands.py
+++ b/weldhatch/coordination/commands.py
@@ -29,7 +29,7 @@
 
 
 class RequestKind(StrEnum):
-    """Kind of a request that the leader handles itself, without a command in the log."""
+    """Kind of a request that only the leader handles. The request itself is not appended to the log."""
 
     CHANGE_VOTERS = "voters"
     STATUS = "status"
--- a/weldhatch/coordination/compatibility.py
+++ b/weldhatch/coordination/compatibility.py
@@ -159,7 +159,7 @@
 
 
 def needs_all_members(changes: list[Change]) -> bool:
-    """Whether a version with these changes may be activated only once every member has it."""
+    """Whether a version with these changes may be activated only once every member with a lease has it."""
     return any(change.overlap in (Overlap.WIDENS, Overlap.SWITCHES) for change in changes)
 
 
--- a/weldhatch/coordination/leader_duties.py
+++ b/weldhatch/coordination/leader_duties.py
@@ -215,7 +215,7 @@
             self._log.send_result(requester, ok_result())
         except (NotLeaderError, InvalidChangeError) as error:
             self._log.send_result(requester, error_result("refused", str(error)))
-        self._voter.carry_out()
+        self._voter.carry_out_effects()
 
     # ---- operators -------------------------------------------------------------------------------------
 
@@ -224,7 +224,7 @@
         self.leader = None
         self._log.forget_commands()
         self._raft.recover(now, address)
-        self._voter.carry_out()
+        self._voter.carry_out_effects()
         self.update(now)
         lineage = self._raft.persistent.lineage
         self._append_command(now, commands.recovered(lineage, by, reason, unix_time))
--- a/weldhatch/coordination/lease_grants.py
+++ b/weldhatch/coordination/lease_grants.py
@@ -166,7 +166,7 @@
             grant = self.entries.get(Incarnation(name, member.epoch, member.token))
             granted_at = grant.granted_at if grant is not None else self._elected_at
             reason = "has not said that it holds it"
-            if grant is not None and _holds(grant, index, version):
+            if grant is not None and _has_state(grant, index, version):
                 if not grant.rejection:
                     continue
                 reason = f"refuses: {grant.rejection}"
@@ -195,11 +195,11 @@
 
 
 def _rejection_applies(state_machine: StateMachine, request: LeaseRequest) -> bool:
-    was_left_out = state_machine.active is not None and request.name in state_machine.active.may_refuse
+    may_refuse_active = state_machine.active is not None and request.name in state_machine.active.may_refuse
     is_of_prepared = (
         state_machine.prepared is not None and request.reviewed_version == state_machine.prepared.number
     )
-    return was_left_out or is_of_prepared
+    return may_refuse_active or is_of_prepared
 
 
 def _is_current(state_machine: StateMachine, incarnation: Incarnation) -> bool:
@@ -207,5 +207,5 @@
     return member is not None and (member.epoch, member.token) == (incarnation.epoch, incarnation.token)
 
 
-def _holds(grant: Grant, index: int, version: int) -> bool:
+def _has_state(grant: Grant, index: int, version: int) -> bool:
     return grant.applied_index >= index and (not version or grant.reviewed_version == version)
--- a/weldhatch/coordination/node.py
+++ b/weldhatch/coordination/node.py
@@ -67,7 +67,7 @@
                 raft.bootstrap(first_voters)
             self._voter = Voter(raft, self._outbox, self._handle_commit)
             self._duties = LeaderDuties(setup, self._voter, self._log, self._outbox)
-            self._voter.carry_out()
+            self._voter.carry_out_effects()
         self._client = GroupClient(self.lease_holder, self._outbox, self._voter, self._duties)
 
     # ---- state -----------------------------------------------------------------------------------------
@@ -135,7 +135,7 @@
         self._client.reachable.add(name)
         if self._voter is not None:
             self._voter.raft.handle_link_up(name)
-            self._voter.carry_out()
+            self._voter.carry_out_effects()
         self._client.request_lease(now)
         self._handle_own_messages(now)
 
--- a/weldhatch/coordination/settings_versions.py
+++ b/weldhatch/coordination/settings_versions.py
@@ -81,7 +81,7 @@
         return ok_result(number=self.last_number)
 
     def activate(self, index: int, command: JsonObject) -> JsonObject:
-        """Activate the prepared version: the leader has confirmed that every member has it."""
+        """Activate the prepared version: the leader has confirmed that every member with a lease has it."""
         if self.prepared is None or self.prepared.number != command["number"]:
             return _not_prepared(command)
         self.active = self.prepared
--- a/weldhatch/coordination/state_machine.py
+++ b/weldhatch/coordination/state_machine.py
@@ -168,9 +168,8 @@
         self.directives.revision = tree["rev"]
         self.directives.unsettled = tree["unsettled"]
         self.drain_reports = DrainReports.from_tree(tree["lists"])
-        self.zones = (
-            ZoneStates.from_tree(tree["zones"]) if "zones" in tree else ZoneStates()
-        )  # missing in snapshots of versions without zones
+        # Snapshots of versions without zones lack the key.
+        self.zones = ZoneStates.from_tree(tree["zones"]) if "zones" in tree else ZoneStates()
         self.recoveries = tree["recoveries"]
         self.results = dict(tree["results"])  # pairs, the oldest first
         self._digest = ""
--- a/weldhatch/coordination/voter.py
+++ b/weldhatch/coordination/voter.py
@@ -46,7 +46,7 @@
     def tick(self, now: float) -> None:
         """Handle timeouts."""
         self.raft.tick(now)
-        self.carry_out()
+        self.carry_out_effects()
 
     def receive(self, now: float, name: str, message: Message) -> None:
         """Handle one message from another voter."""
@@ -54,14 +54,14 @@
         self.raft.receive(now, name, message)
         if self.raft.lost_reason and not before:
             self._outbox.event("lost", why=self.raft.lost_reason)
-        self.carry_out()
+        self.carry_out_effects()
 
     def records_written(self) -> None:
         """Continue after the `WriteRecords` in progress has reached the disk."""
         self._is_writing = False
-        self.carry_out()
+        self.carry_out_effects()
 
-    def carry_out(self) -> None:
+    def carry_out_effects(self) -> None:
         """Carry out the voter's effects in order, up to the first record that is not yet on the disk.
 
         Guards against sending a vote or a response that would be forgotten in a restart.
--- a/weldhatch/coordination/zone_leader.py
+++ b/weldhatch/coordination/zone_leader.py
@@ -95,10 +95,10 @@
         self._reviewed_at = now
         context.failover.set_members(state_machine.members.keys())
 
-        def all_members_hold(index: int) -> bool:
+        def all_members_have(index: int) -> bool:
             return not self._leader.grants.pending(now, state_machine, index, self._leader.timing.grace)
 
-        due = context.failover.due_changes(now, state_machine.zones, context.settings, all_members_hold)
+        due = context.failover.due_changes(now, state_machine.zones, context.settings, all_members_have)
         return [{**change.to_tree(), "id": _command_id(state_machine, change)} for change in due]
 
     def start_quotas(self, now: float, state_machine: StateMachine, request: LeaseRequest) -> str:
