--- a/weldhatch/coordination/compatibility.py
+++ b/weldhatch/coordination/compatibility.py
@@ -1,4 +1,4 @@
-"""What contradicts what: two versions of the settings compared, and what may be acted on meanwhile. Pure."""
+"""Compatibility of two versions of the settings, and the rules that apply during the transition. No I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     Overlap,
     OverlapRule,
     SettingRule,
-    is_local,
+    dispatcher_local,
 )
 from weldhatch.scheduling.types import Effect, MachineKind, RequestClass, Scope, Settings, Tenant
 
@@ -24,25 +24,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One value that differs. `of`: the class whose tasks it touches; '' for those of all."""
+    """One value that differs. `class_name`: the class whose tasks it affects; '' for all classes."""
 
     key: str
     old: object
     new: object
     overlap: Overlap
-    of: str = ""
+    class_name: str = ""
 
 
 def find_changes(old: Settings, new: Settings) -> list[Change]:
     """Return all values that differ.
 
-    Raises IncompatibleChangeError where the change takes a restart of the whole group.
+    Raises IncompatibleChangeError for a change that requires a restart of the whole group.
     """
     changes = [
         change
         for field, rule in SETTINGS.items()
         if (change := _change(rule.key, rule.overlap, getattr(old, field), getattr(new, field)))
-        and rule.overlap is not is_local
+        and rule.overlap is not dispatcher_local
     ]
     changes += compare_items("classes", CLASSES, old.classes, new.classes, of_class=True)
     changes += compare_items("kinds", KINDS, old.kinds, new.kinds)
@@ -56,11 +56,15 @@
     return changes
 
 
-def _change(key: str, overlap: OverlapRule, old: object, new: object, of: str = "") -> Change | None:
-    return None if old == new else Change(key, _shown(old), _shown(new), overlap(old, new), of)
+def _change(key: str, overlap: OverlapRule, old: object, new: object, class_name: str = "") -> Change | None:
+    return (
+        None
+        if old == new
+        else Change(key, _display_value(old), _display_value(new), overlap(old, new), class_name)
+    )
 
 
-def _shown(value: object) -> object:
+def _display_value(value: object) -> object:
     return value.value if isinstance(value, Effect | Scope) else value
 
 
@@ -71,9 +75,9 @@
     new: Sequence[Item],
     of_class: bool = False,
 ) -> Iterator[Change]:
-    """Yield values that differ in a list of named items. `of_class`: each touches its own tasks alone.
+    """Yield the values that differ in a list of named items. `of_class`: the items are request classes.
 
-    Raises IncompatibleChangeError where items are not only added at the end.
+    Raises IncompatibleChangeError unless `new` keeps all items of `old` in place and only appends items.
     """
     _check_items(list_key, [item.name for item in old], [item.name for item in new])
     for before, after in zip(old, new, strict=False):
@@ -88,13 +92,13 @@
             if change is not None:
                 yield change
     for added in new[len(old) :]:
-        of = added.name if of_class else ""
-        yield Change(f"{list_key}.{added.name}", None, "added", Overlap.WIDENS, of)
+        class_name = added.name if of_class else ""
+        yield Change(f"{list_key}.{added.name}", None, "added", Overlap.WIDENS, class_name)
 
 
 def _check_items(list_key: str, old_names: list[str], new_names: list[str]) -> None:
     if new_names[: len(old_names)] != old_names:
-        # Guards requests under way: they name their class and kind by its place.
+        # Requests in flight refer to their class and kind by position in the list.
         raise IncompatibleChangeError(
             list_key, "items may be added at the end; the others keep their places and names"
         )
@@ -104,9 +108,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RestrictedSettings:
-    """What may be acted on while either of two versions may be in force elsewhere.
+    """Settings that are safe while either of two versions may be in force at other dispatchers.
 
-    `blocked`: classes of which nothing new starts; `all_blocked`: of none of them.
+    `blocked`: classes of which no new task starts; `all_blocked`: no new task of any class starts.
     """
 
     settings: Settings
@@ -114,16 +118,17 @@
     all_blocked: bool = False
 
     def allows(self, name: str) -> bool:
-        """Whether anything new of the class of that name may start."""
+        """Whether new tasks of the class may start."""
         return not self.all_blocked and name not in self.blocked
 
 
 def intersect(old: Settings, new: Settings) -> RestrictedSettings:
     """Return the stricter of two versions, value by value.
 
-    It has the places of `old`: what is added waits. Raises IncompatibleChangeError.
+    The result has the items of `old` only: items that `new` adds are not usable until it is active. Raises
+    IncompatibleChangeError.
     """
-    switched = [change.of for change in find_changes(old, new) if change.overlap is Overlap.SWITCHES]
+    switched = [change.class_name for change in find_changes(old, new) if change.overlap is Overlap.SWITCHES]
     settings = replace(
         old,
         **_tightened(SETTINGS, old, new),
@@ -135,14 +140,14 @@
 
 
 def _tightened(rules: dict[str, SettingRule], old: object, new: object) -> dict[str, Any]:
-    """Return the values that a new version makes stricter, by field."""
-    found = {}
+    """Return the values that the new version makes stricter, by field."""
+    tightened = {}
     for field, rule in rules.items():
         before = getattr(old, field)
         after = getattr(new, field)
         if before != after and rule.overlap(before, after) is Overlap.TIGHTENS:
-            found[field] = after
-    return found
+            tightened[field] = after
+    return tightened
 
 
 def _tightened_items(
@@ -154,12 +159,12 @@
 
 
 def needs_all_members(changes: list[Change]) -> bool:
-    """Whether a version with these changes comes into force only once everybody holds it."""
+    """Whether a version with these changes may be activated only once every member with a lease has it."""
     return any(change.overlap in (Overlap.WIDENS, Overlap.SWITCHES) for change in changes)
 
 
 def affects_safe_work(changes: list[Change], old: Settings, new: Settings) -> bool:
-    """Whether a dispatcher without a lease, which goes on with safe work, could contradict them."""
+    """Whether the changes affect safe work, which a dispatcher continues during its grace period."""
     safe = {
         request_class.name
         for settings in (old, new)
@@ -167,5 +172,6 @@
         if request_class.effect is Effect.SAFE
     }
     return any(
-        change.overlap is not Overlap.FREE and (not change.of or change.of in safe) for change in changes
+        change.overlap is not Overlap.FREE and (not change.class_name or change.class_name in safe)
+        for change in changes
     )
--- a/weldhatch/coordination/voter.py
+++ b/weldhatch/coordination/voter.py
@@ -1,6 +1,6 @@
-"""The voter of a process: its effects carried out in order, and the state as it has it. Pure.
+"""The voter of a process: carries out Raft effects in order and feeds the state machine. No I/O.
 
-What follows a record in the voter's order waits here until it is on the disk.
+Effects after a record are held back here until the record is on the disk.
 """
 
 from __future__ import annotations
@@ -18,75 +18,75 @@
 from weldhatch.coordination.outbox import Outbox
 from weldhatch.coordination.state_machine import StateMachine
 
-SNAPSHOT_INTERVAL = 400  # entries
-MAX_BACKLOG = 2000  # effects that wait for a disk; with more, the voter is silent until it takes records
+SNAPSHOT_INTERVAL_ENTRIES = 400
+MAX_PENDING_EFFECTS = 2000  # with this many waiting for the disk, the voter ignores time and messages
 
 CommitListener = Callable[[int, LogEntry, JsonObject], None]
 
 
 class Voter:
-    """Owns a `Raft` and the state machine that it feeds."""
+    """Owns a `Raft` and the state machine that applies its committed entries."""
 
     def __init__(self, raft: Raft, outbox: Outbox, on_commit: CommitListener) -> None:
-        """Call `on_commit` with the index, the entry and its result, once an entry is applied."""
+        """Create the voter. `on_commit` is called with index, entry and result of each applied entry."""
         self.raft = raft
         self.state_machine = StateMachine()
         self._outbox = outbox
         self._on_commit = on_commit
-        self._waiting: deque[voter_effects.Effect] = deque()
+        self._pending: deque[voter_effects.Effect] = deque()
         self._is_writing = False
         if raft.persistent.snapshot_state:
             self.state_machine.load(raft.persistent.snapshot_state)
 
     @property
-    def accepts_more(self) -> bool:
-        """Whether it may act on time and messages: the disk keeps up."""
-        return len(self._waiting) < MAX_BACKLOG
+    def accepts_input(self) -> bool:
+        """Whether the voter may handle time and messages: the disk is not too far behind."""
+        return len(self._pending) < MAX_PENDING_EFFECTS
 
     def tick(self, now: float) -> None:
-        """Act on the time."""
+        """Handle timeouts."""
         self.raft.tick(now)
-        self.carry_out()
+        self.carry_out_effects()
 
     def receive(self, now: float, name: str, message: Message) -> None:
-        """Handle one message of another voter."""
+        """Handle one message from another voter."""
         before = self.raft.lost_reason
         self.raft.receive(now, name, message)
         if self.raft.lost_reason and not before:
             self._outbox.event("lost", why=self.raft.lost_reason)
-        self.carry_out()
+        self.carry_out_effects()
 
     def records_written(self) -> None:
-        """Go on: the `WriteRecords` that was out is on the disk."""
+        """Continue after the `WriteRecords` in progress has reached the disk."""
         self._is_writing = False
-        self.carry_out()
+        self.carry_out_effects()
 
-    def carry_out(self) -> None:
-        """Carry the voter's effects out in order. What follows a record waits until it is on the disk.
+    def carry_out_effects(self) -> None:
+        """Carry out the voter's effects in order, up to the first record that is not yet on the disk.
 
-        Guards against a vote or an answer that a restart would not remember.
+        Guards against sending a vote or a response that would be forgotten in a restart.
         """
         self._collect()
-        while self._waiting and not self._is_writing:
+        while self._pending and not self._is_writing:
             records = self._next_records()
             if records:
                 self._write(records)
                 return
-            self._carry_out_one(self._waiting.popleft())
+            self._carry_out_effect(self._pending.popleft())
             self._collect()
 
     def _collect(self) -> None:
-        self._waiting += self.raft.effects
+        self._pending += self.raft.effects
         self.raft.effects.clear()
-        if self.raft.name in self.raft.voters:  # those in its log count as soon as they stand there
+        if self.raft.name in self.raft.voters:  # voters in the log apply before they are committed
             self._outbox.connect(dict(self.raft.voters))
 
     def _next_records(self) -> tuple[Record, ...]:
-        """Take the records that come next, all of which may be written at once."""
-        writes = takewhile(lambda effect: isinstance(effect, voter_effects.WriteRecord), self._waiting)
+        """Remove and return the records at the front of the queue, which are written together."""
+        writes = takewhile(lambda effect: isinstance(effect, voter_effects.WriteRecord), self._pending)
         records = tuple(effect.record for effect in writes if isinstance(effect, voter_effects.WriteRecord))
         for _ in records:
-            self._waiting.popleft()
+            self._pending.popleft()
         return records
 
     def _write(self, records: tuple[Record, ...]) -> None:
@@ -96,7 +96,7 @@
         self._is_writing = True
         self._outbox.add(WriteRecords(records))
 
-    def _carry_out_one(self, effect: voter_effects.Effect) -> None:
+    def _carry_out_effect(self, effect: voter_effects.Effect) -> None:
         match effect:
             case voter_effects.Send(to, message):
                 self._outbox.add(Send(to, message))
@@ -113,5 +113,5 @@
         data = entry.data if entry.kind == EntryKind.COMMAND else ""
         result = self.state_machine.apply(index, data)
         self._on_commit(index, entry, result)
-        if index - self.raft.persistent.snapshot_index >= SNAPSHOT_INTERVAL:
+        if index - self.raft.persistent.snapshot_index >= SNAPSHOT_INTERVAL_ENTRIES:
             self.raft.compact(self.state_machine.snapshot(), index)
