--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -33,9 +33,9 @@
 )
 from weldhatch.scheduling import sampling
 from weldhatch.scheduling.capacity import STALE_US
-from weldhatch.scheduling.outliers import FAULTS
-from weldhatch.scheduling.ranking import ABSENT, HOME, MOST_UNSTARTED
-from weldhatch.scheduling.sampling import RANKED, rendezvous_rank
+from weldhatch.scheduling.outliers import OUTLIER_FAULTS
+from weldhatch.scheduling.ranking import HOME_TIER, NO_PROGRAM_TIER, UNSTARTED_LIMIT
+from weldhatch.scheduling.sampling import CACHED_ORDER_LENGTH, rendezvous_rank
 
 
 def ended(request, machine, outcome, attempt=0, **changes):
@@ -244,9 +244,9 @@
 
 
 def test_homes_follow_the_whole_order_where_the_first_ranked_are_all_left_out():
-    fleet = machines(RANKED + 8)
+    fleet = machines(CACHED_ORDER_LENGTH + 8)
     order = sorted(fleet, key=lambda m: rendezvous_rank(3, m.id))
-    draining = {m.id for m in order[: RANKED + 1]}
+    draining = {m.id for m in order[: CACHED_ORDER_LENGTH + 1]}
     driver = Driver(make_settings(), fleet)
     driver.place(service=3)  # ranks the service on this list
     driver.send(
@@ -310,22 +310,22 @@
     driver.answer(driver.arrive(), {1: (-10.0, memory)})
     request, machine = driver.request_records[1], driver.machine_records[1]
     load = driver.policy._capacity.load(request, machine)
-    assert driver.policy._ranking.is_crowded(request, machine, *load) is crowded
+    assert driver.policy._ranking.is_overloaded(request, machine, *load) is crowded
 
 
 def test_a_machine_with_tasks_not_started_yet_is_no_home_for_further_programs():
     driver = Driver(make_settings(report_fields=("x0", "x1"), confirms_running=False), machines(1))
     [n] = driver.machine_records.values()
-    for request in range(1, MOST_UNSTARTED + 1):
+    for request in range(1, UNSTARTED_LIMIT + 1):
         driver.place(service=request)
         driver.send(Placed(request, 0, 1, 1000))
     request = driver.request_records[1]
     request.service, request.homes = 99, []
-    assert driver.policy._ranking.tier(request, n) == ABSENT
+    assert driver.policy._ranking.tier(request, n) == NO_PROGRAM_TIER
     driver.send(Note(1, 0, 1, Topic.RUNS, 0.0))
-    assert driver.policy._ranking.tier(request, n) == HOME
+    assert driver.policy._ranking.tier(request, n) == HOME_TIER
     driver.send(ended(2, 1, Outcome.OK, closed=True))
-    assert not n.unstarted - set(range(3, MOST_UNSTARTED + 1))
+    assert not n.unstarted - set(range(3, UNSTARTED_LIMIT + 1))
 
 
 @pytest.mark.parametrize(
@@ -347,7 +347,7 @@
 
 def test_a_machine_that_fails_a_start_is_drawn_last():
     driver = Driver(make_settings(by_service=True), machines(1))
-    for n in range(1, FAULTS + 1):
+    for n in range(1, OUTLIER_FAULTS + 1):
         driver.place(service=n)
         driver.send(ended(n, 1, Outcome.ERROR, closed=True))
         driver.wait(SECOND)
@@ -380,9 +380,9 @@
 
 def test_what_breaks_with_one_connection_is_one_fault():
     driver = Driver(make_settings(), machines(1))
-    for _ in range(FAULTS):
+    for _ in range(OUTLIER_FAULTS):
         driver.place()
-    driver.send(*(ended(n + 1, 1, Outcome.RESET) for n in range(FAULTS)))
+    driver.send(*(ended(n + 1, 1, Outcome.RESET) for n in range(OUTLIER_FAULTS)))
     [n] = driver.machine_records.values()
     assert n.faults == 1 and not n.outlier_periods
 
--- a/weldhatch/scheduling/__init__.py
+++ b/weldhatch/scheduling/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions: which machine a task is offered to, and when to try again or give up.
+"""Scheduling policy: which machine a task is offered to, and when a request is retried or answered.
 
-`policy.Policy` is the entry. Deciding code does no I/O and takes the time and the seed as arguments. The
-vocabulary is in `types`, `events` and `actions`; docs/design.md describes the mechanism.
+`policy.Policy` is the entry point. The package does no I/O and takes the time and the random seed as
+arguments. Its vocabulary is in `types`, `events` and `actions`; docs/design.md describes the mechanism.
 """
--- a/weldhatch/scheduling/actions.py
+++ b/weldhatch/scheduling/actions.py
@@ -1,4 +1,4 @@
-"""What a policy wants done: `Policy.handle` returns these, to be carried out at once and in order."""
+"""Actions that `Policy.handle` returns, to be carried out immediately and in order."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """Offer a request to a machine; attempts count from 0. No time-out (0) means until the deadline.
+    """Offer a request to a machine as the request's next attempt; attempts are numbered from 0.
 
-    An offer that has not left by `start_by_us` must not leave any more; 0 where it may at any time.
+    `give_up_us` is the time-out of the attempt; 0 means the request's deadline. An offer that has not been
+    sent by `start_by_us` must not be sent; 0 means no such limit.
     """
 
     request: int
@@ -20,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Take an open attempt back; its end is still reported."""
+    """Cancel an open attempt; its outcome is still reported."""
 
     request: int
     attempt: int
@@ -28,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: not placed, and trying again is harmless."""
+    """Final answer: not placed, and a retry is safe."""
 
     request: int
     retry_after_us: int = 0
@@ -36,28 +37,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: not placed, with no promise about its effect."""
+    """Final answer: not placed, and the task may have run."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class Migrate:
-    """Have a running task placed anew elsewhere."""
+    """Move a running task to another machine."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask a machine for its load; `ProbeAnswered` brings the result."""
+    """Ask a machine for its load; the result arrives as `ProbeAnswered`."""
 
     machine: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Send `TimerFired` with this number after a wait."""
+    """Send `TimerFired` with this timer number after a delay."""
 
     after_us: int
     timer: int
@@ -65,19 +66,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Start the subscription to lists of machines, or end it."""
+    """Start or end the subscription to endpoint lists."""
 
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchList:
-    """Ask for the full list of machines once."""
+    """Request the full endpoint list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """Write a line to the host program's log."""
+    """Write a line to the log of the host program."""
 
     text: str
 
--- a/weldhatch/scheduling/admission.py
+++ b/weldhatch/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Whether a machine should take a request: its open offers, its last refusal, the capacity booked there."""
+"""Admission of requests to machines, by open offers, recent rejections and reserved capacity."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 from weldhatch.scheduling.cluster_state import MachineRecord, RequestRecord
 from weldhatch.scheduling.context import DecisionContext
 
-LOW_PRIORITY_SHARE = 0.7  # the part of the offer limit that classes below the highest priority may fill
-RESERVED_SHARE = 0.08  # the part of a machine's capacity that the least weighty class leaves to the others
+LOW_PRIORITY_SHARE = 0.7  # fraction of the offer limit open to classes below the highest priority
+RESERVED_SHARE = 0.08  # fraction of a machine's capacity that the class of least weight must leave free
 
 
 class Admission:
-    """Admits requests to machines, as far as their capacity is known here."""
+    """Decides whether a machine can take a request, as far as its capacity is known."""
 
     def __init__(self, context: DecisionContext, capacity: CapacityView) -> None:
-        """Admit by the capacity that this view tells."""
+        """Take free capacity from `capacity`."""
         self._context = context
         self._capacity = capacity
         self.reconfigure()
 
     def reconfigure(self) -> None:
-        """Work out from the classes which priority is the highest and which weight the least."""
+        """Recompute the highest priority and the lowest weight of all classes."""
         classes = self._context.settings.classes
         weights = {request_class.priority_weight for request_class in classes}
         self._highest_priority = max(request_class.priority for request_class in classes)
-        self._least_weight = min(weights) if len(weights) > 1 else None
+        self._lowest_weight = min(weights) if len(weights) > 1 else None
 
-    def is_least_weighty(self, request: RequestRecord) -> bool:
-        """Whether the request is of the class that gives way to all others."""
-        return request.request_class.priority_weight == self._least_weight
+    def is_lowest_weight(self, request: RequestRecord) -> bool:
+        """Whether the request's class has the lowest priority weight, where the weights differ."""
+        return request.request_class.priority_weight == self._lowest_weight
 
     def admits(self, request: RequestRecord, machine: MachineRecord) -> bool:
-        """Whether the machine should be offered the request."""
+        """Whether the offer limit, recent rejections and free capacity allow offering the request here."""
         full_limit = request.request_class.priority >= self._highest_priority
         if len(machine.open_offers) >= machine.offer_limit * (1.0 if full_limit else LOW_PRIORITY_SHARE):
             return False
@@ -44,22 +44,25 @@
             return False
         if now - machine.unreserved.reported_at <= STALE_US:
             cores, memory = machine.unreserved.remaining(machine, 1.0, 1.0)
-        else:  # a guess from usage held too much back
+        else:  # without a recent report, an estimate from usage would reject too much
             cores = machine.cores - machine.running_cores - machine.offered_cores
             memory = machine.memory - machine.running_memory - machine.offered_memory
         return self.fits(request, machine, cores, memory)
 
     def fits(self, request: RequestRecord, machine: MachineRecord, cores: float, memory: float) -> bool:
-        """Whether the request fits into so much free capacity, overbooked as the settings allow."""
+        """Whether the request fits into this free capacity, with overbooking as configured."""
         settings = self._context.settings
-        part = 1 - RESERVED_SHARE if self.is_least_weighty(request) else 1.0
+        bookable_share = 1 - RESERVED_SHARE if self.is_lowest_weight(request) else 1.0
         return (
-            cores + (part * settings.cores_booking - 1) * machine.cores >= request.cores
-            and memory + (part * settings.memory_booking - 1) * machine.memory >= request.memory
+            cores + (bookable_share * settings.cores_booking - 1) * machine.cores >= request.cores
+            and memory + (bookable_share * settings.memory_booking - 1) * machine.memory >= request.memory
         )
 
     def knows_capacity(self, request: RequestRecord, machine: MachineRecord) -> bool:
-        """Whether the machine told lately what a probe would; one that told no capacity is asked sooner."""
+        """Whether a recent report makes a probe unnecessary.
+
+        With many dispatchers an older report also counts, if it shows enough free capacity for the request.
+        """
         reported = self._capacity.reported(machine)
         age = self._context.now - reported.reported_at
         return age <= STALE_US or (
--- a/weldhatch/scheduling/binding.py
+++ b/weldhatch/scheduling/binding.py
@@ -1,4 +1,4 @@
-"""Binding: which of the drawn machines a request is offered to, and the one gate of all offers."""
+"""Binding: chooses the sampled machine that a request is offered to. All offers are made here."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Binder:
-    """Binds requests to machines."""
+    """Chooses a machine for a request and makes the offer."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         capacity: CapacityView,
         health: HealthMonitor,
     ) -> None:
-        """Bind by these rules, this ranking and this view of capacity; `health` watches the offers."""
+        """Choose by eligibility, tier and free memory; `health` monitors the open offers."""
         self._context = context
         self._cluster = cluster
         self._eligibility = eligibility
@@ -33,9 +33,10 @@
         self._health = health
 
     def choose(self, request: RequestRecord) -> tuple[MachineRecord, int] | None:
-        """The drawn machine of the lowest tier with the most free memory, and its tier; None without any.
+        """Return the best drawn machine and its tier, or None if no drawn machine is eligible.
 
-        Of two alike, one whose probe is back goes first; other ties are split at random.
+        Order: lowest tier, then machines whose probe is not outstanding, then most free memory. Ties are
+        broken at random.
         """
         ready = self._ready(request)
         self._context.random.shuffle(ready)
@@ -53,7 +54,7 @@
         return None if best is None or best_key is None else (best, best_key[0])
 
     def _ready(self, request: RequestRecord) -> list[MachineRecord]:
-        """The drawn machines that the request may be offered to."""
+        """Return the drawn machines that the request may be offered to."""
         eligibility = self._eligibility
         machines = self._cluster.machines
         probed = self._context.settings.may_probe
@@ -66,7 +67,7 @@
         ]
 
     def offer(self, request: RequestRecord, machine: MachineRecord) -> bool:
-        """Offer the request, if the rules allow it at this moment; tell whether they do."""
+        """Offer the request if the rules permit it now; return whether the offer was made."""
         if not self._eligibility.permitted(request, machine):
             return False
         context = self._context
@@ -80,7 +81,11 @@
         return True
 
     def _start_by(self, request: RequestRecord, machine: MachineRecord) -> int:
-        """Until when an offer may leave that waits for its connection; 0 where the rules set no time."""
+        """Return the latest time at which the offer may be sent, or 0 for no limit.
+
+        An offer may wait for its connection. To a machine that is warming up it must be sent within twice the
+        answer margin, as slow start assumes; for a keyed request that may have run, within the key's window.
+        """
         context = self._context
         limits = []
         if context.now < machine.entry.born_us + context.settings.warm_up_us:
--- a/weldhatch/scheduling/capacity.py
+++ b/weldhatch/scheduling/capacity.py
@@ -1,30 +1,30 @@
-"""Free capacity and load of machines, as reported and reckoned on by own placements since."""
+"""Free capacity and load of machines: the last report, adjusted for own placements since then."""
 
 from __future__ import annotations
 
 from weldhatch.scheduling.cluster_state import ClusterState, MachineRecord, ReportedCapacity, RequestRecord
 from weldhatch.scheduling.context import DecisionContext
 
-STALE_US = 1_500_000  # an older report excludes nothing: else a machine once full is never probed again
-TRUSTED_US = 4_000_000  # many dispatchers believe reported capacity for longer: all their probes are priced
-LIST_LAG_US = 2_500_000  # lists tell the capacity of about this long ago
-REPORT_LAG_US = 400_000  # and load reports that of this long ago
+STALE_US = 1_500_000  # older reports exclude no machine, otherwise a full machine would never be probed again
+TRUSTED_US = 4_000_000  # age limit with many dispatchers, where probes cost more in total
+LIST_LAG_US = 2_500_000  # age of the capacity in an endpoint list when it arrives
+REPORT_LAG_US = 400_000  # age of the capacity in a load report when it arrives
 
 
 class CapacityView:
-    """What machines have left, from their reports, the list and this dispatcher's own placements."""
+    """Computes free capacity and load from load reports, endpoint lists and own placements."""
 
     def __init__(self, context: DecisionContext, cluster: ClusterState) -> None:
-        """Look at these machines; nothing is kept here."""
+        """Read the records of `cluster`; the view itself has no state."""
         self._context = context
         self._cluster = cluster
 
     def reported(self, machine: MachineRecord) -> ReportedCapacity:
-        """The capacity that this deployment's load reports tell: not requested, or not used."""
+        """Return the kind of capacity that load reports count: capacity not requested, or not used."""
         return machine.unreserved if self._context.settings.reports_asked else machine.unused
 
     def receive_report(self, machine: MachineRecord, report: tuple[float, ...]) -> None:
-        """Take a load report: the values of `Settings.report_fields`, as far as they go."""
+        """Record a load report: values in the order of `Settings.report_fields`, possibly fewer."""
         context = self._context
         values = dict(zip(context.settings.report_fields, report, strict=False))
         if "x0" in values and "x1" in values:
@@ -35,9 +35,9 @@
             machine.utilization_at = context.now
 
     def free_memory(self, machine: MachineRecord) -> float:
-        """What machines are ranked by: memory not used where reported, else memory not requested.
+        """Return the free memory used for ranking: memory not used if reported, else memory not requested.
 
-        A machine without any report counts as free as the reported ones on average.
+        A machine without any report is assumed to have the average free fraction of the reporting ones.
         """
         if machine.unused.reported_at >= 0:
             usage = self._cluster.usage
@@ -57,11 +57,11 @@
         return machine.memory * average - machine.offered_memory - machine.running_memory
 
     def load(self, request: RequestRecord, machine: MachineRecord) -> tuple[float, float]:
-        """The parts of its cores and memory that would be in use with the request, where reported lately.
+        """Return the fractions of cores and memory in use if the machine took the request.
 
-        Where the cores in use are not reported, they are what its tasks request, as far as such tasks use
-        that. Memory that is scarcer than cores decides alone: machines are ranked by it, and must not be
-        outranked by cores.
+        Without a recent report only the request itself is counted. If the cores in use are not reported,
+        they are estimated from the requested cores and the usual usage share. Where memory is scarcer than
+        cores, callers must not let cores decide, because machines are ranked by free memory.
         """
         now = self._context.now
         usage = self._cluster.usage
@@ -74,8 +74,8 @@
             cores_load = (machine.cores - cores) * cores_share / machine.cores
             memory_load = (machine.memory - memory) * memory_share / machine.memory
         if now - machine.utilization_at <= STALE_US:
-            since = machine.running_cores + machine.offered_cores - machine.utilization_own_cores
-            cores_load = machine.utilization + since * cores_share / machine.cores
+            own_cores_since = machine.running_cores + machine.offered_cores - machine.utilization_own_cores
+            cores_load = machine.utilization + own_cores_since * cores_share / machine.cores
         return (
             cores_load + request.cores * cores_share / machine.cores,
             memory_load + request.memory * memory_share / machine.memory,
--- a/weldhatch/scheduling/discovery.py
+++ b/weldhatch/scheduling/discovery.py
@@ -1,4 +1,4 @@
-"""Lists of machines: full, changed, remembered, or a list that could not be had."""
+"""Discovery: keeps machine records in step with endpoint lists, and renews the subscription."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from weldhatch.scheduling.slow_start import SlowStart
 from weldhatch.scheduling.types import ListForm, Machine, MachineState
 
-RESUBSCRIBE_US = 400_000  # the first wait after a list that failed; doubles
-MOST_DOUBLINGS = 4
+RESUBSCRIBE_US = 400_000  # first delay after a failed list; doubles with each failure
+MAX_DOUBLINGS = 4
 
 
 class Discovery:
-    """Keeps the records of machines in step with the lists, and the subscription to them alive."""
+    """Applies endpoint lists to the machine records and resubscribes after failures."""
 
     def __init__(self, context: DecisionContext, cluster: ClusterState, slow_start: SlowStart) -> None:
-        """Keep these records; slow start tells how many offers each remembers."""
+        """Update the records of `cluster`; `slow_start` sets how many offer times each record keeps."""
         self._context = context
         self._cluster = cluster
         self._slow_start = slow_start
         self._failures = 0
 
     def handle_machines_changed(self, event: MachinesChanged) -> None:
-        """Take a list, or the news that none could be had."""
+        """Apply an endpoint list, or resubscribe after a failed one."""
         settings = self._context.settings
         if event.form is ListForm.FAILED:
             if settings.subscribe:
-                wait = self._context.jitter(RESUBSCRIBE_US << min(self._failures, MOST_DOUBLINGS))
+                wait = self._context.jitter(RESUBSCRIBE_US << min(self._failures, MAX_DOUBLINGS))
                 self._context.schedule(wait, self._subscribe)
                 self._failures += 1
             return
@@ -70,12 +70,15 @@
             )
 
     def _has_report(self, machine: MachineRecord) -> bool:
-        """Whether the machine itself reported its capacity lately, which tells it better than a list."""
+        """Whether a recent load report exists, which is more accurate than the list."""
         context = self._context
         return context.settings.reports_asked and context.now - machine.unreserved.reported_at <= STALE_US
 
     def _drop_removed(self) -> None:
-        """Forget removed machines that hold nothing of ours, unless one that warms up may be listed again."""
+        """Delete removed machines without own offers or tasks.
+
+        Machines that are warming up are kept: if they are listed again, their offer times still count.
+        """
         context = self._context
         removed = [
             machine
@@ -88,5 +91,5 @@
             self._cluster.remove_machine(machine)
 
     def add(self, entry: Machine) -> MachineRecord:
-        """Start the record of a machine that is not known yet."""
+        """Create the record of a new machine."""
         return self._cluster.add_machine(entry, self._slow_start.offer_times_kept)
--- a/weldhatch/scheduling/eligibility.py
+++ b/weldhatch/scheduling/eligibility.py
@@ -1,4 +1,4 @@
-"""Which machines a request may be offered to: the rules of the wire first, then health and capacity."""
+"""Which machines a request may be offered to: the rules of the protocol, then health and capacity."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def in_same_scope(scope: Scope, known: Machine, other: Machine) -> bool:
-    """Whether two machines are in one such scope; a known one that isn't listed (-1) is in every place."""
+    """Whether two machines share a scope; a machine of unknown zone or cell (-1) is taken to share it."""
     return (
         scope is Scope.ALL
         or known.id == other.id
@@ -25,14 +25,14 @@
     def __init__(
         self, context: DecisionContext, cluster: ClusterState, admission: Admission, slow_start: SlowStart
     ) -> None:
-        """Filter by the rules, and by what admission and slow start say."""
+        """Filter by the protocol's rules, admission and slow start."""
         self._context = context
         self._cluster = cluster
         self._admission = admission
         self._slow_start = slow_start
 
     def permitted(self, request: RequestRecord, machine: MachineRecord) -> bool:
-        """Whether the rules allow one more attempt of this request on this machine now."""
+        """Whether the rules permit one more attempt of this request on this machine now."""
         context = self._context
         settings = context.settings
         request_class = request.request_class
@@ -54,17 +54,17 @@
         return request_class.spread_over is Scope.NONE or self._keeps_spread(request, entry)
 
     def _keeps_spread(self, request: RequestRecord, entry: Machine) -> bool:
-        """Whether the service may have one more task in the machine's cell, zone or whatever is told."""
+        """Whether the spread limit of the class leaves space for one more task in the machine's scope."""
         spread_over = request.request_class.spread_over
-        there = sum(
+        count_in_scope = sum(
             count
             for other, count in self._cluster.placements.of(request.service).items()
             if in_same_scope(spread_over, other.entry, entry)
         )
-        return request.request_class.spread_most > there
+        return request.request_class.spread_most > count_in_scope
 
     def may_repeat(self, request: RequestRecord, entry: Machine) -> bool:
-        """Whether the class of a request that may have run allows to send it to this machine."""
+        """Whether the request may be sent to this machine although an earlier attempt may have run."""
         request_class = request.request_class
         uncertain = request.uncertain_attempt
         if uncertain is None or request_class.effect is Effect.SAFE:
@@ -77,15 +77,15 @@
         )
 
     def may_repeat_anywhere(self, request: RequestRecord) -> bool:
-        """Whether any known machine may still get the request."""
+        """Whether the request may still be repeated on at least one known machine."""
         return request.uncertain_attempt is None or any(
             self.may_repeat(request, machine.entry) for machine in self._cluster.machines.values()
         )
 
     def eligible(self, request: RequestRecord, machine: MachineRecord, probed: bool) -> bool:
-        """Whether the machine may and should be offered the request.
+        """Whether the rules, health and capacity of the machine all allow the offer.
 
-        `probed` tells that its probe is due by now: an unresponsive machine is out, also one to be rechecked.
+        `probed`: the probe phase is over, so that an unresponsive machine due for a recheck is excluded too.
         """
         now = self._context.now
         return (
@@ -96,7 +96,7 @@
         )
 
     def none_usable(self) -> bool:
-        """Whether all machines are unresponsive, drain or are removed: then none is left out for that."""
+        """Whether every machine is unresponsive, draining or removed; callers then ignore those states."""
         now = self._context.now
         return all(
             machine.unresponsive
--- a/weldhatch/scheduling/events.py
+++ b/weldhatch/scheduling/events.py
@@ -1,4 +1,4 @@
-"""What a policy is told, in order and with the time of the host program: `Policy.handle` takes these."""
+"""Events that `Policy.handle` takes, in order. Times are those of the host program."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MachinesChanged:
-    """A list of machines: the changes to the one before, or all of it."""
+    """An endpoint list, either in full or as changes to the previous one."""
 
     form: ListForm
     machines: tuple[Machine, ...] = ()
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A task to place. It is owed exactly one final answer before its deadline."""
+    """A task to place. It must get exactly one final answer before its deadline."""
 
     request: int
     class_index: int
@@ -31,12 +31,12 @@
     tenant: int = 0
     run_us: int | None = None
     again: bool = False
-    only: Container[int] | None = None  # the machines that it may go to; None for all
+    only: Container[int] | None = None  # machines that may take it; None for all
 
 
 @dataclass(slots=True, frozen=True)
 class TaskAdopted:
-    """A task that already runs on a machine and is in this instance's care from now on."""
+    """A task that already runs on a machine and is managed by this instance from now on."""
 
     request: int
     class_index: int
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Placed:
-    """A machine has taken the task of an offer."""
+    """A machine has accepted the task of an offer."""
 
     request: int
     attempt: int
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Note:
-    """Something about a running task or its machine; `topic` is one of `types.Topic`, or unknown."""
+    """A reported value about a running task or its machine; `topic` is a `types.Topic` or unknown."""
 
     request: int
     attempt: int
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """The one outcome of an attempt; `closed` tells that the request is over with it."""
+    """The outcome of an attempt, reported once; `closed` means that the request has ended as well."""
 
     request: int
     attempt: int
@@ -86,16 +86,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestAbandoned:
-    """The caller has gone away or given up: no answer is owed any more."""
+    """The caller has disconnected or given up; the request needs no answer any more."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeAnswered:
-    """The result of one probe; the report holds the values of `Settings.report_fields`, or nothing.
+    """The result of a probe; the report has the values of `Settings.report_fields`, or is empty.
 
-    A report that a machine gave when the module asked for none comes as this too.
+    Unsolicited load reports of machines arrive as this event too.
     """
 
     machine: int
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The wait of a `SetTimer` is over."""
+    """The delay of a `SetTimer` has passed."""
 
     timer: int
 
--- a/weldhatch/scheduling/health.py
+++ b/weldhatch/scheduling/health.py
@@ -1,4 +1,4 @@
-"""Which machines respond: probes of drawn machines, silence, and offers that stay open for long."""
+"""Health of machines: probes, unresponsive machines, overdue offers and unannounced drains."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from weldhatch.scheduling.context import DecisionContext
 from weldhatch.scheduling.types import Effect, Reason
 
-OVERDUE_US = 1_000_000  # an offer open for this long, or the latency objective, has its machine probed
-RECHECK_US = 400_000  # an unresponsive machine may be drawn again after this; doubles
-LONGEST_RECHECK_US = 3_200_000
-DRAINING_US = 6_000_000  # a machine that sends tasks away or takes none counts as draining for this long
+OVERDUE_US = 1_000_000  # an offer open for longer than this and the latency objective causes a probe
+INITIAL_RECHECK_US = 400_000  # first delay until an unresponsive machine may be drawn; doubles
+MAX_RECHECK_US = 3_200_000
+DRAINING_US = 6_000_000  # a machine that evicts for a drain or accepts no tasks counts as draining this long
 
 
 class HealthMonitor:
-    """Probes machines, and keeps which of them are unresponsive or drain unannounced."""
+    """Probes machines and marks those that are unresponsive or drain without announcement."""
 
     def __init__(self, context: DecisionContext, cluster: ClusterState) -> None:
-        """Watch these machines."""
+        """Keep the health of the machines in `cluster`."""
         self._context = context
         self._cluster = cluster
 
     def probe(self, machine: MachineRecord) -> None:
-        """Ask a machine for its load; one probe serves all that wait for it."""
+        """Ask a machine for its load, unless a probe is already outstanding."""
         if not machine.probes_out:
             machine.probes_out += 1
             self._context.actions.append(Probe(machine.entry.id))
 
     def watch_offer(self, request: RequestRecord, machine: MachineRecord, attempt: int) -> None:
-        """Have the machine probed if this offer stays open for too long."""
+        """Probe the machine if this offer stays open for too long."""
         if self._context.settings.may_probe:
             wait = max(request.request_class.latency_objective_us, OVERDUE_US)
             self._context.schedule(wait, self._check_overdue, machine, request.id, attempt)
@@ -39,24 +39,26 @@
             self._context.schedule(OVERDUE_US, self._check_overdue, machine, request, attempt)
 
     def mark_unresponsive(self, machine: MachineRecord) -> None:
-        """Leave a machine out that gave no sign.
+        """Mark a machine that did not answer.
 
-        It stays so until a draw, after a wait that doubles, has its probe answered; no timers for it.
+        The mark ends when the machine answers a probe or takes a task. No timer rechecks it: after a delay,
+        which doubles each time, a request may draw it again. If it was marked already, its open offers are
+        cancelled where the settings allow that.
         """
         context = self._context
-        again = machine.unresponsive
+        was_unresponsive = machine.unresponsive
         machine.unresponsive = True
         machine.recheck_backoff_us = (
-            min(2 * machine.recheck_backoff_us, LONGEST_RECHECK_US) if again else RECHECK_US
+            min(2 * machine.recheck_backoff_us, MAX_RECHECK_US) if was_unresponsive else INITIAL_RECHECK_US
         )
         machine.recheck_at = context.now + context.jitter(machine.recheck_backoff_us)
-        if not again:
+        if not was_unresponsive:
             context.actions.append(Log(f"machine {machine.entry.id} is silent"))
         elif context.settings.may_cancel:
             self._cancel_offers(machine)
 
     def _cancel_offers(self, machine: MachineRecord) -> None:
-        """Take back what another machine may still do in time, and without harm."""
+        """Cancel open offers whose requests can safely be repeated elsewhere."""
         context = self._context
         for request_id, attempt in machine.open_offers.items():
             request = self._cluster.requests[request_id]
@@ -64,12 +66,12 @@
                 request.request_class.effect is not Effect.UNSAFE
                 and not request.answered
                 and attempt + 1 < context.settings.max_attempts
-                and context.now - request.attempts[attempt].sent_at >= RECHECK_US
+                and context.now - request.attempts[attempt].sent_at >= INITIAL_RECHECK_US
             ):
                 context.actions.append(Cancel(request_id, attempt))
 
-    def notice_draining(self, machine: MachineRecord, reason: int) -> None:
-        """Take a machine for draining that sends tasks away or takes none."""
+    def detect_draining(self, machine: MachineRecord, reason: int) -> None:
+        """Treat a machine as draining if an outcome's reason is a drain or that it accepts no tasks."""
         context = self._context
         if reason in (Reason.DRAINED, Reason.NOT_ACCEPTING) and context.now >= machine.draining_until:
             machine.draining_until = context.now + DRAINING_US
--- a/weldhatch/scheduling/placement.py
+++ b/weldhatch/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""The path of a request: draw, probe, bind, and what follows a block."""
+"""Steps of placing a request: draw machines, probe them, bind to one, or block."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from weldhatch.scheduling.cluster_state import MachineRecord, RequestRecord
 from weldhatch.scheduling.context import DecisionContext
 from weldhatch.scheduling.health import HealthMonitor
-from weldhatch.scheduling.ranking import HOME
+from weldhatch.scheduling.ranking import HOME_TIER
 from weldhatch.scheduling.retries import Retries
 from weldhatch.scheduling.sampling import Sampler
 
-PROBE_PATIENCE = 0.1  # the part of the latency objective that probes are waited for; then records decide
+PROBE_WAIT_SHARE = 0.1  # fraction of the latency objective that probes may take; after it old reports decide
 
 
 class PlacementPath:
-    """Takes requests along their path; each step is void once the request has moved on."""
+    """Runs the placement steps. A step of an older generation of the request does nothing."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         admission: Admission,
         health: HealthMonitor,
     ) -> None:
-        """Join these steps; `retries` is set by the policy, as it draws again by this path."""
+        """Connect the steps. The policy sets `retries` afterwards, since `Retries` needs `draw`."""
         self._context = context
         self._sampler = sampler
         self._binder = binder
@@ -34,7 +34,7 @@
         self.retries: Retries
 
     def draw(self, request: RequestRecord, generation: int) -> None:
-        """Draw machines, and probe those that have not reported lately."""
+        """Draw machines, and probe those without a recent report."""
         if request.answered or request.open_attempt is not None or generation != request.generation:
             return
         drawn = self._sampler.draw(request)
@@ -43,13 +43,13 @@
         if not drawn:
             self.retries.block(request)
             return
-        unknown = self._without_report(request, drawn)
-        request.awaited_probes = {machine.entry.id for machine in unknown}
-        for machine in unknown:
+        unreported = self._without_report(request, drawn)
+        request.awaited_probes = {machine.entry.id for machine in unreported}
+        for machine in unreported:
             machine.probe_waiters[request.id] = None
             self._health.probe(machine)
-        if unknown:
-            wait = PROBE_PATIENCE * request.request_class.latency_objective_us
+        if unreported:
+            wait = PROBE_WAIT_SHARE * request.request_class.latency_objective_us
             self._context.schedule(wait, self.bind, request, request.generation)
         else:
             self.bind(request, request.generation)
@@ -61,7 +61,7 @@
         return [machine for machine in drawn if not self._admission.knows_capacity(request, machine)]
 
     def bind(self, request: RequestRecord, generation: int) -> None:
-        """Offer the request to the best of the drawn machines; draw once more where probes told worse."""
+        """Offer the request to the best drawn machine; draw once more if probes raised its tier."""
         if generation != request.generation or request.answered or request.open_attempt is not None:
             return
         request.generation += 1
@@ -70,8 +70,8 @@
             self.retries.block(request)
             return
         machine, tier = choice
-        if not request.redrawn and tier > max(request.drawn_tier, HOME):
-            request.redrawn = True  # the draw knew too little: it stopped looking too soon
+        if not request.redrawn and tier > max(request.drawn_tier, HOME_TIER):
+            request.redrawn = True  # outdated records ended the draw too soon
             self.draw(request, request.generation)
         elif not self._binder.offer(request, machine):
             self.retries.block(request)
--- a/weldhatch/scheduling/policy.py
+++ b/weldhatch/scheduling/policy.py
@@ -1,8 +1,8 @@
-"""The entry of the decisions: takes events in order, returns the actions to carry out.
+"""Entry point of the scheduling policy: takes events in order and returns the actions to carry out.
 
-Every request takes one path (Xie, Dong, Lu, Srikant, SIGMETRICS 2015): filter the eligible machines, draw a
-few uniformly, probe each, bind to the one with the most free memory, ties split at random. The parts are
-modules of this package, which share a `DecisionContext` and a `ClusterState`; docs/design.md describes them.
+Every request is placed in the same steps (Xie, Dong, Lu, Srikant, SIGMETRICS 2015): filter the eligible
+machines, draw a few uniformly, probe each, and bind to the one with the most free memory, ties at random. The
+parts are modules of this package that share a `DecisionContext` and a `ClusterState`; see docs/design.md.
 """
 
 from __future__ import annotations
@@ -35,22 +35,22 @@
 from weldhatch.scheduling.outliers import OutlierDetector
 from weldhatch.scheduling.placement import PlacementPath
 from weldhatch.scheduling.ranking import MachineRanking
-from weldhatch.scheduling.retries import LONGEST_BACKOFF_US, Retries
+from weldhatch.scheduling.retries import MAX_BACKOFF_US, Retries
 from weldhatch.scheduling.sampling import Sampler
 from weldhatch.scheduling.slow_start import SlowStart
 from weldhatch.scheduling.types import Machine, MachineState, Outcome, Settings, Topic
 
-MOST_FAILED_MACHINES = 2  # machines that answer a request with an error: it is the request, not they
-SERVED_IN_FULL = 0.9  # a task served less than this: the machine is crowded
-MEMORY_TIGHT = 0.92  # memory of a machine fuller than this: so too
+MAX_FAILED_MACHINES = 2  # after errors on this many machines the request itself is taken to be invalid
+FULL_SERVICE_SHARE = 0.9  # a task note of a smaller served share shows an overloaded machine
+HIGH_MEMORY_SHARE = 0.92  # as does a note of a larger share of machine memory in use
 NOTHING_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # outcomes that prove it
 
 
 class Policy:
-    """Decides for one dispatcher. Feed it events in order; carry out the actions in order."""
+    """The scheduling policy of one dispatcher. Events and actions must both be processed in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Join the parts; the same seed and events bring the same actions."""
+        """Create the parts of the policy; the same seed and events give the same actions."""
         self._context = DecisionContext(settings, random.Random(seed))
         self._cluster = ClusterState()
         self._capacity = CapacityView(self._context, self._cluster)
@@ -83,7 +83,7 @@
         }
 
     def reconfigure(self, settings: Settings) -> None:
-        """Decide by these settings from now on, also on requests under way; classes keep their places."""
+        """Apply new settings, also to open requests. The order of the classes must not change."""
         self._context.reconfigure(settings)
         for request in self._cluster.requests.values():
             request.request_class = settings.classes[request.class_index]
@@ -91,7 +91,7 @@
             part.reconfigure()
 
     def handle(self, now: int, events: Sequence[Event]) -> list[Action]:
-        """Take the events of one instant; return the actions to carry out at once, in order."""
+        """Handle the events of one instant; return the actions to carry out immediately and in order."""
         self._context.begin_batch(now)
         handlers = self._handlers
         for event in events:
@@ -125,7 +125,7 @@
         request = RequestRecord(event, request_class, now)
         self._cluster.requests[event.request] = request
         machine = self._cluster.machines.get(event.machine)
-        if machine is None:  # not listed yet: it counts in every place, and nothing is sent to it
+        if machine is None:  # not listed yet: counts in every zone and cell, and gets no offers
             machine = self._discovery.add(Machine(event.machine, -1, -1, -1, MachineState.REMOVED))
         request.attempts = [Attempt(machine.entry, now)]
         request.placed_attempt = 0
@@ -141,7 +141,7 @@
         request.open_attempt = None
         request.placed_attempt = event.attempt
         request.answered = True
-        if len(machine.open_offers) >= machine.offer_limit - 1:  # it takes what it is offered at the limit
+        if len(machine.open_offers) >= machine.offer_limit - 1:  # starts at the limit raise it
             machine.offer_limit += 1 / machine.offer_limit
         machine.remove_offer(request)
         machine.add_task(request, self._context.now, LIST_LAG_US)
@@ -157,7 +157,7 @@
         if event.attempt not in (request.open_attempt, request.placed_attempt):
             return
         self._capacity.receive_report(machine, event.report)
-        self._health.notice_draining(machine, event.reason)
+        self._health.detect_draining(machine, event.reason)
         if event.attempt == request.placed_attempt:
             request.placed_attempt = None
             machine.unstarted.discard(request.id)
@@ -167,7 +167,7 @@
         self._cluster.placements.end(request.service, machine, ran=event.outcome not in NOTHING_RAN)
         if event.outcome is Outcome.ERROR and machine not in request.failed_machines:
             request.failed_machines.append(machine)
-        self._continue(request, event)
+        self._decide_next_step(request, event)
 
     def _end_offer(self, request: RequestRecord, machine: MachineRecord, event: AttemptEnded) -> None:
         self._outliers.assess_ended_offer(request, machine, event)
@@ -176,12 +176,12 @@
         if request.uncertain_attempt is None and event.outcome not in NOTHING_RAN:
             request.uncertain_attempt = request.attempts[event.attempt]
 
-    def _continue(self, request: RequestRecord, event: AttemptEnded) -> None:
-        """Decide what becomes of a request after one of its attempts has ended."""
+    def _decide_next_step(self, request: RequestRecord, event: AttemptEnded) -> None:
+        """Continue a request after one of its attempts has ended: close, answer, back off or draw again."""
         context = self._context
         if event.closed or request.answered:
             self._cluster.forget_request(request)
-        elif len(request.failed_machines) >= MOST_FAILED_MACHINES:
+        elif len(request.failed_machines) >= MAX_FAILED_MACHINES:
             self._outliers.forgive_fault(request.failed_machines[0])
             self._retries.answer(request)
         elif event.outcome is Outcome.FULL or context.now >= request.deadline - context.answer_margin_us:
@@ -195,8 +195,8 @@
         if machine is not None:
             if event.topic == Topic.RUNS:
                 machine.unstarted.discard(event.request)
-            if (event.topic == Topic.SERVED_SHARE and event.value < SERVED_IN_FULL) or (
-                event.topic == Topic.MACHINE_MEMORY and event.value > MEMORY_TIGHT
+            if (event.topic == Topic.SERVED_SHARE and event.value < FULL_SERVICE_SHARE) or (
+                event.topic == Topic.MACHINE_MEMORY and event.value > HIGH_MEMORY_SHARE
             ):
                 machine.degraded_until = self._context.now + STALE_US
         if request is not None:
@@ -211,8 +211,8 @@
         if answered:
             machine.unresponsive = False
             self._capacity.receive_report(machine, event.report)
-        elif event.outcome is Outcome.FULL:  # its queue is full
-            machine.decline(self._context.now + LONGEST_BACKOFF_US, 0.0, 0.0)
+        elif event.outcome is Outcome.FULL:  # the queue of the machine is full
+            machine.decline(self._context.now + MAX_BACKOFF_US, 0.0, 0.0)
         else:
             self._health.mark_unresponsive(machine)
         waiters = machine.probe_waiters
--- a/weldhatch/scheduling/types.py
+++ b/weldhatch/scheduling/types.py
@@ -1,8 +1,8 @@
-"""The settings of a policy and the terms that its events and actions share. Types only, no decisions.
+"""Settings of a policy, and the types that its events and actions share. No decisions.
 
 Times are integer microseconds on the host program's clock; cores are counted in cores, memory in the unit of
-the settings (GB on the platform). Machines, requests and services are opaque integers: the policy hands them
-back unchanged and reads nothing into them.
+the settings (GB on the platform). Machines, requests and services are identified by opaque integers, which
+the policy returns unchanged.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Effect(Enum):
-    """What repeating a request can do. SAFE and KEYED are idempotent, KEYED within its window and scope."""
+    """Effect of a repeated request. SAFE is idempotent; KEYED is idempotent within its window and scope."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -30,7 +30,7 @@
 
 
 class MachineState(IntEnum):
-    """What the endpoint list says of a machine. A removed one is no longer in the list."""
+    """State of a machine in the endpoint list. A removed machine is no longer listed."""
 
     REMOVED = 0
     READY = 1
@@ -38,12 +38,12 @@
 
     @property
     def label(self) -> str:
-        """The state's name in endpoint lists, in what the cluster has agreed on and in logs."""
+        """The name of the state in endpoint lists, in replicated state and in logs."""
         return "gone" if self is MachineState.REMOVED else self.name.lower()
 
 
 class ListForm(IntEnum):
-    """How a list of machines was come by; FAILED carries none."""
+    """Kind of an endpoint list: changes, full, from a cache, or FAILED without entries."""
 
     DELTA = 0
     FULL = 1
@@ -52,7 +52,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended. Only FULL, CONNECT_FAILED and NOT_SENT prove that nothing ran."""
+    """Outcome of an attempt. Only FULL, CONNECT_FAILED and NOT_SENT prove that the task did not run."""
 
     OK = 0
     ERROR = 1
@@ -65,7 +65,7 @@
 
 
 class Reason(IntEnum):
-    """Why an attempt ended so, where the machine says."""
+    """Reason of an outcome, if the machine gives one."""
 
     UNSPECIFIED = 0
     NO_CORES = 1
@@ -78,7 +78,7 @@
 
 
 class Topic(IntEnum):
-    """What a note on a task is about."""
+    """Subject of a note on a task."""
 
     RUNS = 1
     CORES_USED = 2
@@ -89,22 +89,22 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests: its objective, what repeating one can do, its priority and its spread."""
+    """A class of requests: latency objective, effect of repetition, priority and spread."""
 
     name: str
     latency_objective_us: int
     deadline_us: int  # from arrival to the final answer
     effect: Effect = Effect.SAFE
-    group: Scope = Scope.ALL  # where the key of a KEYED request is known
-    window_us: int = 0  # for how long after its first attempt
+    group: Scope = Scope.ALL  # machines that share the key of a KEYED request
+    window_us: int = 0  # how long after the first attempt the key is known
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
     start_priority_weight_s: float = 0.0
-    calm: float = 1.0  # the share of a machine's cores in use up to which the class is served in full
-    fade: float = 1.0  # over this further share its service falls to nothing
-    kind: int = -1  # the one kind of machine that serves it; -1 for any
-    priority: int = 0  # the higher, the sooner served
-    spread_over: Scope = Scope.NONE  # no such scope holds more than `spread_most` tasks of one service
+    calm: float = 1.0  # fraction of a machine's cores in use up to which the class is served in full
+    fade: float = 1.0  # further fraction over which its service falls to zero
+    kind: int = -1  # the only kind of machine that serves it; -1 for any
+    priority: int = 0  # higher priorities are served first
+    spread_over: Scope = Scope.NONE  # each scope of this type holds at most `spread_most` tasks of a service
     spread_most: int = 0
 
 
@@ -119,17 +119,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """Who requests are counted for, with its quotas."""
+    """A tenant and its quotas."""
 
     name: str
-    quota_per_s: float = 0.0  # starts a second
+    quota_per_s: float = 0.0  # task starts per second
     portion: float = 0.0
     cores: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """What the deployment is charged for, in its own unit; 0 where something is free."""
+    """Prices of resources in the unit of the deployment; 0 means free."""
 
     cross_zone: float = 0.0
     fleet: float = 0.0
@@ -142,37 +142,37 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What one policy instance is configured with. An optional field left out has the default here."""
+    """Configuration of one policy instance. Optional fields that are left out have the defaults here."""
 
     classes: tuple[RequestClass, ...]
     kinds: tuple[MachineKind, ...]
-    zone: int = 0  # where this dispatcher is, as an index of `zones`
+    zone: int = 0  # zone of this dispatcher, as an index into `zones`
     zones: tuple[str, ...] = ("",)
-    me: int = 0  # this dispatcher's number among `group_size`
+    me: int = 0  # index of this dispatcher within the group
     group_size: int = 1
     max_attempts: int = 1
     may_probe: bool = True
     may_cancel: bool = True
     hedged_requests: bool = False
-    retry_after: bool = False  # callers heed a time to stay away
+    retry_after: bool = False  # callers honour Retry-After
     max_retry_after_us: int = 0
-    subscribe: bool = False  # lists come only after a `Subscribe`
+    subscribe: bool = False  # endpoint lists are sent only after a `Subscribe`
     tick_us: int = 1000  # the resolution of the host program's timers
     drain_grace_us: int = 0
     answer_slack_us: int = 0
     poll_within_us: int = 0
-    warm_up_us: int = 0  # for so long after its start a machine is warming up
-    warm_up_offers: float = 1.0  # it may have so many offers of all dispatchers together in any `fall_us`
+    warm_up_us: int = 0  # time after its start during which a machine is warming up
+    warm_up_offers: float = 1.0  # offers of all dispatchers to a warming machine within any `fall_us`
     start_capacity: float = 1.0
     tip_multiple: float = 1.0
     fall_us: int = 1_000_000
-    cores_booking: float = 1.0  # tasks may request so many times a machine's cores
+    cores_booking: float = 1.0  # overbooking factor: requested cores per core of a machine
     memory_booking: float = 1.0
-    lists_free: bool = False  # lists tell free capacity
-    reports_asked: bool = True  # load reports count what tasks request, not what they use
+    lists_free: bool = False  # endpoint lists include free capacity
+    reports_asked: bool = True  # load reports count requested resources, not used ones
     report_fields: tuple[str, ...] = ()  # x0: free cores, x1: free memory, cpu: cores in use, 0 to 1
-    by_service: bool = False  # all requests of a service come to one dispatcher
-    confirms_running: bool = True  # `Placed` tells that the task runs, not only that it was accepted
+    by_service: bool = False  # one dispatcher gets all requests of a service
+    confirms_running: bool = True  # `Placed` means that the task runs, not only that it was accepted
     preempts_tasks: bool = False
     reports_usage: bool = False
     pressure_notes: bool = False
@@ -186,16 +186,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Machine:
-    """One entry of a list of machines; the free capacity is None where lists do not tell it."""
+    """An entry of an endpoint list; free capacity is None if lists do not include it."""
 
     id: int
-    zone: int = 0  # an index of `Settings.zones`
-    kind: int = 0  # an index of `Settings.kinds`
+    zone: int = 0  # index into `Settings.zones`
+    kind: int = 0  # index into `Settings.kinds`
     cell: int = 0
     state: MachineState = MachineState.READY
-    born_us: int = 0  # when it started; 0 where that is not known
+    born_us: int = 0  # start time; 0 if unknown
     free_cores: float | None = None
     free_memory: float | None = None
     weight: float = 1.0
-    cores: float = 0.0  # its own size, where it is not that of its kind
+    cores: float = 0.0  # its own size, if different from its kind; 0 otherwise
     memory: float = 0.0
