--- a/weldhatch/core/__init__.py
+++ b/weldhatch/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under way: attempts, outcomes, timers, standing tasks. It knows no wire."""
+"""Lifecycle of requests: attempts, outcomes, timers and running tasks. Independent of any protocol."""
--- a/weldhatch/core/attempt.py
+++ b/weldhatch/core/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request, from its offer to its one end."""
+"""One attempt of a request, from its offer to its outcome."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AttemptResult(Enum):
-    """What an attempt means for its request."""
+    """How a request continues after an attempt was answered or has ended."""
 
     NEXT = "it ended, and the policy decides what follows"
     OVER = "the request is over with it"
@@ -21,12 +21,12 @@
 
 
 class Attempt:
-    """An attempt at one machine. Every one that is begun gets exactly one end, by `end`."""
+    """An attempt of a request on one machine. Every attempt gets exactly one outcome, posted by `end`."""
 
     __slots__ = ("_request", "machine", "number", "sent_at")
 
     def __init__(self, request: RequestState, machine: int) -> None:
-        """Count a further attempt of the request."""
+        """Create the next attempt of the request and number it."""
         self._request = request
         self.machine = machine
         self.number = request.attempts
@@ -34,14 +34,14 @@
         request.attempts += 1
 
     async def run(self, offer: Offer) -> AttemptResult:
-        """Make the offer and wait for its answer or its end."""
+        """Send the offer and wait for its answer or its outcome."""
         request = self._request
         task = request.task
         wait_us = max(0, task.deadline_us - self.sent_at)
         if offer.give_up_us:
             wait_us = min(wait_us, offer.give_up_us)
         if (rules := request.core.rules) and rules.stops(task.class_index, self.machine, self.number):
-            # Guards against rules that moved on between the decision and the send.
+            # The rules may have changed between the decision and the send.
             self.end(Outcome.NOT_SENT)
             return AttemptResult.NEXT
         timer = request.deliver_after(wait_us, TimeUp(self.number))
@@ -55,7 +55,7 @@
             timer.cancel()
 
     def _handle(self, message: object) -> AttemptResult | None:
-        """Handle one message; None while the attempt goes on."""
+        """Handle one message; returns None while the attempt stays open."""
         number = self.number
         match message:
             case Answered(attempt, description) if attempt == number:
@@ -65,15 +65,15 @@
                 self.end(outcome, reason, report)
                 return AttemptResult.NEXT
             case TimeUp() | Cancel() if self._is_answer_pending():
-                pass  # its answer or its end came in the same moment, and says more
+                pass  # its answer or outcome is already queued and takes precedence
             case TimeUp(attempt) if attempt == number:
-                return AttemptResult.NEXT if self._let_go(Outcome.TIMEOUT) else None
+                return AttemptResult.NEXT if self._give_up(Outcome.TIMEOUT) else None
             case Cancel(_, attempt) if attempt == number:
-                return AttemptResult.NEXT if self._let_go(Outcome.CANCELLED) else None
+                return AttemptResult.NEXT if self._give_up(Outcome.CANCELLED) else None
             case GivenUp():
                 self._request.answered = True
                 self._request.driver.post(RequestAbandoned(self._request.id))
-                self._let_go(Outcome.CANCELLED, closed=True)
+                self._give_up(Outcome.CANCELLED, closed=True)
                 return AttemptResult.OVER
             case Noted(attempt, topic, value) if attempt == number:
                 self.note(topic, value)
@@ -86,26 +86,26 @@
         request.driver.post(Placed(request.id, self.number, self.machine, unix_us() - self.sent_at))
 
     def note(self, topic: int, value: float) -> None:
-        """Pass a machine's note on the task on to the policy."""
+        """Forward a machine's note about the task to the policy."""
         request = self._request
         request.driver.post(Note(request.id, self.number, self.machine, topic, value))
 
     def _is_answer_pending(self) -> bool:
-        """Whether the attempt's answer or its end waits to be received.
+        """Whether the answer or the outcome of the attempt is queued but not yet received.
 
-        Guards proof that nothing ran against a process that was held up past the attempt's time, and a task
-        that stands against a second attempt beside it.
+        If the process was blocked past the attempt's time-out, the queued message still decides. Otherwise
+        proof that the task did not run would be lost, or a second attempt would start beside a running task.
         """
         return any(
             isinstance(message, Ended | Answered) and message.attempt == self.number
             for message in self._request.pending()
         )
 
-    def _let_go(self, outcome: Outcome, closed: bool = False) -> bool:
-        """Give the attempt up; whether that ends it.
+    def _give_up(self, outcome: Outcome, closed: bool = False) -> bool:
+        """Give up the attempt; return whether it has ended.
 
-        One that stays out at its machine still ends here at the owner's deadline, since the owner is owed
-        its answer then, and the policy offers nothing after it.
+        An attempt that stays open at its machine still ends here at the owner's deadline, because the owner
+        must get its answer then and the policy makes no offer after it.
         """
         task = self._request.task
         result = self._request.site.give_up(self.machine, task)
@@ -123,7 +123,7 @@
         report: tuple[float, ...] = (),
         closed: bool = False,
     ) -> None:
-        """Post the one end of the attempt; `closed` where the request is over with it."""
+        """Post the outcome of the attempt; `closed` means that the request has ended as well."""
         took_us = max(0, unix_us() - self.sent_at)
         self._request.driver.post(
             AttemptEnded(
--- a/weldhatch/core/mailbox.py
+++ b/weldhatch/core/mailbox.py
@@ -1,4 +1,4 @@
-"""Messages to one coroutine, received one at a time, in the order in which they came."""
+"""Queue of messages to one coroutine, which receives them one at a time and in order."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class Mailbox:
-    """What a request's coroutine is sent, by the policy, machines, owners and timers alike."""
+    """Holds the messages that the policy, machines, owners and timers send to a request's coroutine."""
 
     def __init__(self) -> None:
-        """Start empty; needs a running event loop."""
+        """Create an empty mailbox; requires a running event loop."""
         self._messages: deque[object] = deque()
         self._wake: asyncio.Future[None] | None = None
         self._loop = asyncio.get_running_loop()
 
     def deliver(self, message: object) -> None:
-        """Add a message; each is received in its turn."""
+        """Append a message and wake the coroutine."""
         self._messages.append(message)
         if self._wake is not None:
-            if not self._wake.done():  # it is cancelled where its coroutine was ended by a close
+            if not self._wake.done():  # cancelled if its coroutine was cancelled on shutdown
                 self._wake.set_result(None)
             self._wake = None
 
--- a/weldhatch/core/messages.py
+++ b/weldhatch/core/messages.py
@@ -7,15 +7,15 @@
 
 from weldhatch.scheduling.types import Outcome
 
-# Causes of an end, as numbers on the platform's wire.
-GIVEN_UP = 16  # of a request that is given up, and of a task that came to its end
-CALLED_OFF = 31  # of a task that its owner ended or the dispatcher migrated
-CUT = 41  # of a task that was cut off, or lost with its machine
+# Causes of the end of a task, as numbers in the platform's protocol.
+GIVEN_UP = 16  # the request was given up, or the task finished
+CALLED_OFF = 31  # the owner ended the task, or the dispatcher migrated it
+CUT = 41  # the task was interrupted, or lost with its machine
 
 
 @dataclass(slots=True, frozen=True)
 class Answered:
-    """A machine holds the task now; the description goes to the owner unchanged."""
+    """A machine has taken the task; the description is forwarded to the owner unchanged."""
 
     attempt: int
     description: str | None
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """The one end of an attempt, before the answer or after it."""
+    """The outcome of an attempt, delivered once, before or after its answer."""
 
     attempt: int
     outcome: Outcome
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Noted:
-    """The machine notes something on a running task; `topic` is one of `types.Topic`, or unknown."""
+    """A value that a machine reports about a running task; `topic` is a `types.Topic` or unknown."""
 
     attempt: int
     topic: int
@@ -43,31 +43,31 @@
 
 @dataclass(slots=True, frozen=True)
 class TimeUp:
-    """The wait for an attempt's answer is over."""
+    """The time-out of an attempt has passed."""
 
     attempt: int
 
 
 @dataclass(slots=True, frozen=True)
-class Overdue:
-    """The owner's deadline has passed and the policy has not decided."""
+class DeadlinePassed:
+    """The owner's deadline has passed without a final answer."""
 
 
 @dataclass(slots=True, frozen=True)
 class GivenUp:
-    """The owner no longer waits for its answer."""
+    """The owner no longer waits for the answer."""
 
 
 @dataclass(slots=True, frozen=True)
 class Released:
-    """The owner ends a task that stands."""
+    """The owner ends its running task."""
 
     cause: int
 
 
 class GiveUpResult(Enum):
-    """What giving an attempt up comes to."""
+    """Result of giving up an attempt."""
 
-    WITHDRAWN = "it had not left: nothing ran"
-    GIVEN_UP = "it is over, and may have run"
-    STILL_OUT = "it goes on until its end is told"
+    WITHDRAWN = "not sent: the task did not run"
+    GIVEN_UP = "ended: the task may have run"
+    STILL_OUT = "still open until its outcome is reported"
--- a/weldhatch/core/placement.py
+++ b/weldhatch/core/placement.py
@@ -3,36 +3,38 @@
 from __future__ import annotations
 
 from weldhatch.core.attempt import Attempt, AttemptResult
-from weldhatch.core.messages import GivenUp, Overdue
+from weldhatch.core.messages import DeadlinePassed, GivenUp
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_state import RequestState
 from weldhatch.scheduling.actions import Fail, Offer, Reject
 from weldhatch.scheduling.events import RequestAbandoned, RequestArrived
 from weldhatch.scheduling.types import Outcome
 
-OVERDUE_US = 20_000  # the policy answers before the deadline; so long after it, the core does
+DECISION_GRACE_US = (
+    20_000  # the policy answers before the deadline; this long after it the core answers itself
+)
 
 
 async def place(request: RequestState) -> Attempt | None:
-    """Ask the policy, offer where it says, answer what it decides; the attempt that holds the task."""
+    """Carry out the policy's decisions on a request; return the attempt whose task runs, if any."""
     core = request.core
     task = request.task
     if request.is_given_up():
-        request.answered = True  # taken back in the moment it came: the policy has nothing to decide
+        request.answered = True  # given up before it was decided: the policy is not asked
         core.unanswered -= 1
         return None
     if core.rules and (away_us := core.rules.away_us(task)) is not None:
-        request.answered = True  # no rules that are sure let it start: nothing for the policy to decide
+        request.answered = True  # not admitted by the rules of the group: the policy is not asked
         core.unanswered -= 1
         request.owner.refused(away_us)
         return None
     _post_arrival(request)
-    left_us = max(0, task.deadline_us - unix_us()) + OVERDUE_US
-    overdue = request.deliver_after(left_us, Overdue())
+    remaining_us = max(0, task.deadline_us - unix_us()) + DECISION_GRACE_US
+    deadline_timer = request.deliver_after(remaining_us, DeadlinePassed())
     try:
         return await _await_decision(request)
     finally:
-        overdue.cancel()
+        deadline_timer.cancel()
         core.unanswered -= 1
 
 
@@ -56,50 +58,50 @@
 
 
 async def _await_decision(request: RequestState) -> Attempt | None:
-    """Carry out offers until one is placed, or until the request is over otherwise."""
-    batch_settled = False
+    """Carry out offers until one is placed or the request ends."""
+    batch_flushed = False
     while True:
         match await request.next_message():
             case Offer() as offer:
-                if await request.is_given_up_by_now():
-                    request.put_back(offer)  # `_withdraw` ends it: it never left
+                if await request.is_given_up_after_reading():
+                    request.requeue(offer)  # not sent; `_withdraw` ends it
                     continue
                 attempt = Attempt(request, offer.machine)
                 result = await attempt.run(offer)
                 if result is not AttemptResult.NEXT:
                     return attempt if result is AttemptResult.PLACED else None
-            case Overdue() if not batch_settled:
-                # Guards against a process that was held up past the deadline: what the policy was
-                # sent in the same moment it decides first, so proof that nothing ran still counts.
-                batch_settled = True
-                await request.driver.settled()
-                request.deliver(Overdue())
-            case (Reject() | Fail() | Overdue() | GivenUp()) as end:
-                await _finish(request, end)
+            case DeadlinePassed() if not batch_flushed:
+                # If the process was blocked past the deadline, events that are already posted are decided
+                # first, so that proof that the task did not run still counts.
+                batch_flushed = True
+                await request.driver.flush()
+                request.deliver(DeadlinePassed())
+            case (Reject() | Fail() | DeadlinePassed() | GivenUp()) as conclusion:
+                await _finish(request, conclusion)
                 return None
 
 
-async def _finish(request: RequestState, end: Reject | Fail | Overdue | GivenUp) -> None:
-    """Give the final answer, where one is owed, and take back what is under way without it."""
-    if isinstance(end, Overdue):
-        # Guards against a policy that never decides: the owner is owed an answer in time.
-        request.core.log(f"request {request.id}: no decision by the deadline")
+async def _finish(request: RequestState, conclusion: Reject | Fail | DeadlinePassed | GivenUp) -> None:
+    """Give the final answer, unless the owner gave up, and withdraw offers that the policy still made."""
+    if isinstance(conclusion, DeadlinePassed):
+        # The owner must get an answer in time even if the policy never decides.
+        request.core.log(f"request {request.id}: the policy made no decision by the deadline")
     request.answered = True
-    if isinstance(end, Reject):
-        request.owner.refused(end.retry_after_us)
-    elif not isinstance(end, GivenUp):
+    if isinstance(conclusion, Reject):
+        request.owner.refused(conclusion.retry_after_us)
+    elif not isinstance(conclusion, GivenUp):
         request.owner.failed()
-    if isinstance(end, Overdue | GivenUp):
+    if isinstance(conclusion, DeadlinePassed | GivenUp):
         await _withdraw(request)
 
 
 async def _withdraw(request: RequestState) -> None:
-    """The request is over without the policy's decision.
+    """End a request that the policy has not answered.
 
-    Guards against an offer decided in the batch that also told of the end: unless it gets its end too, the
-    policy counts it as out for ever.
+    The batch that reports the end to the policy may also produce an offer. That offer must get an outcome, or
+    the policy would count it as open for ever.
     """
-    await request.driver.settled(RequestAbandoned(request.id))
+    await request.driver.flush(RequestAbandoned(request.id))
     for message in request.pending():
         if isinstance(message, Offer):
             Attempt(request, message.machine).end(Outcome.NOT_SENT, closed=True)
--- a/weldhatch/core/policy_driver.py
+++ b/weldhatch/core/policy_driver.py
@@ -1,4 +1,4 @@
-"""The one driver of the policy: batches of events in, actions routed back. No decisions."""
+"""Driver of the policy: passes batches of events in and routes the actions. No decisions."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 def unix_us() -> int:
-    """The time of the Unix clock in microseconds."""
+    """Return the Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
 class Driver:
-    """Feeds the policy. Events posted while a batch is decided go into the next one: no re-entry.
+    """Runs the policy. Events posted while a batch is handled go into the next batch: no re-entry.
 
-    `site` and `directory` are set once they are there, before the first event.
+    `site` and `directory` are set after creation, before the first event.
     """
 
     site: Site
@@ -31,21 +31,23 @@
         """Drive this policy from the running event loop."""
         self._policy = policy
         self._log = log
-        self._inbox: list[Event] = []
-        self._waiting: list[asyncio.Future[None]] = []
+        self._posted: list[Event] = []
+        self._flush_waiters: list[asyncio.Future[None]] = []
         self._loop = asyncio.get_running_loop()
-        self._receivers: dict[int, Callable[[Action], None]] = {}  # of the actions for each request
+        self._receivers: dict[
+            int, Callable[[Action], None]
+        ] = {}  # request id to the callback for its actions
         self._last_request = 0
-        self.watchers: list[Callable[[Event], None]] = []  # each gets every event that the policy gets
+        self.watchers: list[Callable[[Event], None]] = []  # called with every posted event
 
     def register(self, receive_action: Callable[[Action], None]) -> int:
-        """A number for a new request, whose actions go to the callback until it is forgotten."""
+        """Return the id of a new request; its actions go to the callback until `forget` is called."""
         self._last_request += 1
         self._receivers[self._last_request] = receive_action
         return self._last_request
 
     def reconfigure(self, settings: Settings) -> None:
-        """Other settings are in force from the next batch on."""
+        """Apply new settings from the next batch on."""
         self._policy.reconfigure(settings)
 
     def forget(self, request: int) -> None:
@@ -53,32 +55,32 @@
         self._receivers.pop(request, None)
 
     def post(self, *events: Event) -> None:
-        """Have the events decided in the next batch, and show them to the watchers now."""
+        """Queue the events for the next batch, and pass them to the watchers immediately."""
         self.post_unwatched(*events)
         for watch in self.watchers:
             for event in events:
                 watch(event)
 
     def post_unwatched(self, *events: Event) -> None:
-        """As `post`, for what the watchers have worked out themselves."""
-        if not self._inbox:
+        """Queue events that come from a watcher itself, without passing them to the watchers."""
+        if not self._posted:
             self._loop.call_soon(self._run_batch)
-        self._inbox += events
+        self._posted += events
 
-    def settled(self, *events: Event) -> asyncio.Future[None]:
-        """Post the events; done once all posted so far is decided and its actions have been routed."""
+    def flush(self, *events: Event) -> asyncio.Future[None]:
+        """Post the events; return a future that is done once all posted events are handled and routed."""
         self.post(*events)
         done: asyncio.Future[None] = self._loop.create_future()
-        self._waiting.append(done)
+        self._flush_waiters.append(done)
         return done
 
     def _run_batch(self) -> None:
-        events = self._inbox
-        waiting = self._waiting
-        self._inbox = []
-        self._waiting = []
+        events = self._posted
+        flush_waiters = self._flush_waiters
+        self._posted = []
+        self._flush_waiters = []
         self._decide(events)
-        for done in waiting:
+        for done in flush_waiters:
             if not done.done():
                 done.set_result(None)
 
@@ -86,8 +88,8 @@
         try:
             actions = self._policy.handle(unix_us(), events)
         except Exception:
-            # One bad batch must not take the standing tasks of everyone down with the process. The
-            # requests in it still get their final answer: from the policy's timers, or at the deadline.
+            # A batch that fails must not end the process and with it all running tasks. Requests of the
+            # batch still get their final answer from the policy's timers or at the deadline.
             self._log("the policy failed on a batch: " + traceback.format_exc().replace("\n", " | "))
             return
         for action in actions:
@@ -95,14 +97,14 @@
 
     def _route(self, action: Action) -> None:
         match action:
-            case SetTimer(after, timer):
-                self._loop.call_later(after / 1e6, self.post, TimerFired(timer))
+            case SetTimer(after_us, timer):
+                self._loop.call_later(after_us / 1e6, self.post, TimerFired(timer))
             case Probe(machine):
                 self._probe(machine)
             case Subscribe(on):
                 self.directory.subscribe(on)
             case FetchList():
-                self.directory.subscribe(True)  # a subscription has told all there is to tell
+                self.directory.subscribe(True)  # a new subscription starts with the full list
             case Log(text):
                 self._log(text)
             case _:
--- a/weldhatch/core/ports.py
+++ b/weldhatch/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core needs of the world round it. The messages that pass between them are in `messages`."""
+"""Interfaces between the core and its environment. The messages between them are in `messages`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Task:
-    """What is asked. `label` names it to the machine; `passed_on` is the front's own, unread here."""
+    """A task to run. `label` names it to the machine; `passed_on` belongs to the front and is opaque here."""
 
     label: object
     class_index: int
@@ -26,89 +26,92 @@
     tenant: int = 0
     again: bool = False
     passed_on: object = None
-    only: Container[int] | None = None  # the machines that it may go to; None for all
+    only: Container[int] | None = None  # machines that may take it; None for all
 
 
 class Receiver(Protocol):
-    """A request's coroutine, as the parties outside the core see it."""
+    """The message interface of a request's coroutine."""
 
     def deliver(self, message: object) -> None:
-        """Add a message to those that the request receives in turn."""
+        """Append a message to the queue of the request."""
 
 
 class Owner(Protocol):
-    """Who asked: a client, a submitter or another site.
+    """The owner of a request: a client, a submitter or another site.
 
-    Exactly one of placed, refused and failed is called, and only once.
+    Exactly one of `placed`, `refused` and `failed` is called, and only once.
     """
 
     def placed(self, description: str | None) -> None:
-        """Final answer: the task stands; the description is the machine's own."""
+        """Final answer: the task is running; the description comes from the machine."""
 
     def refused(self, wait_us: int) -> None:
-        """Final answer: not placed, a retry is harmless, after this time at the earliest."""
+        """Final answer: not placed; a retry is safe and should come after `wait_us` at the earliest."""
 
     def failed(self) -> None:
-        """Final answer: not placed, with no promise about its effect."""
+        """Final answer: not placed, and the task may have run."""
 
     def released(self, cause: int) -> None:
-        """A task that stood is over; not called where the owner ended it."""
+        """The running task has ended; not called if the owner ended it."""
 
     def moved(self) -> None:
-        """The task that stood is to be placed anew: the owner should ask again."""
+        """The running task is being migrated; the owner should request it again."""
 
 
 class Site(Protocol):
-    """The machines. Every offer gets one `Ended`, unless it is given up first and does not stay out."""
+    """Connections to the machines.
+
+    Every offer gets one `Ended`, except one that was given up before and is not `STILL_OUT`.
+    """
 
     def offer(
         self, machine: int, task: Task, attempt: int, wait_us: int, receiver: Receiver, start_by_us: int = 0
     ) -> None:
-        """An offer that waits, and has not left by `start_by_us` on the Unix clock, ends as not sent."""
+        """Send an offer. If unsent at `start_by_us` (Unix time, 0 for no limit), it ends as NOT_SENT."""
 
     def adopt(self, machine: int, task: Task, receiver: Receiver) -> None:
-        """The task runs there already; its end is told as that of attempt 0."""
+        """Follow a task that already runs on the machine; its `Ended` has attempt number 0."""
 
     def give_up(self, machine: int, task: Task) -> GiveUpResult:
-        """Take an open offer back, as far as that still goes."""
+        """Withdraw an open offer, as far as that is still possible."""
 
     def release(self, machine: int, task: Task, cause: int) -> None:
-        """Have a standing task ended; its end is still delivered."""
+        """End a running task; its `Ended` is still delivered."""
 
     def move(self, machine: int, task: Task) -> None:
-        """Have a standing task ended because it is to run elsewhere."""
+        """End a running task because it migrates to another machine."""
 
     def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
-        """Ask a machine for its load; `done` gets the outcome and the load report."""
+        """Ask a machine for its load; `done` is called with the outcome and the load report."""
 
 
 class Rules(Protocol):
-    """What a group of dispatchers has agreed on, where there is one."""
+    """Rules that a group of dispatchers has agreed on."""
 
     def away_us(self, task: Task) -> int | None:
-        """None where a request may be taken up; else how long its owner should stay away."""
+        """Return None to admit a request, else the delay in microseconds after which its owner may retry."""
 
     def stops(self, class_index: int, machine: int, attempt: int = -1) -> str:
-        """Why a start may not leave for that machine at this moment; '' where it may.
+        """Return why a task may not be started on the machine now, or '' if it may.
 
-        `attempt`: the number of an attempt that goes out now if it may, and spends what it needs; -1 for one
-        that was asked for before.
+        `attempt` is the number of an attempt that is sent now if allowed, and that uses up start quota; -1
+        for a start that was already counted.
         """
 
 
 class Directory(Protocol):
-    """Where the list of machines comes from."""
+    """Source of the endpoint list."""
 
     def subscribe(self, on: bool) -> None:
-        """Start the subscription to lists, or end it."""
+        """Start or end the subscription to endpoint lists."""
 
 
 class Decider(Protocol):
-    """The decision module."""
+    """The interface of the scheduling policy."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of one instant; return the actions to carry out, in order."""
+        """Handle the events of one instant; return the actions to carry out, in order."""
         ...
 
     def reconfigure(self, settings: Settings) -> None:
-        """Decide by these settings from now on."""
+        """Apply new settings."""
--- a/weldhatch/core/request_lifecycle.py
+++ b/weldhatch/core/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its release, in one coroutine: place it, then follow its task."""
+"""The lifecycle of a request in one coroutine: place the request, then follow its task to the end."""
 
 from __future__ import annotations
 
@@ -8,37 +8,39 @@
 from weldhatch.core.placement import place
 from weldhatch.core.ports import Owner, Task
 from weldhatch.core.request_state import CoreState, RequestState
-from weldhatch.core.standing_task import StandingTask, adopt
+from weldhatch.core.running_task import RunningTask, adopt
 from weldhatch.scheduling.events import RequestAbandoned
 
 
-def _all_read() -> bool:
+def _nothing_unread() -> bool:
     return False
 
 
 class Core(CoreState):
-    """All requests under way. A front hands in what is asked, and keeps the lifecycle to send messages to."""
+    """All open requests. A front submits tasks and sends further messages to the returned lifecycle."""
 
-    def arrive(self, task: Task, owner: Owner, behind: Callable[[], bool] = _all_read) -> RequestLifecycle:
-        """Take a new request up.
+    def arrive(
+        self, task: Task, owner: Owner, has_unread: Callable[[], bool] = _nothing_unread
+    ) -> RequestLifecycle:
+        """Start the lifecycle of a new request.
 
-        `behind`: whether the owner has said something, or has left, and nobody has read that yet.
+        `has_unread` returns whether the owner has sent data or has disconnected, and that is still unread.
         """
-        return RequestLifecycle(self, task, owner, None, behind=behind)
+        return RequestLifecycle(self, task, owner, None, has_unread=has_unread)
 
     def adopt(self, task: Task, machine: int, owner: Owner, answered: bool = True) -> RequestLifecycle:
-        """Take a task into this dispatcher's care that runs on a machine already, or may.
+        """Start the lifecycle of a task that already runs, or may run, on a machine.
 
-        Not `answered`: its owner still waits for the one answer, which the machine's message brings, or the
-        deadline does.
+        If not `answered`, the owner still waits for the final answer, which follows from a message of the
+        machine or from the deadline.
         """
         return RequestLifecycle(self, task, owner, machine, answered)
 
 
 class RequestLifecycle(RequestState):
-    """Exactly one final answer, one end an attempt, and never two attempts out.
+    """Guarantees one final answer, one outcome for each attempt, and at most one open attempt.
 
-    All three hold by the shape of the phases that `_run` goes through: only they answer, offer and end.
+    These hold because only the sequential phases of `_run` answer, offer and end.
     """
 
     def __init__(
@@ -48,19 +50,19 @@
         owner: Owner,
         machine: int | None,
         answered: bool = True,
-        behind: Callable[[], bool] = _all_read,
+        has_unread: Callable[[], bool] = _nothing_unread,
     ) -> None:
-        """Start the coroutine; `machine` holds the task already, None for a request to be placed."""
-        super().__init__(core, task, owner, machine is not None and answered, behind)
+        """Start the coroutine; `machine` already runs the task, or is None for a request to be placed."""
+        super().__init__(core, task, owner, machine is not None and answered, has_unread)
         self._running = self._loop.create_task(self._run(machine))
 
     async def _run(self, machine: int | None) -> None:
         try:
             attempt = await place(self) if machine is None else adopt(self, machine)
             if attempt is not None:
-                await StandingTask(self, attempt).run()
+                await RunningTask(self, attempt).run()
         except Exception:
-            # Guards the owner against a fault of ours: its request still gets its one final answer.
+            # After an internal error the owner must still get its final answer.
             self.core.log(f"request {self.id}: " + traceback.format_exc().replace("\n", " | "))
             if not self.answered:
                 self.owner.failed()
--- a/weldhatch/core/request_state.py
+++ b/weldhatch/core/request_state.py
@@ -1,4 +1,4 @@
-"""What the phases of one request share: its mailbox, its owner, and the count of its attempts."""
+"""State shared by the phases of a request: mailbox, owner and number of attempts."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Owner, Rules, Site, Task
 
-LOOP_PASSES_TO_READ = 4  # passes of the event loop in which what an owner has sent is read and delivered
+LOOP_PASSES_TO_READ = 4  # event loop passes until data sent by an owner has been read and delivered
 
 
 class CoreState:
-    """What all requests of one dispatcher share."""
+    """State shared by all requests of one dispatcher."""
 
     def __init__(self, driver: Driver, site: Site, log: Callable[[str], None]) -> None:
-        """Decide by this driver's policy, and send to these machines."""
+        """Use the policy of `driver`, and send offers to the machines of `site`."""
         self.driver = driver
         self.site = site
         self.log = log
-        self.rules: Rules | None = None  # where dispatchers agree on them
-        self.unanswered = 0  # requests whose final answer is owed
+        self.rules: Rules | None = None  # set if the dispatcher belongs to a group
+        self.unanswered = 0  # requests without a final answer
         self.requests: set[RequestState] = set()
 
 
 class RequestState(Mailbox):
-    """A request while it is under way; the modules of the phases act on it."""
+    """State of an open request, used by the modules of the phases."""
 
     def __init__(
-        self, core: CoreState, task: Task, owner: Owner, answered: bool, unread: Callable[[], bool]
+        self, core: CoreState, task: Task, owner: Owner, answered: bool, has_unread: Callable[[], bool]
     ) -> None:
         """Register with the driver, which delivers the policy's actions here.
 
-        `answered`: no final answer is owed. `unread` tells whether the owner has sent something, or has
-        left, and nobody has read that yet.
+        `answered` means that the final answer was already given. `has_unread` returns whether the owner has
+        sent data or has disconnected, and that is still unread.
         """
         super().__init__()
         self.core = core
@@ -45,40 +45,40 @@
         self.owner = owner
         self.answered = answered
         self.attempts = 0
-        self._unread = unread
+        self._has_unread = has_unread
         self.id = self.driver.register(self.deliver)
         core.requests.add(self)
         core.unanswered += not answered
 
     @property
     def over(self) -> bool:
-        """Whether nothing is left to be received by it."""
+        """Whether the request has ended and receives no more messages."""
         return self not in self.core.requests
 
-    def put_back(self, message: object) -> None:
-        """Have a message received again, after all that wait."""
+    def requeue(self, message: object) -> None:
+        """Append a received message again, after all queued messages."""
         self._messages.append(message)
 
     def pending(self) -> tuple[object, ...]:
-        """The messages that wait to be received, the oldest first."""
+        """Return the queued messages, oldest first."""
         return tuple(self._messages)
 
     def is_given_up(self) -> bool:
-        """Whether the message that the owner waits no more is to be received."""
+        """Whether a `GivenUp` of the owner is queued."""
         return any(isinstance(message, GivenUp) for message in self._messages)
 
-    async def is_given_up_by_now(self) -> bool:
-        """Whether the owner waits no more, once all that it has sent so far is read.
+    async def is_given_up_after_reading(self) -> bool:
+        """Whether the owner has given up, after reading what it has sent so far.
 
-        Guards against a start for an owner that has left while the loop was busy: its close is read only
-        passes after what was decided before.
+        Guards against a start for an owner that disconnected while the event loop was busy: its disconnect is
+        read some loop passes after earlier decisions are carried out.
         """
         for _ in range(LOOP_PASSES_TO_READ):
-            if not self._unread():
+            if not self._has_unread():
                 break
             await asyncio.sleep(0)
         return self.is_given_up()
 
     def deliver_after(self, wait_us: float, message: object) -> asyncio.TimerHandle:
-        """Deliver a message to the request itself after a wait."""
+        """Deliver a message to this request after a delay."""
         return self._loop.call_later(wait_us / 1e6, self.deliver, message)
