--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -15,7 +15,7 @@
 from test_clients import SET_UP, line
 
 from weldhatch import gateway as gateway_module
-from weldhatch.core.messages import TimeUp
+from weldhatch.core.messages import AttemptTimedOut
 from weldhatch.net import connection
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.platform import client_connection
@@ -106,7 +106,7 @@
         await self.crossed(Cancel(1, 0))
 
     async def test_an_attempt_whose_time_is_up_as_its_answer_comes_is_not_made_twice(self):
-        await self.crossed(TimeUp(0))
+        await self.crossed(AttemptTimedOut(0))
 
     async def test_an_answer_and_its_release_in_one_read_are_told_in_order(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
--- a/weldhatch/cluster/admission.py
+++ b/weldhatch/cluster/admission.py
@@ -46,7 +46,7 @@
             self._clock(), classes[class_index], machine, self._list_revision()
         )
 
-    def away_us(self, task: Task) -> int | None:
+    def retry_after_us(self, task: Task) -> int | None:
         """Return None where a request may be taken up; else how long its owner should stay away."""
         wait = DEFAULT_WAIT_US
         if not self._refusal_reason(task.class_index, ""):
@@ -67,7 +67,7 @@
             return rules.restricted.settings.max_retry_after_us
         return DEFAULT_WAIT_US
 
-    def stops(self, class_index: int, machine: int, attempt: int = -1) -> str:
+    def start_refusal(self, class_index: int, machine: int, attempt: int = -1) -> str:
         """Return why a start may not leave for that machine at this moment; '' where it may.
 
         `attempt`: the number of an attempt that goes out now if it may; -1 for one that was asked for before.
--- a/weldhatch/core/attempt.py
+++ b/weldhatch/core/attempt.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from weldhatch.core.messages import Answered, Ended, GivenUp, GiveUpResult, Noted, TimeUp
+from weldhatch.core.messages import Answered, AttemptTimedOut, Ended, GivenUp, GiveUpResult, Noted
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_state import RequestState
 from weldhatch.scheduling.actions import Cancel, Offer
@@ -40,11 +40,11 @@
         wait_us = max(0, task.deadline_us - self.sent_at)
         if offer.give_up_us:
             wait_us = min(wait_us, offer.give_up_us)
-        if (rules := request.core.rules) and rules.stops(task.class_index, self.machine, self.number):
+        if (rules := request.core.rules) and rules.start_refusal(task.class_index, self.machine, self.number):
             # The rules may have changed between the decision and the send.
             self.end(Outcome.NOT_SENT)
             return AttemptResult.NEXT
-        timer = request.deliver_after(wait_us, TimeUp(self.number))
+        timer = request.deliver_after(wait_us, AttemptTimedOut(self.number))
         request.site.offer(self.machine, task, self.number, wait_us, request, offer.start_by_us)
         try:
             result = None
@@ -64,9 +64,9 @@
             case Ended(attempt, outcome, reason, report) if attempt == number:
                 self.end(outcome, reason, report)
                 return AttemptResult.NEXT
-            case TimeUp() | Cancel() if self._is_answer_pending():
+            case AttemptTimedOut() | Cancel() if self._is_answer_pending():
                 pass  # its answer or outcome is already queued and takes precedence
-            case TimeUp(attempt) if attempt == number:
+            case AttemptTimedOut(attempt) if attempt == number:
                 return AttemptResult.NEXT if self._give_up(Outcome.TIMEOUT) else None
             case Cancel(_, attempt) if attempt == number:
                 return AttemptResult.NEXT if self._give_up(Outcome.CANCELLED) else None
@@ -109,7 +109,7 @@
         """
         task = self._request.task
         result = self._request.site.give_up(self.machine, task)
-        if result is GiveUpResult.STILL_OUT and not closed and unix_us() < task.deadline_us:
+        if result is GiveUpResult.STILL_OPEN and not closed and unix_us() < task.deadline_us:
             return False
         if result is GiveUpResult.WITHDRAWN:
             outcome = Outcome.CONNECT_FAILED
--- a/weldhatch/core/messages.py
+++ b/weldhatch/core/messages.py
@@ -8,9 +8,9 @@
 from weldhatch.scheduling.types import Outcome
 
 # Causes of the end of a task, as numbers in the platform's protocol.
-GIVEN_UP = 16  # the request was given up, or the task finished
-CALLED_OFF = 31  # the owner ended the task, or the dispatcher migrated it
-CUT = 41  # the task was interrupted, or lost with its machine
+CAUSE_FINISHED = 16  # the task finished, or the request was given up
+CAUSE_CANCELLED = 31  # the owner ended the task, or the dispatcher migrated it
+CAUSE_LOST = 41  # the task was interrupted, or lost with its machine
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,7 +29,7 @@
     outcome: Outcome
     reason: int = 0
     report: tuple[float, ...] = ()
-    cause: int = CUT
+    cause: int = CAUSE_LOST
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TimeUp:
+class AttemptTimedOut:
     """The time-out of an attempt has passed."""
 
     attempt: int
@@ -70,4 +70,4 @@
 
     WITHDRAWN = "not sent: the task did not run"
     GIVEN_UP = "ended: the task may have run"
-    STILL_OUT = "still open until its outcome is reported"
+    STILL_OPEN = "still open until its outcome is reported"
--- a/weldhatch/core/placement.py
+++ b/weldhatch/core/placement.py
@@ -23,10 +23,10 @@
         request.answered = True  # given up before it was decided: the policy is not asked
         core.unanswered -= 1
         return None
-    if core.rules and (away_us := core.rules.away_us(task)) is not None:
+    if core.rules and (retry_after_us := core.rules.retry_after_us(task)) is not None:
         request.answered = True  # not admitted by the rules of the group: the policy is not asked
         core.unanswered -= 1
-        request.owner.refused(away_us)
+        request.owner.refused(retry_after_us)
         return None
     _post_arrival(request)
     remaining_us = max(0, task.deadline_us - unix_us()) + DECISION_GRACE_US
--- a/weldhatch/core/policy_driver.py
+++ b/weldhatch/core/policy_driver.py
@@ -7,7 +7,7 @@
 import traceback
 from collections.abc import Callable
 
-from weldhatch.core.ports import Decider, Directory, Site
+from weldhatch.core.ports import Directory, SchedulingPolicy, Site
 from weldhatch.scheduling.actions import Action, FetchList, Log, Probe, SetTimer, Subscribe
 from weldhatch.scheduling.events import Event, ProbeAnswered, TimerFired
 from weldhatch.scheduling.types import Outcome, Settings
@@ -27,7 +27,7 @@
     site: Site
     directory: Directory
 
-    def __init__(self, policy: Decider, log: Callable[[str], None]) -> None:
+    def __init__(self, policy: SchedulingPolicy, log: Callable[[str], None]) -> None:
         """Drive this policy from the running event loop."""
         self._policy = policy
         self._log = log
--- a/weldhatch/core/ports.py
+++ b/weldhatch/core/ports.py
@@ -61,7 +61,7 @@
 class Site(Protocol):
     """Connections to the machines.
 
-    Every offer gets one `Ended`, except one that was given up before and is not `STILL_OUT`.
+    Every offer gets one `Ended`, except one that was given up before and is not `STILL_OPEN`.
     """
 
     def offer(
@@ -88,10 +88,10 @@
 class Rules(Protocol):
     """Rules that a group of dispatchers has agreed on."""
 
-    def away_us(self, task: Task) -> int | None:
+    def retry_after_us(self, task: Task) -> int | None:
         """Return None to admit a request, else the delay in microseconds after which its owner may retry."""
 
-    def stops(self, class_index: int, machine: int, attempt: int = -1) -> str:
+    def start_refusal(self, class_index: int, machine: int, attempt: int = -1) -> str:
         """Return why a task may not be started on the machine now, or '' if it may.
 
         `attempt` is the number of an attempt that is sent now if allowed, and that uses up start quota; -1
@@ -106,7 +106,7 @@
         """Start or end the subscription to endpoint lists."""
 
 
-class Decider(Protocol):
+class SchedulingPolicy(Protocol):
     """The interface of the scheduling policy."""
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
--- a/weldhatch/core/running_task.py
+++ b/weldhatch/core/running_task.py
@@ -6,8 +6,8 @@
 
 from weldhatch.core.attempt import Attempt
 from weldhatch.core.messages import (
-    CALLED_OFF,
-    GIVEN_UP,
+    CAUSE_CANCELLED,
+    CAUSE_FINISHED,
     Answered,
     DeadlinePassed,
     Ended,
@@ -74,12 +74,12 @@
                 # The task may run although its owner was answered: it is cancelled, and its end awaited.
                 self._mark_answered()
                 self._request.owner.failed()
-                self._release(CALLED_OFF)
+                self._release(CAUSE_CANCELLED)
             case Noted(attempt, topic, value) if attempt == number:
                 self._attempt.note(topic, value)
             case GivenUp() if not self._owner_informed:
                 # The owner gave up while the answer was on its way, and nothing else would end the task.
-                self._release(GIVEN_UP)
+                self._release(CAUSE_FINISHED)
             case Released(cause) if not self._owner_informed:
                 self._release(cause)
             case Migrate() if not self._owner_informed:
@@ -108,8 +108,8 @@
                 owner.refused(0)
             else:
                 owner.failed()
-        elif not self._owner_informed and ended.cause != CALLED_OFF:
-            owner.released(ended.cause or GIVEN_UP)
+        elif not self._owner_informed and ended.cause != CAUSE_CANCELLED:
+            owner.released(ended.cause or CAUSE_FINISHED)
 
     def _mark_answered(self) -> None:
         """Record the final answer of a request that was adopted without one."""
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -9,7 +9,7 @@
 from tornado.iostream import IOStream
 
 from weldhatch.core import ports
-from weldhatch.core.messages import GIVEN_UP
+from weldhatch.core.messages import CAUSE_FINISHED
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.connection import Connection, MalformedMessageError
@@ -108,7 +108,7 @@
         if request is None:
             return
         if request.is_running:
-            request.end_task(message.cause if message.cause is not None else GIVEN_UP)
+            request.end_task(message.cause if message.cause is not None else CAUSE_FINISHED)
             return
         request.abandon()
         now = time.monotonic()
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from weldhatch.core import ports
-from weldhatch.core.messages import GIVEN_UP
+from weldhatch.core.messages import CAUSE_FINISHED
 from weldhatch.core.request_state import LOOP_PASSES_TO_READ
 from weldhatch.net.connection import Connection
 from weldhatch.net.descriptor_budget import NoDescriptorError
@@ -95,7 +95,7 @@
         self.records.mark_given_up(tag, receiver)
         self.send(
             (tag, "up"),
-            server_codec.encode(server_codec.RELEASE, tag, {server_codec.CAUSE: bytes((GIVEN_UP,))}),
+            server_codec.encode(server_codec.RELEASE, tag, {server_codec.CAUSE: bytes((CAUSE_FINISHED,))}),
         )
 
     def send_end_request(self, data: bytes) -> None:
--- a/weldhatch/platform/server_records.py
+++ b/weldhatch/platform/server_records.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from weldhatch.core import ports
-from weldhatch.core.messages import CUT, Ended
+from weldhatch.core.messages import CAUSE_LOST, Ended
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.scheduling.types import Outcome
 
@@ -121,4 +121,4 @@
         """End these running tasks as lost."""
         for tag in tags:
             record = self.running.pop(tag)
-            record.receiver.deliver(Ended(record.attempt, Outcome.RESET, cause=CUT))
+            record.receiver.deliver(Ended(record.attempt, Outcome.RESET, cause=CAUSE_LOST))
--- a/weldhatch/pullqueue/bot_leases.py
+++ b/weldhatch/pullqueue/bot_leases.py
@@ -10,7 +10,7 @@
 
 from weldhatch.config import PullQueueTiming
 from weldhatch.core import ports
-from weldhatch.core.messages import CALLED_OFF, CUT, GIVEN_UP, Answered, Ended, GiveUpResult
+from weldhatch.core.messages import CAUSE_CANCELLED, CAUSE_FINISHED, CAUSE_LOST, Answered, Ended, GiveUpResult
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.bot_registry import BotRegistry, NameSource
 from weldhatch.pullqueue.deadlines import Deadlines
@@ -60,7 +60,7 @@
         lease.expires = self._now() + self.timing.lease
         self._deadlines.set(("lease", lease.id), lease.expires + self.timing.grace)
 
-    def end_lease(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CUT) -> None:
+    def end_lease(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CAUSE_LOST) -> None:
         """End an attempt: the one place where that is done."""
         lease.phase = LeasePhase.ENDED
         self._registry.by_machine[lease.machine].remove(lease)
@@ -116,13 +116,13 @@
         payload_of(lease.task).on_result(entry.result, entry.message)
         ran_well = entry.state == "COMPLETED" and entry.code == RAN_WELL
         if lease.phase is LeasePhase.CANCELLED:
-            self.end_lease(lease, Outcome.CANCELLED, cause=CALLED_OFF)
+            self.end_lease(lease, Outcome.CANCELLED, cause=CAUSE_CANCELLED)
         elif lease.phase is LeasePhase.ACTIVE:
             outcome = Outcome.OK if ran_well else Outcome.RESET
-            self.end_lease(lease, outcome, cause=GIVEN_UP if ran_well else CUT)
+            self.end_lease(lease, outcome, cause=CAUSE_FINISHED if ran_well else CAUSE_LOST)
         elif ran_well:  # a short task: begun and ended in one report
             lease.receiver.deliver(Answered(lease.attempt, self._registry.by_machine[lease.machine].id))
-            self.end_lease(lease, Outcome.OK, cause=GIVEN_UP)
+            self.end_lease(lease, Outcome.OK, cause=CAUSE_FINISHED)
         elif entry.state == "COMPLETED" and entry.code in DECLINED:
             self.end_lease(lease, Outcome.FULL, DECLINED[entry.code])
         else:
@@ -212,7 +212,7 @@
             self._deadlines.drop(("lease", lease.id))
             return GiveUpResult.WITHDRAWN
         self._cancel(lease)
-        return GiveUpResult.STILL_OUT
+        return GiveUpResult.STILL_OPEN
 
     def release(self, machine: int, task: ports.Task, cause: int) -> None:
         """Have a standing task ended; its end is still delivered."""
@@ -221,7 +221,7 @@
 
     def move(self, machine: int, task: ports.Task) -> None:
         """Have a standing task ended because it is to run elsewhere."""
-        self.release(machine, task, CALLED_OFF)
+        self.release(machine, task, CAUSE_CANCELLED)
 
     def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
         """Answer from the machine's last update; one that owes an update is silent."""
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -11,7 +11,7 @@
 
 from weldhatch.config import ConfigError, PullQueueConfig
 from weldhatch.core.policy_driver import Driver
-from weldhatch.core.ports import Decider, Rules
+from weldhatch.core.ports import Rules, SchedulingPolicy
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.connection import Connection
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
@@ -46,7 +46,7 @@
 class PullQueue:
     """Listens, routes, and ends in an orderly way. Owns its connections."""
 
-    def __init__(self, told: PullQueueConfig, policy: Decider, log: Callable[[str], None]) -> None:
+    def __init__(self, told: PullQueueConfig, policy: SchedulingPolicy, log: Callable[[str], None]) -> None:
         self._log, self._told, settings = log, told, told.settings
         self.settings = settings  # those that are in force
         self.endpoint_list = None  # machines make themselves known here
--- a/weldhatch/pullqueue/lease_dispatch.py
+++ b/weldhatch/pullqueue/lease_dispatch.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from weldhatch.core import ports
-from weldhatch.core.messages import CALLED_OFF, CUT
+from weldhatch.core.messages import CAUSE_CANCELLED, CAUSE_LOST
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.deadlines import Deadlines
 from weldhatch.pullqueue.errors import HttpError
@@ -31,7 +31,7 @@
     def extend_lease(self, lease: Lease) -> None:
         """Let a lease run for a lease's time from now."""
 
-    def end_lease(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CUT) -> None:
+    def end_lease(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CAUSE_LOST) -> None:
         """End an attempt."""
 
     def pickup_s(self) -> float:
@@ -138,7 +138,7 @@
             if (
                 self.rules is None
                 or lease.phase not in (LeasePhase.OFFERED, LeasePhase.PENDING)
-                or not (reason := self.rules.stops(lease.task.class_index, lease.machine))
+                or not (reason := self.rules.start_refusal(lease.task.class_index, lease.machine))
             ):
                 permitted.append(lease)
                 continue
@@ -160,7 +160,7 @@
             self._ledger.undo_handout(lease, lease.id in batch.newly_spent)
             self._storage.append_with_retry(durable_state.encode("back", lease.id))
             if lease.phase is LeasePhase.CANCELLED:
-                self._owner.end_lease(lease, Outcome.NOT_SENT, cause=CALLED_OFF)
+                self._owner.end_lease(lease, Outcome.NOT_SENT, cause=CAUSE_CANCELLED)
                 continue
             lease.phase = LeasePhase.OFFERED
             lease.expires = self._now() + self._owner.pickup_s()
--- a/weldhatch/pullqueue/submission.py
+++ b/weldhatch/pullqueue/submission.py
@@ -6,7 +6,7 @@
 import math
 from typing import Protocol
 
-from weldhatch.core.messages import GIVEN_UP
+from weldhatch.core.messages import CAUSE_FINISHED
 from weldhatch.core.request_lifecycle import RequestLifecycle
 from weldhatch.pullqueue import durable_state
 from weldhatch.pullqueue.admission import Ticket
@@ -57,7 +57,7 @@
 
     def released(self, cause: int) -> None:
         self.cause = cause
-        self._end("DONE" if cause == GIVEN_UP else "LOST")
+        self._end("DONE" if cause == CAUSE_FINISHED else "LOST")
 
     def moved(self) -> None:
         self._end("MOVED")
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from weldhatch.core import ports
-from weldhatch.core.messages import CUT, GIVEN_UP, GivenUp, Released
+from weldhatch.core.messages import CAUSE_FINISHED, CAUSE_LOST, GivenUp, Released
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.loop_lag import LoopLag
@@ -303,7 +303,7 @@
     def cancel(self, submission: Submission) -> None:
         """End it wherever it stands: waiting, under way, or placed."""
         if submission.state == "PLACED":
-            submission.lifecycle.deliver(Released(GIVEN_UP))
+            submission.lifecycle.deliver(Released(CAUSE_FINISHED))
             submission.ended_by_owner()
         elif submission.state == "ASKED":
             self.give_up(submission)
@@ -410,7 +410,7 @@
             elif one.over:
                 self._ended.append(one.name)
             elif one.answer is not None:  # placed, and its end did not reach the disk
-                submission.released(CUT)
+                submission.released(CAUSE_LOST)
             else:
                 anew.append((submission, task))
         self._ledger.restore(state.spent, self._bots.leases.handed_out(), asked_keys)
--- a/weldhatch/sites/incoming.py
+++ b/weldhatch/sites/incoming.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from weldhatch.core.messages import CALLED_OFF, GIVEN_UP, GivenUp, Released
+from weldhatch.core.messages import CAUSE_CANCELLED, CAUSE_FINISHED, GivenUp, Released
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.sites import messages
 from weldhatch.sites.background import BackgroundTasks, Lifecycle
@@ -63,12 +63,12 @@
 
     def moved(self) -> None:
         """End it: a migration inside this site is no answer to another one."""
-        self._ended(CALLED_OFF)
+        self._ended(CAUSE_CANCELLED)
 
     def abandon(self) -> None:
         """Give it up: nobody waits for it. It may have run, so it ends once it can't run any more."""
         self._lifecycle.deliver(GivenUp())
-        self._tasks.spawn_settled(self._lifecycle, lambda: self._ended(GIVEN_UP))
+        self._tasks.spawn_settled(self._lifecycle, lambda: self._ended(CAUSE_FINISHED))
 
     def release(self, cause: int) -> None:
         """End it. The core tells an owner nothing of an end that the owner asked for: it is waited for."""
--- a/weldhatch/sites/local_site.py
+++ b/weldhatch/sites/local_site.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from weldhatch.core import ports
-from weldhatch.core.messages import CALLED_OFF
+from weldhatch.core.messages import CAUSE_CANCELLED
 from weldhatch.sites.handoff_source import Answer
 from weldhatch.sites.messages import TransferId, Work
 
@@ -83,4 +83,4 @@
 
     def moved(self) -> None:
         """Report that it is over by a migration."""
-        self._notify(LocalEnd(CALLED_OFF, migrated=True))
+        self._notify(LocalEnd(CAUSE_CANCELLED, migrated=True))
--- a/weldhatch/standalone_zones.py
+++ b/weldhatch/standalone_zones.py
@@ -83,7 +83,7 @@
 
     # ---- what the core asks ------------------------------------------------------------------------------
 
-    def away_us(self, task: Task) -> int | None:
+    def retry_after_us(self, task: Task) -> int | None:
         """Return the wait before a retry in microseconds; None where a request is admitted."""
         rejection = self._failover.member.rejection(
             time.monotonic(), task.class_index, task.key, task.tenant, task.cores
@@ -93,7 +93,7 @@
         longest_us = self._settings.max_retry_after_us if self._settings.retry_after else 0
         return min(int(1e6 * rejection.retry_after_s), longest_us)
 
-    def stops(self, class_index: int, machine: int, attempt: int = -1) -> str:
+    def start_refusal(self, class_index: int, machine: int, attempt: int = -1) -> str:
         """Return why a start may not leave now; '' where it may."""
         return self._failover.member.start_refusal(time.monotonic(), machine, attempt)
 
--- a/weldhatch/testbed/in_memory_machines.py
+++ b/weldhatch/testbed/in_memory_machines.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from weldhatch.core import ports
-from weldhatch.core.messages import CALLED_OFF, GIVEN_UP, Answered, Ended, GiveUpResult
+from weldhatch.core.messages import CAUSE_CANCELLED, CAUSE_FINISHED, Answered, Ended, GiveUpResult
 from weldhatch.scheduling.types import Machine, Outcome, Reason
 
 
@@ -67,7 +67,7 @@
     def end_all(self) -> None:
         """All that runs comes to its end."""
         for one in list(self._stands.values()):
-            self._end(one, Outcome.OK, GIVEN_UP)
+            self._end(one, Outcome.OK, CAUSE_FINISHED)
 
     def die(self) -> None:
         """The gateway is gone, and the machines stop what they ran for it, as leases run out."""
@@ -106,7 +106,7 @@
         self._tally.begin(one.task.key)
         one.receiver.deliver(Answered(one.attempt, f"m{one.machine}"))
         life = self.life_s * (0.5 + self._random.random())
-        one.timer = asyncio.get_running_loop().call_later(life, self._end, one, Outcome.OK, GIVEN_UP)
+        one.timer = asyncio.get_running_loop().call_later(life, self._end, one, Outcome.OK, CAUSE_FINISHED)
 
     def _end(self, one: Running, outcome: Outcome, cause: int) -> None:
         if self._stands.pop(id(one.task), None) is None:
@@ -130,7 +130,7 @@
             self._end(one, Outcome.CANCELLED, cause)
 
     def move(self, machine: int, task: ports.Task) -> None:
-        self.release(machine, task, CALLED_OFF)
+        self.release(machine, task, CAUSE_CANCELLED)
 
     def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
         done(Outcome.OK, (self.free[machine], 2 * self.free[machine]))
--- a/weldhatch/testbed/multi_site.py
+++ b/weldhatch/testbed/multi_site.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from weldhatch.core import ports
-from weldhatch.core.messages import CALLED_OFF
+from weldhatch.core.messages import CAUSE_CANCELLED
 from weldhatch.core.policy_driver import Driver, unix_us
 from weldhatch.core.request_lifecycle import Core
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
@@ -106,7 +106,7 @@
         self.over.set()
 
     def moved(self) -> None:
-        self.released(CALLED_OFF)
+        self.released(CAUSE_CANCELLED)
 
 
 @dataclass(slots=True)
