--- a/weldhatch/placement_request.py
+++ b/weldhatch/placement_request.py
@@ -1,4 +1,4 @@
-"""The form of a placement request that both fronts share: read and checked here; an error names its field."""
+"""Parsing and validation of placement requests, shared by both fronts. Errors name the invalid field."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from weldhatch.scheduling.types import Effect, Settings
 
-# A client that waits for more than so many times its class's deadline is not believed.
-DEADLINES_MOST = 10
-FIGURE_MOST = 1e9
-KEY_DIGITS_MOST = 16
+# Longer waits, in multiples of the deadline of the class, are rejected as invalid.
+MAX_WAIT_DEADLINES = 10
+MAX_NUMBER = 1e9
+MAX_KEY_DIGITS = 16
 _HEX = re.compile(r"[0-9a-fA-F]{1,32}")
 
 
 class FieldError(ValueError):
-    """A request can't be used; `field` says where and `fault` what is wrong."""
+    """A field of a request is invalid; `field` names it and `fault` describes the error."""
 
     def __init__(self, field: str, fault: str) -> None:
-        """Both become the text of the error."""
+        """Build the message from the field name and the description."""
         super().__init__(f"{field}: {fault}")
         self.field = field
         self.fault = fault
@@ -27,46 +27,46 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementRequest:
-    """What a client asks, as text for the wire and as figures for the policy.
+    """A request of a client, as text for protocols and as numbers for the policy.
 
-    The fields' names are encoded on links between sites and in stores: they stay.
+    The field names are encoded on links between sites and in stores, so they must not change.
     """
 
     class_index: int
     class_name: str
-    tenant: int  # its index in the settings
-    left_us: int  # the time that the client waits
+    tenant: int  # index into `Settings.tenants`
+    left_us: int  # time for which the client waits
     key: int
-    name: str  # the key as text
-    idem: str  # the idempotency key; '' where the class has none
+    name: str  # `key` as text
+    idem: str  # idempotency key; '' if the class has none
     cores: float
     memory: float
     service: int
-    at: str  # the machine that holds the task already; '' for a new task
-    again: bool  # a retry
+    at: str  # machine that already runs the task; '' for a new task
+    again: bool  # whether the request is a retry
 
 
 class PlacementForm:
-    """Reads requests under one deployment's classes and tenants."""
+    """Parses requests according to the classes and tenants of a deployment."""
 
     def __init__(self, settings: Settings, strict: bool = False) -> None:
-        """Strict: all machines are of the known kinds, and no request may leave out what they need."""
+        """`strict`: sizes are limited by the known kinds of machines, and required keys must be present."""
         self._settings = settings
         self._strict = strict
-        self._cores_most = FIGURE_MOST
-        self._memory_most = FIGURE_MOST
+        self._max_cores = MAX_NUMBER
+        self._max_memory = MAX_NUMBER
         if strict and settings.kinds:
-            # Servers answer figures that no machine can bear with an error.
-            self._cores_most = max(kind.cores for kind in settings.kinds) * settings.cores_booking
-            self._memory_most = max(kind.memory for kind in settings.kinds) * settings.memory_booking
+            # Servers answer sizes that exceed every machine with an error.
+            self._max_cores = max(kind.cores for kind in settings.kinds) * settings.cores_booking
+            self._max_memory = max(kind.memory for kind in settings.kinds) * settings.memory_booking
         self._classes = {cls.name: index for index, cls in enumerate(settings.classes)}
         self._tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
 
     def read(self, fields: Mapping[str, object]) -> PlacementRequest:
-        """Read a request's fields.
+        """Parse the fields of a request.
 
         Raises:
-            FieldError: names the first field that can't be used.
+            FieldError: names the first invalid field.
         """
         name = _text(fields, "class")
         if name not in self._classes:
@@ -75,14 +75,20 @@
         request_class = self._settings.classes[index]
         has_key = request_class.effect is Effect.KEYED
         extras = _extras(fields)
-        holder = extras.get("at", "")
-        left_ms = 0.0 if holder and not _text(fields, "left") else _figure("left", _text(fields, "left"))
+        holding_machine = extras.get("at", "")
+        left_ms = (
+            0.0 if holding_machine and not _text(fields, "left") else _number("left", _text(fields, "left"))
+        )
         tenant = self._tenant(fields)
-        if not holder and left_ms * 1000 > DEADLINES_MOST * request_class.deadline_us:
+        if not holding_machine and left_ms * 1000 > MAX_WAIT_DEADLINES * request_class.deadline_us:
             raise FieldError("left", f"the unusable value {left_ms:.0f}")
         key = _text(fields, "key")
         idempotency_key = _text(fields, "idem")
-        if self._strict and not holder and not (key and (not has_key or _HEX.fullmatch(idempotency_key))):
+        if (
+            self._strict
+            and not holding_machine
+            and not (key and (not has_key or _HEX.fullmatch(idempotency_key)))
+        ):
             raise FieldError("idem" if key else "key", "none, or not in hex digits")
         return PlacementRequest(
             class_index=index,
@@ -92,10 +98,10 @@
             key=_hex("key", key),
             name=key,
             idem=idempotency_key if has_key else "",
-            cores=_figure("extras.cores", extras.get("cores", ""), self._cores_most),
-            memory=_figure("extras.memory", extras.get("memory", ""), self._memory_most),
+            cores=_number("extras.cores", extras.get("cores", ""), self._max_cores),
+            memory=_number("extras.memory", extras.get("memory", ""), self._max_memory),
             service=_hex("extras.service", extras.get("service", "")),
-            at=holder,
+            at=holding_machine,
             again=bool(_text(fields, "retry").strip("0")),
         )
 
@@ -107,7 +113,7 @@
 
 
 def _extras(fields: Mapping[str, object]) -> dict[str, str]:
-    """Read the field `extras`: `name:value` pairs between semicolons."""
+    """Parse the field `extras`: `name:value` pairs separated by semicolons."""
     extras = {}
     for part in filter(None, _text(fields, "extras").split(";")):
         name, separator, value = part.partition(":")
@@ -127,17 +133,17 @@
     return text
 
 
-def _figure(field: str, text: str, most: float = FIGURE_MOST) -> float:
+def _number(field: str, text: str, maximum: float = MAX_NUMBER) -> float:
     try:
         value = float(text)
     except ValueError:
         value = -1.0
-    if not 0 <= value <= most:  # also false for what is no number at all
+    if not 0 <= value <= maximum:  # also rejects NaN
         raise FieldError(field, f"the unusable value {text!r}")
     return value
 
 
 def _hex(field: str, text: str) -> int:
-    if text and not (len(text) <= KEY_DIGITS_MOST and _HEX.fullmatch(text)):
+    if text and not (len(text) <= MAX_KEY_DIGITS and _HEX.fullmatch(text)):
         raise FieldError(field, f"the unusable value {text!r}")
     return int(text or "0", 16)
--- a/weldhatch/simulator_link/__init__.py
+++ b/weldhatch/simulator_link/__init__.py
@@ -1,1 +1,1 @@
-"""The link to the operators' simulator: its wire format and the adapter that hosts policies on it."""
+"""Link to the operators' simulator: the codec of its protocol, and the adapter that hosts policies."""
--- a/weldhatch/simulator_link/__main__.py
+++ b/weldhatch/simulator_link/__main__.py
@@ -1,4 +1,4 @@
-"""Start the adapter: `python -m weldhatch.simulator_link`."""
+"""Command-line entry point: `python -m weldhatch.simulator_link`."""
 
 from weldhatch.simulator_link.adapter import main
 
--- a/weldhatch/simulator_link/adapter.py
+++ b/weldhatch/simulator_link/adapter.py
@@ -1,6 +1,6 @@
-"""The loop on standard input and output between the simulator and the policies. No decisions.
+"""Serves the simulator on standard input and output. No decisions.
 
-Instances share nothing: each has a policy of its own and sees its own events only.
+Each instance has its own policy and receives only its own events; instances share no state.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 
 class PolicyHost:
-    """The policies of one process, by the number of their instance."""
+    """The policies of one process, by instance number."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without policies."""
         self._decoder = Decoder()
         self._policies: dict[int, Policy] = {}
 
     def reply(self, now: int, body: bytes, count: int) -> bytes:
-        """The frame that answers one batch of `count` records; raise WireError if it is malformed."""
+        """Return the reply frame to a batch of `count` records; raises WireError for a malformed batch."""
         pending: dict[int, list[Event]] = {}
         for instance, event in self._decoder.events(body, count):
             if isinstance(event, Spawn):
@@ -51,7 +51,7 @@
 
 
 def _read(stream: BinaryIO, size: int) -> bytes:
-    """Up to `size` bytes: fewer only where the input ends."""
+    """Read `size` bytes; returns fewer only at the end of the input."""
     parts = []
     while size > 0:
         part = stream.read(size)
@@ -62,41 +62,41 @@
     return b"".join(parts)
 
 
-def _answer(host: PolicyHost, now: int, body: bytes, count: int) -> tuple[bytes, int]:
-    """The frame that answers a batch, and the exit status if it ends the session."""
+def _reply_or_fault(host: PolicyHost, now: int, body: bytes, count: int) -> tuple[bytes, int]:
+    """Return the reply frame to a batch and the exit status; a status other than 0 ends the session."""
     try:
         return host.reply(now, body, count), 0
     except WireError as error:
         print(f"weldhatch: malformed batch: {error}", file=sys.stderr)
         return encode_fault(f"malformed batch: {error}"), 1
-    except Exception as error:  # the simulator shows what a policy died of
+    except Exception as error:  # the simulator displays the exception of the policy
         traceback.print_exc()
         return encode_fault(f"{type(error).__name__}: {error}"), 1
 
 
-def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer batches until the input ends; the exit status."""
+def serve(input_stream: BinaryIO, output: BinaryIO) -> int:
+    """Answer batches until the input ends; return the exit status."""
     host = PolicyHost()
     while True:
-        header = _read(source, BATCH_HEADER.size)
+        header = _read(input_stream, BATCH_HEADER.size)
         if not header:
             return 0
         if len(header) < BATCH_HEADER.size:
             print("weldhatch: the input ended inside a batch header", file=sys.stderr)
             return 1
         now, length, count = BATCH_HEADER.unpack(header)
-        body = _read(source, length)
+        body = _read(input_stream, length)
         if len(body) < length:
             print(f"weldhatch: the input ended inside a batch of {length} bytes", file=sys.stderr)
             return 1
-        frame, status = _answer(host, now, body, count)
-        sink.write(frame)
-        sink.flush()
+        frame, status = _reply_or_fault(host, now, body, count)
+        output.write(frame)
+        output.flush()
         if status:
             return status
 
 
 def main() -> None:
-    """Serve the simulator on standard input and output; exits with the status of `serve`."""
+    """Serve the simulator on standard input and output, and exit with the status of `serve`."""
     gc.freeze()
     sys.exit(serve(sys.stdin.buffer, sys.stdout.buffer))
--- a/weldhatch/simulator_link/codec.py
+++ b/weldhatch/simulator_link/codec.py
@@ -1,8 +1,8 @@
-"""The binary codec of the simulator's wire. No decisions.
+"""Codec of the simulator's binary protocol. No decisions.
 
-A batch holds records of 56 bytes, then a tail with what does not fit into them; a reply likewise, of 16
-bytes each. All numbers are big-endian. The wire's own names stay in this file, which maps them to the terms
-of `scheduling`.
+A batch consists of event records of 56 bytes and a tail for data of variable length; a reply consists of
+action records of 16 bytes and a tail. All numbers are big-endian. Names of the protocol are used only in this
+file, which maps them to the terms of `scheduling`.
 """
 
 from __future__ import annotations
@@ -40,16 +40,16 @@
 )
 from weldhatch.scheduling.types import ListForm, Machine, MachineState, Outcome, Settings
 
-BATCH_HEADER = struct.Struct(">QII")  # the time in microseconds, the length of the body, the count of records
-REPLY_HEADER = struct.Struct(">II")  # the count of records, the length of the body
+BATCH_HEADER = struct.Struct(">QII")  # time in microseconds, body length, record count
+REPLY_HEADER = struct.Struct(">II")  # record count, body length
 EVENT_SIZE = 56
 ACTION_SIZE = 16
-ENTRY_SIZE = 32  # of a list of hosts
-LAST_LIST_NUMBER = 15
-MOST_REPORT_VALUES = 4
-HOST_STATES = 3
+ENTRY_SIZE = 32  # size of one entry of a list of hosts
+MAX_LIST_NUMBER = 15
+MAX_REPORT_VALUES = 4
+HOST_STATE_COUNT = 3
 
-# Codes of event records, by the wire's names.
+# Codes of event records, under the names of the protocol.
 PEER = 10
 HEALTH = 20
 CHANGE = 30
@@ -79,9 +79,9 @@
 _ONE_NUMBER = struct.Struct(">xI")
 _ENTRY = struct.Struct(">" + _HOST + "BfHHfBfQ")
 
-# Marks of a task.
-HINT_VALID = 1
-CAME_AGAIN = 16
+# Flags in the marks of a task record.
+MARK_RUN_HINT = 1
+MARK_RETRY = 16
 
 _OFFER_ACTION = struct.Struct(">BI" + _HOST + "Ix")
 _ATTEMPT_ACTION = struct.Struct(">BIH9x")
@@ -108,17 +108,17 @@
 
 
 class WireError(Exception):
-    """What was read does not follow the wire; `record` counts the batch's records from 0."""
+    """A batch violates the protocol; `record` is the index of the record in the batch."""
 
     def __init__(self, fault: str, record: int | None = None) -> None:
-        """Name the fault, and the record where it is known."""
+        """Include the record index in the message if it is known."""
         super().__init__(fault if record is None else f"record {record}: {fault}")
         self.record = record
 
 
 @dataclass(slots=True, frozen=True)
 class Spawn:
-    """An instance starts: the seed and the settings of its policy."""
+    """An instance starts, with the seed and the settings of its policy."""
 
     seed: int
     settings: Settings
@@ -126,37 +126,37 @@
 
 @dataclass(slots=True, frozen=True)
 class Retire:
-    """An instance was killed."""
+    """An instance was terminated."""
 
 
 InstanceEvent = Event | Spawn | Retire
 
 
 class Decoder:
-    """Reads batches. Keeps the numbered lists of machines, which belong to the process."""
+    """Decodes batches. Keeps the numbered lists of machines, which all instances share."""
 
     def __init__(self) -> None:
-        """Start with no list and no instance."""
+        """Start without lists and instances."""
         self._lists: dict[int, bytes] = {}
-        self._lists_with_capacity: dict[int, bool] = {}  # by instance
+        self._lists_with_capacity: dict[int, bool] = {}  # instance to whether its lists include free capacity
 
     def events(self, body: bytes, count: int) -> Iterator[tuple[int, InstanceEvent]]:
-        """Yield (instance, event) for each record of a batch's body; raise WireError on the first fault."""
-        tail_at = count * EVENT_SIZE
-        if tail_at > len(body):
+        """Yield (instance, event) for the records of a batch; raises WireError at the first fault."""
+        tail_start = count * EVENT_SIZE
+        if tail_start > len(body):
             raise WireError(f"{count} records do not fit into {len(body)} bytes")
-        tail = memoryview(body)[tail_at:]
+        tail = memoryview(body)[tail_start:]
         instance: int | None = None
         for number in range(count):
-            at = number * EVENT_SIZE
-            code = body[at]
+            start = number * EVENT_SIZE
+            code = body[start]
             try:
                 if code == SWITCH_TO:
-                    (instance,) = _SWITCH_TO.unpack_from(body, at)
+                    (instance,) = _SWITCH_TO.unpack_from(body, start)
                 elif code == REGISTER:
-                    self._register(body, at, tail)
+                    self._register(body, start, tail)
                 else:
-                    event = self._event(code, body, at, tail, instance)
+                    event = self._event(code, body, start, tail, instance)
                     if event is not None and instance is not None:
                         yield instance, event
             except WireError as error:
@@ -164,45 +164,47 @@
             except ValueError as error:
                 raise WireError(str(error), number) from error
 
-    def _register(self, body: bytes, at: int, tail: memoryview) -> None:
-        name, offset, entries = _REGISTER.unpack_from(body, at)
-        if name > LAST_LIST_NUMBER:
-            raise WireError(f"list number {name} is over {LAST_LIST_NUMBER}")
-        self._lists[name] = _slice(tail, offset, entries * ENTRY_SIZE)
+    def _register(self, body: bytes, start: int, tail: memoryview) -> None:
+        list_number, offset, entries = _REGISTER.unpack_from(body, start)
+        if list_number > MAX_LIST_NUMBER:
+            raise WireError(f"list number {list_number} is over {MAX_LIST_NUMBER}")
+        self._lists[list_number] = _slice(tail, offset, entries * ENTRY_SIZE)
 
     def _event(
-        self, code: int, body: bytes, at: int, tail: memoryview, instance: int | None
+        self, code: int, body: bytes, start: int, tail: memoryview, instance: int | None
     ) -> InstanceEvent | None:
-        """One event of an instance; None for a record that weldhatch has no use for."""
+        """Decode the event of a record; returns None for records that weldhatch ignores."""
         reader = _READERS.get(code)
         if reader is None and code not in (CHANGED, SPAWN, RETIRE):
             raise WireError(f"unknown event code {code}")
         if instance is None:
             raise WireError(f"event code {code} before any switch_to")
         if reader is not None:
-            return reader(body, at)
+            return reader(body, start)
         if code == CHANGED:
-            return self._machines_changed(body, at, instance)
+            return self._machines_changed(body, start, instance)
         if code == SPAWN:
-            return self._spawn(body, at, tail, instance)
+            return self._spawn(body, start, tail, instance)
         return Retire()
 
-    def _spawn(self, body: bytes, at: int, tail: memoryview, instance: int) -> Spawn:
-        seed, offset, length = _SPAWN.unpack_from(body, at)
+    def _spawn(self, body: bytes, start: int, tail: memoryview, instance: int) -> Spawn:
+        seed, offset, length = _SPAWN.unpack_from(body, start)
         settings = settings_from_text(_slice(tail, offset, length))
         self._lists_with_capacity[instance] = settings.lists_free
         return Spawn(seed, settings)
 
-    def _machines_changed(self, body: bytes, at: int, instance: int) -> MachinesChanged:
-        form, name, version = _CHANGED.unpack_from(body, at)
+    def _machines_changed(self, body: bytes, start: int, instance: int) -> MachinesChanged:
+        form, list_number, version = _CHANGED.unpack_from(body, start)
         if form > ListForm.FAILED:
             raise WireError(f"unknown form {form} of a list")
         if form == ListForm.FAILED:
             return MachinesChanged(ListForm(form), (), version)
-        if name not in self._lists:
-            raise WireError(f"list number {name} was never defined")
-        with_capacity = self._lists_with_capacity.get(instance, False)
-        return MachinesChanged(ListForm(form), tuple(_entries(self._lists[name], with_capacity)), version)
+        if list_number not in self._lists:
+            raise WireError(f"list number {list_number} was never defined")
+        has_capacity = self._lists_with_capacity.get(instance, False)
+        return MachinesChanged(
+            ListForm(form), tuple(_entries(self._lists[list_number], has_capacity)), version
+        )
 
 
 def _slice(tail: memoryview, offset: int, length: int) -> bytes:
@@ -211,9 +213,9 @@
     return bytes(tail[offset : offset + length])
 
 
-def _entries(data: bytes, with_capacity: bool) -> Iterator[Machine]:
+def _entries(data: bytes, has_capacity: bool) -> Iterator[Machine]:
     for address, port, zone, cores, kind, cell, memory, state, weight, born in _ENTRY.iter_unpack(data):
-        if state >= HOST_STATES:
+        if state >= HOST_STATE_COUNT:
             raise WireError(f"unknown state {state} of a host")
         yield Machine(
             address << 16 | port,
@@ -222,8 +224,8 @@
             cell,
             MachineState(state),
             born,
-            cores if with_capacity else None,
-            memory if with_capacity else None,
+            cores if has_capacity else None,
+            memory if has_capacity else None,
             weight,
         )
 
@@ -236,13 +238,13 @@
 
 
 def _report(count: int, values: Sequence[float]) -> tuple[float, ...]:
-    if count > MOST_REPORT_VALUES:
+    if count > MAX_REPORT_VALUES:
         raise WireError(f"a load report of {count} values")
     return tuple(values[:count])
 
 
-def _read_to_place(body: bytes, at: int) -> RequestArrived:
-    request, kind, tenant, key, deadline, run, service, cores, memory, marks = _TASK.unpack_from(body, at)
+def _read_to_place(body: bytes, start: int) -> RequestArrived:
+    request, kind, tenant, key, deadline, run, service, cores, memory, marks = _TASK.unpack_from(body, start)
     return RequestArrived(
         request,
         kind,
@@ -252,14 +254,14 @@
         memory,
         key,
         tenant,
-        run if marks & HINT_VALID else None,
-        bool(marks & CAME_AGAIN),
+        run if marks & MARK_RUN_HINT else None,
+        bool(marks & MARK_RETRY),
     )
 
 
-def _read_resident(body: bytes, at: int) -> TaskAdopted:
+def _read_resident(body: bytes, start: int) -> TaskAdopted:
     (request, kind, tenant, key, _, run, service, cores, memory, marks, address, port) = (
-        _RESIDENT.unpack_from(body, at)
+        _RESIDENT.unpack_from(body, start)
     )
     return TaskAdopted(
         request,
@@ -270,23 +272,23 @@
         address << 16 | port,
         key,
         tenant,
-        run if marks & HINT_VALID else None,
+        run if marks & MARK_RUN_HINT else None,
     )
 
 
-def _read_admitted(body: bytes, at: int) -> Placed:
-    request, attempt, address, port, took = _ADMITTED.unpack_from(body, at)
+def _read_admitted(body: bytes, start: int) -> Placed:
+    request, attempt, address, port, took = _ADMITTED.unpack_from(body, start)
     return Placed(request, attempt, address << 16 | port, took)
 
 
-def _read_change(body: bytes, at: int) -> Note:
-    request, address, port, topic, attempt, value = _CHANGE.unpack_from(body, at)
+def _read_change(body: bytes, start: int) -> Note:
+    request, address, port, topic, attempt, value = _CHANGE.unpack_from(body, start)
     return Note(request, attempt, address << 16 | port, topic, value)
 
 
-def _read_report_back(body: bytes, at: int) -> AttemptEnded:
+def _read_report_back(body: bytes, start: int) -> AttemptEnded:
     request, took, detail, attempt, outcome, address, port, closed, count, *values = _REPORT_BACK.unpack_from(
-        body, at
+        body, start
     )
     return AttemptEnded(
         request,
@@ -300,26 +302,26 @@
     )
 
 
-def _read_health(body: bytes, at: int) -> ProbeAnswered:
-    outcome, took, address, port, count, *values = _HEALTH.unpack_from(body, at)
+def _read_health(body: bytes, start: int) -> ProbeAnswered:
+    outcome, took, address, port, count, *values = _HEALTH.unpack_from(body, start)
     return ProbeAnswered(address << 16 | port, _outcome(outcome), took, _report(count, values))
 
 
 _READERS: dict[int, Callable[[bytes, int], Event | None]] = {
-    PEER: lambda body, at: None,  # a peer's message: weldhatch shares nothing
+    PEER: lambda body, start: None,  # messages between instances are ignored, as they share no state
     HEALTH: _read_health,
     CHANGE: _read_change,
     RESIDENT: _read_resident,
     TO_PLACE: _read_to_place,
-    ABANDONED: lambda body, at: RequestAbandoned(*_ONE_NUMBER.unpack_from(body, at)),
+    ABANDONED: lambda body, start: RequestAbandoned(*_ONE_NUMBER.unpack_from(body, start)),
     ADMITTED: _read_admitted,
-    TIMER: lambda body, at: TimerFired(*_ONE_NUMBER.unpack_from(body, at)),
+    TIMER: lambda body, start: TimerFired(*_ONE_NUMBER.unpack_from(body, start)),
     REPORT_BACK: _read_report_back,
 }
 
 
 def encode_reply(replies: Iterable[tuple[int, list[Action]]]) -> bytes:
-    """One frame with the actions of each instance, in order."""
+    """Encode a frame with the actions of each instance, in order."""
     records: list[bytes] = []
     tail = bytearray()
     for instance, actions in replies:
@@ -331,14 +333,14 @@
 
 
 def encode_fault(text: str) -> bytes:
-    """A frame that ends the day with a plain message."""
+    """Encode a frame that ends the simulation with an error message."""
     tail = text.encode()
     record = _TWO_NUMBERS_ACTION.pack(FAULT_CODE, 0, len(tail))
     return REPLY_HEADER.pack(1, ACTION_SIZE + len(tail)) + record + tail
 
 
 def _encode_action(action: Action, tail: bytearray) -> bytes:
-    """The record of one action; text is added to the tail. Raise TypeError for what is no action."""
+    """Encode one action; log text is appended to the tail. Raises TypeError for an unknown action."""
     if isinstance(action, Log):
         data = action.text.encode()
         offset = len(tail)
