--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,7 +1,8 @@
-"""The five rules and the faults, worded from the wire page alone: judges a run of events and actions.
+"""Checks runs of events and actions against the five rules of the simulator protocol.
 
-Shares no code with the policy. `Generated` makes legal event sequences to judge: whatever the policy sends
-is answered in some legal way picked at random; it models no machine and measures nothing.
+The checker is written from the protocol specification and shares no code with the policy. `GeneratedRun`
+produces legal event sequences to check: each action of the policy gets a random legal answer. It models no
+machines and measures nothing.
 """
 
 from __future__ import annotations
@@ -21,255 +22,304 @@
 )
 from weldhatch.scheduling.types import Effect, ListForm, Machine, MachineState, Outcome, Scope
 
-PROOFS = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
+NOT_RUN_OUTCOMES = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 
 
-class Broken(AssertionError):
+class RuleViolation(AssertionError):
     pass
 
 
 class Checker:
+    """Tracks the events and actions of one policy and raises RuleViolation when an action breaks a rule."""
+
     def __init__(self, settings):
-        self.s = settings
-        self.machines, self.told_leaving, self.offers_to = {}, {}, {}
+        self.settings = settings
+        self.machines, self.leaving_since, self.offers_to = {}, {}, {}
         self.requests, self.attempts, self.held = {}, {}, {}
 
-    def event(self, now, e):
-        if isinstance(e, MachinesChanged) and e.form is not ListForm.FAILED:
-            named = {m.id for m in e.machines}
-            if e.form is not ListForm.DELTA:
-                for old in self.machines.keys() - named:
-                    self.told_leaving.setdefault(old, now)
-            for m in e.machines:
-                self.machines[m.id] = m
-                if m.state == MachineState.READY:
-                    self.told_leaving.pop(m.id, None)
+    def handle_event(self, now, event):
+        if isinstance(event, MachinesChanged) and event.form is not ListForm.FAILED:
+            listed_ids = {entry.id for entry in event.machines}
+            if event.form is not ListForm.DELTA:
+                for unlisted_id in self.machines.keys() - listed_ids:
+                    self.leaving_since.setdefault(unlisted_id, now)
+            for entry in event.machines:
+                self.machines[entry.id] = entry
+                if entry.state == MachineState.READY:
+                    self.leaving_since.pop(entry.id, None)
                 else:
-                    self.told_leaving.setdefault(m.id, now)
-        elif isinstance(e, RequestArrived):
-            self.requests[e.request] = {"e": e, "answers": 0, "over": False, "placed": False}
-        elif isinstance(e, TaskAdopted):
-            self.requests[e.request] = {"e": e, "answers": 1, "over": False, "placed": True}
-            self.held[e.request, 0] = (e.service, e.machine)
-            self.attempts[e.request] = [(e.machine, now, None)]
-        elif isinstance(e, Placed):
-            r = self.requests[e.request]
-            r["answers"] += 1
-            r["placed"] = True
-        elif isinstance(e, AttemptEnded):
-            machine, at, _ = self.attempts[e.request][e.attempt]
-            self.attempts[e.request][e.attempt] = (machine, at, e.outcome)
-            self.held.pop((e.request, e.attempt), None)
-            if e.closed:
-                r = self.requests[e.request]
-                r["answers"] += not r["placed"] and not r["over"]
-                r["over"] = True
-        elif isinstance(e, RequestAbandoned):
-            self.requests[e.request]["over"] = True
+                    self.leaving_since.setdefault(entry.id, now)
+        elif isinstance(event, RequestArrived):
+            self.requests[event.request] = {"arrival": event, "answers": 0, "over": False, "placed": False}
+        elif isinstance(event, TaskAdopted):
+            self.requests[event.request] = {"arrival": event, "answers": 1, "over": False, "placed": True}
+            self.held[event.request, 0] = (event.service, event.machine)
+            self.attempts[event.request] = [(event.machine, now, None)]
+        elif isinstance(event, Placed):
+            record = self.requests[event.request]
+            record["answers"] += 1
+            record["placed"] = True
+        elif isinstance(event, AttemptEnded):
+            machine, sent_at, _ = self.attempts[event.request][event.attempt]
+            self.attempts[event.request][event.attempt] = (machine, sent_at, event.outcome)
+            self.held.pop((event.request, event.attempt), None)
+            if event.closed:
+                record = self.requests[event.request]
+                record["answers"] += not record["placed"] and not record["over"]
+                record["over"] = True
+        elif isinstance(event, RequestAbandoned):
+            self.requests[event.request]["over"] = True
 
-    def actions(self, now, actions):
-        for a in actions:
-            if isinstance(a, Offer):
-                self.offer(now, a)
-            elif isinstance(a, Reject | Fail):
-                self.final(a)
-            elif isinstance(a, Cancel):
-                self.need(self.s.may_cancel, "cancel where it is not allowed")
-                self.need(a.attempt < len(self.attempts.get(a.request, ())), "cancel of no attempt")
-            elif isinstance(a, Probe):
-                self.need(self.s.may_probe, "probe where it is not allowed")
-                self.need(a.machine in self.machines, "probe of a machine never listed")
+    def check_actions(self, now, actions):
+        for action in actions:
+            if isinstance(action, Offer):
+                self.check_offer(now, action)
+            elif isinstance(action, Reject | Fail):
+                self.check_final_answer(action)
+            elif isinstance(action, Cancel):
+                self.require(self.settings.may_cancel, "cancel although cancelling is not allowed")
+                self.require(
+                    action.attempt < len(self.attempts.get(action.request, ())),
+                    "cancel of an attempt that does not exist",
+                )
+            elif isinstance(action, Probe):
+                self.require(self.settings.may_probe, "probe although probing is not allowed")
+                self.require(action.machine in self.machines, "probe of a machine that was never listed")
 
     @staticmethod
-    def need(ok, what):
-        if not ok:
-            raise Broken(what)
+    def require(condition, violation):
+        if not condition:
+            raise RuleViolation(violation)
 
-    def maybe(self, request):
-        return [x for x in self.attempts.get(request, ()) if x[2] not in PROOFS]
+    def attempts_that_may_have_run(self, request):
+        return [attempt for attempt in self.attempts.get(request, ()) if attempt[2] not in NOT_RUN_OUTCOMES]
 
-    def offer(self, now, a):
-        r = self.requests[a.request]
-        cls, tries = self.s.classes[r["e"].class_index], self.attempts.setdefault(a.request, [])
-        self.need(not r["over"] and not r["placed"] and not r["answers"], "rule 1: an offer after the end")
-        self.need(len(tries) < self.s.max_attempts, "more attempts than allowed")
-        self.need(all(x[2] is not None for x in tries), "rule 2: two attempts out")
-        maybe = self.maybe(a.request)
-        if maybe and cls.effect is Effect.UNSAFE:
-            raise Broken("rule 2: an unsafe request that may have run is sent again")
-        if maybe and cls.effect is Effect.KEYED:
-            first, new = self.machines[maybe[0][0]], self.machines[a.machine]
-            same = {
+    def check_offer(self, now, action):
+        record = self.requests[action.request]
+        request_class, attempts = (
+            self.settings.classes[record["arrival"].class_index],
+            self.attempts.setdefault(action.request, []),
+        )
+        self.require(
+            not record["over"] and not record["placed"] and not record["answers"],
+            "rule 1: offer after the final answer or the end",
+        )
+        self.require(len(attempts) < self.settings.max_attempts, "more attempts than max_attempts")
+        self.require(all(attempt[2] is not None for attempt in attempts), "rule 2: two open attempts")
+        uncertain_attempts = self.attempts_that_may_have_run(action.request)
+        if uncertain_attempts and request_class.effect is Effect.UNSAFE:
+            raise RuleViolation("rule 2: repeated offer of an unsafe request that may have run")
+        if uncertain_attempts and request_class.effect is Effect.KEYED:
+            first_entry, new_entry = self.machines[uncertain_attempts[0][0]], self.machines[action.machine]
+            in_same_group = {
                 Scope.ALL: True,
-                Scope.ZONE: first.zone == new.zone,
-                Scope.CELL: first.cell == new.cell,
-            }[cls.group]
-            self.need(same, "rule 2: a keyed request leaves its group")
-            self.need(now <= maybe[0][1] + cls.window_us, "rule 2: a keyed request after its window")
-        self.need(a.machine in self.machines, "an offer to a machine never listed")
-        leaving = self.told_leaving.get(a.machine)
-        self.need(leaving is None or now <= leaving + self.s.drain_grace_us, "rule 3: an offer to a drain")
-        born = self.machines[a.machine].born_us
-        sent = self.offers_to.setdefault(a.machine, [])
-        sent.append(now)
-        if born and now < born + self.s.warm_up_us:
-            recent = sum(1 for at in sent if at > now - self.s.fall_us)
-            share = self.s.warm_up_offers / self.s.group_size
-            if share < 1 and self.s.warm_up_offers >= 2:
-                share = 1  # by turns: the sum over all instances has a test of its own
-            self.need(recent <= share, "rule 4: a cold machine pushed over")
-        tries.append((a.machine, now, None))
-        self.held[a.request, len(tries) - 1] = (r["e"].service, a.machine)
-        if cls.spread_over is not Scope.NONE:
-            here = self.machines[a.machine]
-            there = [
-                m
-                for service, m in self.held.values()
-                if service == r["e"].service
+                Scope.ZONE: first_entry.zone == new_entry.zone,
+                Scope.CELL: first_entry.cell == new_entry.cell,
+            }[request_class.group]
+            self.require(in_same_group, "rule 2: repeated offer of a keyed request outside its group")
+            self.require(
+                now <= uncertain_attempts[0][1] + request_class.window_us,
+                "rule 2: repeated offer of a keyed request after its window",
+            )
+        self.require(action.machine in self.machines, "offer to a machine that was never listed")
+        leaving_at = self.leaving_since.get(action.machine)
+        self.require(
+            leaving_at is None or now <= leaving_at + self.settings.drain_grace_us,
+            "rule 3: offer to a draining or removed machine",
+        )
+        started_at = self.machines[action.machine].born_us
+        offer_times = self.offers_to.setdefault(action.machine, [])
+        offer_times.append(now)
+        if started_at and now < started_at + self.settings.warm_up_us:
+            recent_offers = sum(1 for sent_at in offer_times if sent_at > now - self.settings.fall_us)
+            share = self.settings.warm_up_offers / self.settings.group_size
+            if share < 1 and self.settings.warm_up_offers >= 2:
+                share = 1  # dispatchers take turns; another test checks the sum over all of them
+            self.require(recent_offers <= share, "rule 4: too many offers to a machine that is warming up")
+        attempts.append((action.machine, now, None))
+        self.held[action.request, len(attempts) - 1] = (record["arrival"].service, action.machine)
+        if request_class.spread_over is not Scope.NONE:
+            target = self.machines[action.machine]
+            tasks_in_scope = [
+                other
+                for service, other in self.held.values()
+                if service == record["arrival"].service
                 and (
-                    m == a.machine
+                    other == action.machine
                     or (
-                        m in self.machines
+                        other in self.machines
                         and (
-                            (cls.spread_over is Scope.CELL and self.machines[m].cell == here.cell)
-                            or (cls.spread_over is Scope.ZONE and self.machines[m].zone == here.zone)
+                            (
+                                request_class.spread_over is Scope.CELL
+                                and self.machines[other].cell == target.cell
+                            )
+                            or (
+                                request_class.spread_over is Scope.ZONE
+                                and self.machines[other].zone == target.zone
+                            )
                         )
                     )
                 )
             ]
-            self.need(len(there) <= cls.spread_most, "rule 5: spread not kept")
+            self.require(len(tasks_in_scope) <= request_class.spread_most, "rule 5: spread limit exceeded")
 
-    def final(self, a):
-        r = self.requests[a.request]
-        self.need(not r["over"] and not r["answers"], "rule 1: two final answers")
-        r["answers"], r["over"] = 1, True
-        cls = self.s.classes[r["e"].class_index]
-        if isinstance(a, Reject) and self.maybe(a.request):
-            ok = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Scope.ALL)
-            self.need(ok, "rule 2: a refusal where trying again can harm")
+    def check_final_answer(self, action):
+        record = self.requests[action.request]
+        self.require(not record["over"] and not record["answers"], "rule 1: two final answers")
+        record["answers"], record["over"] = 1, True
+        request_class = self.settings.classes[record["arrival"].class_index]
+        if isinstance(action, Reject) and self.attempts_that_may_have_run(action.request):
+            retry_is_safe = request_class.effect is Effect.SAFE or (
+                request_class.effect is Effect.KEYED and request_class.group is Scope.ALL
+            )
+            self.require(retry_is_safe, "rule 2: rejection although a retry is not safe")
 
-    def overdue(self, now):
-        for r in self.requests.values():
-            if not r["over"] and not r["answers"] and now > r["e"].deadline_us + self.s.answer_slack_us:
-                raise Broken("rule 1: no answer in time")
+    def check_overdue(self, now):
+        for record in self.requests.values():
+            if (
+                not record["over"]
+                and not record["answers"]
+                and now > record["arrival"].deadline_us + self.settings.answer_slack_us
+            ):
+                raise RuleViolation("rule 1: no final answer by the deadline")
 
 
-class Generated:
-    """A legal sequence of events around one policy; every choice comes from one seed."""
+class GeneratedRun:
+    """Runs one policy on a legal event sequence; all random choices come from one seed."""
 
     def __init__(self, policy, settings, seed, zones=2, count=7):
-        self.p, self.s, self.random, self.check = policy, settings, random.Random(seed), Checker(settings)
-        self.now, self.due, self.serial, self.ids = 50_000_000, [], 0, 0
+        self.policy, self.settings, self.random, self.checker = (
+            policy,
+            settings,
+            random.Random(seed),
+            Checker(settings),
+        )
+        self.now, self.scheduled, self.serial, self.last_request = 50_000_000, [], 0, 0
         self.fleet = {n: Machine(n, n % zones, n % len(settings.kinds), n // 3) for n in range(1, count + 1)}
-        self.alive, self.trace = {}, []
+        self.open_attempts, self.trace = {}, []
 
-    def at(self, wait, event):
+    def schedule(self, wait, event):
         self.serial += 1
-        self.due.append((self.now + max(1, int(wait)), self.serial, event))
+        self.scheduled.append((self.now + max(1, int(wait)), self.serial, event))
 
-    def room(self, m):
+    def with_capacity(self, entry):
         return Machine(
-            m.id,
-            m.zone,
-            m.kind,
-            m.cell,
-            m.state,
-            m.born_us,
+            entry.id,
+            entry.zone,
+            entry.kind,
+            entry.cell,
+            entry.state,
+            entry.born_us,
             *(
                 (self.random.uniform(-9, 30), self.random.uniform(-9, 60))
-                if self.s.lists_free
+                if self.settings.lists_free
                 else (None, None)
             ),
         )
 
     def run(self, steps):
-        self.play(MachinesChanged(ListForm.CACHED, tuple(self.room(m) for m in self.fleet.values())))
+        self.deliver(
+            MachinesChanged(
+                ListForm.CACHED, tuple(self.with_capacity(entry) for entry in self.fleet.values())
+            )
+        )
         for _ in range(steps):
-            self.disturb()
-            self.until(self.now + self.random.choice((2000, 30_000, 300_000)))
-        self.until(self.now + 15_000_000)
-        self.check.overdue(self.now)
+            self.generate_events()
+            self.advance_to(self.now + self.random.choice((2000, 30_000, 300_000)))
+        self.advance_to(self.now + 15_000_000)
+        self.checker.check_overdue(self.now)
         return self.trace
 
-    def until(self, end):
+    def advance_to(self, end):
         while True:
-            first = min((d for d in self.due if d[0] <= end), default=None)
-            if first is None:
+            next_item = min((item for item in self.scheduled if item[0] <= end), default=None)
+            if next_item is None:
                 self.now = max(self.now, end)
                 return
-            self.due.remove(first)
-            self.now = max(self.now, first[0])
-            if self.legal(first[2]):
-                self.play(first[2])
+            self.scheduled.remove(next_item)
+            self.now = max(self.now, next_item[0])
+            if self.is_legal(next_item[2]):
+                self.deliver(next_item[2])
 
-    def legal(self, e):
-        if isinstance(e, Placed):
+    def is_legal(self, event):
+        if isinstance(event, Placed):
             return (
-                self.alive.get((e.request, e.attempt)) == "open"
-                and not self.check.requests[e.request]["over"]
+                self.open_attempts.get((event.request, event.attempt)) == "open"
+                and not self.checker.requests[event.request]["over"]
             )
-        if isinstance(e, AttemptEnded):
-            return (e.request, e.attempt) in self.alive
-        if isinstance(e, RequestAbandoned):
-            return not self.check.requests[e.request]["over"]
+        if isinstance(event, AttemptEnded):
+            return (event.request, event.attempt) in self.open_attempts
+        if isinstance(event, RequestAbandoned):
+            return not self.checker.requests[event.request]["over"]
         return True
 
-    def play(self, e):
-        if isinstance(e, Placed):
-            self.alive[e.request, e.attempt] = "placed"
-        elif isinstance(e, AttemptEnded):
-            placed = self.alive.pop((e.request, e.attempt)) == "placed"
-            over = placed or self.check.requests[e.request]["over"] or (e.outcome is Outcome.OK)
-            outcome = Outcome.RESET if placed and e.outcome in PROOFS else e.outcome
-            e = AttemptEnded(e.request, e.attempt, e.machine, outcome, e.took_us, e.reason, over, e.report)
-        self.check.event(self.now, e)
-        actions = self.p.handle(self.now, [e])
+    def deliver(self, event):
+        if isinstance(event, Placed):
+            self.open_attempts[event.request, event.attempt] = "placed"
+        elif isinstance(event, AttemptEnded):
+            placed = self.open_attempts.pop((event.request, event.attempt)) == "placed"
+            over = placed or self.checker.requests[event.request]["over"] or (event.outcome is Outcome.OK)
+            outcome = Outcome.RESET if placed and event.outcome in NOT_RUN_OUTCOMES else event.outcome
+            event = AttemptEnded(
+                event.request,
+                event.attempt,
+                event.machine,
+                outcome,
+                event.took_us,
+                event.reason,
+                over,
+                event.report,
+            )
+        self.checker.handle_event(self.now, event)
+        actions = self.policy.handle(self.now, [event])
         self.trace += actions
-        self.check.actions(self.now, actions)
-        self.check.overdue(self.now)
-        for a in actions:
-            self.answer(a)
+        self.checker.check_actions(self.now, actions)
+        self.checker.check_overdue(self.now)
+        for action in actions:
+            self.answer_action(action)
 
-    def report(self):
+    def random_report(self):
         return (
-            tuple(self.random.uniform(-5, 40) for _ in self.s.report_fields)
+            tuple(self.random.uniform(-5, 40) for _ in self.settings.report_fields)
             if self.random.random() < 0.9
             else ()
         )
 
-    def answer(self, a):
-        r, rnd = self.random.random(), self.random
-        if isinstance(a, SetTimer):
-            self.at(a.after_us, TimerFired(a.timer))
-        elif isinstance(a, Probe):
-            outcome = rnd.choice((Outcome.OK,) * 5 + (Outcome.TIMEOUT, Outcome.FULL))
-            self.at(
-                rnd.uniform(300, 300_000),
-                ProbeAnswered(a.machine, outcome, 500, self.report() if outcome is Outcome.OK else ()),
+    def answer_action(self, action):
+        roll, rng = self.random.random(), self.random
+        if isinstance(action, SetTimer):
+            self.schedule(action.after_us, TimerFired(action.timer))
+        elif isinstance(action, Probe):
+            outcome = rng.choice((Outcome.OK,) * 5 + (Outcome.TIMEOUT, Outcome.FULL))
+            self.schedule(
+                rng.uniform(300, 300_000),
+                ProbeAnswered(
+                    action.machine, outcome, 500, self.random_report() if outcome is Outcome.OK else ()
+                ),
             )
-        elif isinstance(a, Subscribe):
-            form = ListForm.FAILED if r < 0.3 else ListForm.DELTA
-            self.at(rnd.uniform(1000, 500_000), MachinesChanged(form))
-        elif isinstance(a, Offer):
-            attempt = len(self.check.attempts[a.request]) - 1
-            self.alive[a.request, attempt] = "open"
-            deadline = self.check.requests[a.request]["e"].deadline_us - self.now
-            wait = rnd.uniform(1000, 3_000_000)
-            if r < 0.45:
-                self.at(wait, Placed(a.request, attempt, a.machine, int(wait)))
-                self.at(
-                    wait + rnd.uniform(1000, 8_000_000),
+        elif isinstance(action, Subscribe):
+            form = ListForm.FAILED if roll < 0.3 else ListForm.DELTA
+            self.schedule(rng.uniform(1000, 500_000), MachinesChanged(form))
+        elif isinstance(action, Offer):
+            attempt = len(self.checker.attempts[action.request]) - 1
+            self.open_attempts[action.request, attempt] = "open"
+            deadline = self.checker.requests[action.request]["arrival"].deadline_us - self.now
+            wait = rng.uniform(1000, 3_000_000)
+            if roll < 0.45:
+                self.schedule(wait, Placed(action.request, attempt, action.machine, int(wait)))
+                self.schedule(
+                    wait + rng.uniform(1000, 8_000_000),
                     AttemptEnded(
-                        a.request,
+                        action.request,
                         attempt,
-                        a.machine,
-                        rnd.choice((Outcome.OK, Outcome.RESET)),
+                        action.machine,
+                        rng.choice((Outcome.OK, Outcome.RESET)),
                         0,
-                        rnd.choice((0, 5, 6, 7)),
+                        rng.choice((0, 5, 6, 7)),
                     ),
                 )
-            elif r < 0.9:
-                outcome = rnd.choice(
+            elif roll < 0.9:
+                outcome = rng.choice(
                     (
                         Outcome.ERROR,
                         Outcome.FULL,
@@ -279,57 +329,68 @@
                         Outcome.NOT_SENT,
                     )
                 )
-                self.at(wait / 6, AttemptEnded(a.request, attempt, a.machine, outcome, 0, rnd.randrange(5)))
-            self.at(deadline, AttemptEnded(a.request, attempt, a.machine, Outcome.TIMEOUT))
-        elif isinstance(a, Cancel):
-            machine = self.check.attempts[a.request][a.attempt][0]
-            self.at(1000, AttemptEnded(a.request, a.attempt, machine, Outcome.CANCELLED))
+                self.schedule(
+                    wait / 6,
+                    AttemptEnded(action.request, attempt, action.machine, outcome, 0, rng.randrange(5)),
+                )
+            self.schedule(deadline, AttemptEnded(action.request, attempt, action.machine, Outcome.TIMEOUT))
+        elif isinstance(action, Cancel):
+            machine = self.checker.attempts[action.request][action.attempt][0]
+            self.schedule(1000, AttemptEnded(action.request, action.attempt, machine, Outcome.CANCELLED))
 
-    def disturb(self):
-        rnd = self.random
-        r = rnd.random()
-        if r < 0.6:
-            for _ in range(rnd.choice((1, 1, 5))):
-                self.ids += 1
-                index = rnd.randrange(len(self.s.classes))
-                self.play(
+    def generate_events(self):
+        rng = self.random
+        roll = rng.random()
+        if roll < 0.6:
+            for _ in range(rng.choice((1, 1, 5))):
+                self.last_request += 1
+                index = rng.randrange(len(self.settings.classes))
+                self.deliver(
                     RequestArrived(
-                        self.ids,
+                        self.last_request,
                         index,
-                        self.now + self.s.classes[index].deadline_us,
-                        rnd.randrange(3) * 10 + index,
-                        rnd.choice((0.5, 2.0, 8.0)),
-                        rnd.choice((1.0, 4.0, 20.0)),
-                        self.ids,
+                        self.now + self.settings.classes[index].deadline_us,
+                        rng.randrange(3) * 10 + index,
+                        rng.choice((0.5, 2.0, 8.0)),
+                        rng.choice((1.0, 4.0, 20.0)),
+                        self.last_request,
                         0,
                         None,
                     )
                 )
-        elif r < 0.7:
-            self.ids += 1
-            index, machine = rnd.randrange(len(self.s.classes)), rnd.choice(sorted(self.fleet))
-            self.alive[self.ids, 0] = "placed"
-            self.play(TaskAdopted(self.ids, index, rnd.randrange(3) * 10 + index, 1.0, 1.0, machine))
-            self.at(rnd.uniform(1000, 9_000_000), AttemptEnded(self.ids, 0, machine, Outcome.OK))
-        elif r < 0.75 and self.ids:
-            gone = RequestAbandoned(rnd.randint(1, self.ids))
-            if self.legal(gone):
-                self.play(gone)
+        elif roll < 0.7:
+            self.last_request += 1
+            index, machine = rng.randrange(len(self.settings.classes)), rng.choice(sorted(self.fleet))
+            self.open_attempts[self.last_request, 0] = "placed"
+            self.deliver(
+                TaskAdopted(self.last_request, index, rng.randrange(3) * 10 + index, 1.0, 1.0, machine)
+            )
+            self.schedule(
+                rng.uniform(1000, 9_000_000), AttemptEnded(self.last_request, 0, machine, Outcome.OK)
+            )
+        elif roll < 0.75 and self.last_request:
+            abandoned = RequestAbandoned(rng.randint(1, self.last_request))
+            if self.is_legal(abandoned):
+                self.deliver(abandoned)
         else:
-            m = rnd.choice(list(self.fleet.values()))
-            state = rnd.choice(list(MachineState))
-            born = (
-                self.now if state is MachineState.READY and m.state is not MachineState.READY else m.born_us
+            entry = rng.choice(list(self.fleet.values()))
+            state = rng.choice(list(MachineState))
+            started_at = (
+                self.now
+                if state is MachineState.READY and entry.state is not MachineState.READY
+                else entry.born_us
             )
-            self.fleet[m.id] = Machine(m.id, m.zone, m.kind, m.cell, state, born)
-            if rnd.random() < 0.7:
-                self.play(MachinesChanged(ListForm.DELTA, (self.room(self.fleet[m.id]),)))
+            self.fleet[entry.id] = Machine(entry.id, entry.zone, entry.kind, entry.cell, state, started_at)
+            if rng.random() < 0.7:
+                self.deliver(MachinesChanged(ListForm.DELTA, (self.with_capacity(self.fleet[entry.id]),)))
             else:
-                self.play(
+                self.deliver(
                     MachinesChanged(
                         ListForm.FULL,
                         tuple(
-                            self.room(x) for x in self.fleet.values() if x.state is not MachineState.REMOVED
+                            self.with_capacity(other)
+                            for other in self.fleet.values()
+                            if other.state is not MachineState.REMOVED
                         ),
                     )
                 )
--- a/tests/test_scheduling_rules.py
+++ b/tests/test_scheduling_rules.py
@@ -1,4 +1,4 @@
-"""The five rules over generated legal event sequences; and the checker itself, on runs that break them."""
+"""Checks the five protocol rules on generated event sequences, and the checker on runs that break them."""
 
 import dataclasses
 import os
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from checker import Broken, Checker, Generated
+from checker import Checker, GeneratedRun, RuleViolation
 from conftest import SECOND, Driver, machines, make_class, make_settings, of
 from hypothesis import given
 from hypothesis import strategies as st
@@ -66,42 +66,47 @@
 
 
 @given(VARIANTS, st.integers(0, 2**32), st.sampled_from((1, 3, 7)))
-def test_generated_sequences_keep_the_rules(variant, seed, count):
+def test_generated_sequences_break_no_rule(variant, seed, machine_count):
     settings = make_settings(classes=CLASSES, zones=("a", "b"), **variant)
-    Generated(Policy(settings, seed), settings, seed, count=count).run(60)
+    GeneratedRun(Policy(settings, seed), settings, seed, count=machine_count).run(60)
 
 
 @pytest.mark.parametrize(
-    "warm_up_offers, group, early_s, seed",
+    "warm_up_offers, group_size, early_ds, seed",
     [(0, 3, 0, 1), (1, 5, 0, 2), (2, 9, 5, 3), (5, 12, -5, 4), (20, 21, 0, 5), (21, 4, 9, 6), (30, 70, 0, 7)],
 )
-def test_all_dispatchers_together_never_overload_a_machine_that_warms_up(
-    warm_up_offers, group, early_s, seed
+def test_all_dispatchers_together_stay_within_the_offer_limit_of_a_warming_machine(
+    warm_up_offers, group_size, early_ds, seed
 ):
-    """All instances at once, each with more requests than it may send; some hear late of the start."""
-    base = make_settings(warm_up_offers=warm_up_offers, group_size=group, may_probe=False, max_attempts=1)
-    born, rnd, sent = 100 * SECOND, random.Random(seed), []
-    for me in range(group):
+    """Guards against a sum of offers over the limit of a machine that is warming up.
+
+    Each dispatcher gets more requests than it may offer, and some learn late that the machine has started.
+    """
+    base = make_settings(
+        warm_up_offers=warm_up_offers, group_size=group_size, may_probe=False, max_attempts=1
+    )
+    started_at, rng, sent = 100 * SECOND, random.Random(seed), []
+    for me in range(group_size):
         driver = Driver(dataclasses.replace(base, me=me), [], seed + me)
-        driver.now = born - early_s * SECOND // 10 if rnd.random() < 0.8 else born + 3 * SECOND
-        driver.send(MachinesChanged(ListForm.DELTA, (Machine(77, born_us=born),)))
+        driver.now = started_at - early_ds * SECOND // 10 if rng.random() < 0.8 else started_at + 3 * SECOND
+        driver.send(MachinesChanged(ListForm.DELTA, (Machine(77, born_us=started_at),)))
         for step in range(12):
             driver.wait(SECOND * 3 // 4)
             for _ in range(2):
                 driver.arrive(service=step, life=SECOND // 4)
-            new, driver.log = of(driver.log, Offer), []
-            sent += [driver.now for _ in new]
-    sent = sorted(at for at in sent if at < born + base.warm_up_us)
+            offers, driver.log = of(driver.log, Offer), []
+            sent += [driver.now for _ in offers]
+    sent = sorted(sent_at for sent_at in sent if sent_at < started_at + base.warm_up_us)
     for first, last in zip(sent, sent[warm_up_offers:], strict=False):
         assert last - first > base.fall_us
-    assert warm_up_offers < 2 or sent  # the room of a cold machine is not left unused
+    assert warm_up_offers < 2 or sent  # a warming machine does get offers
 
 
-def test_the_same_events_give_the_same_actions_under_any_hash_seed():
+def test_the_same_events_give_the_same_actions_under_every_hash_seed():
     code = (
         "import sys; sys.path[:0] = ['tests', '.']; from test_scheduling_rules import *\n"
         "s = make_settings(classes=CLASSES, zones=('a', 'b'))\n"
-        "print([str(a) for a in Generated(Policy(s, 5), s, 5).run(80)])"
+        "print([str(a) for a in GeneratedRun(Policy(s, 5), s, 5).run(80)])"
     )
     root = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
     runs = {
@@ -117,41 +122,41 @@
     assert len(runs) == 1 and len(runs.pop()) > 1000
 
 
-def told(checker, *entries):
-    checker.event(0, MachinesChanged(ListForm.FULL, entries))
+def start_with(checker, *entries):
+    checker.handle_event(0, MachinesChanged(ListForm.FULL, entries))
     for n in range(1, 9):
-        checker.event(0, RequestArrived(n, 0, 5 * SECOND, 1, 1.0, 1.0))
+        checker.handle_event(0, RequestArrived(n, 0, 5 * SECOND, 1, 1.0, 1.0))
 
 
 @pytest.mark.parametrize(
-    "entry, now, offers, fault",
+    "entry, now, offer_count, rule",
     [
         (Machine(1, state=MachineState.DRAINING), SECOND, 1, "rule 3"),
         (Machine(1, born_us=1), SECOND, 5, "rule 4"),
         (Machine(1), SECOND, 2, "rule 5"),
     ],
 )
-def test_the_checker_sees_broken_rules(entry, now, offers, fault):
-    spread = {"spread_over": Scope.MACHINE, "spread_most": 1} if fault == "rule 5" else {}
+def test_the_checker_reports_offers_that_break_a_rule(entry, now, offer_count, rule):
+    spread = {"spread_over": Scope.MACHINE, "spread_most": 1} if rule == "rule 5" else {}
     checker = Checker(make_settings(classes=(make_class(**spread),), warm_up_offers=4))
-    told(checker, entry)
-    with pytest.raises(Broken, match=fault):
-        checker.actions(now, [Offer(n + 1, 1) for n in range(offers)])
+    start_with(checker, entry)
+    with pytest.raises(RuleViolation, match=rule):
+        checker.check_actions(now, [Offer(n + 1, 1) for n in range(offer_count)])
 
 
-def test_the_checker_sees_lost_and_doubly_answered_requests():
+def test_the_checker_reports_missing_answers_second_answers_and_late_offers():
     checker = Checker(make_settings())
-    told(checker, Machine(1))
-    checker.actions(SECOND, [Reject(1)])
-    with pytest.raises(Broken, match="two final answers"):
-        checker.actions(SECOND, [Reject(1)])
-    with pytest.raises(Broken, match="an offer after the end"):
-        checker.actions(SECOND, [Offer(1, 1)])
-    with pytest.raises(Broken, match="no answer in time"):
-        checker.overdue(6 * SECOND)
+    start_with(checker, Machine(1))
+    checker.check_actions(SECOND, [Reject(1)])
+    with pytest.raises(RuleViolation, match="rule 1: two final answers"):
+        checker.check_actions(SECOND, [Reject(1)])
+    with pytest.raises(RuleViolation, match="rule 1: offer after the final answer or the end"):
+        checker.check_actions(SECOND, [Offer(1, 1)])
+    with pytest.raises(RuleViolation, match="rule 1: no final answer by the deadline"):
+        checker.check_overdue(6 * SECOND)
 
 
-def test_one_machine_one_attempt_no_probes_no_reports():
+def test_one_machine_without_probes_reports_or_retries_gets_the_offer():
     settings = dataclasses.replace(make_settings(), max_attempts=1, may_probe=False, report_fields=())
     driver = Driver(settings, machines(1))
     assert driver.arrive()[-1:] and any(isinstance(a, Offer) for a in driver.log)
