--- a/tests/pins.py
+++ b/tests/pins.py
@@ -1,9 +1,9 @@
-"""Helpers of the pin tests: values in a stable written form, digests by block, and the recorded data.
+"""Helpers of the pin tests: a stable text form of values, digests of blocks, and the recorded data.
 
-A pin test compares what the code does with what was recorded from an earlier version. Each such test file
-can be run as a module (`PYTHONPATH=tests:. python -m tests.test_pins_policy`) to record anew; that is only
-right where a change of behaviour is meant. A field or class that is renamed on purpose is entered in
-`RECORDED_NAMES`, so that the record keeps its old name and the test still compares values.
+A pin test compares the behaviour of the code with a recording of an earlier version. Each pin test file can
+be run as a module (`PYTHONPATH=tests:. python -m tests.test_pins_policy`) to make a new recording, which is
+only right for an intended change of behaviour. Renamed classes and fields are entered in `RECORDED_NAMES`, so
+that the recording keeps the old name and the test still compares values.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 DATA = Path(__file__).parent / "data"
 
-# (class, field) or class of today: the name that the record uses for it.
+# Current (class, field) or class, and its name in the recordings.
 RECORDED_NAMES: dict[tuple[str, str] | str, str] = {
     "RequestAbandoned": "RequestGone",
     "Reject": "Refuse",
@@ -47,13 +47,13 @@
 
 
 def recorded_class(value: object) -> str:
-    """The recorded name of the value's class."""
+    """Return the name of the value's class in the recordings."""
     name = type(value).__name__
     return RECORDED_NAMES.get(name, name)
 
 
 def field_names(value: object) -> Iterable[str] | None:
-    """The fields of a dataclass, a msgspec struct or a fleet; None for all else."""
+    """Return the fields of a dataclass, a msgspec struct or a `Fleet`; None for other values."""
     if dataclasses.is_dataclass(value):
         return [field.name for field in dataclasses.fields(value)]
     if hasattr(value, "__struct_fields__"):
@@ -64,7 +64,7 @@
 
 
 def pairs(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """A value as pairs of path and text: records by field name, mappings by key, sequences by index."""
+    """Yield a value as pairs of path and text: objects by field, mappings by key, sequences by index."""
     names = field_names(value)
     if names is not None:
         yield path or ".", recorded_class(value)
@@ -79,53 +79,53 @@
             yield from pairs(value[key], f"{path}[{key}]")
     elif isinstance(value, list | tuple):
         yield path, f"{len(value)} items"
-        for index, part in enumerate(value):
-            yield from pairs(part, f"{path}[{index}]")
+        for index, item in enumerate(value):
+            yield from pairs(item, f"{path}[{index}]")
     else:
         yield path, f"{type(value).__name__} {value!r}"
 
 
 def lines(value: object) -> list[str]:
-    """The same as one line a pair, in order of paths, so that the order of fields does not count."""
+    """Return one line for each pair, sorted by path, so that the order of fields does not matter."""
     return sorted(f"{path} = {text}" for path, text in pairs(value))
 
 
 def digest(texts: Iterable[str]) -> str:
-    """A short digest of lines in their order."""
+    """Return a short digest of lines in order."""
     return hashlib.sha256("\n".join(texts).encode()).hexdigest()[:16]
 
 
 class BlockDigests:
-    """Digests over blocks of lines, so that a comparison finds the block of the first difference."""
+    """Computes digests of blocks of lines, so that a comparison finds the first block that differs."""
 
     def __init__(self, block_size: int) -> None:
         self._block_size = block_size
-        self._open: list[str] = []
+        self._current_block: list[str] = []
         self._blocks: list[str] = []
-        self.history: list[list[str]] = []  # the lines of each block, for a look at the first difference
+        self.history: list[list[str]] = []  # the lines of each block, to show a difference
 
     def add(self, line: str) -> None:
-        self._open.append(line)
-        if len(self._open) == self._block_size:
-            self._close()
+        self._current_block.append(line)
+        if len(self._current_block) == self._block_size:
+            self._finish_block()
 
-    def _close(self) -> None:
-        self._blocks.append(digest(self._open))
-        self.history.append(self._open)
-        self._open = []
+    def _finish_block(self) -> None:
+        self._blocks.append(digest(self._current_block))
+        self.history.append(self._current_block)
+        self._current_block = []
 
     def finish(self) -> list[str]:
-        if self._open:
-            self._close()
+        if self._current_block:
+            self._finish_block()
         return self._blocks
 
 
 def load(name: str) -> dict:
-    """The recorded data of one pin test."""
+    """Return the recorded data of a pin test."""
     return json.loads((DATA / name).read_text())
 
 
 def save(name: str, data: object) -> None:
-    """Record anew; only by hand."""
+    """Write a new recording; called only when a pin test file is run as a module."""
     DATA.mkdir(exist_ok=True)
     (DATA / name).write_text(json.dumps(data, indent=1, sort_keys=True) + "\n")
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""One request beside scripted decisions and a scripted machines: no socket, no policy."""
+"""Tests of one request with a scripted policy and scripted machines, without sockets."""
 
 import asyncio
 import time
@@ -13,22 +13,22 @@
 from weldhatch.scheduling.types import Outcome
 
 
-class Offers:
-    """Offers each request once, and refuses it once the attempt has ended with proof that nothing ran."""
+class OfferOncePolicy:
+    """Offers each request once; rejects it if the outcome proves that the task did not run, else fails it."""
 
     def handle(self, now, events):
-        out = []
-        for e in events:
-            if isinstance(e, RequestArrived):
-                out.append(Offer(e.request, 1))
-            elif isinstance(e, AttemptEnded):
-                proof = e.outcome is Outcome.CONNECT_FAILED
-                out.append(Reject(e.request, 0) if proof else Fail(e.request))
-        return out
+        actions = []
+        for event in events:
+            if isinstance(event, RequestArrived):
+                actions.append(Offer(event.request, 1))
+            elif isinstance(event, AttemptEnded):
+                nothing_ran = event.outcome is Outcome.CONNECT_FAILED
+                actions.append(Reject(event.request, 0) if nothing_ran else Fail(event.request))
+        return actions
 
 
-class Unreachable:
-    """A machine to which nothing ever leaves."""
+class UnreachableMachine:
+    """A machine to which no offer is ever sent."""
 
     def offer(self, machine, task, attempt, wait_us, receiver, start_by_us=0):
         pass
@@ -37,8 +37,8 @@
         return GiveUpResult.WITHDRAWN
 
 
-class Withdrawn(Unreachable):
-    """Takes each offer back by itself, at the moment at which its time is up."""
+class SelfWithdrawingMachine(UnreachableMachine):
+    """Ends each offer as not connected at the moment of its time-out."""
 
     def offer(self, machine, task, attempt, wait_us, receiver, start_by_us=0):
         asyncio.get_running_loop().call_later(
@@ -49,7 +49,9 @@
         return GiveUpResult.GIVEN_UP
 
 
-class Asker:
+class RecordingOwner:
+    """Records the final answers of a request."""
+
     def __init__(self):
         self.answers, self.answered = [], asyncio.Event()
 
@@ -62,25 +64,28 @@
         self.answered.set()
 
 
-class HeldUp(unittest.IsolatedAsyncioTestCase):
-    async def held_up(self, site):
-        """What a request is answered whose process gets no processor until all its times have passed."""
+class BlockedProcess(unittest.IsolatedAsyncioTestCase):
+    async def answers_after_block(self, site):
+        """Return the answers to a request whose process is blocked until all its timers are due."""
         asyncio.get_running_loop().set_debug(False)
-        logged, owner = [], Asker()
-        driver = Driver(Offers(), logged.append)
+        logged, owner = [], RecordingOwner()
+        driver = Driver(OfferOncePolicy(), logged.append)
         driver.site = site
         Core(driver, site, logged.append).arrive(Task("t1", 0, 1, 1.0, 1.0, unix_us() + 30_000), owner)
-        for _ in range(3):  # the arrival is decided and its offer made
+        for _ in range(3):  # the arrival is handled and the offer made
             await asyncio.sleep(0)
         time.sleep(0.1)
         await asyncio.wait_for(owner.answered.wait(), 20)
         await asyncio.sleep(0)
         return owner.answers
 
-    async def test_an_event_in_the_moment_of_the_deadline_still_decides(self):
-        """Seen in CI: the attempt's time and the request's passed in one moment, and the proof was lost."""
-        self.assertEqual(["refused"], await self.held_up(Unreachable()))
+    async def test_a_time_out_due_together_with_the_deadline_still_leads_to_a_rejection(self):
+        """Guards against lost proof that the task did not run.
+
+        Seen in CI: the timers of the attempt and of the request were due in the same loop pass.
+        """
+        self.assertEqual(["refused"], await self.answers_after_block(UnreachableMachine()))
 
-    async def test_an_end_in_the_moment_that_the_attempts_time_is_up_counts(self):
-        """Seen under load: the offer was withdrawn in time, and was taken for one that may have run."""
-        self.assertEqual(["refused"], await self.held_up(Withdrawn()))
+    async def test_an_outcome_due_together_with_the_time_out_of_the_attempt_takes_precedence(self):
+        """Guards against a withdrawn offer that counts as one that may have run, as seen under load."""
+        self.assertEqual(["refused"], await self.answers_after_block(SelfWithdrawingMachine()))
--- a/tests/test_pins_states.py
+++ b/tests/test_pins_states.py
@@ -1,15 +1,15 @@
-"""The names of machine states that go into agreed lists, control answers and logs, as they always were."""
+"""Pins the names of machine states in replicated lists, control answers and logs."""
 
 from weldhatch.cluster.endpoint_list import LocalEndpointList
 from weldhatch.scheduling.types import Machine, MachineState
 
 
-def test_each_state_has_its_name_of_old():
+def test_every_machine_state_keeps_its_label():
     assert {int(state): state.label for state in MachineState} == {0: "gone", 1: "ready", 2: "draining"}
 
 
-def test_the_cluster_agrees_on_states_by_these_names():
-    """Guards against names in the code that change what dispatchers of two versions tell each other."""
+def test_the_endpoint_list_of_the_cluster_stores_states_by_label():
+    """Guards against renamed enum members, which dispatchers of other versions could not read."""
     endpoints = LocalEndpointList()
     uids = ("a", "b", "c")
     machines = tuple(Machine(n, state=state) for n, state in enumerate(MachineState))
--- a/tests/test_simulator_link.py
+++ b/tests/test_simulator_link.py
@@ -1,4 +1,4 @@
-"""The codec against the byte examples of the wire page, and what it says of malformed frames."""
+"""Tests the codec against the byte examples of the protocol page, and its errors on malformed frames."""
 
 import io
 import struct
@@ -53,7 +53,7 @@
     return record(text, 56)
 
 
-SWITCH = event("50 0003")
+SWITCH_TO = event("50 0003")
 TO_PLACE = event(
     "32 5d3a91c4 0000 0000 91f03b7c55d20a64 00000000008405da 00002ee0 2b8e6401d9f37c10"
     "40000000 3fc00000 0001"
@@ -65,8 +65,8 @@
     return list(codec.Decoder().events(b"".join(records) + tail, len(records)))
 
 
-def test_to_place():
-    assert decode(SWITCH, TO_PLACE) == [
+def test_a_to_place_record_decodes_to_a_request():
+    assert decode(SWITCH_TO, TO_PLACE) == [
         (
             3,
             RequestArrived(
@@ -76,18 +76,18 @@
     ]
 
 
-def test_resident_names_its_machine():
+def test_a_resident_record_decodes_to_a_task_with_its_machine():
     resident = event(
         "28 0e6f2b19 0000 0000 91f03b7c55d20a64 00000000008405da 00002ee0 2b8e6401d9f37c10"
         "40000000 3fc00000 0001 0a9011f2 1fbc"
     )
-    [(_, task)] = decode(SWITCH, resident)
+    [(_, task)] = decode(SWITCH_TO, resident)
     assert (task.request, task.machine, task.memory) == (0x0E6F2B19, 0x0A9011F21FBC, 1.5)
 
 
-def test_timer_abandoned_and_change():
+def test_timer_abandoned_and_change_records_decode_to_events():
     events = decode(
-        SWITCH,
+        SWITCH_TO,
         event("82 0000004d"),
         event("50 0005"),
         event("3c 0e6f2b19"),
@@ -100,24 +100,29 @@
     ]
 
 
-def test_report_back():
-    [(_, ended)] = decode(SWITCH, event("8c 5d3a91c4 00004844 00000000 0000 00 0a124a07 1f93 01 00"))
+def test_a_report_back_record_decodes_to_the_end_of_an_attempt():
+    [(_, ended)] = decode(SWITCH_TO, event("8c 5d3a91c4 00004844 00000000 0000 00 0a124a07 1f93 01 00"))
     assert ended == AttemptEnded(0x5D3A91C4, 0, 0x0A124A071F93, Outcome.OK, 0x4844, 0, True, ())
 
 
-def test_list_of_hosts():
+def test_a_registered_list_of_hosts_decodes_to_machines():
     entries = record(
         "0a124a07 1f93 00 40600000 0000 0000 41400000 01 3f800000 0000000000000000", 32
     ) + record("0a9011f2 1fbc 00 40900000 0000 0000 41400000 01 3fc00000 00000000005d1420", 32)
-    records = (SWITCH, SPAWN, event(f"78 0000 {len(SETTINGS):08x} 00000002"), event(f"46 02 0000 {41:016x}"))
-    [_, (who, changed)] = decode(*records, tail=SETTINGS + entries)
-    assert (who, changed.form, changed.version) == (3, ListForm.CACHED, 41)
+    records = (
+        SWITCH_TO,
+        SPAWN,
+        event(f"78 0000 {len(SETTINGS):08x} 00000002"),
+        event(f"46 02 0000 {41:016x}"),
+    )
+    [_, (instance, changed)] = decode(*records, tail=SETTINGS + entries)
+    assert (instance, changed.form, changed.version) == (3, ListForm.CACHED, 41)
     assert [m.id for m in changed.machines] == [0x0A124A071F93, 0x0A9011F21FBC]
     assert (changed.machines[0].free_cores, changed.machines[0].free_memory) == (3.5, 12.0)
     assert changed.machines[1].born_us == 0x5D1420
 
 
-def test_reply_frame():
+def test_a_reply_frame_holds_the_actions_of_each_instance_and_a_tail():
     frame = codec.encode_reply(
         [
             (3, [Offer(0x5D3A91C4, 0x0A124A071F93, 80000), SetTimer(500000, 0x4D)]),
@@ -147,26 +152,26 @@
         (FetchList(), "32"),
     ],
 )
-def test_actions(action, text):
+def test_each_action_encodes_to_its_record(action, text):
     assert codec.encode_reply([(1, [action])])[24:] == record(text, 16)
 
 
 @pytest.mark.parametrize(
     "records, count, fault",
     [
-        ((SWITCH,), 2, "do not fit"),
-        ((SWITCH, event("ff")), 2, "record 1: unknown event code 255"),
+        ((SWITCH_TO,), 2, "do not fit"),
+        ((SWITCH_TO, event("ff")), 2, "record 1: unknown event code 255"),
         ((TO_PLACE,), 1, "record 0: event code 50 before any switch_to"),
         ((event("78 0000 00000000 00000002"),), 1, "record 0: offset 0 with 64 bytes is outside the tail"),
-        ((SWITCH, event("46 00 0007 0000000000000001")), 2, "record 1: list number 7 was never defined"),
+        ((SWITCH_TO, event("46 00 0007 0000000000000001")), 2, "record 1: list number 7 was never defined"),
         (
-            (SWITCH, event("8c 5d3a91c4 00004844 00000000 0000 09 0a124a07 1f93")),
+            (SWITCH_TO, event("8c 5d3a91c4 00004844 00000000 0000 09 0a124a07 1f93")),
             2,
             "record 1: unknown outcome 9",
         ),
     ],
 )
-def test_malformed_batches_name_record_and_fault(records, count, fault, capfd):
+def test_a_malformed_batch_is_answered_with_its_record_and_fault(records, count, fault, capfd):
     body = b"".join(records)
     source = io.BytesIO(codec.BATCH_HEADER.pack(1, len(body), count) + body)
     sink = io.BytesIO()
@@ -177,7 +182,7 @@
     assert fault in err and err.count("\n") == 1
 
 
-def test_settings_that_start_an_instance():
+def test_the_settings_of_an_instance_are_parsed():
     settings = settings_from_text(SETTINGS)
     assert settings.classes[0].effect is Effect.KEYED and settings.classes[0].group is Scope.CELL
     assert settings.kinds[1] == MachineKind("node-big", 61.0, 179.0)
@@ -194,7 +199,7 @@
         (b"registryMode=automatic\n", "registryMode"),
     ],
 )
-def test_a_missing_required_key_is_named(line, key):
+def test_an_error_names_the_missing_required_key(line, key):
     with pytest.raises(ValueError, match=key):
         settings_from_text(SETTINGS.replace(line, b""))
 
@@ -208,29 +213,29 @@
         (b"sizeCores=39,61", b"sizeCores=39,nan", "extra.sizeCores"),
     ],
 )
-def test_an_unusable_value_is_named(old, new, key):
+def test_an_error_names_the_key_of_an_invalid_value(old, new, key):
     with pytest.raises(ValueError, match=key):
         settings_from_text(SETTINGS.replace(old, new))
 
 
-def test_input_that_ends_between_frames_is_the_end():
+def test_input_that_ends_between_frames_ends_the_session_normally():
     sink = io.BytesIO()
     assert adapter.serve(io.BytesIO(codec.BATCH_HEADER.pack(1, 0, 0)), sink) == 0
     assert sink.getvalue() == bytes(8)
 
 
 @pytest.mark.parametrize("data", [b"\0" * 7, codec.BATCH_HEADER.pack(1, 56, 1) + b"\0" * 20])
-def test_input_that_ends_inside_a_frame_is_an_error(data, capfd):
+def test_input_that_ends_inside_a_frame_ends_the_session_with_an_error(data, capfd):
     assert adapter.serve(io.BytesIO(data), io.BytesIO()) == 1
     assert capfd.readouterr().err.count("\n") == 1
 
 
-def test_an_exception_of_the_policy_is_not_swallowed(monkeypatch, capfd):
-    def boom(self, now, events):
+def test_an_exception_of_the_policy_is_reported_and_ends_the_session(monkeypatch, capfd):
+    def failing_handle(self, now, events):
         raise RuntimeError("boom")
 
-    monkeypatch.setattr(adapter.Policy, "handle", boom)
-    body = SWITCH + SPAWN + SETTINGS
+    monkeypatch.setattr(adapter.Policy, "handle", failing_handle)
+    body = SWITCH_TO + SPAWN + SETTINGS
     sink = io.BytesIO()
     assert adapter.serve(io.BytesIO(codec.BATCH_HEADER.pack(1, len(body), 2) + body), sink) == 1
     assert sink.getvalue()[8] == 20 and b"RuntimeError: boom" in sink.getvalue()
