--- a/tests/test_pins_policy.py
+++ b/tests/test_pins_policy.py
@@ -47,15 +47,15 @@
 RECORD = "pins_policy.json"
 BLOCK = 250  # actions in one digest
 SECOND = 1_000_000
-HEALTH = ("well",) * 12 + (
+HEALTH = ("healthy",) * 12 + (
     "silent",
     "unconnectable",
-    "line full",
-    "broken",
-    "no room",
-    "mute",
+    "queue full",
+    "faulty",
+    "no capacity",
+    "rejects without reason",
     "slow",
-    "leaving",
+    "draining",
 )
 
 
@@ -198,7 +198,7 @@
         ),
         "errors": Scenario(
             settings_of(classes=classes, max_attempts=5),
-            health=("broken", "broken", "well", "mute"),
+            health=("faulty", "faulty", "healthy", "rejects without reason"),
             max_duration_us=SECOND,
             steps=500,
         ),
@@ -367,7 +367,7 @@
         if health in ("silent", "unconnectable"):
             outcome = Outcome.TIMEOUT if health == "silent" else Outcome.CONNECT_FAILED
             self.schedule(self.random.randint(100_000, 300_000), ProbeAnswered(machine, outcome, 250_000))
-        elif health == "line full":
+        elif health == "queue full":
             self.schedule(wait, ProbeAnswered(machine, Outcome.FULL, wait))
         else:
             late = 400_000 if health == "slow" else 0
@@ -391,17 +391,17 @@
             self.end_attempt(wait, offer.request, attempt, Outcome.CONNECT_FAILED)
         elif chance < 0.02:
             self.end_attempt(wait, offer.request, attempt, Outcome.NOT_SENT)
-        elif health == "line full":
+        elif health == "queue full":
             self.end_attempt(wait, offer.request, attempt, Outcome.FULL, Reason.QUEUE_FULL)
-        elif health == "broken":
+        elif health == "faulty":
             outcome = self.random.choice((Outcome.ERROR, Outcome.RESET))
             self.end_attempt(wait, offer.request, attempt, outcome)
-        elif health == "no room" or chance < 0.06:
+        elif health == "no capacity" or chance < 0.06:
             reason = self.random.choice((Reason.NO_CORES, Reason.NO_MEMORY))
             self.end_attempt(wait, offer.request, attempt, Outcome.FULL, reason)
-        elif health == "mute" and chance < 0.5:
+        elif health == "rejects without reason" and chance < 0.5:
             self.end_attempt(wait, offer.request, attempt, Outcome.FULL)
-        elif health == "leaving":
+        elif health == "draining":
             self.end_attempt(wait, offer.request, attempt, Outcome.FULL, Reason.NOT_ACCEPTING)
         elif chance < 0.1:
             outcome = self.random.choice(tuple(Outcome))
@@ -505,7 +505,7 @@
             self.add_machine(number, born_us=self.now)
         elif rng.random() < self.scenario.restart_share:
             self.fleet[number] = replace(self.fleet[number], born_us=self.now, state=MachineState.READY)
-            self.health[number] = "well"
+            self.health[number] = "healthy"
         else:
             state = rng.choice((*MachineState, MachineState.READY))
             self.fleet[number] = replace(self.fleet[number], state=state)
--- a/weldhatch/core/policy_driver.py
+++ b/weldhatch/core/policy_driver.py
@@ -34,9 +34,7 @@
         self._posted: list[Event] = []
         self._flush_waiters: list[asyncio.Future[None]] = []
         self._loop = asyncio.get_running_loop()
-        self._receivers: dict[
-            int, Callable[[Action], None]
-        ] = {}  # request id to the callback for its actions
+        self._receivers: dict[int, Callable[[Action], None]] = {}  # by request id
         self._last_request = 0
         self.watchers: list[Callable[[Event], None]] = []  # called with every posted event
 
@@ -104,7 +102,7 @@
             case Subscribe(on):
                 self.directory.subscribe(on)
             case FetchList():
-                self.directory.subscribe(True)  # a new subscription starts with the full list
+                self.directory.subscribe(True)  # a running subscription has already delivered the full list
             case Log(text):
                 self._log(text)
             case _:
--- a/weldhatch/core/ports.py
+++ b/weldhatch/core/ports.py
@@ -49,7 +49,7 @@
         """Final answer: not placed; a retry is safe and should come after `wait_us` at the earliest."""
 
     def failed(self) -> None:
-        """Final answer: not placed, and the task may have run."""
+        """Final answer: not placed, and whether the task has run is unknown."""
 
     def released(self, cause: int) -> None:
         """The running task has ended; not called if the owner ended it."""
@@ -95,7 +95,7 @@
         """Return why a task may not be started on the machine now, or '' if it may.
 
         `attempt` is the number of an attempt that is sent now if allowed, and that uses up start quota; -1
-        for a start that was already counted.
+        for a start that was requested before and is still unsent.
         """
 
 
--- a/weldhatch/placement_request.py
+++ b/weldhatch/placement_request.py
@@ -8,7 +8,7 @@
 
 from weldhatch.scheduling.types import Effect, Settings
 
-# Longer waits, in multiples of the deadline of the class, are rejected as invalid.
+# Longest accepted wait of a client, in multiples of the deadline of its class.
 MAX_WAIT_DEADLINES = 10
 MAX_NUMBER = 1e9
 MAX_KEY_DIGITS = 16
--- a/weldhatch/scheduling/actions.py
+++ b/weldhatch/scheduling/actions.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: not placed, and the task may have run."""
+    """Final answer: not placed, and whether the task has run is unknown."""
 
     request: int
 
--- a/weldhatch/scheduling/cluster_state.py
+++ b/weldhatch/scheduling/cluster_state.py
@@ -94,7 +94,7 @@
         "open_offers",
         "outlier_periods",
         "probe_waiters",
-        "probes_out",
+        "probes_in_flight",
         "recheck_at",
         "recheck_backoff_us",
         "running_cores",
@@ -135,7 +135,7 @@
         self.cached_programs: dict[int, None] = {}  # services whose program should be cached, oldest first
         self.unstarted: set[int] = set()  # ids of placed requests not yet reported as running
         self.unresponsive = False
-        self.probes_out = 0
+        self.probes_in_flight = 0
         self.draining_until = 0  # inferred from its answers; drains in the list are in `entry`
         self.offer_limit = INITIAL_OFFER_LIMIT
         self.degraded_until = 0  # until then it counts as overloaded because of a task note
--- a/weldhatch/scheduling/eligibility.py
+++ b/weldhatch/scheduling/eligibility.py
@@ -10,7 +10,7 @@
 
 
 def in_same_scope(scope: Scope, known: Machine, other: Machine) -> bool:
-    """Whether two machines share a scope; a machine of unknown zone or cell (-1) is taken to share it."""
+    """Whether two machines share a scope; they do if the zone or cell of `known` is unknown (-1)."""
     return (
         scope is Scope.ALL
         or known.id == other.id
--- a/weldhatch/scheduling/health.py
+++ b/weldhatch/scheduling/health.py
@@ -23,8 +23,8 @@
 
     def probe(self, machine: MachineRecord) -> None:
         """Ask a machine for its load, unless a probe is already outstanding."""
-        if not machine.probes_out:
-            machine.probes_out += 1
+        if not machine.probes_in_flight:
+            machine.probes_in_flight += 1
             self._context.actions.append(Probe(machine.entry.id))
 
     def watch_offer(self, request: RequestRecord, machine: MachineRecord, attempt: int) -> None:
--- a/weldhatch/scheduling/policy.py
+++ b/weldhatch/scheduling/policy.py
@@ -206,7 +206,7 @@
         machine = self._cluster.machines.get(event.machine)
         if machine is None:
             return
-        machine.probes_out = max(0, machine.probes_out - 1)
+        machine.probes_in_flight = max(0, machine.probes_in_flight - 1)
         answered = event.outcome is Outcome.OK
         if answered:
             machine.unresponsive = False
