--- a/weldhatch/cluster/__init__.py
+++ b/weldhatch/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""One process of a group of dispatchers: links, store and clock for what `coordination` decides.
+"""A dispatcher's part in a group: the links, the store and the timers round the pure logic of `coordination`.
 
-Imported only where the configuration has a table `agreement`.
+Imported only if the configuration has the table `agreement`.
 """
--- a/weldhatch/cluster/calls.py
+++ b/weldhatch/cluster/calls.py
@@ -1,4 +1,4 @@
-"""What all calls of operators on the group share."""
+"""Steps that all operators' calls on the group share."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from weldhatch.coordination.state_machine import StateMachine
 from weldhatch.pullqueue.errors import HttpError
 
-MAX_REASON = 500  # characters
-STATUS_S = 1.0
+MAX_REASON_CHARACTERS = 500  # characters
+STATUS_TIMEOUT_S = 1.0
 
 
 class GroupCalls:
-    """Has commands decided, and turns what goes wrong into answers."""
+    """Submits commands to the group, and translates errors into HTTP errors."""
 
     def __init__(self, node: ClusterNode) -> None:
-        """Ask the group through one of its processes."""
+        """Reach the group through `node`, the process that serves the call."""
         self.node = node
 
     @property
     def state_machine(self) -> StateMachine:
-        """The agreed state as this process holds it."""
+        """This process's copy of the replicated state."""
         return self.node.lease_holder.state_machine
 
     async def decide(
         self, command: JsonObject, describe_error: Callable[[JsonObject], str] | None = None
     ) -> JsonObject:
-        """Have a command decided; its result. Raises HttpError.
+        """Submit a command and return its result. Raises HttpError.
 
-        `describe_error`: the text for a command that was not carried out, from its result.
+        `describe_error` returns the error text for a command that was not carried out, from its result.
         """
         try:
             result = await self.node.submit(command)
@@ -44,22 +44,22 @@
         return result
 
     async def leader_status(self) -> JsonObject | None:
-        """Return what the leader knows; None where there is none."""
+        """Return the leader's status; None if no leader answers."""
         try:
-            return await self.node.submit({"do": RequestKind.STATUS}, STATUS_S)
+            return await self.node.submit({"do": RequestKind.STATUS}, STATUS_TIMEOUT_S)
         except GroupUnreachableError:
             return None
 
 
 def reason_of(body: JsonObject) -> str:
-    """Return why an operator does it. Raises HttpError 400."""
+    """Return the operator's reason for a call, from its body. Raises HttpError 400."""
     reason = body.get("why", "")
-    if not isinstance(reason, str) or not 0 < len(reason) <= MAX_REASON:
-        raise HttpError(400, f"why: a text of 1 to {MAX_REASON} characters is needed", "why")
+    if not isinstance(reason, str) or not 0 < len(reason) <= MAX_REASON_CHARACTERS:
+        raise HttpError(400, f"why: a text of 1 to {MAX_REASON_CHARACTERS} characters is needed", "why")
     return reason
 
 
 def author_of(body: JsonObject) -> str:
-    """Return which operator does it; '' where that is not said."""
+    """Return the operator's name from the body of a call; '' if it has none."""
     author = body.get("by", "")
     return author if isinstance(author, str) else ""
--- a/weldhatch/cluster/control_api.py
+++ b/weldhatch/cluster/control_api.py
@@ -1,6 +1,6 @@
-"""Calls of operators on the group at one of its processes: a control address of its own, on loopback.
+"""HTTP API for operators of the group: each process serves it at its own control address, on loopback.
 
-Paths, and names of keys in bodies and answers, are fixed.
+Paths, and the names of keys in bodies and answers, are part of the interface and must not change.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ControlApi(Counter):
-    """Reads what is asked, checks it, has it decided."""
+    """Parses and checks each call, then submits it to the group as a command."""
 
     def __init__(
         self,
@@ -34,10 +34,10 @@
         log: Callable[[str], None],
         unix_clock: Callable[[], float],
     ) -> None:
-        """Listen at the control address of the file.
+        """Listen at the control address of the node's configuration.
 
-        `read`: a version's settings; ConfigError names the key of those that can't be used. `unix_clock`:
-        Unix seconds, for people to read.
+        `read` parses the settings of a version; its ConfigError names an unusable key. `unix_clock` returns
+        Unix seconds; they serve only as a timestamp for operators.
         """
         self._node = node
         self._group = GroupCalls(node)
@@ -61,7 +61,7 @@
         match request.method, request.path:
             case "GET", "/v1/rules":
                 return {**self._node.status(), "seen_by_leader": await self._group.leader_status()}
-            case "GET", "/v1/rules/held":  # of this process alone: answers where no leader does
+            case "GET", "/v1/rules/held":  # local status of this process: available without a leader too
                 return self._node.status()
             case "GET", "/v1/rules/history":
                 machine = self._group.state_machine
@@ -103,13 +103,13 @@
         return result
 
     async def propose_and_wait(self, tree: JsonObject, reason: str) -> int:
-        """Propose settings and wait until they are in force here; their version. Raises HttpError."""
+        """Propose settings, wait until they are in force here, and return their version. Raises HttpError."""
         return await self._versions.propose_and_wait(tree, reason)
 
     # ---- zones -----------------------------------------------------------------------------------------
 
     async def _zones(self) -> JsonObject:
-        """Return what was agreed on zones, and what the leader knows of them."""
+        """Return the replicated state of the zones, and the leader's status of them."""
         zones = self._group.state_machine.zones.to_tree()
         leader = await self._group.leader_status()
         return {
@@ -155,7 +155,7 @@
         return {"machines": machines, "rev": directives.revision}
 
     async def set_machine_state(self, machine: str, body: JsonObject) -> JsonObject:
-        """Have an operator's word on a machine decided, for every dispatcher. Raises HttpError."""
+        """Submit an operator's directive for a machine, which binds every dispatcher. Raises HttpError."""
         try:
             directive = read_word(machine, body, self._unix_clock())
         except WordError as error:
--- a/weldhatch/cluster/drain_reporter.py
+++ b/weldhatch/cluster/drain_reporter.py
@@ -1,4 +1,4 @@
-"""Drains and ends of our own list of machines, reported to the group."""
+"""Reports to the group the machines that this dispatcher's own endpoint list drains or has removed."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class DrainReporter:
-    """Reports once at a time, and again once the group is heard. Owns the task that does."""
+    """Sends one report at a time; after a failure, the next call tries again. Owns the report task."""
 
     def __init__(
         self, node: ClusterNode, endpoint_list: LocalEndpointList, log: Callable[[str], None]
     ) -> None:
-        """Report what is news in `endpoint_list`."""
+        """Report the changes of `endpoint_list` that the group does not know yet."""
         self._node = node
         self._list = endpoint_list
         self._log = log
         self._reporting: asyncio.Task[None] | None = None
 
     def report_soon(self) -> None:
-        """Report where our own list has news for the group."""
+        """Start a report if the own list has changes for the group, the lease is valid and no report runs."""
         holder = self._node.lease_holder
         if (
             self._reporting is None
@@ -48,11 +48,11 @@
                     self._log(f"agreement: two lists differ: {text}")
                 await self._node.wait_for_index(result["index"])
         except GroupUnreachableError:
-            pass  # no leader: what is held next, or a lease, brings us here again
+            pass  # no leader: the next change of the replicated state or of the lease starts a new report
         finally:
             self._reporting = None
 
     def close(self) -> None:
-        """Give back the task at once."""
+        """Cancel the report task at once."""
         if self._reporting is not None:
             self._reporting.cancel()
--- a/weldhatch/cluster/event_log.py
+++ b/weldhatch/cluster/event_log.py
@@ -10,7 +10,7 @@
 
 
 def event_logger(stream: TextIO | None = None) -> Callable[..., None]:
-    """Return what logs an event with its fields to `stream`, by default to standard error."""
+    """Return a function that logs an event and its fields to `stream`, by default to standard error."""
     logger = structlog.wrap_logger(
         structlog.PrintLogger(stream or sys.stderr),
         processors=[
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -1,6 +1,6 @@
-"""One front under the rules of a group: what the group agrees on reaches the policy, the gate and the lists.
+"""Connects a front to its group: applies the group's settings and state to policy, admission and machines.
 
-Imported only where `agreement` is configured.
+Imported only if `agreement` is configured.
 """
 
 from __future__ import annotations
@@ -29,30 +29,30 @@
 
 
 class Front(Protocol):
-    """What a controller needs of a front."""
+    """The interface of a front that the controller needs."""
 
     settings: Settings
     driver: Driver
-    endpoint_list: LocalEndpointList | None  # of a front whose machines come by lists
+    endpoint_list: LocalEndpointList | None  # None for a front whose machines register themselves
 
     def update_machines(self, machines: tuple[Machine, ...]) -> None:
-        """Take machines that count for less, or for more again, than the front's own list said last."""
+        """Apply machine states that the group restricts, or no longer restricts, against the own list."""
 
     def apply_rules(self, settings: Settings, rules: Rules) -> None:
-        """Decide by these settings from now on, as far as `rules` lets anything start."""
+        """Use these settings from now on; `rules` decides what may be admitted and started."""
 
     def name_of(self, machine: int) -> str:
-        """Return what operators call a machine; '' for one that is not known."""
+        """Return the name that operators use for a machine; '' if it is unknown."""
 
     def on_break(self, broke: Callable[[int], None]) -> None:
-        """Notify of machines whose connection has ended, where they have one of their own."""
+        """Register the callback for machines whose connection was lost, if the front has one to each."""
 
     def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
-        """Take what the group acts on for a machine, as operators said."""
+        """Apply the group's effective state of a machine, from an operator's directive."""
 
 
 class FrontController:
-    """Owns the process's part in the group and its control address."""
+    """Owns this process's node of the group, its zone agent and its control API."""
 
     def __init__(
         self,
@@ -65,20 +65,20 @@
     ) -> None:
         """Join the group. Raises ConfigError.
 
-        `tree`: the settings of this process's own file, proposed where a group has none yet. `zones`: where
-        the group leaves zones that fail.
+        `tree`: the settings of this process's own file, proposed if the group has none yet. `zones` is set if
+        the group uses zone failover.
         """
         self._front = front
-        self._first_tree = tree
+        self._initial_tree = tree
         self._own_settings = front.settings
         self._list = front.endpoint_list
-        self._announced = EndpointOverlay()  # machines that made themselves known, as the policy knows them
+        self._announced = EndpointOverlay()  # machines that registered themselves, as the policy knows them
         contexts = link_contexts(agreement.keys, agreement.name, "agreement.keys")
         self.zone_agent = self._make_zone_agent(agreement, log) if zones is not None else None
         self.node = ClusterNode(
             agreement,
             self._read,
-            self._fits,
+            self._incompatibility,
             tree,
             self._state_changed,
             log,
@@ -87,7 +87,7 @@
             zone_times=zones.times if zones is not None else None,
             on_quota=self._quota_received,
         )
-        self._join_zones()
+        self._join_zone_failover()
         self._drain_reporter = self._make_drain_reporter(log)
         self._gate = self._make_gate()
         front.apply_rules(self._own_settings, self._gate)
@@ -95,7 +95,7 @@
         voters = len(agreement.voters)
         log(f"agreement: {agreement.name} of {voters} voters, stated time {agreement.stated} s")
 
-    def _join_zones(self) -> None:
+    def _join_zone_failover(self) -> None:
         if self.zone_agent is not None:
             self._front.on_break(self.zone_agent.member.connection_lost)
             self.zone_agent.join(self.node, self._list.machines if self._list is not None else ())
@@ -115,7 +115,7 @@
 
     def _make_zone_agent(self, agreement: config.ClusterConfig, log: Callable[[str], None]) -> ZoneAgent:
         if self._list is None:
-            self._front.driver.watchers.append(self._note_machines)
+            self._front.driver.watchers.append(self._record_announced_machines)
         return ZoneAgent(
             self._own_settings,
             agreement.drift,
@@ -128,13 +128,16 @@
         )
 
     def _read(self, tree: JsonObject) -> Settings:
-        """Return a version's settings with this process's own keys. Raises ConfigError."""
+        """Parse a version's settings, with this process's own values of `locality`, `me` and `resolutionUs`.
+
+        Raises ConfigError.
+        """
         own = self._own_settings
         settings = config.settings_from_json(tree)
         return replace(settings, zone=own.zone, me=own.me, tick_us=own.tick_us)
 
-    def _fits(self, settings: Settings) -> str:
-        """Return '' where this front can act on such settings, or the key and the reason."""
+    def _incompatibility(self, settings: Settings) -> str:
+        """Return '' if this front can apply such settings at run time, else the key and the reason."""
         try:
             compatibility.find_changes(self._front.settings, settings)
         except IncompatibleChangeError as error:
@@ -146,14 +149,14 @@
 
     @property
     def tree(self) -> JsonObject:
-        """The settings in force in the group, as a file has them."""
+        """The settings in force in the group, in the form of a settings file."""
         active = self.node.lease_holder.state_machine.active
-        return active.tree if active is not None else self._first_tree
+        return active.tree if active is not None else self._initial_tree
 
-    # ---- what the group says ---------------------------------------------------------------------------
+    # ---- changes of the group's state ------------------------------------------------------------------
 
     def _state_changed(self) -> None:
-        """Act on what is held now: the policy decides by it from its next batch on."""
+        """Apply the replicated state as it is now: the policy uses it from its next batch of events on."""
         holder = self.node.lease_holder
         if holder.rules is not None and holder.rules.restricted.settings != self._front.settings:
             settings = holder.rules.restricted.settings
@@ -177,7 +180,7 @@
     # ---- machines --------------------------------------------------------------------------------------
 
     def _overlay_machines(self) -> None:
-        """Notify the policy of machines that count for less, or for more again, than our list says."""
+        """Notify the policy of machines whose effective state is no longer the one that it knows."""
         zone_state = self._zone_state()
         if self._list is not None:
             if machines := self._list.overlaid_machines(self.node.lease_holder, zone_state):
@@ -192,7 +195,7 @@
                 self._front.driver.post_unwatched(MachinesChanged(ListForm.DELTA, machines))
 
     def _zone_state(self) -> Callable[[int], str] | None:
-        """Return what tells as what a machine counts by its zone; None where no zone counts for less."""
+        """Return a function that gives a machine's state by its zone; None if no zone is restricted."""
         if self.zone_agent is None:
             return None
         member = self.zone_agent.member
@@ -201,22 +204,22 @@
         now = boot_clock()
         return lambda machine: member.effective_state(now, machine)
 
-    def _note_machines(self, event: Event) -> None:
-        """Note what the policy hears of machines that make themselves known."""
+    def _record_announced_machines(self, event: Event) -> None:
+        """Record the events by which the policy learns of machines that register themselves."""
         if isinstance(event, MachinesChanged):
             for machine in event.machines:
                 self._announced.machine_listed(machine)
 
-    # ---- the end ---------------------------------------------------------------------------------------
+    # ---- shutdown --------------------------------------------------------------------------------------
 
     async def end(self) -> None:
-        """Leave the group, so that nobody waits for our lease; then close."""
+        """Leave the group, so that no dispatcher waits for our lease to expire; then close."""
         await self.control_api.end()
         await self.node.end()
         self.abort()
 
     def abort(self) -> None:
-        """Give back every socket and task at once."""
+        """Close all sockets and cancel all tasks at once."""
         if self.zone_agent is not None:
             self.zone_agent.close()
         if self._drain_reporter is not None:
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -1,6 +1,6 @@
-"""One process of the group: links, store and clock for what `coordination.node` decides.
+"""The I/O of one process of the group: links, store and clock round the pure `coordination.node`.
 
-No decisions here.
+All decisions are made there; this module feeds it inputs and carries out its effects.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from weldhatch.scheduling.types import Settings
 from weldhatch.zones.failover_rules import FailoverTiming
 
-TICK = 0.0375  # of the consistency bound: half of the heartbeat of voters
-POLL_INTERVAL_S = 0.02  # how often it is looked whether a state is held
-TRANSFER_S = 0.3
-FLUSH_S = 0.05
+TICK_FRACTION = 0.0375  # of the consistency bound: half of the voters' heartbeat interval
+POLL_INTERVAL_S = 0.02  # between two checks whether the state machine has reached an index
+LEADERSHIP_TRANSFER_S = 0.3
+FLUSH_WAIT_S = 0.05
 
 
 def boot_clock() -> float:
-    """Return seconds that go on while the machine sleeps: a lease must not outlast a suspended process."""
+    """Return seconds since boot, time in suspend included: a lease must expire while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class GroupUnreachableError(Exception):
-    """No leader took a command in time: it may still be carried out."""
+    """A command, or the replication of its result to here, was not completed in time; it may still be."""
 
 
 class ClusterNode:
@@ -60,8 +60,9 @@
     ) -> None:
         """Open the store, listen and dial. Raises ConfigError for a store that can't be used.
 
-        `read`, `fits`, `first_settings`, `zone_times`: as in `NodeSetup`. `on_change` is called when what is
-        held has changed, `on_quota` when starts on machines that return were received.
+        `read`, `fits`, `first_settings`, `zone_times`: as in `NodeSetup`. `on_change` is called when the
+        replicated state or the status of the lease has changed, `on_quota` when start quotas for machines of
+        a zone that is being restored have been received.
         """
         self.config = config
         self._log_event = log_event
@@ -75,7 +76,7 @@
         self.coordination = self._make_coordination(setup)
         self.lease_holder = self.coordination.lease_holder
         self._restore()
-        self._results: dict[str, asyncio.Future[JsonObject]] = {}  # of commands given here, by id
+        self._results: dict[str, asyncio.Future[JsonObject]] = {}  # of commands submitted here, by id
         self._serial = itertools.count(1)
         self._closed = False
         listener = PeerListener(self._peer_up, self._peer_down, self._receive)
@@ -86,10 +87,10 @@
 
     def _make_coordination(self, setup: NodeSetup) -> CoordinationNode:
         persistent = self.store.persistent if self.config.listen is not None else None
-        return CoordinationNode(setup, Random(), self._clock(), persistent, self._first_voters())
+        return CoordinationNode(setup, Random(), self._clock(), persistent, self._initial_voters())
 
-    def _first_voters(self) -> dict[str, str] | None:
-        """Return the voters to begin a new group with; None where this process goes on, or never votes."""
+    def _initial_voters(self) -> dict[str, str] | None:
+        """Return the voters of a new group; None if the store is of an earlier run, or this is no voter."""
         config = self.config
         if self.store.is_fresh and config.name in config.voters and config.listen is not None:
             return _addresses(config)
@@ -100,42 +101,42 @@
             try:
                 self.lease_holder.restore(self.store.state, self.store.lineage)
             except (ValueError, KeyError, TypeError) as error:
-                raise ConfigError(f"agreement.store: the state held can't be read: {error}") from None
+                raise ConfigError(f"agreement.store: the stored state can't be read: {error}") from None
 
-    # ---- what comes in ---------------------------------------------------------------------------------
+    # ---- inputs ----------------------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        """Act on the time: a timer and no task, as each turn of the loop is paid by the front beside it."""
-        self._timer = asyncio.get_running_loop().call_later(TICK * self.config.stated, self._tick)
+        """Pass the time to the node. A timer costs the loop, which the front shares, less than a task."""
+        self._timer = asyncio.get_running_loop().call_later(TICK_FRACTION * self.config.stated, self._tick)
         self.coordination.tick(self._clock())
-        self._carry_out()
+        self._carry_out_effects()
 
     def _peer_up(self, name: str) -> None:
         self.coordination.peer_up(self._clock(), name)
-        self._carry_out()
+        self._carry_out_effects()
 
     def _peer_down(self, name: str) -> None:
         self.coordination.peer_down(name)
 
     def _receive(self, name: str, message: Message) -> None:
         self.coordination.receive(self._clock(), name, message)
-        self._carry_out()
+        self._carry_out_effects()
 
     def _records_written(self, done: asyncio.Future[None]) -> None:
         if not self._closed and not done.cancelled():
             self.coordination.records_written(self._clock())
-            self._carry_out()
+            self._carry_out_effects()
 
-    # ---- what goes out ---------------------------------------------------------------------------------
+    # ---- effects ---------------------------------------------------------------------------------------
 
-    def _carry_out(self) -> None:
-        """Carry out what the node wants, in order."""
-        wanted = self.coordination.take_effects()
+    def _carry_out_effects(self) -> None:
+        """Carry out the node's pending effects, in order."""
+        effect_list = self.coordination.take_effects()
         if not self._closed:
-            for effect in wanted:
-                self._carry_out_one(effect)
+            for effect in effect_list:
+                self._carry_out_effect(effect)
 
-    def _carry_out_one(self, effect: effects.Effect) -> None:
+    def _carry_out_effect(self, effect: effects.Effect) -> None:
         match effect:
             case effects.WriteRecords(records):
                 self.store.write(records).add_done_callback(self._records_written)
@@ -147,9 +148,9 @@
             case effects.ConnectVoters(voters):
                 self.peers.dial(dict(voters))
             case effects.CommandCompleted(command_id, result):
-                waiting = self._results.get(command_id)
-                if waiting is not None and not waiting.done():
-                    waiting.set_result(result)
+                waiter = self._results.get(command_id)
+                if waiter is not None and not waiter.done():
+                    waiter.set_result(result)
             case effects.QuotaReceived(quotas, asked_at):
                 self._on_quota(quotas, asked_at)
             case effects.LogEvent(name, fields):
@@ -158,51 +159,51 @@
                     self._on_change()
 
     def request_lease(self) -> None:
-        """Ask now: what is observed of the zones has changed."""
+        """Request the lease now, with a zone report: the observed health of the zones has changed."""
         self.coordination.request_lease(self._clock())
-        self._carry_out()
+        self._carry_out_effects()
 
     # ---- operators -------------------------------------------------------------------------------------
 
-    async def submit(self, command: JsonObject, within: float = 5.0) -> JsonObject:
-        """Have one command decided; its result.
+    async def submit(self, command: JsonObject, timeout_s: float = 5.0) -> JsonObject:
+        """Submit one command, wait until the group has decided it, and return its result.
 
-        Raises GroupUnreachableError where no leader took it `within` seconds.
+        Raises GroupUnreachableError if no leader completes it within `timeout_s`.
         """
         command_id = f"{self.config.name}-{self.store.epoch}-{self.store.token}-{next(self._serial)}"
         result = self._results[command_id] = asyncio.get_running_loop().create_future()
         self.coordination.submit(self._clock(), command_id, command)
-        self._carry_out()
+        self._carry_out_effects()
         try:
-            return await asyncio.wait_for(result, within)
+            return await asyncio.wait_for(result, timeout_s)
         except TimeoutError:
             raise GroupUnreachableError(
-                f"no leader took it within {within:.0f} s; it may still be carried out"
+                f"no leader took it within {timeout_s:.0f} s; it may still be carried out"
             ) from None
         finally:
             del self._results[command_id]
             self.coordination.forget_command(command_id)
 
-    async def wait_for_index(self, index: int, within: float = 5.0) -> None:
-        """Wait until this process holds the state at `index`.
+    async def wait_for_index(self, index: int, timeout_s: float = 5.0) -> None:
+        """Wait until this process's state machine has reached `index`.
 
-        Raises GroupUnreachableError after `within` seconds.
+        Raises GroupUnreachableError after `timeout_s`.
         """
-        end = asyncio.get_running_loop().time() + within
+        end = asyncio.get_running_loop().time() + timeout_s
         while self.lease_holder.state_machine.index < index:
             if asyncio.get_running_loop().time() > end:
-                raise GroupUnreachableError(f"what was decided is not held here within {within:.0f} s")
+                raise GroupUnreachableError(f"the result was not replicated to here within {timeout_s:.0f} s")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def recover(self, by: str, reason: str) -> JsonObject:
-        """Go on alone: the majority of the voters is lost for good, an operator says."""
+        """Continue as the only voter: an operator states that the majority is lost permanently."""
         host, port = self.config.listen or ("", 0)
         result = self.coordination.recover(self._clock(), f"{host}:{port}", by, reason, time.time())
-        self._carry_out()
+        self._carry_out_effects()
         return result
 
     def status(self) -> JsonObject:
-        """Return what this process holds and may act on. Names of keys are fixed."""
+        """Return this process's copy of the state and its lease. The names of the keys must not change."""
         raft = self.coordination.raft
         voters = dict(raft.voters) if raft is not None and raft.voters else _addresses(self.config)
         return {
@@ -213,26 +214,28 @@
             "bytes_sent": self.peers.bytes_sent,
         }
 
-    # ---- the end ---------------------------------------------------------------------------------------
+    # ---- shutdown --------------------------------------------------------------------------------------
 
     async def end(self) -> None:
-        """Leave, so that nobody waits for our lease; then close."""
+        """Hand leadership over, leave, so that no dispatcher waits for our lease to expire; then close."""
         raft = self.coordination.raft
         if raft is not None and raft.is_leader and len(raft.voters) > 1:
             others = [name for name in raft.voters if name != self.config.name]
             try:
-                await self.submit({"do": RequestKind.TRANSFER_LEADERSHIP, "to": others[0]}, TRANSFER_S)
-                await asyncio.sleep(TRANSFER_S)
+                await self.submit(
+                    {"do": RequestKind.TRANSFER_LEADERSHIP, "to": others[0]}, LEADERSHIP_TRANSFER_S
+                )
+                await asyncio.sleep(LEADERSHIP_TRANSFER_S)
             except GroupUnreachableError:
                 pass
         self.coordination.request_lease(self._clock(), leaving=True)
-        self._carry_out()
-        await asyncio.sleep(FLUSH_S)
+        self._carry_out_effects()
+        await asyncio.sleep(FLUSH_WAIT_S)
         await self.store.flush()
         self.close()
 
     def close(self) -> None:
-        """Give back every socket and task at once."""
+        """Close all sockets and files, and cancel all tasks, at once."""
         if not self._closed:
             self._closed = True
             self._timer.cancel()
--- a/weldhatch/cluster/peers.py
+++ b/weldhatch/cluster/peers.py
@@ -1,6 +1,6 @@
-"""The links of one process in the group: one that it dials to each voter, one for each that dials it.
+"""The links of one process in the group: one dialled link to each voter, one accepted link from each peer.
 
-Two links a pair of voters, one each way, so that nobody has to know who dials whom when voters come and go.
+Each of two voters dials the other, so that a change of voters needs no agreement on which side dials.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from weldhatch.sites.link import Link, LinkHandlers
 from weldhatch.sites.link_listener import LinkListener
 
-TICK_S = 0.5  # a link looks as often for silence, and acknowledges: a group has many links
-MAX_DIALLED = 64
+LINK_TICK_S = 0.5  # interval of a link's time-out checks and acknowledgements; a group has many links
+MAX_DIALLED_LINKS = 64
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True, frozen=True)
 class PeerListener:
-    """What is called for links: one that we dial is up or down, or a message came, with the peer's name."""
+    """Callbacks with the peer's name: a dialled link is up or down, or a message was received on any link."""
 
     up: Callable[[str], None]
     down: Callable[[str], None]
@@ -32,25 +32,25 @@
 
 
 class _AcceptedLinks(dict[str, Link]):
-    """Links of those who dial us, made when they first come: only of those whom the file invites."""
+    """Links that peers have dialled, created at their first connection; only invited peers may have one."""
 
-    def __init__(self, is_invited: Callable[[str], bool], make: Callable[[str], Link]) -> None:
-        """Make links by `make`."""
+    def __init__(self, is_invited: Callable[[str], bool], make_link: Callable[[str], Link]) -> None:
+        """Create each link with `make_link`, for names that pass `is_invited`."""
         super().__init__()
         self._is_invited = is_invited
-        self._make = make
+        self._make = make_link
 
     def __contains__(self, name: object) -> bool:
         """Whether there may be a link with that peer."""
         return isinstance(name, str) and self._is_invited(name)
 
     def __missing__(self, name: str) -> Link:
-        """Make the link with a peer that has come."""
+        """Create the link of a peer that connects for the first time."""
         self[name] = self._make(name)
         return self[name]
 
     def existing(self, name: str) -> Link | None:
-        """Return the link with a peer that has come before."""
+        """Return the link of a peer that has connected before; None for any other."""
         return dict.get(self, name)
 
 
@@ -65,13 +65,14 @@
         log: Callable[[str], None],
         tls: tuple[ssl.SSLContext | None, ssl.SSLContext | None],
     ) -> None:
-        """Listen where the file says so. `tls`: contexts to serve and to dial with."""
+        """Listen at the configured address, if there is one. `tls`: contexts of server and client."""
         self._config = config
         self._store = store
         self._listener = listener
         self._log = log
         self._server_tls, self._client_tls = tls
-        self._reassemblers: dict[int, tuple[str, codec.Reassembler]] = {}  # by link: of which session
+        # By id(link): the name of the session, and the parts received in it.
+        self._reassemblers: dict[int, tuple[str, codec.Reassembler]] = {}
         self._dialled: dict[str, Link] = {}
         self._accepted = _AcceptedLinks(self._is_invited, lambda name: self._make_link(name, dialled=False))
         self._share = DescriptorShare(DescriptorBudget(config.sockets), config.sockets)
@@ -80,7 +81,7 @@
             self._link_listener = LinkListener(
                 config.listen, self._accepted, self._share, log, self._server_tls
             )
-        self.bytes_sent = 0  # before the link's own
+        self.bytes_sent = 0  # encoded messages, without the links' framing
 
     def _is_invited(self, name: str) -> bool:
         config = self._config
@@ -91,28 +92,28 @@
     def _make_link(self, name: str, dialled: bool) -> Link:
         def on_up(peer: str) -> None:
             known, _ = self._reassemblers.get(id(link), ("", None))
-            if known != link.session.name:  # guards against half a message of a session that is no more
+            if known != link.session.name:  # guards against parts of a message of an earlier session
                 self._reassemblers[id(link)] = (link.session.name, codec.Reassembler())
             if dialled:
                 self._listener.up(peer)
 
         def on_payload(peer: str, stream: int, payload: bytes) -> None:
-            whole = self._reassemblers[id(link)][1].add(stream, payload)
-            if whole is not None:
-                self._listener.received(peer, codec.decode(stream, whole))
+            message_bytes = self._reassemblers[id(link)][1].add(stream, payload)
+            if message_bytes is not None:
+                self._listener.received(peer, codec.decode(stream, message_bytes))
 
         on_down = self._listener.down if dialled else _ignore_down
         callbacks = LinkHandlers(on_up, on_down, on_payload)
-        link = Link(self._config.name, name, self._store, callbacks, self._log_link, TICK_S)
+        link = Link(self._config.name, name, self._store, callbacks, self._log_link, LINK_TICK_S)
         return link
 
     def _log_link(self, text: str) -> None:
         self._log(text.replace("site ", "peer ", 1) if text.startswith("site ") else text)
 
     def dial(self, voters: dict[str, str | Address]) -> None:
-        """Dial those of them that are new, and leave those that are no voters any more.
+        """Dial the voters that are new, and close the dialled links to peers that are no longer voters.
 
-        Addresses are texts host:port, or pairs.
+        An address is a text `host:port`, or a pair.
         """
         for name in [name for name in self._dialled if name not in voters]:
             link = self._dialled.pop(name)
@@ -120,18 +121,18 @@
             link.close()
             self._listener.down(name)
         for name, address in voters.items():
-            if name == self._config.name or name in self._dialled or len(self._dialled) >= MAX_DIALLED:
+            if name == self._config.name or name in self._dialled or len(self._dialled) >= MAX_DIALLED_LINKS:
                 continue
-            # Tests and rigs put a relay between two processes: a file may say where another is reached.
-            place = self._config.voters.get(name, _parse(address))
+            # The address in the own file takes precedence: tests place a relay between two processes.
+            endpoint = self._config.voters.get(name, _parse(address))
             link = self._dialled[name] = self._make_link(name, dialled=True)
-            link.dial(place, self._share, self._client_tls)
+            link.dial(endpoint, self._share, self._client_tls)
 
     def send(self, name: str, message: codec.Message) -> bool:
-        """Send over whichever link is up; False where none is.
+        """Send over a link that is up; False if there is none, or if the link refuses a part.
 
-        Two that both vote have two links: both speak on the one that the first by name dials, so that its
-        acknowledgements go with what is said, and the other rests.
+        A pair of voters has two links. Both prefer the one dialled by the first of them by name, so that
+        acknowledgements travel with messages and the other link stays idle.
         """
         stream, data = codec.encode(message)
         links = list(self._links_with(name))
@@ -142,22 +143,22 @@
         return False
 
     def _links_with(self, name: str) -> Iterator[Link]:
-        """Yield the link that we dial, and the one on which we were dialled."""
+        """Yield the dialled and the accepted link with a peer, as far as they exist."""
         for link in (self._dialled.get(name), self._accepted.existing(name)):
             if link is not None:
                 yield link
 
     def status(self) -> dict[str, dict[str, object]]:
-        """Return of each peer whether a link is up, and what is wrong with it."""
+        """Return for each peer whether a link is up, and why either's store counts as stale ('' if not)."""
         status: dict[str, dict[str, object]] = {}
         for name in sorted(self._dialled.keys() | set(self._accepted.keys())):
             links = list(self._links_with(name))
-            doubts = (link.stale_reason for link in links if link.stale_reason)
-            status[name] = {"up": any(link.up for link in links), "doubt": next(doubts, "")}
+            stale_reasons = (link.stale_reason for link in links if link.stale_reason)
+            status[name] = {"up": any(link.up for link in links), "doubt": next(stale_reasons, "")}
         return status
 
     def close(self) -> None:
-        """Give back every socket and task at once."""
+        """Close all sockets and cancel all tasks at once."""
         for link in [*self._dialled.values(), *self._accepted.values()]:
             link.close()
         if self._link_listener is not None:
@@ -172,4 +173,4 @@
 
 
 def _ignore_down(name: str) -> None:
-    """Of a link that others dial nobody has to hear that it went."""
+    """Ignore the loss of an accepted link: only dialled links are reported to the listener."""
--- a/weldhatch/cluster/storage.py
+++ b/weldhatch/cluster/storage.py
@@ -1,7 +1,7 @@
-"""What a process keeps of the group: its own epoch, whom it has met, a voter's log, the last state.
+"""The store of a process of the group: its own epoch, its peers' epochs, a voter's Raft log, the last state.
 
 Records are JSON arrays: ["begins", epoch, token], ["met", name, epoch, token], ["held", lineage, state], and
-["raft", ...] with those of `consensus.records`.
+["raft", ...] followed by the values of a record of `consensus.records`.
 """
 
 from __future__ import annotations
@@ -19,33 +19,33 @@
 from weldhatch.store.folded import FoldedStore
 from weldhatch.store.log import Disk
 
-COMPACT_OVER = 500  # records are large here: each may hold a whole state
+COMPACTION_SLACK_RECORDS = 500  # fewer than the default, as a record may hold a complete state
 
 
 class InvalidClusterRecordError(ValueError):
     """A record of the store can't be read."""
 
     def __init__(self, payload: bytes, reason: str = "") -> None:
-        """Carry the `payload` of the record."""
-        text = f"a record that can't be read: {payload[:80]!r}"
+        """Keep the `payload` of the record."""
+        text = f"unreadable record of the group's store: {payload[:80]!r}"
         super().__init__(f"{text}: {reason}" if reason else text)
         self.payload = payload
 
 
 class ClusterRecords:
-    """All records, folded."""
+    """The state that the records of a store fold to."""
 
     def __init__(self) -> None:
-        """Begin as an empty store."""
+        """Begin with the state of an empty store."""
         self.epoch = 0
         self.token = ""
-        self.met: dict[str, tuple[int, str]] = {}  # epoch and token, by name
+        self.met: dict[str, tuple[int, str]] = {}  # epoch and token of each known peer, by its name
         self.lineage = 0
-        self.state = ""  # the agreed state that was acted on last
-        self.persistent = PersistentState()  # the voter's
+        self.state = ""  # the replicated state that this process applied last
+        self.persistent = PersistentState()  # of the voter
 
     def apply(self, payload: bytes) -> None:
-        """Take one record. Raises ValueError for what is none."""
+        """Apply one record. Raises ValueError if it can't be read."""
         if payload == NO_OP_RECORD:
             return
         try:
@@ -67,7 +67,7 @@
                 raise InvalidClusterRecordError(payload)
 
     def snapshot_records(self) -> Iterator[bytes]:
-        """Yield the fewest records that fold to the same."""
+        """Yield the fewest records that fold to the same state."""
         yield json.dumps(["begins", self.epoch, self.token]).encode()
         for name, (epoch, token) in self.met.items():
             yield json.dumps(["met", name, epoch, token]).encode()
@@ -78,23 +78,30 @@
 
     @property
     def snapshot_size(self) -> int:
-        """About how many records `snapshot_records` yields."""
+        """The approximate number of records that `snapshot_records` yields."""
         return 2 + len(self.met) + self.persistent.size
 
 
 class ClusterStore(EpochStorage):
-    """Owns the folder. Its fold of the disk is one, a voter's log in memory another."""
+    """Owns the folder. Keeps two folded states: one of the records on disk, one in memory for the voter."""
 
     def __init__(self, folder: str, now: float, log: Callable[[str], None], disk: Disk | None = None) -> None:
-        """Open the folder. `now`: Unix seconds, for those whom its lock turns away.
+        """Open the folder. `now`: Unix seconds, reported to a process that finds the folder locked.
 
-        Raises ConfigError where it can't be used, is another's, or holds what can't be read.
+        Raises ConfigError if the folder can't be used or is locked, or if a record is unreadable.
         """
         on_disk = ClusterRecords()
         memory = ClusterRecords()
         try:
             self._store = FoldedStore(
-                folder, "agreement.log", "agreement", now, [on_disk, memory], log, disk, COMPACT_OVER
+                folder,
+                "agreement.log",
+                "agreement",
+                now,
+                [on_disk, memory],
+                log,
+                disk,
+                COMPACTION_SLACK_RECORDS,
             )
             self.is_fresh = memory.epoch == 0
             first = json.dumps(["begins", memory.epoch + 1, secrets.token_hex(4)]).encode()
@@ -108,11 +115,11 @@
         self.state = memory.state
 
     def write(self, records: Iterable[Record]) -> asyncio.Future[None]:
-        """Write a voter's records: done once they are on the disk, however long that takes."""
+        """Write a voter's records; the future is done once they are on the disk, after retries if need be."""
         return self._store.append_with_retry(
             [json.dumps(["raft", *record.to_list()]).encode() for record in records]
         )
 
     def save_state(self, lineage: int, state: str) -> None:
-        """Keep the state that is acted on, for a look after a restart."""
+        """Store the applied state, so that it can be restored after a restart."""
         self._store.append_with_retry([json.dumps(["held", lineage, state]).encode()])
--- a/weldhatch/cluster/version_calls.py
+++ b/weldhatch/cluster/version_calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators on versions of the settings: compared, proposed, waited for, dropped."""
+"""Operators' calls on versions of the settings: compare, propose, wait until in force, drop."""
 
 from __future__ import annotations
 
@@ -14,13 +14,17 @@
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.scheduling.types import Settings
 
-ACTIVE_S = 20.0  # a plan that has become a proposal is waited for so long
+ACTIVATION_TIMEOUT_S = 20.0  # longest wait until the version that a plan has proposed is in force
 POLL_INTERVAL_S = 0.02
 
 
 @dataclass(slots=True, frozen=True)
 class Proposal:
-    """What an operator proposes. `base`: the number of the version that it was made on."""
+    """An operator's proposal of settings.
+
+    `base`: the number of the version that it was derived from; `may_refuse`: dispatchers that may refuse it,
+    and get no lease then.
+    """
 
     base: int
     tree: JsonObject
@@ -29,7 +33,7 @@
     may_refuse: list[str]
 
     def to_command(self) -> JsonObject:
-        """Return it as a command for the log."""
+        """Return the proposal as a command for the replicated log."""
         return {
             "do": CommandKind.PROPOSE,
             "base": self.base,
@@ -41,10 +45,10 @@
 
 
 class VersionCalls:
-    """Reads what is asked, checks it, has it decided."""
+    """Parses and checks each call on versions, then submits it to the group as a command."""
 
     def __init__(self, group: GroupCalls, read: Callable[[JsonObject], Settings]) -> None:
-        """Ask that group. `read`: a version's settings; ConfigError names the key at fault."""
+        """Submit commands to `group`. `read` parses a version's settings; its ConfigError names the key."""
         self._group = group
         self._read = read
 
@@ -53,7 +57,7 @@
         return self._group.state_machine.versions
 
     def changes(self, tree: JsonObject) -> list[JsonObject]:
-        """Return what a version would change, each key with how the two may overlap.
+        """Return the changes from the version in force to `tree`: each key, and how both values may overlap.
 
         Raises HttpError 400.
         """
@@ -74,9 +78,9 @@
             raise HttpError(400, str(error), str(error).partition(":")[0]) from None
 
     async def propose(self, body: JsonObject) -> JsonObject:
-        """Propose a version; its number, and what it changes. Raises HttpError.
+        """Propose a version; return its number and its changes. Raises HttpError.
 
-        Its `base` has to be the one in force: else the answer says what differs.
+        Its `base` has to be the version in force; otherwise the error lists the keys that differ.
         """
         tree = tree_of(body)
         base = _base_of(body)
@@ -96,7 +100,7 @@
         return names
 
     def _describe_error(self, result: JsonObject) -> str:
-        """Return the text of an error: the loser of two proposals hears what differs, key by key."""
+        """Return an error's text; for a proposal on an outdated base, with the keys changed since then."""
         text: str = result["text"]
         if result.get("then") and result.get("now"):
             try:
@@ -109,7 +113,7 @@
         return text
 
     async def propose_and_wait(self, tree: JsonObject, reason: str) -> int:
-        """Propose and wait until it is in force here; its number. For plans of settings.
+        """Propose a version, wait until it is in force here, and return its number. For plans of settings.
 
         Raises HttpError.
         """
@@ -122,7 +126,7 @@
         }
         proposed = await self.propose(body)
         number: int = proposed["number"]
-        end = asyncio.get_running_loop().time() + ACTIVE_S
+        end = asyncio.get_running_loop().time() + ACTIVATION_TIMEOUT_S
         while asyncio.get_running_loop().time() < end:
             active = self._versions.active
             if active is not None and active.number >= number:
@@ -143,7 +147,7 @@
         return {"number": int(text), "tree": trees[int(text)]}
 
     async def drop(self, body: JsonObject) -> JsonObject:
-        """Give the version up that is being prepared. Raises HttpError."""
+        """Drop the version that is being prepared. Raises HttpError."""
         if not isinstance(body.get("number"), int):
             raise HttpError(400, "number: the number of a version is needed", "number")
         command = {"do": CommandKind.DROP, "number": body["number"], "why": reason_of(body)}
--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -1,6 +1,6 @@
-"""Zones at one front: time, events and health checks for what `zones.failover_member` decides.
+"""Zone failover at one front: the timer, events and health checks round the pure `zones.failover_member`.
 
-No decisions here.
+All decisions are made there.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from weldhatch.zones.state import Phase
 
 TICK_S = 0.1
-REPORT_INTERVAL = 0.2  # of the consistency bound: a report that stays the same is sent as often
-MAX_QUOTAS = 100  # that one answer may bring
+REPORT_INTERVAL_FRACTION = 0.2  # of the consistency bound: interval of reports while nothing changes
+MAX_QUOTAS = 100  # in one answer of the leader
 
 
 class ZoneAgent:
@@ -40,7 +40,7 @@
         log: Callable[[str], None],
         clock: Callable[[], float],
     ) -> None:
-        """Begin to listen to what the policy hears. `on_change`: machines may count for more or less."""
+        """Follow the policy's events from now on. `on_change`: effective states of machines may change."""
         self.member = FailoverMember(settings, clock_drift, Random(), uid_of)
         self._driver = driver
         self._on_change = on_change
@@ -50,30 +50,30 @@
         self._node: ClusterNode | None = None
         self._reported_at = float("-inf")
         self._silent_zones: frozenset[str] = frozenset()
-        self._reported_looks: object = None
-        self._last_looks: object = None
+        self._reported_summary: object = None
+        self._last_health: object = None
         self._fencing: asyncio.Task[None] | None = None
         driver.watchers.append(lambda event: self.member.handle_event(clock(), event))
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
 
     def join(self, node: ClusterNode, machines: tuple[Machine, ...]) -> None:
-        """Take part in a group. `machines`: those that the policy heard of before we listened to it."""
+        """Join the group. `machines`: those that the policy knew before this agent followed its events."""
         self.member.handle_event(self._clock(), MachinesChanged(ListForm.DELTA, machines))
         self._node = node
         node.coordination.report_zones_by(self.report)
 
     def report(self, now: float) -> str:
-        """Return what the leader is to hear with the next request (JSON); '' where it was sent lately."""
+        """Return the report (JSON) to the leader for the next lease request; '' if it was sent recently."""
         report = self.member.report(now)
-        looks = [
+        health_summary = [
             report.isolation,
-            {place: one.health for place, one in report.places.items()},
+            {place: observation.health for place, observation in report.places.items()},
             report.starts,
         ]
-        interval = REPORT_INTERVAL * self._consistency_bound
-        if looks == self._reported_looks and now - self._reported_at < interval:
+        interval = REPORT_INTERVAL_FRACTION * self._consistency_bound
+        if health_summary == self._reported_summary and now - self._reported_at < interval:
             return ""
-        self._reported_looks = looks
+        self._reported_summary = health_summary
         self._reported_at = now
         return report.to_json()
 
@@ -86,10 +86,10 @@
             self._check_health(machine)
         if self._node is None:
             return
-        self._ask_where_looks_change(now, self._node)
+        self._request_lease_on_health_change(now, self._node)
         self._update_silent_zones()
         if any(place.phase is not Phase.SERVING for place in self.member.zones.entries.values()):
-            self._on_change()  # quotas lapse by time alone, and machines are reported anew
+            self._on_change()  # quotas expire with time, and then machines change their effective state
         if self._fencing is None and self.member.unreported_fences()[1]:
             self._fencing = asyncio.get_running_loop().create_task(self._fence(self._node))
 
@@ -100,11 +100,11 @@
         if self._driver.site is not None:
             self._driver.site.probe(machine, on_answer)
 
-    def _ask_where_looks_change(self, now: float, node: ClusterNode) -> None:
+    def _request_lease_on_health_change(self, now: float, node: ClusterNode) -> None:
         counts = self.member.observations.counts(now)
-        looks = {place: counts[place].health() for place in self.member.observations.zones}
-        if looks != self._last_looks:
-            self._last_looks = looks
+        health_summary = {place: counts[place].health() for place in self.member.observations.zones}
+        if health_summary != self._last_health:
+            self._last_health = health_summary
             node.request_lease()
 
     def _update_silent_zones(self) -> None:
@@ -121,7 +121,7 @@
         self._on_change()
 
     async def _fence(self, node: ClusterNode) -> None:
-        """Tell the group of tasks that may still run behind a cut."""
+        """Report to the group the tasks that may still run in an unreachable place, to have them fenced."""
         try:
             while (fences := self.member.unreported_fences())[1]:
                 command: JsonObject = {
@@ -137,29 +137,29 @@
                 await node.wait_for_index(result["index"])
                 self.state_changed()
         except GroupUnreachableError:
-            pass  # the next tick tries again
+            pass  # the next tick retries
         finally:
             self._fencing = None
 
-    # ---- what the group says ---------------------------------------------------------------------------
+    # ---- changes of the group's state ------------------------------------------------------------------
 
     def state_changed(self) -> None:
-        """Act on the group's state: it has changed here."""
+        """Apply the group's replicated state of the zones after a change."""
         if self._node is not None:
             self.member.apply_agreed_state(self._clock(), self._node.lease_holder.state_machine.zones)
 
     def quota_received(self, quotas: str, asked_at: float) -> None:
-        """Take starts on machines that return (JSON), from `asked_at` on."""
+        """Apply start quotas (JSON) for zones that are being restored, requested at `asked_at`."""
         try:
-            shares = [StartQuota.from_tree(share) for share in json.loads(quotas)[:MAX_QUOTAS]]
+            start_quotas = [StartQuota.from_tree(quota) for quota in json.loads(quotas)[:MAX_QUOTAS]]
         except (ValueError, TypeError):
-            self._log("zones: shares that can't be read are left")
+            self._log("zones: malformed start quotas from the leader are ignored")
             return
-        if self.member.receive_quotas(shares, asked_at):
+        if self.member.receive_quotas(start_quotas, asked_at):
             self._on_change()
 
     def close(self) -> None:
-        """Give back the timer and the task at once."""
+        """Cancel the timer and the fencing task at once."""
         self._timer.cancel()
         if self._fencing is not None:
             self._fencing.cancel()
