--- a/tests/test_faulty_servers.py
+++ b/tests/test_faulty_servers.py
@@ -148,7 +148,7 @@
         receiver = unittest.mock.Mock(deliver=told.append)
         gateway.offer(machine_number("u-s1"), task, 0, 1_000_000, receiver)
         new = {**self.target("s1"), "uid": "u-new"}
-        self.gateway._bus_event(
+        self.gateway._handle_bus_event(
             {"offset": 2, "topology": {"rev": 2, "targets": [self.target("s1", "draining"), new]}}
         )
         gateway.offer(machine_number("u-s1"), task, 1, 1_000_000, receiver)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -525,7 +525,7 @@
         """More than the listener accepts in one turn, each with a request written before listening ends."""
         loop, sockets = asyncio.get_running_loop(), []
         fields = {**SET_UP, "left": "300"}
-        with unittest.mock.patch.object(gateway_module, "LISTEN_ON_S", 0):
+        with unittest.mock.patch.object(gateway_module, "SHUTDOWN_LISTEN_S", 0):
             ending = asyncio.create_task(self.gateway.end())
             for n in range(40):
                 client = socket.create_connection(self.gateway.listener.address)
@@ -551,7 +551,7 @@
             await finish_all(within)
 
         self.gateway.clients.finish_all = asked_before
-        with unittest.mock.patch.object(gateway_module, "LISTEN_ON_S", 0):
+        with unittest.mock.patch.object(gateway_module, "SHUTDOWN_LISTEN_S", 0):
             await asyncio.wait_for(self.gateway.end(), LONG)
         await asyncio.wait_for(owner.closed.wait(), LONG)
         self.assertFalse(owner.heard.empty(), "closed without an answer")
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -44,7 +44,7 @@
     def name_of(self, machine: int) -> str:
         """Return the name that operators use for a machine; '' if it is unknown."""
 
-    def on_break(self, broke: Callable[[int], None]) -> None:
+    def on_connection_lost(self, callback: Callable[[int], None]) -> None:
         """Register the callback for machines whose connection was lost, if the front has one to each."""
 
     def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
@@ -93,11 +93,11 @@
         front.apply_rules(self._own_settings, self._gate)
         self.control_api = ControlApi(self.node, self._read, log, unix_clock)
         voters = len(agreement.voters)
-        log(f"agreement: {agreement.name} of {voters} voters, stated time {agreement.stated} s")
+        log(f"agreement: {agreement.name} of {voters} voters, stated time {agreement.consistency_bound_s} s")
 
     def _join_zone_failover(self) -> None:
         if self.zone_agent is not None:
-            self._front.on_break(self.zone_agent.member.connection_lost)
+            self._front.on_connection_lost(self.zone_agent.member.connection_lost)
             self.zone_agent.join(self.node, self._list.machines if self._list is not None else ())
 
     def _make_drain_reporter(self, log: Callable[[str], None]) -> DrainReporter | None:
@@ -118,8 +118,8 @@
             self._front.driver.watchers.append(self._record_announced_machines)
         return ZoneAgent(
             self._own_settings,
-            agreement.drift,
-            agreement.stated,
+            agreement.clock_drift,
+            agreement.consistency_bound_s,
             self._front.driver,
             self._front.name_of,
             self._overlay_machines,
--- a/weldhatch/config/cluster_table.py
+++ b/weldhatch/config/cluster_table.py
@@ -46,8 +46,10 @@
     store: str  # the folder of the log
     voters: Mapping[str, Endpoint]  # the first voters, and where they are reached
     invited: tuple[str, ...]  # dispatchers that may connect, besides voters; '*' for all
-    stated: float  # seconds for longer than which no two act on settings that contradict each other
-    drift: float  # by what part two clocks may run apart
+    consistency_bound_s: (
+        float  # seconds for longer than which no two act on settings that contradict each other
+    )
+    clock_drift: float  # by what part two clocks may run apart
     sockets: int  # connections at a time
     keys: str = ""  # a folder of `weldhatch keys`, for mutual TLS; '' for none
 
@@ -69,7 +71,7 @@
         raise ConfigError("agreement.listen is missing: a voter has to be reached")
     invited = _invited(values["invited"])
     control = parse_loopback_endpoint("agreement.control", value_of(values, "control", str))
-    drift = _drift(values["drift"])
+    clock_drift = _drift(values["drift"])
     sockets = whole_number(
         "agreement.sockets", values["sockets"], SOCKETS_LEAST, SOCKETS_MOST, "a whole number from 8 on"
     )
@@ -80,8 +82,8 @@
         store=table["store"],
         voters=voters,
         invited=invited,
-        stated=duration_s("agreement.stated", values["stated"], OVERLAP_LEAST_S),
-        drift=drift,
+        consistency_bound_s=duration_s("agreement.stated", values["stated"], OVERLAP_LEAST_S),
+        clock_drift=clock_drift,
         sockets=sockets,
         keys=value_of(values, "keys", str),
     )
--- a/weldhatch/config/platform_file.py
+++ b/weldhatch/config/platform_file.py
@@ -25,10 +25,10 @@
     seed: int
     sockets: int  # file descriptors that the process may hold
     bus: Endpoint  # of the event bus
-    known: tuple[dict[str, Any], ...]  # the event bus's events up to now
+    known_events: tuple[dict[str, Any], ...]  # the event bus's events up to now
     settings: Settings
-    dial_s: float  # a connection attempt to a server fails after this
-    probe_s: float  # and a load query
+    dial_timeout_s: float  # a connection attempt to a server fails after this
+    probe_timeout_s: float  # and a load query
 
 
 def platform_config(environment: Mapping[str, str]) -> PlatformConfig:
@@ -42,8 +42,8 @@
         raise ConfigError("PROXY_CONFIG is missing: it names the configuration file")
     tree = read_json_file(path)
     settings = settings_from_json(value_of(tree, "settings", dict))
-    dial_s = _dial_timeout_s(tree["settings"])
-    known = _known_events(tree)
+    dial_timeout_s = _dial_timeout_s(tree["settings"])
+    known_events = _known_events(tree)
     seed = _seed(tree)
     sockets = _sockets(tree)
     return PlatformConfig(
@@ -52,10 +52,10 @@
         seed=seed,
         sockets=sockets,
         bus=parse_endpoint("bus", value_of(tree, "bus", str)),
-        known=known,
+        known_events=known_events,
         settings=settings,
-        dial_s=dial_s,
-        probe_s=dial_s,
+        dial_timeout_s=dial_timeout_s,
+        probe_timeout_s=dial_timeout_s,
     )
 
 
--- a/weldhatch/gateway.py
+++ b/weldhatch/gateway.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from weldhatch.standalone_zones import StandaloneZones
 
-LISTEN_ON_S = 0.7  # after SIGTERM requests keep coming for so long, and are served
+SHUTDOWN_LISTEN_S = 0.7  # after SIGTERM requests keep coming for so long, and are served
 LAST_READ_S = 0.05  # what had been sent when the listener stopped is read and answered
 FLUSH_S = 0.5
 DEADLINE_MOST_S = 3.0  # SIGKILL comes LISTEN_ON_S after the longest deadline, counted as this where longer
@@ -64,8 +64,8 @@
         self.driver = Driver(Policy(self.settings, configuration.seed), log)
         self._connect_platform(least)
         self.core = Core(self.driver, self.servers, log)
-        for event in configuration.known:
-            self._bus_event(event)
+        for event in configuration.known_events:
+            self._handle_bus_event(event)
         # The policy may not ask for lists: its settings may say that changes come by themselves, and on this
         # platform they come only to those who read the bus.
         self.bus.subscribe(True)
@@ -80,8 +80,8 @@
         self.servers = Servers(
             self.settings,
             DescriptorShare(self.budget, self.budget.most - least),
-            configuration.dial_s,
-            configuration.probe_s,
+            configuration.dial_timeout_s,
+            configuration.probe_timeout_s,
             self._load_reported,
             self._log,
         )
@@ -90,7 +90,7 @@
         # list up to date.
         bus_share = DescriptorShare(DescriptorBudget(RESERVED + LEAST_SLOTS), BUS_SLOTS)
         self.bus = EventBus(
-            configuration.bus, bus_share, lambda: self.servers_list.offset, self._bus_event, self._log
+            configuration.bus, bus_share, lambda: self.servers_list.offset, self._handle_bus_event, self._log
         )
         self.driver.site = self.servers
         self.driver.directory = self.bus
@@ -112,7 +112,7 @@
     def _load_reported(self, machine: int, report: tuple[float, ...]) -> None:
         self.driver.post(ProbeAnswered(machine, Outcome.OK, 0, report))
 
-    def _bus_event(self, event: dict[str, Any]) -> None:
+    def _handle_bus_event(self, event: dict[str, Any]) -> None:
         if changed := self.servers_list.take(event):
             self.driver.post(changed)
             if self.endpoint_list is not None:
@@ -132,9 +132,9 @@
         server = self.servers_list.servers.get(machine)
         return server.uid if server is not None else ""
 
-    def on_break(self, broke: Callable[[int], None]) -> None:
+    def on_connection_lost(self, callback: Callable[[int], None]) -> None:
         """Notify of machines whose connection has ended."""
-        self.servers.connection_lost = broke
+        self.servers.connection_lost = callback
 
     def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
         """Do nothing: directives reach the policy with the list of machines, by `update_machines`."""
@@ -152,8 +152,8 @@
         Raises:
             ValueError: an event under `known` can't be read.
         """
-        for event in configuration.known:
-            self._bus_event(event)
+        for event in configuration.known_events:
+            self._handle_bus_event(event)
         self.bus.move(configuration.bus)
         started = self._configuration
         for key, now, then in (
@@ -171,8 +171,8 @@
         notifies their clients of an end. Requests without an answer are waited for, as they would be lost.
         """
         longest_s = max(cls.deadline_us for cls in self._configuration.settings.classes) / 1e6
-        end = time.monotonic() + min(longest_s, DEADLINE_MOST_S) + LISTEN_ON_S - SHUTDOWN_SLACK_S
-        await asyncio.sleep(LISTEN_ON_S)
+        end = time.monotonic() + min(longest_s, DEADLINE_MOST_S) + SHUTDOWN_LISTEN_S - SHUTDOWN_SLACK_S
+        await asyncio.sleep(SHUTDOWN_LISTEN_S)
         self.clients.shutting_down = True
         self.listener.finish()
         await asyncio.sleep(LAST_READ_S)
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -133,7 +133,7 @@
     def name_of(self, machine: int) -> str:
         return self.bots.name_of(machine)
 
-    def on_break(self, broke: Callable[[int], None]) -> None:
+    def on_connection_lost(self, callback: Callable[[int], None]) -> None:
         """Machines come by themselves: none has a connection of its own that could end."""
 
     def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
