--- a/weldhatch/config/__init__.py
+++ b/weldhatch/config/__init__.py
@@ -1,8 +1,8 @@
-"""Configuration: the one place where settings, files and the environment are read and checked.
+"""Configuration: reads and validates settings, files and the environment.
 
-One module a format: `settings` (of the decisions, as text or JSON), `platform_file` (what the platform starts
-a dispatcher with), `pull_queue_file` with the tables `site_table`, `cluster_table` and `zone_table`, and
-`fleet_file` (of the commands `weldhatch fleet`, which alone import it). Whatever can't be used raises
+Each format has a module: `settings` (of the policy, as text or JSON), `platform_file` (with which the
+platform starts a dispatcher), `pull_queue_file` with its tables in `site_table`, `cluster_table` and
+`zone_table`, and `fleet_file` (imported only by the commands `weldhatch fleet`). Unusable input raises
 `ConfigError`, whose text names the faulty key.
 """
 
--- a/weldhatch/config/cluster_table.py
+++ b/weldhatch/config/cluster_table.py
@@ -1,4 +1,4 @@
-"""The table `agreement` of a pull queue's file: the group of dispatchers that agree on their settings."""
+"""The table `agreement` of a pull queue's file: the group of dispatchers that agree on settings."""
 
 from __future__ import annotations
 
@@ -30,32 +30,30 @@
     "invited": [],
 }
 REQUIRED = ("name", "store", "voters")
-CLOCK_DRIFT_MOST = 0.2
-SOCKETS_LEAST = 8
-SOCKETS_MOST = 100_000
-OVERLAP_LEAST_S = 0.5
+MAX_CLOCK_DRIFT = 0.2
+MIN_SOCKETS = 8
+MAX_SOCKETS = 100_000
+MIN_CONSISTENCY_BOUND_S = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class ClusterConfig:
-    """One dispatcher's place in its cluster."""
+    """One dispatcher's membership in its group."""
 
-    name: str  # of this dispatcher, in the cluster
-    listen: Endpoint | None  # where others reach this dispatcher; None: it never votes
-    control: Endpoint | None  # where `weldhatch rules` and `peers` reach it
-    store: str  # the folder of the log
-    voters: Mapping[str, Endpoint]  # the first voters, and where they are reached
+    name: str  # of this dispatcher, in the group
+    listen: Endpoint | None  # address for the other dispatchers; None for a dispatcher that never votes
+    control: Endpoint | None  # address for the commands `weldhatch rules` and `weldhatch peers`
+    store: str  # folder of the log
+    voters: Mapping[str, Endpoint]  # name and address of each initial voter
     invited: tuple[str, ...]  # dispatchers that may connect, besides voters; '*' for all
-    consistency_bound_s: (
-        float  # seconds for longer than which no two act on settings that contradict each other
-    )
-    clock_drift: float  # by what part two clocks may run apart
-    sockets: int  # connections at a time
-    keys: str = ""  # a folder of `weldhatch keys`, for mutual TLS; '' for none
+    consistency_bound_s: float  # longest time for which two dispatchers may act on contradictory settings
+    clock_drift: float  # greatest relative difference between the rates of two clocks
+    sockets: int  # most connections at a time
+    keys: str = ""  # folder made by `weldhatch keys`, for mutual TLS; '' for no TLS
 
 
 def cluster_config(tree: Tree) -> ClusterConfig | None:
-    """Read the table; None without it: a dispatcher that agrees with nobody.
+    """Read the table; return None if it is absent, for a dispatcher without a group.
 
     Raises:
         ConfigError: a key is unknown, missing or can't be used.
@@ -73,7 +71,7 @@
     control = parse_loopback_endpoint("agreement.control", value_of(values, "control", str))
     clock_drift = _drift(values["drift"])
     sockets = whole_number(
-        "agreement.sockets", values["sockets"], SOCKETS_LEAST, SOCKETS_MOST, "a whole number from 8 on"
+        "agreement.sockets", values["sockets"], MIN_SOCKETS, MAX_SOCKETS, "a whole number from 8 on"
     )
     return ClusterConfig(
         name=table["name"],
@@ -82,7 +80,7 @@
         store=table["store"],
         voters=voters,
         invited=invited,
-        consistency_bound_s=duration_s("agreement.stated", values["stated"], OVERLAP_LEAST_S),
+        consistency_bound_s=duration_s("agreement.stated", values["stated"], MIN_CONSISTENCY_BOUND_S),
         clock_drift=clock_drift,
         sockets=sockets,
         keys=value_of(values, "keys", str),
@@ -103,8 +101,8 @@
 
 
 def _drift(value: object) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= CLOCK_DRIFT_MOST:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= MAX_CLOCK_DRIFT:
         raise ConfigError(
-            f"agreement.drift has the unusable value {value!r}: a part from 0 to {CLOCK_DRIFT_MOST}"
+            f"agreement.drift has the unusable value {value!r}: a part from 0 to {MAX_CLOCK_DRIFT}"
         )
     return float(value)
--- a/weldhatch/config/errors.py
+++ b/weldhatch/config/errors.py
@@ -1,4 +1,4 @@
-"""The error of the package."""
+"""The error that the package raises for unusable configuration."""
 
 
 class ConfigError(ValueError):
--- a/weldhatch/config/fleet_file.py
+++ b/weldhatch/config/fleet_file.py
@@ -1,4 +1,4 @@
-"""The fleet's file, for the commands of `weldhatch fleet`: TOML."""
+"""The fleet's file (TOML), for the commands `weldhatch fleet`."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetConfig:
-    """A fleet as its file names it: the commands ask the nodes themselves for their states."""
+    """The contents of a fleet's file. It holds no states of nodes: the commands query the nodes for them."""
 
     name: str
-    journal: str  # the folder of the applies' journal
-    gateways: tuple[str, ...]  # host:port of the control addresses that are notified of drains
-    control: dict[str, str]  # host:port of each node's control address, by its id
+    journal: str  # folder of the journal that each apply writes
+    gateways: tuple[str, ...]  # control addresses (host:port) of the gateways that are notified of drains
+    control: dict[str, str]  # control address (host:port) of each node, by its id
     fleet: Fleet
     patience: Patience
 
 
 def fleet_config(path: str) -> FleetConfig:
-    """Read the fleet of a TOML file.
+    """Read a fleet's file.
 
     Raises:
         ConfigError: names the file, and the key that is unknown, missing or can't be used.
@@ -42,28 +42,28 @@
             raise ConfigError(f"{path}: {key} is no key of a fleet's file")
     nodes, control = _nodes(path, tree)
     _check_racks(path, nodes)
-    gateways = _part(path, "gateways", tree.get("gateways", []), tuple[str, ...])
+    gateways = _convert(path, "gateways", tree.get("gateways", []), tuple[str, ...])
     for gateway in gateways:
         parse_endpoint(f"{path}: gateways", gateway)
-    classes = _part(path, "classes", tree.get("classes", []), tuple[ServiceClass, ...])
-    journal = _part(path, "journal", tree.get("journal", "fleet-journal"), str)
+    classes = _convert(path, "classes", tree.get("classes", []), tuple[ServiceClass, ...])
+    journal = _convert(path, "journal", tree.get("journal", "fleet-journal"), str)
     return FleetConfig(
-        name=_part(path, "name", tree.get("name", "fleet"), str),
+        name=_convert(path, "name", tree.get("name", "fleet"), str),
         journal=os.path.join(os.path.dirname(path), journal),
         gateways=gateways,
         control=control,
-        fleet=Fleet(nodes, classes, _part(path, "pace", tree.get("pace", {}), Pace)),
-        patience=_part(path, "patience", tree.get("patience", {}), Patience),
+        fleet=Fleet(nodes, classes, _convert(path, "pace", tree.get("pace", {}), Pace)),
+        patience=_convert(path, "patience", tree.get("patience", {}), Patience),
     )
 
 
-def _part(path: str, key: str, value: object, kind: type[Value]) -> Value:
-    """Convert one part of the tree; an error names the file and the key."""
+def _convert(path: str, key: str, value: object, kind: type[Value]) -> Value:
+    """Convert the value of a key to `kind`; the ConfigError of an unusable one names the file and the key."""
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at `$")
-        raise ConfigError(f"{path}: {key}{place.rstrip('`')}: {text}") from None
+        text, _, location = str(error).partition(" - at `$")
+        raise ConfigError(f"{path}: {key}{location.rstrip('`')}: {text}") from None
 
 
 def _nodes(path: str, tree: Tree) -> tuple[list[Node], dict[str, str]]:
@@ -86,9 +86,9 @@
 
 
 def _node(path: str, key: str, entry: dict[str, Any]) -> tuple[Node, str]:
-    address = _part(path, f"{key}.control", entry.get("control"), str)
+    address = _convert(path, f"{key}.control", entry.get("control"), str)
     fields = {name: value for name, value in entry.items() if name != "control"}
-    return _part(path, key, fields, Node), address
+    return _convert(path, key, fields, Node), address
 
 
 def _check_racks(path: str, nodes: list[Node]) -> None:
--- a/weldhatch/config/platform_file.py
+++ b/weldhatch/config/platform_file.py
@@ -1,4 +1,4 @@
-"""What the platform tells a dispatcher at its start: a JSON file and the environment."""
+"""The configuration with which the platform starts a dispatcher: a JSON file and environment variables."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from weldhatch.config.settings import settings_from_json
 from weldhatch.scheduling.types import Settings
 
-SOCKETS_LEAST = 32
-SOCKETS_DEFAULT = 1024
-DIAL_TIMEOUT_DEFAULT_US = 250_000
+MIN_SOCKETS = 32
+DEFAULT_SOCKETS = 1024
+DEFAULT_DIAL_TIMEOUT_US = 250_000
 
 
 @dataclass(slots=True, frozen=True)
 class PlatformConfig:
-    """One dispatcher's configuration, as the platform gives it."""
+    """The configuration of one dispatcher of the platform."""
 
     name: str
     listen: Endpoint
     seed: int
-    sockets: int  # file descriptors that the process may hold
+    sockets: int  # most file descriptors that the process may hold
     bus: Endpoint  # of the event bus
-    known_events: tuple[dict[str, Any], ...]  # the event bus's events up to now
+    known_events: tuple[dict[str, Any], ...]  # events of the bus up to the start, under the key `known`
     settings: Settings
-    dial_timeout_s: float  # a connection attempt to a server fails after this
-    probe_timeout_s: float  # and a load query
+    dial_timeout_s: float  # of a connection attempt to a server
+    probe_timeout_s: float  # of a probe
 
 
 def platform_config(environment: Mapping[str, str]) -> PlatformConfig:
-    """Read the platform's file, named by PROXY_CONFIG; PROXY_NAME and PROXY_LISTEN take precedence over it.
+    """Read the file that PROXY_CONFIG names; PROXY_NAME and PROXY_LISTEN take precedence over its keys.
 
     Raises:
         ConfigError: a variable or key is missing or can't be used.
@@ -62,7 +62,7 @@
 def _dial_timeout_s(settings: Tree) -> float:
     limits: Tree = value_of(settings, "limits", dict, {})
     try:
-        return float(limits.get("dialTimeoutUs", DIAL_TIMEOUT_DEFAULT_US)) / 1e6
+        return float(limits.get("dialTimeoutUs", DEFAULT_DIAL_TIMEOUT_US)) / 1e6
     except (TypeError, ValueError):
         raise ConfigError("settings: limits.dialTimeoutUs is no number") from None
 
@@ -83,8 +83,8 @@
 
 
 def _sockets(tree: Tree) -> int:
-    sockets = value_of(tree, "limits", dict, {}).get("sockets", SOCKETS_DEFAULT)
-    if not isinstance(sockets, int) or sockets < SOCKETS_LEAST:
+    sockets = value_of(tree, "limits", dict, {}).get("sockets", DEFAULT_SOCKETS)
+    if not isinstance(sockets, int) or sockets < MIN_SOCKETS:
         raise ConfigError(f"limits.sockets has the unusable value {sockets!r}")
     return sockets
 
--- a/weldhatch/config/pull_queue_file.py
+++ b/weldhatch/config/pull_queue_file.py
@@ -1,4 +1,4 @@
-"""The pull queue's file: TOML, or JSON where a restart left it so."""
+"""The pull queue's file: TOML, or the JSON file with which the process restarts after a plan is applied."""
 
 from __future__ import annotations
 
@@ -41,38 +41,38 @@
 TIMING_DEFAULTS = {"lease": 3.0, "grace": 0.5, "session": 15.0, "pickup": 1.0, "poll": 1.0, "settle": 3.5}
 TABLES = ("timing", "settings", "security", "sites", "agreement", "zones")
 COUNTS = ("connections", "sockets", "remember", "queue")
-COUNT_LEAST = 8
-COUNT_MOST = 10_000_000
-CALLS_MOST = 1_000_000
-DURATION_LEAST_S = 0.001
-IDLE_LEAST_S = 1.0
+MIN_COUNT = 8
+MAX_COUNT = 10_000_000
+MAX_CALLS = 1_000_000
+MIN_DURATION_S = 0.001
+MIN_IDLE_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class PullQueueTiming:
-    """The durations of the pull queue, in seconds."""
+    """The durations of the pull queue, in seconds. They have the names of their keys."""
 
-    lease: float  # a lease that is not renewed expires after this; its puller must have stopped by then
-    grace: float  # and counts as stopped so much later
-    session: float  # a session without an update is over after this
-    pickup: float  # an offer that no poll picks up for so long is withdrawn
-    poll: float  # an update is answered after this at the latest
-    settle: float  # nothing goes out for so long after a start: leases of a former gateway may still run
+    lease: float  # a lease expires if it is not renewed for this long; its machine must stop the task by then
+    grace: float  # added after the expiry of a lease, before its task counts as stopped
+    session: float  # a session without an update ends after this
+    pickup: float  # an offer that no poll has fetched after this is withdrawn
+    poll: float  # longest time until an update is answered
+    settle: float  # no offers for this long after a start, as leases of an earlier gateway may still run
 
 
 @dataclass(slots=True, frozen=True)
 class SecurityConfig:
-    """Who may call the pull queue."""
+    """Authentication of the pull queue's callers, and the limit of their calls."""
 
-    keys: str  # the folder that `weldhatch keys` made
-    tls: str  # '' for none, server, mutual
-    tokens: bool
-    calls: int  # in flight at a time, of one caller
+    keys: str  # folder made by `weldhatch keys`
+    tls: str  # '' for no TLS, 'server' or 'mutual'
+    tokens: bool  # whether callers must present a token
+    calls: int  # most calls in flight of one caller
 
 
 @dataclass(slots=True, frozen=True)
 class PullQueueConfig:
-    """A pull queue's file, checked and with its defaults."""
+    """The validated contents of a pull queue's file, with defaults for missing keys."""
 
     enabled: bool
     listen: Endpoint
@@ -81,7 +81,7 @@
     states: str
     store: str
     queue: int
-    idle: float  # seconds after which a silent connection is closed
+    idle: float  # seconds after which an idle connection is closed
     connections: int
     sockets: int
     remember: int
@@ -94,7 +94,7 @@
 
 
 def read_pull_queue_file(path: str) -> dict[str, Any]:
-    """Read the file as a tree: TOML, or JSON where a restart left it so.
+    """Read the file as a tree: JSON if its name ends with `.json`, else TOML.
 
     Raises:
         ConfigError: the file can't be read or parsed.
@@ -103,13 +103,13 @@
 
 
 def pull_queue_leaves(tree: Tree) -> dict[str, str]:
-    """Flatten a file into keys and values, defaults filled in: what two files can be compared by."""
+    """Flatten the tree of a file into keys and values, with defaults, so that two files can be compared."""
     complete = {**PULL_QUEUE_DEFAULTS, **tree, "timing": {**TIMING_DEFAULTS, **tree.get("timing", {})}}
     return dict(flatten("", complete))
 
 
 def pull_queue_config(tree: Tree) -> PullQueueConfig:
-    """Check the tree of a file.
+    """Validate the tree of a file.
 
     Raises:
         ConfigError: a key is unknown, missing or can't be used.
@@ -125,7 +125,7 @@
         ledger=_text(tree, "ledger"),
         states=_text(tree, "states"),
         store=_text(tree, "store"),
-        idle=duration_s("idle", tree.get("idle", PULL_QUEUE_DEFAULTS["idle"]), IDLE_LEAST_S),
+        idle=duration_s("idle", tree.get("idle", PULL_QUEUE_DEFAULTS["idle"]), MIN_IDLE_S),
         enabled=value_of(tree, "enabled", bool, PULL_QUEUE_DEFAULTS["enabled"]),
         listen=parse_endpoint("listen", _text(tree, "listen")),
         security=_security(tree),
@@ -145,7 +145,7 @@
 
 def _count(tree: Tree, key: str) -> int:
     value = tree.get(key, PULL_QUEUE_DEFAULTS[key])
-    return whole_number(key, value, COUNT_LEAST, COUNT_MOST, "a whole number of at least 8")
+    return whole_number(key, value, MIN_COUNT, MAX_COUNT, "a whole number of at least 8")
 
 
 def _timing(tree: Tree) -> PullQueueTiming:
@@ -153,15 +153,15 @@
     check_keys("timing", table, TIMING_DEFAULTS)
     durations = {}
     for key, default in TIMING_DEFAULTS.items():
-        least_s = 0 if key == "settle" else DURATION_LEAST_S
-        durations[key] = duration_s(f"timing.{key}", table.get(key, default), least_s)
+        minimum_s = 0 if key == "settle" else MIN_DURATION_S
+        durations[key] = duration_s(f"timing.{key}", table.get(key, default), minimum_s)
     if durations["poll"] > durations["lease"] / 2:
         raise ConfigError("timing.poll has an unusable value: at most half of timing.lease")
     return PullQueueTiming(**durations)
 
 
 def _security(tree: Tree) -> SecurityConfig:
-    """Read the table `security`: off unless asked for."""
+    """Read the table `security`; without it, neither TLS nor tokens are used."""
     table: Tree = value_of(tree, "security", dict, {})
     check_keys("security", table, SECURITY_DEFAULTS)
     values = {**SECURITY_DEFAULTS, **table}
@@ -172,6 +172,6 @@
         raise ConfigError(f"security.tls has the unusable value {values['tls']!r}: off, server or mutual")
     if (values["tls"] != "off" or values["tokens"]) and not values["keys"]:
         raise ConfigError("security.keys is missing: the folder that `weldhatch keys init` made")
-    calls = whole_number("security.calls", values["calls"], 1, CALLS_MOST, "a whole number of at least 1")
+    calls = whole_number("security.calls", values["calls"], 1, MAX_CALLS, "a whole number of at least 1")
     tls = "" if values["tls"] == "off" else values["tls"]
     return SecurityConfig(values["keys"], tls, values["tokens"], calls)
--- a/weldhatch/config/reading.py
+++ b/weldhatch/config/reading.py
@@ -1,4 +1,4 @@
-"""Steps that all formats share: files as trees, and checked values of one key."""
+"""Functions that all formats share: they read files as trees, and validate the value of a key."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 Tree = Mapping[str, Any]  # a parsed file, or one of its tables
 Endpoint = tuple[str, int]  # host, port
 
-DURATION_MOST_S = 3600
+MAX_DURATION_S = 3600
 
 
 def parse_endpoint(key: str, text: str) -> Endpoint:
     """Parse `host:port`.
 
     Raises:
-        ConfigError: the text has another form; the error names `key`.
+        ConfigError: the text is not of this form; the error names `key`.
     """
     host, separator, port = text.rpartition(":")
     if not separator or not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
@@ -29,10 +29,10 @@
 
 
 def parse_loopback_endpoint(key: str, text: str) -> Endpoint | None:
-    """Parse the `host:port` of a control address, which must be on loopback; None where `text` is empty.
+    """Parse the `host:port` of a control address, which must be on loopback; return None for an empty text.
 
     Raises:
-        ConfigError: the address is no loopback address, or has another form.
+        ConfigError: the address is not on loopback, or not of this form.
     """
     if not text:
         return None
@@ -42,7 +42,7 @@
 
 
 def parse_endpoints(key: str, addresses: Mapping[str, object]) -> dict[str, Endpoint]:
-    """Parse a table of names and their `host:port`.
+    """Parse a table with a `host:port` for each name.
 
     Raises:
         ConfigError: an address can't be used; the error names `key` and the name.
@@ -85,7 +85,7 @@
 
 
 def value_of(tree: Tree, key: str, kind: type[Value], default: Value | None = None) -> Value:
-    """Return the value under `key`, or `default` where it is absent.
+    """Return the value under `key`, or `default` if the key is absent.
 
     Raises:
         ConfigError: the key is absent and has no default, or its value is not of `kind`.
@@ -100,34 +100,34 @@
     return value
 
 
-def whole_number(key: str, value: object, least: int, most: int, expected: str) -> int:
-    """Check a whole number in `least` to `most`; `expected` ends the text of the error.
+def whole_number(key: str, value: object, minimum: int, maximum: int, expected: str) -> int:
+    """Validate a whole number from `minimum` to `maximum`; the text of the error ends with `expected`.
 
     Raises:
-        ConfigError: the value is no whole number, or outside the range.
+        ConfigError: the value is not a whole number, or outside the range.
     """
-    if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
+    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
         raise ConfigError(f"{key} has the unusable value {value!r}: {expected}")
     return value
 
 
-def duration_s(key: str, value: object, least_s: float) -> float:
-    """Check a duration of `least_s` seconds to one hour.
+def duration_s(key: str, value: object, minimum_s: float) -> float:
+    """Validate a duration from `minimum_s` to one hour, in seconds.
 
     Raises:
-        ConfigError: the value is no number, or outside the range.
+        ConfigError: the value is not a number, or outside the range.
     """
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
-        or not least_s <= value <= DURATION_MOST_S
+        or not minimum_s <= value <= MAX_DURATION_S
     ):
-        raise ConfigError(f"{key} has the unusable value {value!r}: {least_s} to {DURATION_MOST_S} seconds")
+        raise ConfigError(f"{key} has the unusable value {value!r}: {minimum_s} to {MAX_DURATION_S} seconds")
     return float(value)
 
 
 def check_keys(table: str, tree: Tree, known: Container[str]) -> None:
-    """Refuse keys that are not known: they are misspellings.
+    """Reject unknown keys, as they are probably misspelt.
 
     Raises:
         ConfigError: names the first unknown key, with its table.
@@ -138,10 +138,10 @@
 
 
 def check_texts(table: str, tree: Tree, keys: tuple[str, ...]) -> None:
-    """Check that each of `keys` is a text that is not empty.
+    """Check that each of `keys` has a text that is not empty.
 
     Raises:
-        ConfigError: names the first key that is missing or no text.
+        ConfigError: names the first key that is missing, empty or not a text.
     """
     for key in keys:
         if not isinstance(tree.get(key), str) or not tree[key]:
--- a/weldhatch/config/settings.py
+++ b/weldhatch/config/settings.py
@@ -1,6 +1,6 @@
-"""The settings of the decisions, from text or nested JSON: read, checked, given defaults.
+"""The policy's settings: parsed from text or nested JSON, validated, and completed with defaults.
 
-The names of the settings are the platform's; this module maps them to the fields of `Settings`.
+The platform defines the names of the settings; this module maps them to the fields of `Settings`.
 """
 
 from __future__ import annotations
@@ -34,33 +34,33 @@
 
 
 class _Values:
-    """The path=value pairs of a start message; an error names its key."""
+    """Settings as texts by path, converted on access; the ConfigError of an unusable one names its key."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
-        """Keep `pairs` as they are; they are converted one by one."""
+        """Wrap `pairs` of path and text."""
         self._pairs = pairs
 
     def required(self, key: str, convert: Convert[Value]) -> Value:
-        """Return the converted value; raises ConfigError where it is missing or can't be converted."""
+        """Return the converted value. Raises ConfigError if it is missing or can't be converted."""
         if key not in self._pairs:
             raise ConfigError(f"settings: {key} is missing")
         return self._converted(key, self._pairs[key], convert)
 
     def get(self, key: str, convert: Convert[Value], default: Value) -> Value:
-        """Return the converted value, or `default` where it is missing."""
+        """Return the converted value, or `default` if it is missing. Raises ConfigError."""
         if key not in self._pairs:
             return default
         return self._converted(key, self._pairs[key], convert)
 
     def list(self, key: str, convert: Convert[Value], default: list[Value] | None = None) -> list[Value]:
-        """Return the values of a comma-separated list; raises ConfigError where it has no default."""
+        """Return the values of a comma-separated list. Raises ConfigError if it is missing and required."""
         if key not in self._pairs and default is not None:
             return default
         text = self.required(key, str)
         return [self._converted(key, part, convert) for part in text.split(",")] if text else []
 
     def item(self, key: str, index: int, convert: Convert[Value], default: Value) -> Value:
-        """Return the value of one class in a list that has one for each; the last serves for the rest."""
+        """Return the value of the class `index` in a list by class, whose last value serves further ones."""
         values = self.list(key, convert, [])
         return values[min(index, len(values) - 1)] if values else default
 
@@ -96,7 +96,7 @@
 
 
 class _Field(NamedTuple):
-    """Where one field of `Settings` or `Prices` comes from."""
+    """The key, conversion and default of one field of `Settings` or `Prices`."""
 
     name: str
     key: str
@@ -104,7 +104,7 @@
     default: Any = ...  # `...`: the key is required
 
 
-# In this order the keys are read, and the first that can't be used is named.
+# The keys are read in this order, and the error names the first unusable one.
 _FIELDS = (
     _Field("zone", "locality", _count, 0),
     _Field("me", "me", _count, 0),
@@ -151,7 +151,7 @@
 
 
 def settings_from_text(data: bytes) -> Settings:
-    """Read the settings of the simulator's start message: UTF-8 lines of path=value.
+    """Parse the settings of the simulator's start message: UTF-8 lines of path=value.
 
     Raises:
         ConfigError: a line or a value can't be used.
@@ -171,7 +171,7 @@
 
 
 def settings_from_json(tree: object) -> Settings:
-    """Read the same settings as nested JSON, as the platform gives them to a dispatcher.
+    """Parse settings as nested JSON, the form in which the platform passes them to a dispatcher.
 
     Raises:
         ConfigError: the tree is no object, or a value can't be used.
@@ -182,7 +182,7 @@
 
 
 def flatten(path: str, value: object) -> Iterator[tuple[str, str]]:
-    """Yield nested JSON as (path, value) pairs; a list of objects also has its length, under `.count`."""
+    """Yield nested JSON as (path, value) pairs; the length of a list of objects is yielded under `.count`."""
     if isinstance(value, dict):
         for key, part in value.items():
             yield from flatten(f"{path}.{key}" if path else key, part)
@@ -191,19 +191,19 @@
         for index, part in enumerate(value):
             yield from flatten(f"{path}.{index}", part)
     elif isinstance(value, list):
-        yield path, ",".join(map(_plain, value))
+        yield path, ",".join(map(_to_text, value))
     elif value is not None:
-        yield path, _plain(value)
+        yield path, _to_text(value)
 
 
-def _plain(value: object) -> str:
+def _to_text(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(",", "_")
 
 
 def settings_from_pairs(pairs: Mapping[str, str]) -> Settings:
-    """Read settings by path; unknown keys are ignored.
+    """Build the settings from texts by path; unknown keys are ignored.
 
     Raises:
         ConfigError: names the key that is missing or can't be used.
@@ -212,7 +212,7 @@
     kinds = _machine_kinds(values)
     classes = _request_classes(values)
     tenants = _tenants(values)
-    fields = _read(values, _FIELDS)
+    fields = _read_fields(values, _FIELDS)
     fields["group_size"] = max(1, fields["group_size"])
     return Settings(
         classes=classes,
@@ -220,12 +220,12 @@
         zones=tuple(values.list("zones", str, [""])),
         report_fields=_report_fields(values),
         tenants=tenants,
-        prices=Prices(**_read(values, _PRICES)),
+        prices=Prices(**_read_fields(values, _PRICES)),
         **fields,
     )
 
 
-def _read(values: _Values, fields: tuple[_Field, ...]) -> dict[str, Any]:
+def _read_fields(values: _Values, fields: tuple[_Field, ...]) -> dict[str, Any]:
     return {
         field.name: values.required(field.key, field.convert)
         if field.default is ...
--- a/weldhatch/config/site_table.py
+++ b/weldhatch/config/site_table.py
@@ -1,4 +1,4 @@
-"""The table `sites` of a pull queue's file: other sites that a gateway hands work to, and takes it from."""
+"""The table `sites` of a pull queue's file: the sites with which a gateway exchanges tasks by hand-off."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SitesConfig:
-    """This site and its peers."""
+    """This site and the other sites."""
 
     name: str  # of this site
     listen: Endpoint
-    store: str  # the folder that holds what was handed over and taken
-    peers: Mapping[str, Endpoint]  # where each of the others listens
-    keys: str = ""  # a folder of `weldhatch keys`, for mutual TLS on the links; '' for none
+    store: str  # folder of the records of hand-offs, as source and as target
+    peers: Mapping[str, Endpoint]  # name and address of each other site
+    keys: str = ""  # folder made by `weldhatch keys`, for mutual TLS on the links; '' for no TLS
 
 
 def sites_config(tree: Tree) -> SitesConfig | None:
-    """Read the table; None without it: a gateway of one site.
+    """Read the table; return None if it is absent, for a gateway without other sites.
 
     Raises:
         ConfigError: a key is unknown, missing or can't be used.
--- a/weldhatch/config/zone_table.py
+++ b/weldhatch/config/zone_table.py
@@ -1,4 +1,4 @@
-"""The table `zones` of a pull queue's file: how a fleet leaves zones that fail, and returns to them."""
+"""The table `zones` of a pull queue's file: failover of zones, that is their evacuation and restoration."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 if TYPE_CHECKING:
     from weldhatch.zones.failover_rules import FailoverTiming
 
-QUORUM_LEAST = 2
-QUORUM_MOST = 1000
-DURATION_LEAST_S = 0.05
+MIN_QUORUM = 2
+MAX_QUORUM = 1000
+MIN_DURATION_S = 0.05
 
 
 @dataclass(slots=True, frozen=True)
 class ZonesConfig:
-    """Failover of zones: together with the others of the cluster, or standalone."""
+    """Zone failover: agreed within the group of dispatchers, or standalone."""
 
     times: FailoverTiming
-    standalone: bool  # `zones.alone`: this dispatcher shares nothing with others
+    standalone: bool  # key `zones.alone`: this dispatcher decides without a group
 
 
 def zones_config(tree: Tree) -> ZonesConfig | None:
-    """Read the table; None without it, or where it is not enabled.
+    """Read the table; return None if it is absent or not enabled.
 
     Raises:
         ConfigError: a key is unknown or can't be used, or the table `agreement` is missing.
@@ -33,7 +33,8 @@
     table: Tree = value_of(tree, "zones", dict, {})
     if not table:
         return None
-    from weldhatch.zones.failover_rules import FailoverTiming  # only where it is used: `run` needs none of it
+    # Imported only if the table is present: a server without it starts faster.
+    from weldhatch.zones.failover_rules import FailoverTiming
 
     durations = {name: default for name, default in asdict(FailoverTiming()).items() if name != "quorum"}
     check_keys("zones", table, (*durations, "enabled", "alone", "quorum"))
@@ -42,13 +43,13 @@
             raise ConfigError(f"zones.{key} has the unusable value {table[key]!r}: true or false")
     quorum = whole_number(
         "zones.quorum",
-        table.get("quorum", QUORUM_LEAST),
-        QUORUM_LEAST,
-        QUORUM_MOST,
+        table.get("quorum", MIN_QUORUM),
+        MIN_QUORUM,
+        MAX_QUORUM,
         "a whole number from 2 on: one dispatcher alone never moves a zone",
     )
     values = {
-        key: duration_s(f"zones.{key}", table.get(key, default), DURATION_LEAST_S)
+        key: duration_s(f"zones.{key}", table.get(key, default), MIN_DURATION_S)
         for key, default in durations.items()
     }
     standalone = table.get("alone", False)
--- a/weldhatch/gateway.py
+++ b/weldhatch/gateway.py
@@ -1,4 +1,4 @@
-"""The platform's front on the core, from the first byte to the last answer."""
+"""The platform front of a dispatcher: event bus, servers and clients, connected to the core."""
 
 from __future__ import annotations
 
@@ -24,27 +24,27 @@
 if TYPE_CHECKING:
     from weldhatch.standalone_zones import StandaloneZones
 
-SHUTDOWN_LISTEN_S = 0.7  # after SIGTERM requests keep coming for so long, and are served
-LAST_READ_S = 0.05  # what had been sent when the listener stopped is read and answered
+SHUTDOWN_LISTEN_S = 0.7  # after SIGTERM, new requests are still served for this long
+FINAL_READ_S = 0.05  # after the listener has stopped, to read the requests that were sent before
 FLUSH_S = 0.5
-DEADLINE_MOST_S = 3.0  # SIGKILL comes LISTEN_ON_S after the longest deadline, counted as this where longer
-SHUTDOWN_SLACK_S = 0.25  # a planned shutdown is over so long before that
+MAX_DEADLINE_S = 3.0  # SIGKILL comes min(longest deadline, this) + SHUTDOWN_LISTEN_S after SIGTERM
+SHUTDOWN_SLACK_S = 0.25  # a graceful shutdown ends this long before the SIGKILL
 DRAIN_POLL_S = 0.01
-BUS_SLOTS = 2  # descriptors that nothing but the event bus may take: a connection, and the next one
-LEAST_SLOTS = 8  # connections that clients have at least, and servers: the others may not take these
+BUS_DESCRIPTORS = 2  # reserved for the event bus: its connection, and the one that replaces it
+MIN_CONNECTIONS = 8  # reserved for clients, and as many for servers: neither can take up the other's
 
 
 class ListObserver(Protocol):
-    """Follows a dispatcher's own endpoint list, where dispatchers agree on it or failover is standalone."""
+    """Follows a dispatcher's own endpoint list, for its group or for standalone zone failover."""
 
     rev: int  # the revision of the newest list
 
     def list_changed(self, topology: dict[str, Any], machines: tuple[Machine, ...]) -> None:
-        """Take one event of the list, with its targets as the policy was notified of them."""
+        """Apply one event of the list; `machines` are its targets, as the policy received them."""
 
 
 class Gateway:
-    """Puts the event bus, the servers, the clients and the core together. Owns all their sockets."""
+    """Connects the event bus, the servers and the clients to the core, and owns all their sockets."""
 
     def __init__(
         self,
@@ -53,59 +53,59 @@
         endpoint_list: ListObserver | None = None,
         standalone_zones: StandaloneZones | None = None,
     ) -> None:
-        """Listen and connect at once; needs a running event loop. Raises OSError where it can't listen."""
+        """Listen and connect; needs a running event loop. Raises OSError if it can't listen."""
         self.endpoint_list = endpoint_list
         self._standalone_zones = standalone_zones
         self.settings = configuration.settings
         self._configuration = configuration
         self._log = log
-        self.budget = DescriptorBudget(configuration.sockets, BUS_SLOTS)
-        least = min(LEAST_SLOTS, self.budget.most // 2)
+        self.budget = DescriptorBudget(configuration.sockets, BUS_DESCRIPTORS)
+        min_connections = min(MIN_CONNECTIONS, self.budget.most // 2)
         self.driver = Driver(Policy(self.settings, configuration.seed), log)
-        self._connect_platform(least)
+        self._connect_platform(min_connections)
         self.core = Core(self.driver, self.servers, log)
         for event in configuration.known_events:
             self._handle_bus_event(event)
-        # The policy may not ask for lists: its settings may say that changes come by themselves, and on this
-        # platform they come only to those who read the bus.
+        # Subscribe in any case: by its settings, the policy may expect changes without a subscription, but
+        # this platform delivers them only over the event bus.
         self.bus.subscribe(True)
-        self._listen(least)
+        self._listen(min_connections)
         if standalone_zones is not None:
             self.core.rules = standalone_zones
             standalone_zones.begin(self.settings, self.driver, configuration.seed)
 
-    def _connect_platform(self, least: int) -> None:
-        """Make the servers' links, the endpoint list and the event bus."""
+    def _connect_platform(self, min_connections: int) -> None:
+        """Create the links to servers, the endpoint list and the event bus."""
         configuration = self._configuration
         self.servers = Servers(
             self.settings,
-            DescriptorShare(self.budget, self.budget.most - least),
+            DescriptorShare(self.budget, self.budget.most - min_connections),
             configuration.dial_timeout_s,
             configuration.probe_timeout_s,
             self._load_reported,
             self._log,
         )
         self.servers_list = EndpointList(self.settings, self.servers.update, self._log)
-        # Whatever clients and servers hold, the bus has descriptors of its own: else nobody would bring the
-        # list up to date.
-        bus_share = DescriptorShare(DescriptorBudget(RESERVED + LEAST_SLOTS), BUS_SLOTS)
+        # The bus has reserved descriptors: without one, the endpoint list would no longer be updated while
+        # clients and servers hold all others.
+        bus_share = DescriptorShare(DescriptorBudget(RESERVED + MIN_CONNECTIONS), BUS_DESCRIPTORS)
         self.bus = EventBus(
             configuration.bus, bus_share, lambda: self.servers_list.offset, self._handle_bus_event, self._log
         )
         self.driver.site = self.servers
         self.driver.directory = self.bus
 
-    def _listen(self, least: int) -> None:
+    def _listen(self, min_connections: int) -> None:
         """Accept clients. They hold at most two thirds of the descriptors; a third is left for servers."""
-        most = min(self._configuration.sockets * 2 // 3, self.budget.most - least)
-        self._client_share = DescriptorShare(self.budget, most)
+        max_clients = min(self._configuration.sockets * 2 // 3, self.budget.most - min_connections)
+        self._client_share = DescriptorShare(self.budget, max_clients)
         self.clients = ClientFront(self.settings, self.core, self._client_share, self._log)
         self.listener = Listener(
             self._configuration.listen, self._client_share, self.clients.accept, self._free_descriptors
         )
 
     def _free_descriptors(self) -> None:
-        """Make place for a client that waits: servers give a descriptor back where clients hold few."""
+        """Free a descriptor for a waiting client: a server's, unless clients hold their full share."""
         if self._client_share.is_exhausted or not self.servers.make_room():
             self.clients.free_descriptors()
 
@@ -118,71 +118,71 @@
             if self.endpoint_list is not None:
                 self.endpoint_list.list_changed(event["topology"], changed.machines)
 
-    # ---- what a cluster's controller asks (`cluster.front_controller.Front`) -------------------------------
+    # ---- the interface `cluster.front_controller.Front` ----------------------------------------------------
 
     def apply_rules(self, settings: Settings, rules: Rules) -> None:
-        """Decide by settings that a group has agreed on, as far as `rules` lets anything start."""
+        """Use the settings of the group from now on; `rules` decides what may be admitted and started."""
         self.settings = settings
         self.core.rules = rules
         self.driver.reconfigure(settings)
         self.clients.reconfigure(settings)
 
     def name_of(self, machine: int) -> str:
-        """Return what operators call a machine; '' for one that is not known."""
+        """Return the name that operators use for a machine; '' if it is unknown."""
         server = self.servers_list.servers.get(machine)
         return server.uid if server is not None else ""
 
     def on_connection_lost(self, callback: Callable[[int], None]) -> None:
-        """Notify of machines whose connection has ended."""
+        """Register the callback for machines whose connection was lost."""
         self.servers.connection_lost = callback
 
     def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
-        """Do nothing: directives reach the policy with the list of machines, by `update_machines`."""
+        """Do nothing: operators' directives reach the policy through `update_machines`."""
 
     def update_machines(self, machines: tuple[Machine, ...]) -> None:
-        """Take machines that count for less, or for more again, than the own list said last."""
+        """Apply machine states that the group restricts, or no longer restricts, against the own list."""
         revision = self.endpoint_list.rev if self.endpoint_list is not None else 0
         self.driver.post_unwatched(MachinesChanged(ListForm.DELTA, machines, revision))
 
     # ---- configuration and shutdown ------------------------------------------------------------------------
 
     def reconfigure(self, configuration: PlatformConfig) -> None:
-        """Take over what can change while it runs: the address of the event bus, and events missed.
+        """Apply what can change at run time: the address of the event bus, and events that were missed.
 
         Raises:
-            ValueError: an event under `known` can't be read.
+            ValueError: an event under the key `known` can't be read.
         """
         for event in configuration.known_events:
             self._handle_bus_event(event)
         self.bus.move(configuration.bus)
         started = self._configuration
-        for key, now, then in (
+        for key, current, requested in (
             ("listen", started.listen, configuration.listen),
             ("limits.sockets", started.sockets, configuration.sockets),
             ("settings", started.settings, configuration.settings),
         ):
-            if now != then:
-                self._log(f"configuration: {key} has changed, which takes a restart")
+            if current != requested:
+                self._log(f"configuration: the change of {key} takes effect after a restart")
 
     async def end(self) -> None:
-        """Shut down gracefully: what was taken is answered, and what still comes is served for its span.
+        """Shut down gracefully: requests in flight are answered, new ones are served for SHUTDOWN_LISTEN_S.
 
-        Running tasks are looked after for as long as there is: until a new dispatcher is there, nobody else
-        notifies their clients of an end. Requests without an answer are waited for, as they would be lost.
+        Clients of running tasks are served until the time is up: until a new dispatcher has started, no other
+        process notifies them of a task's end. Unanswered requests have no such limit, as they would be lost.
         """
         longest_s = max(cls.deadline_us for cls in self._configuration.settings.classes) / 1e6
-        end = time.monotonic() + min(longest_s, DEADLINE_MOST_S) + SHUTDOWN_LISTEN_S - SHUTDOWN_SLACK_S
+        end = time.monotonic() + min(longest_s, MAX_DEADLINE_S) + SHUTDOWN_LISTEN_S - SHUTDOWN_SLACK_S
         await asyncio.sleep(SHUTDOWN_LISTEN_S)
         self.clients.shutting_down = True
         self.listener.finish()
-        await asyncio.sleep(LAST_READ_S)
+        await asyncio.sleep(FINAL_READ_S)
         while self.core.unanswered or (self.core.requests and time.monotonic() < end):
             await asyncio.sleep(DRAIN_POLL_S)
         await self.clients.finish_all(FLUSH_S)
         self.abort()
 
     def abort(self) -> None:
-        """Give back every socket at once."""
+        """Close all sockets at once."""
         self.listener.close()
         self.clients.close()
         self.bus.close()
--- a/weldhatch/server.py
+++ b/weldhatch/server.py
@@ -1,7 +1,7 @@
-"""`run`: puts the parts of the process together, handles signals, and serves until it is told to end.
+"""The server process: creates the fronts by the configuration, handles signals, and serves until shutdown.
 
-What only some configurations need (pull queue, cluster, standalone zones) is imported where it starts: a
-dispatcher on the platform starts with the least time and memory.
+Parts that only some configurations need (pull queue, cluster, standalone zones) are imported when they start,
+so that a dispatcher of the platform starts fast and with little memory.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     from weldhatch.pullqueue.front import PullQueue
     from weldhatch.standalone_zones import StandaloneZones
 
-RESTART_DELAY_S = 0.2  # a plan that asks for a restart is answered before it
+RESTART_DELAY_S = 0.2  # for the answer to the call that applies the plan
 
 
 def log(text: str) -> None:
@@ -36,10 +36,10 @@
 
 
 class Process:
-    """The fronts of this process, from their start to their planned shutdown."""
+    """The fronts of this process, from their start to their graceful shutdown."""
 
     def __init__(self, pull_queue_path: str) -> None:
-        """Start what the configuration asks for; needs a running event loop.
+        """Start the fronts that the configuration enables; needs a running event loop.
 
         Raises:
             ConfigError: the configuration can't be used.
@@ -48,7 +48,7 @@
         tree = config.read_pull_queue_file(pull_queue_path) if os.path.exists(pull_queue_path) else {}
         pull_queue = config.pull_queue_config(tree) if tree else None
         self.stop = asyncio.Event()
-        self.next_tree: dict[str, Any] | None = None  # the configuration to start anew with
+        self.next_tree: dict[str, Any] | None = None  # the configuration to restart with
         self._gateway: Gateway | None = None
         self._pull_queue: PullQueue | None = None
         self._control: Control | None = None
@@ -62,10 +62,10 @@
             self._join_cluster(tree, pull_queue)
 
     def _handle_signals(self) -> None:
-        """Install the handlers before anything logs that it listens.
+        """Install the signal handlers before any front logs that it listens.
 
-        A signal that comes on that line and finds no handler would end the process at once, with what it has
-        just taken.
+        A signal sent on that log line would otherwise end the process at once, and lose the requests that it
+        has just accepted.
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -113,12 +113,12 @@
             self._control.front_controller = self._front_controller
 
     def restart(self, tree: dict[str, Any]) -> None:
-        """End, and start anew with this tree of a pull queue's file."""
+        """Shut down, then restart with this configuration tree of a pull queue's file."""
         self.next_tree = tree
         asyncio.get_running_loop().call_later(RESTART_DELAY_S, self.stop.set)
 
     def reload(self) -> None:
-        """Read keys and the platform's file again (SIGHUP). What can't be used is logged, the old stays."""
+        """Reload the keys and the platform's file (SIGHUP). If one is unusable, log that and keep the old."""
         if self._pull_queue is not None:
             try:
                 self._pull_queue.reload()
@@ -136,7 +136,7 @@
             log("configuration read again")
 
     async def end(self) -> None:
-        """Shut all fronts down gracefully, then leave the cluster: what is still answered needs its lease."""
+        """Shut all fronts down gracefully, then leave the cluster: open requests still need its lease."""
         fronts = (self._gateway, self._pull_queue, self._control)
         await asyncio.gather(*(front.end() for front in fronts if front is not None))
         if self._front_controller is not None:
@@ -144,7 +144,7 @@
 
 
 async def serve(pull_queue_path: str) -> dict[str, Any] | None:
-    """Serve until told to end; return the configuration to start anew with, where a plan asked for that."""
+    """Serve until shutdown; return the configuration to restart with if a plan requires that, else None."""
     process = Process(pull_queue_path)
     gc.collect()
     gc.freeze()
@@ -156,7 +156,7 @@
 
 
 def run(pull_queue_path: str) -> None:
-    """Serve; where a plan asked for it, replace the process by one with the new configuration.
+    """Serve; if a plan requires a restart, replace the process by one with the new configuration.
 
     Raises:
         ConfigError: the configuration can't be used.
