--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -290,7 +290,7 @@
 
 def test_without_the_table_a_dispatcher_agrees_with_nobody():
     assert config.cluster_config({}) is None
-    assert config.cluster_config({"agreement": TABLE}).consistency_bound_s == 2.0
+    assert config.cluster_config({"agreement": TABLE}).stated == 2.0
 
 
 @pytest.mark.parametrize(
--- a/weldhatch/cluster/front_controller.py
+++ b/weldhatch/cluster/front_controller.py
@@ -93,7 +93,7 @@
         front.apply_rules(self._own_settings, self._gate)
         self.control_api = ControlApi(self.node, self._read, log, unix_clock)
         voters = len(agreement.voters)
-        log(f"agreement: {agreement.name} of {voters} voters, stated time {agreement.consistency_bound_s} s")
+        log(f"agreement: {agreement.name} of {voters} voters, stated time {agreement.stated} s")
 
     def _join_zone_failover(self) -> None:
         if self.zone_agent is not None:
@@ -118,8 +118,8 @@
             self._front.driver.watchers.append(self._record_announced_machines)
         return ZoneAgent(
             self._own_settings,
-            agreement.clock_drift,
-            agreement.consistency_bound_s,
+            agreement.drift,
+            agreement.stated,
             self._front.driver,
             self._front.name_of,
             self._overlay_machines,
--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -71,7 +71,7 @@
         self._on_quota = on_quota
         self.store = ClusterStore(config.store, time.time(), log)
         incarnation = Incarnation(config.name, self.store.epoch, self.store.token)
-        timing = LeaseTiming(config.consistency_bound_s, config.clock_drift)
+        timing = LeaseTiming(config.stated, config.drift)
         setup = NodeSetup(incarnation, timing, read, fits, first_settings, zone_times)
         self.coordination = self._make_coordination(setup)
         self.lease_holder = self.coordination.lease_holder
@@ -107,9 +107,7 @@
 
     def _tick(self) -> None:
         """Pass the time to the node. A timer costs the loop, which the front shares, less than a task."""
-        self._timer = asyncio.get_running_loop().call_later(
-            TICK_FRACTION * self.config.consistency_bound_s, self._tick
-        )
+        self._timer = asyncio.get_running_loop().call_later(TICK_FRACTION * self.config.stated, self._tick)
         self.coordination.tick(self._clock())
         self._carry_out_effects()
 
--- a/weldhatch/config/cluster_table.py
+++ b/weldhatch/config/cluster_table.py
@@ -46,8 +46,9 @@
     store: str  # folder of the log
     voters: Mapping[str, Endpoint]  # name and address of each initial voter
     invited: tuple[str, ...]  # dispatchers that may connect, besides voters; '*' for all
-    consistency_bound_s: float  # longest time for which two dispatchers may act on contradictory settings
-    clock_drift: float  # greatest relative difference between the rates of two clocks
+    # The consistency bound in seconds: the longest that two dispatchers may act on contradictory settings.
+    stated: float
+    drift: float  # greatest relative difference between the rates of two clocks
     sockets: int  # most connections at a time
     keys: str = ""  # folder made by `weldhatch keys`, for mutual TLS; '' for no TLS
 
@@ -80,8 +81,8 @@
         store=table["store"],
         voters=voters,
         invited=invited,
-        consistency_bound_s=duration_s("agreement.stated", values["stated"], MIN_CONSISTENCY_BOUND_S),
-        clock_drift=clock_drift,
+        stated=duration_s("agreement.stated", values["stated"], MIN_CONSISTENCY_BOUND_S),
+        drift=clock_drift,
         sockets=sockets,
         keys=value_of(values, "keys", str),
     )
--- a/weldhatch/config/platform_file.py
+++ b/weldhatch/config/platform_file.py
@@ -25,10 +25,10 @@
     seed: int
     sockets: int  # most file descriptors that the process may hold
     bus: Endpoint  # of the event bus
-    known_events: tuple[dict[str, Any], ...]  # events of the bus up to the start, under the key `known`
+    known: tuple[dict[str, Any], ...]  # events of the bus up to the start, under the key `known`
     settings: Settings
-    dial_timeout_s: float  # of a connection attempt to a server
-    probe_timeout_s: float  # of a probe
+    dial_s: float  # time-out of a connection attempt to a server
+    probe_s: float  # time-out of a probe
 
 
 def platform_config(environment: Mapping[str, str]) -> PlatformConfig:
@@ -52,10 +52,10 @@
         seed=seed,
         sockets=sockets,
         bus=parse_endpoint("bus", value_of(tree, "bus", str)),
-        known_events=known_events,
+        known=known_events,
         settings=settings,
-        dial_timeout_s=dial_timeout_s,
-        probe_timeout_s=dial_timeout_s,
+        dial_s=dial_timeout_s,
+        probe_s=dial_timeout_s,
     )
 
 
--- a/weldhatch/gateway.py
+++ b/weldhatch/gateway.py
@@ -64,7 +64,7 @@
         self.driver = Driver(Policy(self.settings, configuration.seed), log)
         self._connect_platform(min_connections)
         self.core = Core(self.driver, self.servers, log)
-        for event in configuration.known_events:
+        for event in configuration.known:
             self._handle_bus_event(event)
         # Subscribe in any case: by its settings, the policy may expect changes without a subscription, but
         # this platform delivers them only over the event bus.
@@ -80,8 +80,8 @@
         self.servers = Servers(
             self.settings,
             DescriptorShare(self.budget, self.budget.most - min_connections),
-            configuration.dial_timeout_s,
-            configuration.probe_timeout_s,
+            configuration.dial_s,
+            configuration.probe_s,
             self._load_reported,
             self._log,
         )
@@ -152,7 +152,7 @@
         Raises:
             ValueError: an event under the key `known` can't be read.
         """
-        for event in configuration.known_events:
+        for event in configuration.known:
             self._handle_bus_event(event)
         self.bus.move(configuration.bus)
         started = self._configuration
