--- a/tests/stepped.py
+++ b/tests/stepped.py
@@ -1,7 +1,7 @@
-"""An event loop on real sockets whose clock moves on only while no socket has anything to say.
+"""An event loop on real sockets whose clock advances only while no socket is ready.
 
-Guards tests of spans against a loaded machine: work takes no time on this clock, so what is decided, sent and
-received between two steps has one and the same time however slowly it runs.
+It makes tests of time spans independent of the machine's load: all work between two steps of the clock
+happens at the same time, however slowly it runs.
 """
 
 import asyncio
@@ -10,24 +10,24 @@
 import time
 from unittest import mock
 
-QUIET_S = 0.0003  # real seconds for which no socket may be ready before the clock moves
-STEP_S = 0.004  # the clock's step at most
-LEAST_S = 1e-6  # and at least: less is lost in the rounding of a time since 1970, and the clock would stand
+IDLE_S = 0.0003  # real time for which no socket may be ready before the clock advances
+MAX_STEP_S = 0.004  # of the clock
+MIN_STEP_S = 1e-6  # a smaller step is lost when rounded in Unix seconds, and the clock would not advance
 
 
 class SteppedSelector(selectors.DefaultSelector):
     def __init__(self):
         super().__init__()
-        self.began = time.time()
-        self.now = 0.0  # small, so that the smallest wait still moves it
+        self.started = time.time()
+        self.now = 0.0  # starts at 0, so that the smallest wait is not lost in rounding
 
     def select(self, timeout=None):
         events = super().select(0)
         if events or (timeout is not None and timeout <= 0):
             return events
-        if events := super().select(QUIET_S):
+        if events := super().select(IDLE_S):
             return events
-        self.now += STEP_S if timeout is None else max(LEAST_S, min(STEP_S, timeout))
+        self.now += MAX_STEP_S if timeout is None else max(MIN_STEP_S, min(MAX_STEP_S, timeout))
         return []
 
 
@@ -38,12 +38,12 @@
 
 
 def run(main):
-    """Run one coroutine with every clock of the process on the steps of its loop."""
+    """Run one coroutine with all clocks of the process replaced by the stepped clock of its loop."""
     selector = SteppedSelector()
     clocks = {
-        "time": lambda: selector.began + selector.now,
+        "time": lambda: selector.started + selector.now,
         "monotonic": lambda: 1000.0 + selector.now,
-        "time_ns": lambda: int((selector.began + selector.now) * 1e9),
+        "time_ns": lambda: int((selector.started + selector.now) * 1e9),
     }
     with contextlib.ExitStack() as patches:
         for name, clock in clocks.items():
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -1,4 +1,4 @@
-"""Several processes of the platform's front: what one list of machines tells counts for all of them."""
+"""A group of processes with the platform front: a drain in the endpoint list of one binds all of them."""
 
 import asyncio
 import contextlib
@@ -17,12 +17,12 @@
 
 pytestmark = pytest.mark.fleet
 
-STATED = 3.0
+CONSISTENCY_BOUND_S = 3.0
 SERVICES = 40
 
 
 class Machine(Party):
-    """Takes every set-up, says when and by whom it was sent, and ends it after a moment."""
+    """Accepts every task, records when and from which dispatcher it came, and ends it at once."""
 
     def __init__(self):
         super().__init__()
@@ -43,24 +43,24 @@
         return [start for start in self.starts if start[0] >= at and dispatcher in ("", start[1])]
 
 
-class Platforms(Rig):
-    """Each process serves the platform's front, and hears of machines on a bus of its own."""
+class PlatformCluster(Rig):
+    """Each process serves the platform front, and receives its endpoint list from an event bus of its own."""
 
     async def __aenter__(self):
         self.buses, self.servers, self.counts = {}, {}, {}
         for n in range(3):
             self.servers[f"s{n}"] = server = Machine()
             await server.listen()
-        for name, one in self.nodes.items():
+        for name, node in self.nodes.items():
             bus = self.buses[name] = Bus()
             await bus.listen()
             bus.add([self.target(server) for server in self.servers], whole=True, rev=1)
-            path = one.folder / f"{name}-platform.json"
+            path = node.folder / f"{name}-platform.json"
             path.write_text(
                 json.dumps(
                     {
                         "name": name,
-                        "listen": f"127.0.0.1:{one.queue}",
+                        "listen": f"127.0.0.1:{node.queue}",
                         "seed": "5",
                         "limits": {"sockets": 256},
                         "bus": "%s:%d" % bus.endpoint,  # noqa: UP031
@@ -69,13 +69,13 @@
                     }
                 )
             )
-            one.environment = {"PROXY_CONFIG": str(path)}
-            one.tree = {"enabled": False}
+            node.environment = {"PROXY_CONFIG": str(path)}
+            node.tree = {"enabled": False}
         await super().__aenter__()
-        for n, (name, one) in enumerate(self.nodes.items()):
+        for n, (name, node) in enumerate(self.nodes.items()):
             owner = Owner()
-            await owner.open(("127.0.0.1", one.queue))
-            self._spawn(self.ask_for_work(owner, n, name))
+            await owner.open(("127.0.0.1", node.queue))
+            self._spawn(self.send_requests(owner, n, name))
         return self
 
     def target(self, server, state="ready"):
@@ -91,12 +91,12 @@
             "boot_ms": 0,
         }
 
-    async def ask_for_work(self, owner, n, name):
+    async def send_requests(self, owner, n, name):
         self.counts[name] = 0
         while True:
             self.counts[name] += 1
-            tag = f"{n}{self.counts[name]:07d}"  # the first digit of the key is the dispatcher's
-            # Many services: all of one go to the machine that got its first one, whichever that was.
+            tag = f"{n}{self.counts[name]:07d}"  # the first digit of the key is the dispatcher's number
+            # Many services, as all tasks of a service go to the machine that got its first one.
             service = f"{self.counts[name] % SERVICES:016x}"
             owner.send(
                 "START",
@@ -108,80 +108,82 @@
 
     async def close(self):
         await super().close()
-        for party in (*self.buses.values(), *self.servers.values()):
-            with contextlib.suppress(OSError):  # of a connection that its process has just ended
-                party.reset()
-            if party.server is not None:
-                party.server.close()
+        for peer in (*self.buses.values(), *self.servers.values()):
+            with contextlib.suppress(OSError):  # its process may have closed the connection already
+                peer.reset()
+            if peer.server is not None:
+                peer.server.close()
 
 
-class Lists(unittest.IsolatedAsyncioTestCase):
+class EndpointLists(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory(prefix="weldhatch-rig-")
         self.addCleanup(folder.cleanup)
-        self.rig = Platforms(Path(folder.name), 3, stated=STATED, tree=settings())
-        self.addAsyncCleanup(self.rig.close)
-        await self.rig.__aenter__()
-        for name in self.rig.nodes:
-            await self.works(name, 0.0)
-
-    async def works(self, name, since, server=""):
-        servers = [self.rig.servers[server]] if server else self.rig.servers.values()
-        await until(lambda: any(one.since(since, name) for one in servers), 30, f"{name} starts work")
-
-    async def test_a_drain_that_one_list_tells_counts_for_all(self):
-        """The other two are behind: their buses never tell of it. One of them can't be reached either."""
-        await self.drained(leader="g1")
-
-    async def test_it_counts_for_all_also_where_the_leader_is_the_one_cut_off(self):
-        """Then another one is elected first, and the lease of the one before has to run out."""
-        await self.drained(leader="g2")
-
-    async def drained(self, leader):
-        rig, server = self.rig, self.rig.servers["s0"]
-        for name in rig.nodes:
-            await self.works(name, 0.0, "s0")
-
-        async def leads():
-            if (now := await rig.leader()) != leader:
-                with contextlib.suppress(LookupError):  # one that has just been elected may not hand over yet
-                    await rig.ask(now, "peers", {"hand": leader})
-            return now == leader
-
-        await until(leads, 30, f"{leader} leads")
-        rig.cut("g2")
-        rig.buses["g0"].add([rig.target("s0", "draining")], rev=2)
-        told = time.monotonic()
-
-        async def hears():
-            return (await rig.held("g1"))["narrowed"] == 1
-
-        await until(hears, STATED, "g1 hears of it")
-        await asyncio.sleep(0.1)  # for what it had sent before, and this process has not read yet
-        heard = time.monotonic()
-        await asyncio.sleep(told + STATED - heard)
-        await self.works("g1", told + STATED)
-        self.assertEqual([start for start in server.since(heard) if start[1] != "g2"], [])
-        self.assertEqual(server.since(told + STATED), [])
-        self.assertEqual((await rig.held("g1"))["conflicts"], [])
-        # A newer list that says ready ends it, also where the older drain is still heard.
-        rig.heal()
-        await rig.footing("g2", "lease")
-        rig.buses["g1"].add([rig.target("s0")], rev=3)
+        self.cluster = PlatformCluster(Path(folder.name), 3, stated=CONSISTENCY_BOUND_S, tree=settings())
+        self.addAsyncCleanup(self.cluster.close)
+        await self.cluster.__aenter__()
+        for name in self.cluster.nodes:
+            await self.wait_for_start(name, 0.0)
+
+    async def wait_for_start(self, name, since, server=""):
+        servers = [self.cluster.servers[server]] if server else self.cluster.servers.values()
+        await until(
+            lambda: any(machine.since(since, name) for machine in servers), 30, f"{name} starts a task"
+        )
+
+    async def test_a_drain_in_one_list_binds_all_dispatchers(self):
+        """The lists of the other two dispatchers never contain the drain, and g2 is cut off as well."""
+        await self.check_drain(leader="g1")
+
+    async def test_a_drain_binds_all_dispatchers_when_the_leader_is_cut_off(self):
+        """Another leader has to be elected first, and the lease of the former one has to expire."""
+        await self.check_drain(leader="g2")
+
+    async def check_drain(self, leader):
+        cluster, server = self.cluster, self.cluster.servers["s0"]
+        for name in cluster.nodes:
+            await self.wait_for_start(name, 0.0, "s0")
+
+        async def is_leader():
+            if (current := await cluster.leader()) != leader:
+                with contextlib.suppress(LookupError):  # a leader that was just elected may not hand over yet
+                    await cluster.ask(current, "peers", {"hand": leader})
+            return current == leader
+
+        await until(is_leader, 30, f"{leader} leads")
+        cluster.cut("g2")
+        cluster.buses["g0"].add([cluster.target("s0", "draining")], rev=2)
+        drained = time.monotonic()
+
+        async def g1_knows():
+            return (await cluster.held("g1"))["narrowed"] == 1
+
+        await until(g1_knows, CONSISTENCY_BOUND_S, "g1 knows of the drain")
+        await asyncio.sleep(0.1)  # for starts that were sent before, and that this process has not read yet
+        known = time.monotonic()
+        await asyncio.sleep(drained + CONSISTENCY_BOUND_S - known)
+        await self.wait_for_start("g1", drained + CONSISTENCY_BOUND_S)
+        self.assertEqual([start for start in server.since(known) if start[1] != "g2"], [])
+        self.assertEqual(server.since(drained + CONSISTENCY_BOUND_S), [])
+        self.assertEqual((await cluster.held("g1"))["conflicts"], [])
+        # A newer list with the machine as ready ends the drain, even if an older list still reports it.
+        cluster.heal()
+        await cluster.footing("g2", "lease")
+        cluster.buses["g1"].add([cluster.target("s0")], rev=3)
         for name in ("g1", "g2"):
-            await self.works(name, told + STATED, "s0")
+            await self.wait_for_start(name, drained + CONSISTENCY_BOUND_S, "s0")
 
-    async def test_two_lists_of_one_revision_the_narrower_acts_and_operators_are_told(self):
-        rig, server = self.rig, self.rig.servers["s1"]
-        rig.buses["g0"].add([rig.target("s1", "draining")], rev=2)
-        rig.buses["g1"].add([rig.target("s1", "ready")], rev=2)
+    async def test_of_two_lists_of_one_revision_the_stricter_acts_and_the_conflict_is_reported(self):
+        cluster, server = self.cluster, self.cluster.servers["s1"]
+        cluster.buses["g0"].add([cluster.target("s1", "draining")], rev=2)
+        cluster.buses["g1"].add([cluster.target("s1", "ready")], rev=2)
 
-        async def told():
-            return (await rig.held("g2"))["conflicts"]
+        async def conflicts():
+            return (await cluster.held("g2"))["conflicts"]
 
-        text = await until(told, 30, "the conflict is told")
+        text = await until(conflicts, 30, "the conflict is reported")
         self.assertIn("s1: draining and, by g1, ready, both in a list of revision 2", text)
         at = time.monotonic()
-        await self.works("g1", at + 0.5)
+        await self.wait_for_start("g1", at + 0.5)
         self.assertEqual(server.since(at + 0.5), [])
-        self.assertIn("two lists differ", rig.nodes["g1"].logged())
+        self.assertIn("two lists differ", cluster.nodes["g1"].logged())
--- a/tests/test_pins_config.py
+++ b/tests/test_pins_config.py
@@ -1,8 +1,8 @@
-"""Configuration as recorded: what each example and deploy file is read as, and the text of every fault.
+"""Compares the reading of configuration with recorded results: contents of shipped files, and error texts.
 
-Faulty inputs are made from the files that the project ships: each key in turn is left out or given a value
-that should not be there. The record holds the text of the fault, or a digest of what was read where the value
-is taken; `-` stands for a key that is left out.
+Faulty inputs are derived from the files that the project ships: each key in turn is left out, or gets one of
+`TRIAL_VALUES`. The record holds the text of the error, or a digest of the contents if the value is accepted;
+`-` stands for a key that is left out.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 
 RECORD = "pins_config.json"
 ROOT = Path(__file__).parent.parent
-LEFT_OUT = object()
-ODD = (LEFT_OUT, None, "x", -1, 0.25, True, [], {}, ["a"], {"a": 1})
+ABSENT = object()
+TRIAL_VALUES = (ABSENT, None, "x", -1, 0.25, True, [], {}, ["a"], {"a": 1})
 PULL_FILES = ("examples/pullqueue.toml", "deploy/pullqueue.toml")
 FLEET_FILES = ("examples/fleet.toml", "deploy/fleet.toml")
 
-# What no shipped file uses all of: classes of every effect and scope, tenants, prices, extras.
+# Settings that no shipped file has in full: classes of every effect and scope, tenants, prices, extras.
 SETTINGS_TEXT = """classes.count=3
 classes.0.name=first
 classes.0.aimUs=600000
@@ -116,7 +116,7 @@
 unknown.key=ignored
 """
 
-# A pull queue's file with every table in use.
+# All tables of a pull queue's file.
 ALL_TABLES = {
     "security": {"keys": "keys", "tls": "mutual", "tokens": True, "calls": 50},
     "sites": {
@@ -142,56 +142,56 @@
 }
 
 
-def leaves(tree, path=()):
-    """The paths of all keys of a tree, those of tables and of lists of tables too."""
+def key_paths(tree, path=()):
+    """Yield the paths of all keys of a tree, including those of tables and of lists of tables."""
     for key, value in tree.items() if isinstance(tree, dict) else enumerate(tree):
         yield (*path, key)
         if isinstance(value, dict) or (isinstance(value, list) and value and isinstance(value[0], dict)):
-            yield from leaves(value, (*path, key))
+            yield from key_paths(value, (*path, key))
 
 
-def changed(tree, path, value):
-    """A copy of the tree with another value at the path, or none."""
+def with_value(tree, path, value):
+    """Return a copy of the tree with another value at the path, or without that key."""
     copied = copy.deepcopy(tree)
-    at = copied
+    table = copied
     for key in path[:-1]:
-        at = at[key]
-    if value is LEFT_OUT:
-        del at[path[-1]]
+        table = table[key]
+    if value is ABSENT:
+        del table[path[-1]]
     else:
-        at[path[-1]] = value
+        table[path[-1]] = value
     return copied
 
 
 def outcome(read, *arguments):
-    """The text of the fault, or a digest of what was read."""
+    """Return the text of the error, or a digest of the contents that were read."""
     try:
         return "read as " + pins.digest(pins.lines(read(*arguments)))
-    except Exception as fault:  # also what should have been a ConfigError: the record tells
-        return f"{type(fault).__name__}: {fault}"
+    except Exception as error:  # of any type: the record shows which were ConfigErrors
+        return f"{type(error).__name__}: {error}"
 
 
-def faults(tree, read):
-    """The outcomes of all changes of a tree, by path: one for each odd value."""
-    found = {}
-    for path in leaves(tree):
+def outcomes_of_changes(tree, read):
+    """Return the outcomes of all changes of a tree: by path, one for each of `TRIAL_VALUES`."""
+    outcomes = {}
+    for path in key_paths(tree):
         name = ".".join(map(str, path))
-        found[name] = {
-            "-" if value is LEFT_OUT else json.dumps(value): outcome(read, changed(tree, path, value))
-            for value in ODD
+        outcomes[name] = {
+            "-" if value is ABSENT else json.dumps(value): outcome(read, with_value(tree, path, value))
+            for value in TRIAL_VALUES
         }
     for value in ("surplus", 7):
-        found[f"a key that is not known, {value!r}"] = outcome(read, {**tree, "surplus": value})
-    return found
+        outcomes[f"a key that is not known, {value!r}"] = outcome(read, {**tree, "surplus": value})
+    return outcomes
 
 
-def small(tree):
-    """The tree without what `settings` holds: for changes beside them."""
+def without_settings(tree):
+    """Return the tree without `settings`, for changes of the other keys."""
     return {key: value for key, value in tree.items() if key != "settings"}
 
 
 class Reader:
-    """Reads trees as files of a folder; texts name the folder as `<folder>`."""
+    """Writes trees to files of a folder and reads them; outcomes name the folder as `<folder>`."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -203,42 +203,42 @@
 
     def fleet(self, tree):
         path = self.folder / "fleet.toml"
-        path.write_text(toml(tree))
+        path.write_text(to_toml(tree))
         read = fleet_config(str(path))
         return replace(read, journal=read.journal.replace(str(self.folder), "<folder>"))
 
-    def neutral(self, value):
-        """Recorded outcomes without the names of folders."""
+    def without_folders(self, value):
+        """Return outcomes with placeholders for the paths of folders, as they are recorded."""
         text = json.dumps(value).replace(str(self.folder), "<folder>").replace(str(ROOT), "<root>")
         return json.loads(text)
 
 
-def toml(tree):
-    """A tree as TOML; no key is written for what TOML can't say."""
+def to_toml(tree):
+    """Return a tree as TOML, with the text `null` for None, which TOML lacks."""
 
-    def value_of(value):
+    def toml_value(value):
         if isinstance(value, dict):
-            return "{" + ", ".join(f"{json.dumps(k)} = {value_of(v)}" for k, v in value.items()) + "}"
+            return "{" + ", ".join(f"{json.dumps(k)} = {toml_value(v)}" for k, v in value.items()) + "}"
         if isinstance(value, list):
-            return "[" + ", ".join(map(value_of, value)) + "]"
+            return "[" + ", ".join(map(toml_value, value)) + "]"
         return '"null"' if value is None else json.dumps(value)
 
-    return "\n".join(f"{json.dumps(key)} = {value_of(value)}" for key, value in tree.items()) + "\n"
+    return "\n".join(f"{json.dumps(key)} = {toml_value(value)}" for key, value in tree.items()) + "\n"
 
 
 def read_files(reader):
-    """What each shipped file is read as, in pairs of path and value."""
-    found = {}
+    """Return the contents of each shipped file as pairs of path and value."""
+    contents = {}
     for name in PULL_FILES:
         tree = read_pull_queue_file(str(ROOT / name))
-        found[name] = pins.lines(pull_queue_config(tree))
-        found[f"{name} as leaves"] = pins.lines(pull_queue_leaves(tree))
+        contents[name] = pins.lines(pull_queue_config(tree))
+        contents[f"{name} as leaves"] = pins.lines(pull_queue_leaves(tree))
     for name in FLEET_FILES:
-        found[name] = pins.lines(fleet_config(str(ROOT / name)))
-    found["examples/config.json"] = pins.lines(
+        contents[name] = pins.lines(fleet_config(str(ROOT / name)))
+    contents["examples/config.json"] = pins.lines(
         platform_config({"PROXY_CONFIG": str(ROOT / "examples/config.json")})
     )
-    found["config.json of the environment"] = pins.lines(
+    contents["config.json of the environment"] = pins.lines(
         platform_config(
             {
                 "PROXY_CONFIG": str(ROOT / "examples/config.json"),
@@ -247,13 +247,13 @@
             }
         )
     )
-    found["settings as text"] = pins.lines(settings_from_text(SETTINGS_TEXT.encode()))
-    found["all tables"] = pins.lines(pull_queue_config({**example("pullqueue"), **ALL_TABLES}))
-    return reader.neutral(found)
+    contents["settings as text"] = pins.lines(settings_from_text(SETTINGS_TEXT.encode()))
+    contents["all tables"] = pins.lines(pull_queue_config({**example("pullqueue"), **ALL_TABLES}))
+    return reader.without_folders(contents)
 
 
 def example(name):
-    """The tree of an example file."""
+    """Return the tree of an example file."""
     if name == "config":
         return read_json_file(str(ROOT / "examples/config.json"))
     return read_toml_file(str(ROOT / f"examples/{name}.toml"))
@@ -266,51 +266,55 @@
     def read(changed_tree):
         return reader.platform({"settings": settings, **changed_tree})
 
-    found = faults(small(tree), read)
-    for value in ODD[1:]:
-        found[f"settings {json.dumps(value)}"] = outcome(reader.platform, {**tree, "settings": value})
+    outcomes = outcomes_of_changes(without_settings(tree), read)
+    for value in TRIAL_VALUES[1:]:
+        outcomes[f"settings {json.dumps(value)}"] = outcome(reader.platform, {**tree, "settings": value})
         limits = {**settings, "limits": {**settings["limits"], "dialTimeoutUs": value}}
-        found[f"dialTimeoutUs {json.dumps(value)}"] = outcome(reader.platform, {**tree, "settings": limits})
-    found["no settings"] = outcome(reader.platform, small(tree))
-    found["no environment"] = outcome(platform_config, {})
-    found["no such file"] = outcome(platform_config, {"PROXY_CONFIG": str(reader.folder / "none")})
-    found["odd listen"] = outcome(
+        outcomes[f"dialTimeoutUs {json.dumps(value)}"] = outcome(
+            reader.platform, {**tree, "settings": limits}
+        )
+    outcomes["no settings"] = outcome(reader.platform, without_settings(tree))
+    outcomes["no environment"] = outcome(platform_config, {})
+    outcomes["no such file"] = outcome(platform_config, {"PROXY_CONFIG": str(reader.folder / "none")})
+    outcomes["odd listen"] = outcome(
         platform_config, {"PROXY_CONFIG": str(ROOT / "examples/config.json"), "PROXY_LISTEN": "9"}
     )
     for text in ("", "{", "[]", "7"):
         reader.path.write_text(text)
-        found[f"file of {text!r}"] = outcome(platform_config, {"PROXY_CONFIG": str(reader.path)})
-    return reader.neutral(found)
+        outcomes[f"file of {text!r}"] = outcome(platform_config, {"PROXY_CONFIG": str(reader.path)})
+    return reader.without_folders(outcomes)
 
 
 def faults_of_pull_queue(reader):
     tree = {**example("pullqueue"), **ALL_TABLES}
     settings = tree["settings"]
-    found = faults(small(tree), lambda changed: pull_queue_config({"settings": settings, **changed}))
-    for value in ODD[1:]:
-        found[f"settings {json.dumps(value)}"] = outcome(pull_queue_config, {**tree, "settings": value})
+    outcomes = outcomes_of_changes(
+        without_settings(tree), lambda changed_tree: pull_queue_config({"settings": settings, **changed_tree})
+    )
+    for value in TRIAL_VALUES[1:]:
+        outcomes[f"settings {json.dumps(value)}"] = outcome(pull_queue_config, {**tree, "settings": value})
     for table in ALL_TABLES:
-        for key, value in (("surplus", 1), *(extra for extra in ODD_OF_TABLES.get(table, ()))):
+        for key, value in (("surplus", 1), *(extra for extra in TABLE_TRIALS.get(table, ()))):
             changed_table = {**ALL_TABLES[table], key: value}
-            found[f"{table}.{key} {json.dumps(value)}"] = outcome(
+            outcomes[f"{table}.{key} {json.dumps(value)}"] = outcome(
                 pull_queue_config, {**tree, table: changed_table}
             )
-    found["zones without agreement"] = outcome(zones_config, {"zones": {"step": 1.0}})
-    found["zones off"] = outcome(zones_config, {"zones": {"enabled": False}})
-    found["zones alone"] = outcome(zones_config, {"zones": {"alone": True}})
-    found["agreement alone"] = outcome(cluster_config, {"agreement": ALL_TABLES["agreement"]})
+    outcomes["zones without agreement"] = outcome(zones_config, {"zones": {"step": 1.0}})
+    outcomes["zones off"] = outcome(zones_config, {"zones": {"enabled": False}})
+    outcomes["zones alone"] = outcome(zones_config, {"zones": {"alone": True}})
+    outcomes["agreement alone"] = outcome(cluster_config, {"agreement": ALL_TABLES["agreement"]})
     for text in ("", "x = ", "= 1", "[a]\n[a]"):
         path = reader.folder / "pull.toml"
         path.write_text(text)
-        found[f"toml of {text!r}"] = outcome(read_pull_queue_file, str(path))
+        outcomes[f"toml of {text!r}"] = outcome(read_pull_queue_file, str(path))
     path = reader.folder / "pull.json"
     path.write_text("{")
-    found["broken json"] = outcome(read_pull_queue_file, str(path))
-    found["no such file"] = outcome(read_pull_queue_file, str(reader.folder / "none.toml"))
-    return reader.neutral(found)
+    outcomes["broken json"] = outcome(read_pull_queue_file, str(path))
+    outcomes["no such file"] = outcome(read_pull_queue_file, str(reader.folder / "none.toml"))
+    return reader.without_folders(outcomes)
 
 
-ODD_OF_TABLES = {
+TABLE_TRIALS = {
     "security": (("tls", "on"), ("keys", ""), ("calls", 0), ("calls", 10_000_000)),
     "sites": (("name", "there"), ("listen", "x"), ("peers", {"a": 7}), ("peers", {"a": "b"}), ("keys", 4)),
     "agreement": (
@@ -331,35 +335,35 @@
 def faults_of_fleet(reader):
     tree = example("fleet")
     tree["nodes"] = tree["nodes"][:2]
-    found = faults(tree, reader.fleet)
+    outcomes = outcomes_of_changes(tree, reader.fleet)
     node = tree["nodes"][0]
     for key, value in (("cores", 0), ("memory", 0.0), ("control", "x"), ("state", "odd"), ("surplus", 1)):
         changed_nodes = [{**node, key: value}, *tree["nodes"][1:]]
-        found[f"node {key} {value}"] = outcome(reader.fleet, {**tree, "nodes": changed_nodes})
-    found["twice the same node"] = outcome(reader.fleet, {**tree, "nodes": [node, node]})
+        outcomes[f"node {key} {value}"] = outcome(reader.fleet, {**tree, "nodes": changed_nodes})
+    outcomes["twice the same node"] = outcome(reader.fleet, {**tree, "nodes": [node, node]})
     apart = [node, {**node, "id": "other", "hall": "elsewhere"}]
-    found["one rack in two halls"] = outcome(reader.fleet, {**tree, "nodes": apart})
-    found["odd gateway"] = outcome(reader.fleet, {**tree, "gateways": ["x"]})
-    found["no such file"] = outcome(fleet_config, str(reader.folder / "none.toml"))
-    return reader.neutral(found)
+    outcomes["one rack in two halls"] = outcome(reader.fleet, {**tree, "nodes": apart})
+    outcomes["odd gateway"] = outcome(reader.fleet, {**tree, "gateways": ["x"]})
+    outcomes["no such file"] = outcome(fleet_config, str(reader.folder / "none.toml"))
+    return reader.without_folders(outcomes)
 
 
 def faults_of_settings(reader):
-    found = {"json": faults(example("config")["settings"], settings_from_json)}
-    for value in ODD[1:]:
-        found[f"json {json.dumps(value)}"] = outcome(settings_from_json, value)
+    outcomes = {"json": outcomes_of_changes(example("config")["settings"], settings_from_json)}
+    for value in TRIAL_VALUES[1:]:
+        outcomes[f"json {json.dumps(value)}"] = outcome(settings_from_json, value)
     texts = SETTINGS_TEXT.splitlines()
     for number, line in enumerate(texts):
         key = line.partition("=")[0]
         for value in ("", "x", "-1", "nan", "true", "1,2,3,4"):
             lines = [*texts[:number], f"{key}={value}", *texts[number + 1 :]]
-            found[f"{key}={value}"] = outcome(settings_from_text, "\n".join(lines).encode())
-        found[f"no {key}"] = outcome(
+            outcomes[f"{key}={value}"] = outcome(settings_from_text, "\n".join(lines).encode())
+        outcomes[f"no {key}"] = outcome(
             settings_from_text, "\n".join(texts[:number] + texts[number + 1 :]).encode()
         )
-    found["no sign"] = outcome(settings_from_text, b"abc")
-    found["not utf-8"] = outcome(settings_from_text, b"\xff=1")
-    return reader.neutral(found)
+    outcomes["no sign"] = outcome(settings_from_text, b"abc")
+    outcomes["not utf-8"] = outcome(settings_from_text, b"\xff=1")
+    return reader.without_folders(outcomes)
 
 
 def endpoints(reader):
@@ -379,14 +383,14 @@
 
 @pytest.mark.parametrize("part", PARTS)
 def test_configuration_is_read_as_recorded(part, tmp_path):
-    expected, found = pins.load(RECORD)[part], PARTS[part](Reader(tmp_path))
-    assert found.keys() == expected.keys()
-    for name, value in found.items():
+    expected, outcomes = pins.load(RECORD)[part], PARTS[part](Reader(tmp_path))
+    assert outcomes.keys() == expected.keys()
+    for name, value in outcomes.items():
         assert value == expected[name], name
 
 
-def test_every_fault_of_a_file_is_a_configuration_error(tmp_path):
-    """Guards the record against cases that only show a fault of the test itself."""
+def test_the_record_has_configuration_errors_and_accepted_inputs(tmp_path):
+    """Guards against a record in which all cases failed for a fault of the test itself."""
     record = json.dumps(pins.load(RECORD))
     assert ConfigError.__name__ + ": " in record and "read as " in record
 
--- a/tests/test_pins_wire.py
+++ b/tests/test_pins_wire.py
@@ -1,4 +1,7 @@
-"""The simulator's wire as recorded: all kinds of records both ways, malformed ones, and whole sessions."""
+"""Compares the simulator's wire protocol with recorded results: records in both directions, and sessions.
+
+Records of every kind are included, malformed ones too.
+"""
 
 from __future__ import annotations
 
@@ -83,16 +86,16 @@
 }
 
 
-def record(code, body=b""):
+def make_record(code, body=b""):
     return (bytes([code]) + body).ljust(EVENT_SIZE, b"\0")
 
 
-def switch(instance):
-    return record(SWITCH, struct.pack(">xH", instance)[1:])
+def make_switch(instance):
+    return make_record(SWITCH, struct.pack(">xH", instance)[1:])
 
 
-def entry(random, state=1):
-    """One entry of a list, of made-up values."""
+def make_entry(random, state=1):
+    """Return one entry of a list, with random values."""
     return struct.pack(
         ">IHBfHHfBfQ",
         random.getrandbits(32),
@@ -109,37 +112,51 @@
 
 
 def batches():
-    """Bodies of batches by name: (body, count of records)."""
+    """Return batches by name, as pairs of body and number of records."""
     random = Random(11)
-    start = switch(3) + record(SPAWN, struct.pack(">QII", 77, 0, len(SETTINGS)))
-    found = {}
+    start_records = make_switch(3) + make_record(SPAWN, struct.pack(">QII", 77, 0, len(SETTINGS)))
+    cases = {}
     for code in CODES:
         for number in range(8):
-            noise = random.randbytes(EVENT_SIZE - 1)
-            if code in (HEALTH, ENDED) and number < 5:  # mostly with an outcome that there is
-                at = 0 if code == HEALTH else 14
-                noise = noise[:at] + bytes([number]) + noise[at + 1 :]
+            random_body = random.randbytes(EVENT_SIZE - 1)
+            if (
+                code in (HEALTH, ENDED) and number < 5
+            ):  # for most of these, write a valid outcome into the random bytes
+                offset = 0 if code == HEALTH else 14
+                random_body = random_body[:offset] + bytes([number]) + random_body[offset + 1 :]
                 size = 11 if code == HEALTH else 22
-                noise = noise[:size] + bytes([number % 5]) + noise[size + 1 :]
-            found[f"event {code} noise {number}"] = (start + record(code, noise) + SETTINGS, 3)
+                random_body = random_body[:size] + bytes([number % 5]) + random_body[size + 1 :]
+            cases[f"event {code} noise {number}"] = (
+                start_records + make_record(code, random_body) + SETTINGS,
+                3,
+            )
     for form in range(5):
         for named in (0, 1):
-            list_record = record(REGISTER, struct.pack(">HII", 0, len(SETTINGS), 3))
-            changed = record(LISTED, struct.pack(">BHQ", form, named, 41 + form))
-            entries = b"".join(entry(random, state) for state in range(3))
-            body = start + list_record + changed + SETTINGS + entries
-            found[f"list form {form} name {named}"] = (body, 4)
-    entries = entry(random, state=3)
-    body = start + record(REGISTER, struct.pack(">HII", 2, len(SETTINGS), 1))
-    body += record(LISTED, struct.pack(">BHQ", 1, 2, 1)) + SETTINGS + entries
-    found["state of a host unknown"] = (body, 4)
-    found["list number over 15"] = (switch(1) + record(REGISTER, struct.pack(">HII", 16, 0, 0)), 2)
-    found["list outside the tail"] = (switch(1) + record(REGISTER, struct.pack(">HII", 1, 5, 2)), 2)
-    found["settings outside the tail"] = (switch(1) + record(SPAWN, struct.pack(">QII", 1, 0, 9)), 2)
-    found["no switch"] = (record(TIMER, bytes(4)), 1)
-    found["unknown code"] = (switch(1) + record(255), 2)
-    found["more records than bytes"] = (switch(1), 2)
-    found["nothing"] = (b"", 0)
+            list_record = make_record(REGISTER, struct.pack(">HII", 0, len(SETTINGS), 3))
+            changed = make_record(LISTED, struct.pack(">BHQ", form, named, 41 + form))
+            entries = b"".join(make_entry(random, state) for state in range(3))
+            body = start_records + list_record + changed + SETTINGS + entries
+            cases[f"list form {form} name {named}"] = (body, 4)
+    entries = make_entry(random, state=3)
+    body = start_records + make_record(REGISTER, struct.pack(">HII", 2, len(SETTINGS), 1))
+    body += make_record(LISTED, struct.pack(">BHQ", 1, 2, 1)) + SETTINGS + entries
+    cases["state of a host unknown"] = (body, 4)
+    cases["list number over 15"] = (
+        make_switch(1) + make_record(REGISTER, struct.pack(">HII", 16, 0, 0)),
+        2,
+    )
+    cases["list outside the tail"] = (
+        make_switch(1) + make_record(REGISTER, struct.pack(">HII", 1, 5, 2)),
+        2,
+    )
+    cases["settings outside the tail"] = (
+        make_switch(1) + make_record(SPAWN, struct.pack(">QII", 1, 0, 9)),
+        2,
+    )
+    cases["no switch"] = (make_record(TIMER, bytes(4)), 1)
+    cases["unknown code"] = (make_switch(1) + make_record(255), 2)
+    cases["more records than bytes"] = (make_switch(1), 2)
+    cases["nothing"] = (b"", 0)
     for name, text in (
         ("no sign", b"abc"),
         ("not utf-8", b"\xff=1"),
@@ -147,64 +164,68 @@
         ("missing key", SETTINGS.replace(b"limits.mostTries=3\n", b"")),
         ("odd value", SETTINGS.replace(b"=3", b"=three")),
     ):
-        body = switch(1) + record(SPAWN, struct.pack(">QII", 1, 0, len(text))) + text
-        found[f"settings {name}"] = (body, 2)
-    return found
+        body = make_switch(1) + make_record(SPAWN, struct.pack(">QII", 1, 0, len(text))) + text
+        cases[f"settings {name}"] = (body, 2)
+    return cases
 
 
-def read(body, count):
-    """What a decoder yields for a batch, written out, and the fault that ends it.
+def decode_batch(body, count):
+    """Return the events that a decoder yields for a batch, as text, and the error that ends it, if any.
 
-    The settings of an instance that starts are pinned once, by `settings` below.
+    The settings in a spawn record are left out: `record_all` has them once, under `settings`.
     """
-    found = []
+    lines = []
     try:
         for instance, event in codec.Decoder().events(body, count):
             if isinstance(event, codec.Spawn):
-                found.append(f"{instance} {pins.recorded_class(event)} {event.seed}")
+                lines.append(f"{instance} {pins.recorded_class(event)} {event.seed}")
                 continue
-            found += [f"{instance} {line}" for line in pins.lines(event)]
+            lines += [f"{instance} {line}" for line in pins.lines(event)]
     except codec.WireError as error:
-        found.append(f"fault at {error.record}: {error}")
-    return found
+        lines.append(f"fault at {error.record}: {error}")
+    return lines
 
 
-def session(*frames):
-    """The bytes answered to frames, the exit code and what was printed."""
+def run_session(*frames):
+    """Run a session on frames; return the bytes answered, the exit code and the text printed."""
     sink, printed = io.BytesIO(), io.StringIO()
     with contextlib.redirect_stderr(printed):
         code = adapter.serve(io.BytesIO(b"".join(frames)), sink)
     return {"answered": sink.getvalue().hex(), "code": code, "printed": printed.getvalue()}
 
 
-def frame(now, body, count):
+def make_frame(now, body, count):
     return struct.pack(">QII", now, len(body), count) + body
 
 
 def new_offers(frames):
-    """The offers in the answer to the last of the frames: by instance, the request and its machine."""
-    last = session(*frames)["answered"]
-    before = session(*frames[:-1])["answered"]
+    """Return the offers in the answer to the last frame: by instance, pairs of request and machine."""
+    last = run_session(*frames)["answered"]
+    before = run_session(*frames[:-1])["answered"]
     answer = bytes.fromhex(last[len(before) :])
-    found, instance = {}, None
+    offers, instance = {}, None
     for number in range(struct.unpack_from(">I", answer)[0]):
-        at = 8 + 16 * number
-        if answer[at] == 70:
-            (instance,) = struct.unpack_from(">H", answer, at + 1)
-        elif answer[at] == 60:
-            request, address, port = struct.unpack_from(">IIH", answer, at + 1)
-            found.setdefault(instance, []).append((request, (address, port)))
-    return found
+        offset = 8 + 16 * number
+        if answer[offset] == 70:
+            (instance,) = struct.unpack_from(">H", answer, offset + 1)
+        elif answer[offset] == 60:
+            request, address, port = struct.unpack_from(">IIH", answer, offset + 1)
+            offers.setdefault(instance, []).append((request, (address, port)))
+    return offers
 
 
 def sessions():
-    """Whole sessions: two instances that start, get lists and work; and inputs that end them."""
+    """Return sessions by name, as frames: two instances that place tasks, and several endings."""
     random = Random(5)
-    hosts = b"".join(entry(random) for _ in range(6))
-    start = b"".join(switch(n) + record(SPAWN, struct.pack(">QII", n, 0, len(SETTINGS))) for n in (1, 2))
-    lists = record(REGISTER, struct.pack(">HII", 4, len(SETTINGS), 6))
-    lists += b"".join(switch(n) + record(LISTED, struct.pack(">BHQ", 1, 4, 9)) for n in (1, 2))
-    opening = frame(1_000_000, start + lists + SETTINGS + hosts, 9)
+    hosts = b"".join(make_entry(random) for _ in range(6))
+    start_records = b"".join(
+        make_switch(n) + make_record(SPAWN, struct.pack(">QII", n, 0, len(SETTINGS))) for n in (1, 2)
+    )
+    list_records = make_record(REGISTER, struct.pack(">HII", 4, len(SETTINGS), 6))
+    list_records += b"".join(
+        make_switch(n) + make_record(LISTED, struct.pack(">BHQ", 1, 4, 9)) for n in (1, 2)
+    )
+    opening = make_frame(1_000_000, start_records + list_records + SETTINGS + hosts, 9)
     work = [opening]
     for step in range(40):
         offers = new_offers(work)
@@ -212,72 +233,74 @@
         for instance in (1, 2):
             task = (step, step % 2, 0, step, 9_000_000, 500, step % 5, 1.0, 2.0, step % 32)
             records = [
-                record(TO_PLACE, struct.pack(">IHHQQIQffH", *task)),
-                record(TIMER, struct.pack(">I", step)),
+                make_record(TO_PLACE, struct.pack(">IHHQQIQffH", *task)),
+                make_record(TIMER, struct.pack(">I", step)),
             ]
             address, port = struct.unpack_from(">IH", hosts, ENTRY_SIZE * random.randrange(6))
             values = (9.0, random.randrange(90) / 2, 0.5, 0.0)
-            records.append(record(HEALTH, struct.pack(">BIIHBffff", 0, 500, address, port, 3, *values)))
+            records.append(make_record(HEALTH, struct.pack(">BIIHBffff", 0, 500, address, port, 3, *values)))
             for request, machine in offers.get(instance, ()):
                 if request % 3:
                     admitted = struct.pack(">IHIHI", request, 0, *machine, 900)
-                    records.append(record(ADMITTED, admitted))
+                    records.append(make_record(ADMITTED, admitted))
                 else:
                     ended = struct.pack(">IIIHBIHBBffff", request, 5, 1, 0, 2, *machine, 0, 3, *values)
-                    records.append(record(ENDED, ended))
-            body += switch(instance) + b"".join(records)
+                    records.append(make_record(ENDED, ended))
+            body += make_switch(instance) + b"".join(records)
             count += 1 + len(records)
-        work.append(frame(1_050_000 + step * 30_000, body, count))
-    retire = frame(3_000_000, switch(1) + record(RETIRE) + switch(2) + record(TIMER, bytes(4)), 4)
+        work.append(make_frame(1_050_000 + step * 30_000, body, count))
+    retire = make_frame(
+        3_000_000, make_switch(1) + make_record(RETIRE) + make_switch(2) + make_record(TIMER, bytes(4)), 4
+    )
     return {
         "work": (*work, retire),
         "an event after the retirement": (
             opening,
             retire,
-            frame(3_000_001, switch(1) + record(TIMER, bytes(4)), 2),
+            make_frame(3_000_001, make_switch(1) + make_record(TIMER, bytes(4)), 2),
         ),
         "nothing": (),
-        "empty batch": (frame(1, b"", 0),),
-        "end inside a header": (frame(1, b"", 0), bytes(7)),
-        "end inside a batch": (frame(1, bytes(EVENT_SIZE), 1)[:-3],),
-        "malformed": (frame(1, switch(1) + record(255), 2),),
+        "empty batch": (make_frame(1, b"", 0),),
+        "end inside a header": (make_frame(1, b"", 0), bytes(7)),
+        "end inside a batch": (make_frame(1, bytes(EVENT_SIZE), 1)[:-3],),
+        "malformed": (make_frame(1, make_switch(1) + make_record(255), 2),),
     }
 
 
-def observed():
-    """All that this file pins."""
+def record_all():
+    """Return all results that this file compares with its record."""
     return {
         "settings": pins.lines(settings_from_text(SETTINGS)),
-        "read": {name: read(*batch) for name, batch in batches().items()},
+        "read": {name: decode_batch(*batch) for name, batch in batches().items()},
         "written": {name: codec.encode_reply([(9, [action])]).hex() for name, action in ACTIONS.items()},
         "together": codec.encode_reply([(3, list(ACTIONS.values())), (4, []), (5, [Log("x")])]).hex(),
         "fault": codec.encode_fault("a plain fault").hex(),
-        "sessions": {name: session(*frames) for name, frames in sessions().items()},
+        "sessions": {name: run_session(*frames) for name, frames in sessions().items()},
     }
 
 
 def test_every_record_is_read_as_recorded():
-    expected, found = pins.load(RECORD), observed()
-    assert found["settings"] == expected["settings"]
-    expected, found = expected["read"], found["read"]
-    assert found.keys() == expected.keys()
-    for name, lines in found.items():
+    expected, results = pins.load(RECORD), record_all()
+    assert results["settings"] == expected["settings"]
+    expected, results = expected["read"], results["read"]
+    assert results.keys() == expected.keys()
+    for name, lines in results.items():
         assert lines == expected[name], name
 
 
 def test_every_action_is_written_as_recorded():
-    expected, found = pins.load(RECORD), observed()
-    assert found["written"] == expected["written"]
-    assert (found["together"], found["fault"]) == (expected["together"], expected["fault"])
+    expected, results = pins.load(RECORD), record_all()
+    assert results["written"] == expected["written"]
+    assert (results["together"], results["fault"]) == (expected["together"], expected["fault"])
 
 
-def test_whole_sessions_are_answered_as_recorded():
+def test_complete_sessions_are_answered_as_recorded():
     expected = pins.load(RECORD)["sessions"]
-    found = observed()["sessions"]
-    assert found.keys() == expected.keys()
-    for name, answer in found.items():
+    results = record_all()["sessions"]
+    assert results.keys() == expected.keys()
+    for name, answer in results.items():
         assert answer == expected[name], name
 
 
 if __name__ == "__main__":
-    pins.save(RECORD, observed())
+    pins.save(RECORD, record_all())
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,6 +1,6 @@
-"""Restarts of real processes: ready again within the time that the term allows, judged from outside.
+"""Restarted processes become ready in time, as measured by a client.
 
-The term: nine in ten restarted processes are ready within 10 s. Ready is one that passes an ECHO test.
+Objective: nine in ten restarted processes are ready within 10 s, that is, they answer an ECHO message.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from scenario import LONG, SETTINGS, Bus, tag
 
 ROOT = Path(__file__).parent.parent
-READY_S = 10.0  # the term
-PART = 0.9  # the part of all restarts that must be ready by then
-KNOWN = 2000  # servers under `known` where the file is large
-HAMMERS = 40  # clients that come again at once while a process starts
+READY_TIMEOUT_S = 10.0
+READY_FRACTION = 0.9  # of all restarts, that must be ready by then
+MANY_SERVERS = 2000  # under `known` in a large file
+CLIENTS = 40  # that retry at once while a process starts
 
 
 class Restarts(unittest.IsolatedAsyncioTestCase):
-    """Processes started one after the other, ended under load and started again."""
+    """Starts a process, then ends and restarts it under load."""
 
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -40,12 +40,12 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.address = free.getsockname()
-        self.hammering: list[asyncio.Task] = []
+        self.client_tasks: list[asyncio.Task] = []
 
     async def asyncTearDown(self) -> None:
-        for task in self.hammering:
+        for task in self.client_tasks:
             task.cancel()
-        await asyncio.gather(*self.hammering, return_exceptions=True)
+        await asyncio.gather(*self.client_tasks, return_exceptions=True)
         await self.end(signal.SIGKILL)
         self.bus.reset()
         self.bus.server.close()
@@ -78,8 +78,8 @@
         self.path.write_text(json.dumps(tree))
 
     async def start(self) -> float:
-        """Start a process; after how many seconds it has passed a test, READY_S + 1 where it has not."""
-        began = time.monotonic()
+        """Start a process; return the seconds until it was ready, or READY_TIMEOUT_S + 1 if it was not."""
+        started = time.monotonic()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -88,14 +88,14 @@
             stderr=asyncio.subprocess.DEVNULL,
             env={**os.environ, "PROXY_CONFIG": str(self.path)},
         )
-        while time.monotonic() - began < READY_S:
+        while time.monotonic() - started < READY_TIMEOUT_S:
             with contextlib.suppress(OSError, TimeoutError, asyncio.IncompleteReadError):
-                await asyncio.wait_for(self.echoed(), 2.0)
-                return time.monotonic() - began
+                await asyncio.wait_for(self.check_echo(), 2.0)
+                return time.monotonic() - started
             await asyncio.sleep(0.02)
-        return READY_S + 1
+        return READY_TIMEOUT_S + 1
 
-    async def echoed(self) -> None:
+    async def check_echo(self) -> None:
         reader, writer = await asyncio.open_connection(*self.address)
         try:
             message = {"verb": "ECHO", "tag": tag("t").hex(), "opts": {}, "rc": 0}
@@ -105,13 +105,13 @@
         finally:
             writer.close()
 
-    async def end(self, how: signal.Signals) -> None:
+    async def end(self, signal_number: signal.Signals) -> None:
         if self.process is not None and self.process.returncode is None:
-            self.process.send_signal(how)
+            self.process.send_signal(signal_number)
             await asyncio.wait_for(self.process.wait(), LONG)
 
-    async def hammer(self, number: int) -> None:
-        """A client that comes again as soon as it is refused or closed, with a set-up that stays open."""
+    async def retry_until_cancelled(self, number: int) -> None:
+        """Run a client that waits for the answer to a START, and retries once it is answered or cut off."""
         fields = {"class": "safe", "left": "2000", "key": "7", "extras": "cores:1;memory:2;service:9"}
         for n in range(1_000_000):
             writer = None
@@ -128,34 +128,36 @@
                     writer.close()
             await asyncio.sleep(0.01)
 
-    def judge(self, took: list[float]) -> None:
-        ready = sum(one <= READY_S for one in took)
-        self.assertGreaterEqual(ready, PART * len(took), [round(one, 2) for one in took])
+    def check_readiness(self, times_s: list[float]) -> None:
+        ready = sum(time_s <= READY_TIMEOUT_S for time_s in times_s)
+        self.assertGreaterEqual(
+            ready, READY_FRACTION * len(times_s), [round(time_s, 2) for time_s in times_s]
+        )
 
-    async def restarts(self, ends: list[signal.Signals]) -> None:
-        took = [await self.start()]
-        self.hammering += [asyncio.create_task(self.hammer(n)) for n in range(HAMMERS)]
-        for how in ends:
-            await self.end(how)
-            took.append(await self.start())
-        self.judge(took)
+    async def restart_under_load(self, signals: list[signal.Signals]) -> None:
+        times_s = [await self.start()]
+        self.client_tasks += [asyncio.create_task(self.retry_until_cancelled(n)) for n in range(CLIENTS)]
+        for signal_number in signals:
+            await self.end(signal_number)
+            times_s.append(await self.start())
+        self.check_readiness(times_s)
 
     @pytest.mark.fleet
     async def test_processes_killed_under_load_are_ready_again_in_time(self) -> None:
         self.configure(20)
-        await self.restarts([signal.SIGKILL] * 4)
+        await self.restart_under_load([signal.SIGKILL] * 4)
 
     @pytest.mark.fleet
-    async def test_processes_ended_as_planned_under_load_are_ready_again_in_time(self) -> None:
+    async def test_processes_shut_down_under_load_are_ready_again_in_time(self) -> None:
         self.configure(20)
-        await self.restarts([signal.SIGTERM] * 2)
+        await self.restart_under_load([signal.SIGTERM] * 2)
 
     @pytest.mark.fleet
-    async def test_processes_with_a_large_list_and_no_bus_are_ready_in_time(self) -> None:
-        """Guards readiness against waiting for discovery, or taking too long over what is known."""
-        self.configure(KNOWN)
+    async def test_processes_with_a_large_endpoint_list_and_no_event_bus_are_ready_in_time(self) -> None:
+        """Guards against a start that waits for the event bus, or takes too long to load a large list."""
+        self.configure(MANY_SERVERS)
         self.bus.server.close()
-        await self.restarts([signal.SIGKILL] * 2)
+        await self.restart_under_load([signal.SIGKILL] * 2)
 
 
 if __name__ == "__main__":
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The program as the platform runs it: its own process, a configuration file, and signals."""
+"""The program as the platform runs it: in a process of its own, with a configuration file and signals."""
 
 import asyncio
 import json
@@ -47,16 +47,16 @@
             stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "PROXY_CONFIG": str(self.path), "PROXY_LISTEN": "127.0.0.1:0"},
         )
-        await self.logs("listens on")
+        await self.next_log_line("listens on")
 
     async def asyncTearDown(self):
         if self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
         self.process._transport.close()
-        for party in (self.bus, self.server):
-            party.reset()
-            party.server.close()
+        for peer in (self.bus, self.server):
+            peer.reset()
+            peer.server.close()
 
     def configure(self, bus):
         host, port = bus.endpoint
@@ -74,38 +74,38 @@
             )
         )
 
-    async def logs(self, text):
-        """The next line of the log that holds the text."""
+    async def next_log_line(self, text):
+        """Return the next line of the log that contains the text."""
         async with asyncio.timeout(LONG):
             while text not in (line := (await self.process.stderr.readline()).decode()):
                 self.assertTrue(line, f"the log ended before {text!r}")
             return line
 
-    async def test_a_hangup_moves_to_the_new_bus_and_a_bad_file_changes_nothing(self):
-        """Guards against ending on SIGHUP, and against events lost between two buses."""
+    async def test_sighup_moves_to_a_new_event_bus_and_a_bad_file_changes_nothing(self):
+        """Guards against an exit on SIGHUP, and against events lost at the change of the bus."""
         await asyncio.wait_for(self.bus.connected.wait(), LONG)
-        for bad in ("{", '{"bus": "nowhere"}', "[]"):
-            self.path.write_text(bad)
+        for bad_text in ("{", '{"bus": "nowhere"}', "[]"):
+            self.path.write_text(bad_text)
             self.process.send_signal(signal.SIGHUP)
-            await self.logs("the old one stays")
-        new = Bus()
-        await new.listen()
-        self.addCleanup(new.server.close)
-        self.addCleanup(new.reset)
-        new.events = self.bus.events
+            await self.next_log_line("the old one stays")
+        new_bus = Bus()
+        await new_bus.listen()
+        self.addCleanup(new_bus.server.close)
+        self.addCleanup(new_bus.reset)
+        new_bus.events = self.bus.events
         target = {**self.bus.events[0]["topology"]["targets"][0], "state": "draining"}
-        new.add([target])  # told nowhere but on the new bus, before it is moved to
-        self.configure(new)
+        new_bus.add([target])  # only on the new bus, and before the process connects to it
+        self.configure(new_bus)
         self.process.send_signal(signal.SIGHUP)
-        await self.logs("configuration read again")
-        self.assertIn("u-s1 draining", await self.logs("event 2"))
-        new.add([{**target, "state": "ready"}])
-        self.assertIn("u-s1 ready", await self.logs("event 3"))
+        await self.next_log_line("configuration read again")
+        self.assertIn("u-s1 draining", await self.next_log_line("event 2"))
+        new_bus.add([{**target, "state": "ready"}])
+        self.assertIn("u-s1 ready", await self.next_log_line("event 3"))
         self.assertIsNone(self.process.returncode)
 
-    async def test_a_planned_end_ends_with_0(self):
+    async def test_a_graceful_shutdown_exits_with_0(self):
         self.process.send_signal(signal.SIGTERM)
-        await self.logs("told to end")
+        await self.next_log_line("told to end")
         self.assertEqual(0, await asyncio.wait_for(self.process.wait(), LONG))
 
 
