--- a/weldhatch/cluster/node.py
+++ b/weldhatch/cluster/node.py
@@ -38,7 +38,7 @@
 
 
 class GroupUnreachableError(Exception):
-    """A command, or the replication of its result to here, was not completed in time; it may still be."""
+    """A command, or the replication of its result, was not completed in time; it may still be carried out."""
 
 
 class ClusterNode:
@@ -192,7 +192,7 @@
         end = asyncio.get_running_loop().time() + timeout_s
         while self.lease_holder.state_machine.index < index:
             if asyncio.get_running_loop().time() > end:
-                raise GroupUnreachableError(f"the result was not replicated to here within {timeout_s:.0f} s")
+                raise GroupUnreachableError(f"the result did not reach this process within {timeout_s:.0f} s")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def recover(self, by: str, reason: str) -> JsonObject:
