--- a/tests/test_sites_link.py
+++ b/tests/test_sites_link.py
@@ -63,7 +63,7 @@
     a.resume(now, received[1])
     b.resume(now, received[0])
     for _ in range(60):
-        now += session.ACK_S
+        now += session.ACK_DELAY_S
         pass_all(a, b, now, got)
     assert got == sent
     assert not a.unacknowledged and not b.unacknowledged
@@ -71,10 +71,10 @@
 
 def test_a_stream_without_credit_does_not_block_another():
     a, b, got = pair()
-    for n in range(session.CREDIT + 50):
+    for n in range(session.CREDIT_MESSAGES + 50):
         a.send(0, b"bulk%d" % n)
     out = list(a.outgoing_frames(0.0, 10_000))
-    assert len(out) == session.CREDIT
+    assert len(out) == session.CREDIT_MESSAGES
     a.send(1, b"urgent")
     assert [frame.payload for frame in a.outgoing_frames(0.0)] == [b"urgent"]
 
@@ -89,7 +89,7 @@
 
 def test_credit_that_was_lost_with_a_connection_is_given_again():
     a, b, got = pair()
-    for n in range(session.CREDIT + 5):
+    for n in range(session.CREDIT_MESSAGES + 5):
         a.send(0, b"%d" % n)
     for frame in a.outgoing_frames(0.0, 10_000):
         b.receive(0.0, frame)
@@ -98,19 +98,19 @@
     b.resume(2.0, a.received)
     for _ in range(4):
         pass_all(a, b, 3.0, got)
-    assert b.received == session.CREDIT + 5
+    assert b.received == session.CREDIT_MESSAGES + 5
 
 
 def test_what_a_receiver_does_not_allow_ends_the_connection():
     _, b, _ = pair()
-    for n in range(session.CREDIT):
+    for n in range(session.CREDIT_MESSAGES):
         b.receive(0.0, Message(n + 1, 0, b""))
     with pytest.raises(ProtocolError, match="over its credit"):
-        b.receive(0.0, Message(session.CREDIT + 1, 0, b""))
+        b.receive(0.0, Message(session.CREDIT_MESSAGES + 1, 0, b""))
     for bad in (
         Message(99_999, 0, b""),
         Ack(5),
-        Message(session.CREDIT + 1, 99, b""),
+        Message(session.CREDIT_MESSAGES + 1, 99, b""),
         Hello(1, "x", 1, "t", (0, ""), "", 0, True),
     ):
         with pytest.raises(ProtocolError):
--- a/tests/test_sites_routing.py
+++ b/tests/test_sites_routing.py
@@ -107,7 +107,7 @@
             n += 1
         out.append(n)
         for _ in range(n):
-            r.transfer_over("s0")
+            r.transfer_ended("s0")
             r.transfer_placed(now, "s0")
         now += routing.RAMP_STEP_S
         r.receive_summary(now, "s0", ROOMY, 0.0)
--- a/weldhatch/sites/capacity.py
+++ b/weldhatch/sites/capacity.py
@@ -43,8 +43,8 @@
 
     def _update_machines(self, now: float, form: ListForm, entries: tuple[Machine, ...]) -> None:
         if form in (ListForm.FULL, ListForm.CACHED):
-            named = {entry.id for entry in entries}
-            self.machines = {id: machine for id, machine in self.machines.items() if id in named}
+            listed_ids = {entry.id for entry in entries}
+            self.machines = {id: machine for id, machine in self.machines.items() if id in listed_ids}
         for entry in entries:
             if entry.state == MachineState.REMOVED:
                 self.machines.pop(entry.id, None)
@@ -58,7 +58,7 @@
         known.free = free
         known.reported_at = now
 
-    def summary(self, now: float, waiting: int, standing: int, draining: bool = False) -> CapacitySummary:
+    def summary(self, now: float, waiting: int, running: int, draining: bool = False) -> CapacitySummary:
         """Return what to tell other sites.
 
         `waiting`: requests not placed; `standing`: tasks of ours that are placed. A task of usual size asks
@@ -88,9 +88,9 @@
         if size_reported:
             free += int((size - size_reported) * free / size_reported)
         else:
-            free = max(0, size - standing)
-        left = max(0, free - waiting)
-        return CapacitySummary({cls.name: left for cls in settings.classes}, size, waiting, draining)
+            free = max(0, size - running)
+        available = max(0, free - waiting)
+        return CapacitySummary({cls.name: available for cls in settings.classes}, size, waiting, draining)
 
     def _dimensions(self, entry: Machine) -> tuple[float, float]:
         """Return cores and memory of a machine: its own, or those of its kind."""
--- a/weldhatch/sites/effects.py
+++ b/weldhatch/sites/effects.py
@@ -54,15 +54,15 @@
             if record is None:
                 self._run_one(effect)
                 continue
-            rest = effects[index + 1 :]
+            remaining = effects[index + 1 :]
 
-            def go_on(
-                written: asyncio.Future[None], rest: Sequence[SourceEffect | TargetEffect] = rest
+            def run_remaining(
+                written: asyncio.Future[None], remaining: Sequence[SourceEffect | TargetEffect] = remaining
             ) -> None:
                 if not written.cancelled():
-                    self._run(site, rest)
+                    self._run(site, remaining)
 
-            self._storage.append_with_retry([record]).add_done_callback(go_on)
+            self._storage.append_with_retry([record]).add_done_callback(run_remaining)
             return
 
     def _run_one(self, effect: SourceEffect | TargetEffect) -> None:
--- a/weldhatch/sites/epochs.py
+++ b/weldhatch/sites/epochs.py
@@ -10,10 +10,12 @@
 class EpochStorage(EpochStore):
     """A store whose records begin each run with an epoch and a token, and keep those of the others."""
 
-    def __init__(self, store: FoldedStore, epoch: int, token: str, met: dict[str, tuple[int, str]]) -> None:
+    def __init__(
+        self, store: FoldedStore, epoch: int, token: str, known_epochs: dict[str, tuple[int, str]]
+    ) -> None:
         """Wrap a store that was started. `met`: epoch and token by name, as its records have them; kept."""
         super().__init__(store, epoch, token)
-        self._met = met
+        self._known_epochs = known_epochs
 
     @property
     def own_epoch(self) -> tuple[int, str]:
@@ -22,10 +24,10 @@
 
     def known_epoch(self, name: str) -> tuple[int, str]:
         """Return epoch and token of another's store, as last written down; (0, '') for never."""
-        return self._met.get(name, (0, ""))
+        return self._known_epochs.get(name, (0, ""))
 
     async def record_epoch(self, name: str, epoch: int, token: str) -> None:
         """Write down what another's store says of itself; done once it is on the disk."""
-        if self._met.get(name) != (epoch, token):
+        if self._known_epochs.get(name) != (epoch, token):
             await self._store.append_with_retry([json.dumps(["met", name, epoch, token]).encode()])
-            self._met[name] = (epoch, token)
+            self._known_epochs[name] = (epoch, token)
--- a/weldhatch/sites/forwarded_request.py
+++ b/weldhatch/sites/forwarded_request.py
@@ -83,27 +83,27 @@
         self.work = site.translator.work_of(task)
         self.answered = False
         site.begin_request(self)
-        self.running = self._loop.create_task(self._run())
+        self.async_task = self._loop.create_task(self._run())
 
     def _left_us(self) -> int:
         return self.task.deadline_us - unix_us()
 
     async def _run(self) -> None:
         try:
-            watch = await self._decide()
-            self._answer_done()
-            if watch is not None:
-                await watch
+            end_watcher = await self._decide()
+            self._mark_answered()
+            if end_watcher is not None:
+                await end_watcher
         except Exception:
             # Guards the owner against a fault of ours: its request still gets its one final answer.
             self._site.log("a crossing: " + traceback.format_exc().replace("\n", " | "))
             if not self.answered:
-                self._answer_done()
+                self._mark_answered()
                 self._owner.failed()
         finally:
             self._site.end_request(self)
 
-    def _answer_done(self) -> None:
+    def _mark_answered(self) -> None:
         if not self.answered:
             self.answered = True
             self._site.count_answered()
@@ -121,20 +121,20 @@
         wait_us = 0
         while self._left_us() > SPARE_US:
             choice = self._site.choose(self.work, self._left_us(), frozenset(visited))
-            last = False
+            is_last_attempt = False
             if isinstance(choice, KeepLocal):
                 if self._site.draining:
                     break
-                last = len(visited) >= len(self._site.site_names) or self._left_us() < MIN_SPLIT_US
-                fraction = 1.0 if last else LOCAL_TIME_FRACTION
-                outcome: Outcome = await self._place_here(int(self._left_us() * fraction))
+                is_last_attempt = len(visited) >= len(self._site.site_names) or self._left_us() < MIN_SPLIT_US
+                fraction = 1.0 if is_last_attempt else LOCAL_TIME_FRACTION
+                outcome: Outcome = await self._place_locally(int(self._left_us() * fraction))
             else:
                 visited.add(choice)
                 outcome = await self._hand_off(choice)
             match outcome:
                 case LocalAnswer(Answer.REJECTED) | ReclaimTask():
                     wait_us = max(wait_us, outcome.wait_us)
-                    if last:
+                    if is_last_attempt:
                         break
                 case _:
                     return self._answer(outcome)
@@ -146,10 +146,10 @@
         match outcome:
             case LocalAnswer(Answer.PLACED, description):
                 self._owner.placed(description)
-                return self._watch_here()
+                return self._watch_local_task()
             case AnswerOwner(id, Answer.PLACED, description):
                 self._owner.placed(description)
-                return self._watch_there(id)
+                return self._watch_remote_task(id)
             case AnswerOwner(_, Answer.REJECTED, _, wait_us):
                 self._owner.refused(wait_us)
             case LocalAnswer() | AnswerOwner():
@@ -160,23 +160,23 @@
                 pass  # the owner gave up, and is owed none
         return None
 
-    async def _place_here(self, within_us: int) -> LocalAnswer | TaskBusyError | None:
+    async def _place_locally(self, time_limit_us: int) -> LocalAnswer | TaskBusyError | None:
         """Let this site's module decide, within so much time."""
         try:
             self._site.source.reserve_key(self.work)
         except TaskBusyError as error:
             return error
         self._lifecycle = lifecycle = self._site.core.arrive(
-            replace(self.task, deadline_us=unix_us() + within_us), LocalOwner(self.deliver)
+            replace(self.task, deadline_us=unix_us() + time_limit_us), LocalOwner(self.deliver)
         )
         while True:
             match await self.next_message():
-                case LocalAnswer(answer) as here:
+                case LocalAnswer(answer) as local_answer:
                     if answer is Answer.REJECTED:
                         self._release_key()
                     elif answer is Answer.FAILED:  # it may run: its key is not free before that is over
                         self._site.spawn_settled(lifecycle, self._release_key)
-                    return here
+                    return local_answer
                 case GivenUp():
                     lifecycle.deliver(GivenUp())
                     self._site.spawn_settled(lifecycle, self._release_key)
@@ -207,7 +207,7 @@
 
     # ---- while the task stands -------------------------------------------------------------------------
 
-    async def _watch_here(self) -> None:
+    async def _watch_local_task(self) -> None:
         """Wait for the end of a task that was placed at this site; its key is free then."""
         assert self._lifecycle is not None
         try:
@@ -226,11 +226,11 @@
         finally:
             self._release_key()
 
-    async def _watch_there(self, id: TransferId) -> None:
+    async def _watch_remote_task(self, id: TransferId) -> None:
         """Wait for the end of a task that was placed at another site."""
         while True:
             match await self.next_message():
-                case ReportEnd(which, cause, result) if which == id:
+                case ReportEnd(ended_id, cause, result) if ended_id == id:
                     if result:
                         self._site.front.report_result(self.task, result)
                     self._owner.released(cause)
--- a/weldhatch/sites/forwarding.py
+++ b/weldhatch/sites/forwarding.py
@@ -238,6 +238,6 @@
         self.effects.close()
         self.background.cancel()
         for request in self.requests:
-            request.running.cancel()
+            request.async_task.cancel()
         for link in self.links.values():
             link.close()
--- a/weldhatch/sites/handoff_source.py
+++ b/weldhatch/sites/handoff_source.py
@@ -239,8 +239,8 @@
         transfer = self.transfers.get(message.id)
         if transfer is None:
             # Guards against a last message that is sent for ever because `Close` was lost.
-            over = isinstance(message, messages.Returned | messages.Ended)
-            if over and message.id <= (self.epoch, self.serial):
+            is_final = isinstance(message, messages.Returned | messages.Ended)
+            if is_final and message.id <= (self.epoch, self.serial):
                 return [SendMessage(site, messages.Close(message.id))]
             return []
         if transfer.site != site:
@@ -359,8 +359,8 @@
                 self.epoch = epoch
                 self.serial = 0
             case ("lent", id, str(site), Work() as work):
-                epoch, number = id
-                self.serial = max(number, self.serial if epoch == self.epoch else 0)
+                epoch, serial = id
+                self.serial = max(serial, self.serial if epoch == self.epoch else 0)
                 self.epoch = epoch
                 self._put(OutgoingTransfer(id, site, work))
             case ("stands" | "called" | "freed" as kind, id, *rest):
--- a/weldhatch/sites/handoff_target.py
+++ b/weldhatch/sites/handoff_target.py
@@ -52,7 +52,7 @@
     phase: IncomingPhase = IncomingPhase.PLACING
     description: str = ""
     cause: int = 0
-    stood: bool = False
+    was_placed: bool = False
     result: str = ""
 
 
@@ -181,12 +181,12 @@
         if low_watermark <= self.low_watermark:
             return []
         self.low_watermark = low_watermark
-        done = [
+        closed_ids = [
             id
             for id, transfer in self.transfers.items()
             if id < low_watermark and transfer.phase not in OPEN_PHASES
         ]
-        for id in done:
+        for id in closed_ids:
             del self.transfers[id]
         while self.tombstones and (oldest := min(self.tombstones)) < low_watermark:
             del self.tombstones[oldest]
@@ -207,12 +207,12 @@
             transfer,
             phase=IncomingPhase.ENDING if ending else IncomingPhase.PLACED,
             description=description,
-            stood=True,
+            was_placed=True,
         )
-        written = WriteRecord(("stands", id, description))
+        record_effect = WriteRecord(("stands", id, description))
         if ending:
-            return [written, ReleaseTask(self.site, id, CALLED_OFF)]
-        return [written, SendMessage(self.site, messages.Placed(id, description))]
+            return [record_effect, ReleaseTask(self.site, id, CALLED_OFF)]
+        return [record_effect, SendMessage(self.site, messages.Placed(id, description))]
 
     def returned(self, id: TransferId, wait_us: int = 0) -> list[TargetEffect]:
         """Report that the module has rejected it; only for a core that is sure that nothing ran."""
@@ -256,7 +256,7 @@
             case IncomingPhase.RETURNED:
                 return SendMessage(self.site, messages.Returned(transfer.id))
             case IncomingPhase.ENDED:
-                end = messages.Ended(transfer.id, transfer.cause, transfer.stood, transfer.result)
+                end = messages.Ended(transfer.id, transfer.cause, transfer.was_placed, transfer.result)
                 return SendMessage(self.site, end)
 
     def recover(self, ids: Iterable[TransferId] | None = None) -> list[TargetEffect]:
@@ -287,7 +287,7 @@
             case ("stands", id, str(description)):
                 if transfer := self.transfers.get(id):
                     self.transfers[id] = replace(
-                        transfer, phase=IncomingPhase.PLACED, description=description, stood=True
+                        transfer, phase=IncomingPhase.PLACED, description=description, was_placed=True
                     )
             case ("returned", id):
                 transfer = self.transfers.get(id) or IncomingTransfer(id, None)
@@ -305,11 +305,11 @@
             case ("floor", id):
                 self.low_watermark = max(self.low_watermark, id)
                 self.transfers = {
-                    at: transfer
-                    for at, transfer in self.transfers.items()
-                    if at >= id or transfer.phase in OPEN_PHASES
+                    other_id: transfer
+                    for other_id, transfer in self.transfers.items()
+                    if other_id >= id or transfer.phase in OPEN_PHASES
                 }
-                self.tombstones = {at: None for at in self.tombstones if at >= id}
+                self.tombstones = {other_id: None for other_id in self.tombstones if other_id >= id}
                 return
             case _:
                 raise ValueError(f"a record that can't be read: {record!r}")
@@ -321,7 +321,7 @@
         for transfer in self.transfers.values():
             if transfer.work is not None:
                 yield ("taken", transfer.id, transfer.work)
-            if transfer.stood:
+            if transfer.was_placed:
                 yield ("stands", transfer.id, transfer.description)
             if transfer.phase is IncomingPhase.RETURNED:
                 yield ("returned", transfer.id)
--- a/weldhatch/sites/incoming.py
+++ b/weldhatch/sites/incoming.py
@@ -17,7 +17,7 @@
 from weldhatch.sites.task_translation import TaskTranslator
 
 MAX_RESULT_CHARS = 12 * 1024  # of what a task has come to; a longer text stays where it ran
-FAILED = 47  # the cause of a task that may have run
+FAILED_CAUSE = 47  # the cause of a task that may have run
 
 
 class IncomingTask:
@@ -29,7 +29,7 @@
         self.site = offer.site
         self.id = offer.id
         self.work = offer.work
-        self.placed_here = False
+        self.is_placed = False
         self._result = ""
         self._lifecycle = tasks.core.arrive(
             tasks.translator.task_of(offer.site, offer.id, offer.work, offer.left_us, self._keep_result), self
@@ -44,7 +44,7 @@
 
     def placed(self, description: str | None) -> None:
         """Take note that a machine holds it."""
-        self.placed_here = True
+        self.is_placed = True
         effects = self._target.placed(self.id, description or "")
         self._tasks.effects.run_target(self.site, effects)
 
@@ -55,7 +55,7 @@
 
     def failed(self) -> None:
         """Take note that it failed: it may have run, and may still."""
-        self._tasks.spawn_settled(self._lifecycle, lambda: self._ended(FAILED))
+        self._tasks.spawn_settled(self._lifecycle, lambda: self._ended(FAILED_CAUSE))
 
     def released(self, cause: int) -> None:
         """Take note that it is over at its machine."""
@@ -111,7 +111,7 @@
     @property
     def undecided(self) -> int:
         """How many are neither placed nor over."""
-        return sum(not task.placed_here for task in self.tasks.values())
+        return sum(not task.is_placed for task in self.tasks.values())
 
     def target(self, site: str) -> HandoffTarget:
         """Return the target's side of all hand-offs from a site."""
@@ -123,11 +123,11 @@
 
     def recover(self) -> None:
         """End what a former gateway had here, once nothing that it started can run any more."""
-        before = {site: list(target.transfers) for site, target in self._storage.targets.items()}
-        asyncio.get_running_loop().call_later(self._settle_s, self._end_all, before)
+        former_transfers = {site: list(target.transfers) for site, target in self._storage.targets.items()}
+        asyncio.get_running_loop().call_later(self._settle_s, self._end_former_transfers, former_transfers)
 
-    def _end_all(self, before: dict[str, list[TransferId]]) -> None:
-        for site, ids in before.items():
+    def _end_former_transfers(self, former_transfers: dict[str, list[TransferId]]) -> None:
+        for site, ids in former_transfers.items():
             self.effects.run_target(site, self.target(site).recover(ids))
 
     def receive(self, site: str, message: messages.ToTarget, draining: bool) -> None:
--- a/weldhatch/sites/link.py
+++ b/weldhatch/sites/link.py
@@ -154,7 +154,7 @@
 
     async def _serve_dialled(self, connection: Connection) -> None:
         """Read a connection until it ends; one that does not say hello in time is closed."""
-        guard = asyncio.get_running_loop().call_later(
+        hello_timer = asyncio.get_running_loop().call_later(
             HELLO_TIMEOUT_S, lambda: None if self._connection is connection else connection.close()
         )
         try:
@@ -164,7 +164,7 @@
                 lambda: connection.finish(LINGER_S),
             )
         finally:
-            guard.cancel()
+            hello_timer.cancel()
             self.connection_ended(connection)
 
     def _hello(self) -> Hello:
@@ -177,7 +177,7 @@
             known_peer_epoch=self._epochs.known_epoch(self.site),
             session=self.session.name,
             received=self.session.received,
-            is_new=self.session.fresh,
+            is_new=self.session.unused,
         )
 
     def receive(self, connection: Connection, frame: Frame, dialled: bool) -> None:
@@ -207,7 +207,7 @@
         self._check_hello(connection, hello, dialled)
         if dialled:
             self._resume_own_session(hello)
-        elif not self._resume_their_session(connection, hello):
+        elif not self._resume_peer_session(connection, hello):
             return
         if self._connection is not None:  # the other side has given the old one up
             self._connection.close()
@@ -237,14 +237,14 @@
             raise ProtocolError("it answers with another session")
         try:
             # Guards against a side that began anew under our session: its numbers begin anew too.
-            if hello.is_new and not self.session.fresh:
+            if hello.is_new and not self.session.unused:
                 raise ProtocolError("it has forgotten the session")
             self.session.resume(time.monotonic(), hello.received)
         except ProtocolError:
             self.session = Session(self._new_session_name())  # the next connection has a session of its own
             raise
 
-    def _resume_their_session(self, connection: Connection, hello: Hello) -> bool:
+    def _resume_peer_session(self, connection: Connection, hello: Hello) -> bool:
         """Answer a hello, and go on with the session that it names; False where that one is forgotten here.
 
         The other side learns from the answer that it is forgotten, and comes again with a new session.
@@ -252,7 +252,7 @@
         if hello.session != self.session.name:
             self.session = Session(hello.session)
         connection.send(frames.encode(self._hello()))
-        if self.session.fresh and not hello.is_new:
+        if self.session.unused and not hello.is_new:
             return False
         self.session.resume(time.monotonic(), hello.received)
         return True
@@ -265,10 +265,10 @@
         self.up = True
         self._log(f"site {self.site}: up, session {self.session.name}, epoch {hello.epoch}")
         self._handlers.on_up(self.site)
-        early = self._early_frames
+        early_frames = self._early_frames
         self._early_frames = []
         try:
-            for frame in early:
+            for frame in early_frames:
                 self._handle_frame(frame)
         except ProtocolError as error:
             self._log(f"site {self.site}: closed: {error}")
@@ -320,10 +320,12 @@
         if connection is None:
             return
         while self.up and not connection.closed and connection.unsent < MAX_UNSENT_BYTES:
-            out = [frames.encode(frame) for frame in self.session.outgoing_frames(time.monotonic(), 2)]
-            if not out:
+            encoded_frames = [
+                frames.encode(frame) for frame in self.session.outgoing_frames(time.monotonic(), 2)
+            ]
+            if not encoded_frames:
                 break
-            connection.queue(b"".join(out))
+            connection.queue(b"".join(encoded_frames))
         connection.push()
 
     async def _tick(self) -> None:
--- a/weldhatch/sites/link_listener.py
+++ b/weldhatch/sites/link_listener.py
@@ -47,10 +47,10 @@
 
     async def _serve(self, stream: IOStream, host: str) -> None:
         """Read one connection until it ends."""
-        certified = ""
+        certified_site = ""
         if self._tls is not None:
             try:
-                stream, certified = await accept_tls(stream, self._tls)
+                stream, certified_site = await accept_tls(stream, self._tls)
             except OSError as error:
                 self._log(f"site at {host}: closed: {error}")
                 self._share.give_back()
@@ -61,29 +61,29 @@
         def handle(frame: object) -> None:
             nonlocal link
             if link is None:
-                link = self._identify(frame, certified)
+                link = self._identify(frame, certified_site)
                 connection.name = f"site {link.site}"
             link.receive(connection, cast(Frame, frame), dialled=False)
 
-        guard = asyncio.get_running_loop().call_later(
+        hello_timer = asyncio.get_running_loop().call_later(
             HELLO_TIMEOUT_S, lambda: None if link is not None else connection.close()
         )
         try:
             await connection.pump(parse, handle, lambda: connection.finish(LINGER_S))
         finally:
-            guard.cancel()
+            hello_timer.cancel()
             if link is not None:
                 link.connection_ended(connection)
 
-    def _identify(self, frame: object, certified: str) -> Link:
+    def _identify(self, frame: object, certified_site: str) -> Link:
         """Return the link of the site that a first frame names. Raises MalformedMessageError."""
         if not isinstance(frame, Hello):
             raise MalformedMessageError("it does not say which site it is")
         if frame.site not in self._links:
             raise MalformedMessageError(f"site {frame.site!r} is not configured here")
-        if self._tls is not None and certified != frame.site:
+        if self._tls is not None and certified_site != frame.site:
             raise MalformedMessageError(
-                f"it says that it is {frame.site!r}, and shows the certificate of {certified!r}"
+                f"it says that it is {frame.site!r}, and shows the certificate of {certified_site!r}"
             )
         return self._links[frame.site]
 
--- a/weldhatch/sites/outgoing.py
+++ b/weldhatch/sites/outgoing.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Waiting:
+class _WaitingRequest:
     """A request that waits for its transfer, and until when."""
 
     request: Receiver
@@ -45,7 +45,7 @@
         self._effects = effects
         self._router = router
         self._front = front
-        self._waiting: dict[TransferId, _Waiting] = {}
+        self._waiting: dict[TransferId, _WaitingRequest] = {}
 
     async def offer(self, site: str, work: Work, left_us: int, request: Receiver) -> TransferId:
         """Hand a task to another site: written down first. Raises TaskBusyError where that can't be done now.
@@ -54,7 +54,7 @@
         """
         work = replace(work, hops=work.hops + 1)
         id, effects = self.source.offer(site, work, left_us)
-        self._waiting[id] = _Waiting(request, unix_us() + left_us)
+        self._waiting[id] = _WaitingRequest(request, unix_us() + left_us)
         write, *rest = effects
         assert isinstance(write, WriteRecord)
         try:
@@ -98,10 +98,10 @@
         """Take one message of a target."""
         transfer = self.source.transfers.get(message.id)
         if transfer is not None and transfer.site == site:
-            self._count(site, transfer, message)
+            self._record_outcome(site, transfer, message)
         self._effects.run_source(self.source.receive(site, message))
 
-    def _count(self, site: str, transfer: OutgoingTransfer, message: messages.ToSource) -> None:
+    def _record_outcome(self, site: str, transfer: OutgoingTransfer, message: messages.ToSource) -> None:
         """Tell front and router what a message says of the site."""
         now = time.monotonic()
         if isinstance(message, messages.Placed | messages.Ended):
@@ -111,9 +111,9 @@
                 self._router.transfer_placed(now, site)
             case messages.Returned():
                 self._router.transfer_returned(now, site, transfer.work)
-                self._router.transfer_over(site)
+                self._router.transfer_ended(site)
             case messages.Ended():
-                self._router.transfer_over(site)
+                self._router.transfer_ended(site)
 
     def unconfirmed_messages(self, site: str) -> list[SendMessage]:
         """Return what a target has not confirmed, to be sent again."""
--- a/weldhatch/sites/routing.py
+++ b/weldhatch/sites/routing.py
@@ -97,16 +97,16 @@
 class KeepLocal:
     """No site is chosen; `why` is one of a closed set of reasons, for those who ask."""
 
-    why: str
+    reason: str
 
 
 class Router:
     """Chooses for one site, among those of these names."""
 
-    def __init__(self, names: list[str], draws: RandomSource) -> None:
+    def __init__(self, names: list[str], random_source: RandomSource) -> None:
         """Begin with all links down and nothing known."""
         self.sites = {name: RemoteSite(name) for name in names}
-        self._draws = draws
+        self._random_source = random_source
 
     # ---- what is reported ---------------------------------------------------------------------------------
 
@@ -162,7 +162,7 @@
             site.ramp_limit = 1
             site.ramp_stepped_at = site.excluded_until
 
-    def transfer_over(self, name: str) -> None:
+    def transfer_ended(self, name: str) -> None:
         """Take note that the site holds one transfer less."""
         site = self.sites[name]
         site.open_transfers = max(0, site.open_transfers - 1)
@@ -186,19 +186,19 @@
         local_fraction = 0.0 if local.draining or not local.size else local_free / local.size
         if not local.draining and local.size and local_free > LOCAL_CAPACITY_RESERVE * local.size:
             return KeepLocal("home has room")
-        fit: list[RemoteSite] = []
+        eligible: list[RemoteSite] = []
         reasons: list[str] = []
         for site in self.sites.values():
-            reason = "it was there" if site.name in visited else self._why_unfit(now, site, work, left_s)
+            reason = "it was there" if site.name in visited else self._unfit_reason(now, site, work, left_s)
             if reason:
                 reasons.append(f"{site.name}: {reason}")
             else:
-                fit.append(site)
-        if not fit:
+                eligible.append(site)
+        if not eligible:
             return KeepLocal("; ".join(reasons) or "there is no other site")
-        drawn = self._draws.sample(fit, min(SITES_SAMPLED, len(fit)))
-        self._draws.shuffle(drawn)
-        best = max(drawn, key=lambda site: self._free_fraction(now, site, work))
+        sampled = self._random_source.sample(eligible, min(SITES_SAMPLED, len(eligible)))
+        self._random_source.shuffle(sampled)
+        best = max(sampled, key=lambda site: self._free_fraction(now, site, work))
         if self._free_fraction(now, best, work) < CAPACITY_MARGIN * local_fraction:
             return KeepLocal(f"{best.name}: hardly roomier than home")
         return best.name
@@ -207,12 +207,12 @@
         """Return what a site told it would take, less what went there since it can have counted it."""
         if site.summary is None or now - site.summary_at > SUMMARY_TTL_S:
             return 0
-        since = site.summary_at - 2 * site.delay_s
+        counted_since = site.summary_at - 2 * site.delay_s
         return site.summary.free.get(class_name, 0) - sum(
-            at >= since and name == class_name for at, name in site.recent_transfers
+            sent_at >= counted_since and name == class_name for sent_at, name in site.recent_transfers
         )
 
-    def _why_unfit(self, now: float, site: RemoteSite, work: Work, left_s: float) -> str:
+    def _unfit_reason(self, now: float, site: RemoteSite, work: Work, left_s: float) -> str:
         if not site.up:
             return "its link is down"
         if now < site.excluded_until:
--- a/weldhatch/sites/session.py
+++ b/weldhatch/sites/session.py
@@ -18,10 +18,10 @@
 
 from msgspec import Struct
 
-CREDIT = 256  # messages of a stream that may be under way; the receiver gives more as it takes them
+CREDIT_MESSAGES = 256  # messages of a stream that may be under way; the receiver gives more as it takes them
 MAX_QUEUED_MESSAGES = 1024  # of a stream, that wait for credit; more are refused with an error
-ACK_EVERY = 16  # messages received before an acknowledgement goes out by itself
-ACK_S = 0.02  # or after this, if there is less to acknowledge
+ACK_INTERVAL_MESSAGES = 16  # messages received before an acknowledgement goes out by itself
+ACK_DELAY_S = 0.02  # or after this, if there is less to acknowledge
 HEARTBEAT_INTERVAL_S = 1.0  # a heartbeat shows that a side is there, and measures the delay
 SILENCE_TIMEOUT_S = 3.5  # a connection on which nothing is received for so long is given up
 MAX_STREAMS = 8
@@ -93,10 +93,10 @@
 
     waiting: deque[bytes] = field(default_factory=deque)
     sent: int = 0
-    send_limit: int = CREDIT
+    send_limit: int = CREDIT_MESSAGES
     received: int = 0
-    receive_limit: int = CREDIT
-    announced_limit: int = CREDIT
+    receive_limit: int = CREDIT_MESSAGES
+    announced_limit: int = CREDIT_MESSAGES
 
 
 @dataclass(slots=True)
@@ -114,35 +114,35 @@
     received: int = 0
     acknowledged: int = 0
     delay_s: float = 0.0
-    _turn: int = 0
-    _to_send: deque[Message] = field(default_factory=deque)
+    _next_stream_index: int = 0
+    _resend_queue: deque[Message] = field(default_factory=deque)
     _ack_owed_since: float = -1.0
     _heartbeat_at: float = 0.0
     _received_at: float = 0.0  # when anything was received
-    _echo: int = 0
+    _pending_echo_us: int = 0
 
     # ---- connections -----------------------------------------------------------------------------------
 
-    def resume(self, now: float, received_there: int) -> None:
+    def resume(self, now: float, peer_received: int) -> None:
         """Go on over a new connection: what the other side has not received goes out again, in order.
 
         Raises ProtocolError where it claims to have received what was never sent, or has forgotten what it
         acknowledged.
         """
-        if not self.number - len(self.unacknowledged) <= received_there <= self.number:
+        if not self.number - len(self.unacknowledged) <= peer_received <= self.number:
             raise ProtocolError(
-                f"the other side has heard up to {received_there}, of {self.number} that were sent"
+                f"the other side has heard up to {peer_received}, of {self.number} that were sent"
             )
-        self._drop_acknowledged(received_there)
-        self._to_send = deque(self.unacknowledged)
+        self._drop_acknowledged(peer_received)
+        self._resend_queue = deque(self.unacknowledged)
         self._heartbeat_at = now
         self._received_at = now
         for state in self.streams.values():
             state.announced_limit = 0  # guards against a credit that got lost with the old connection
-        self._ack_owed_since = now - ACK_S if self.streams else -1.0
+        self._ack_owed_since = now - ACK_DELAY_S if self.streams else -1.0
 
     @property
-    def fresh(self) -> bool:
+    def unused(self) -> bool:
         """Whether nothing was said in it yet, either way."""
         return not (self.number or self.received)
 
@@ -159,30 +159,33 @@
             raise StreamFullError(f"stream {stream}: {MAX_QUEUED_MESSAGES} messages wait for the other side")
         state.waiting.append(payload)
 
-    def outgoing_frames(self, now: float, most: int = 64) -> Iterator[Frame]:
+    def outgoing_frames(self, now: float, max_frames: int = 64) -> Iterator[Frame]:
         """Return what goes out now, streams by turns, at most so many frames."""
-        for _ in range(most):
-            frame = self._next(now)
+        for _ in range(max_frames):
+            frame = self._next_frame(now)
             if frame is None:
                 return
             yield frame
 
-    def _next(self, now: float) -> Frame | None:
-        due = self.received - self.acknowledged >= ACK_EVERY or now - self._ack_owed_since >= ACK_S
+    def _next_frame(self, now: float) -> Frame | None:
+        due = (
+            self.received - self.acknowledged >= ACK_INTERVAL_MESSAGES
+            or now - self._ack_owed_since >= ACK_DELAY_S
+        )
         if self._ack_owed_since >= 0 and due:
             return self._ack()
-        if self._to_send:
-            return self._to_send.popleft()
+        if self._resend_queue:
+            return self._resend_queue.popleft()
         return self._next_message() or self._heartbeat(now)
 
     def _next_message(self) -> Message | None:
         """Return the next message that has credit, of the stream whose turn it is."""
         streams = sorted(self.streams)
         for step in range(len(streams)):
-            stream = streams[(self._turn + step) % len(streams)]
+            stream = streams[(self._next_stream_index + step) % len(streams)]
             state = self.streams[stream]
             if state.waiting and state.sent < state.send_limit:
-                self._turn = (self._turn + step + 1) % len(streams)
+                self._next_stream_index = (self._next_stream_index + step + 1) % len(streams)
                 state.sent += 1
                 self.number += 1
                 message = Message(self.number, stream, state.waiting.popleft())
@@ -193,10 +196,10 @@
     def _heartbeat(self, now: float) -> Heartbeat | None:
         """Return a heartbeat where one is due or owed an echo; one that is not due asks for no echo."""
         due = now - self._heartbeat_at >= HEARTBEAT_INTERVAL_S
-        if not (due or self._echo):
+        if not (due or self._pending_echo_us):
             return None
-        echo = self._echo
-        self._echo = 0
+        echo = self._pending_echo_us
+        self._pending_echo_us = 0
         self._heartbeat_at = now
         return Heartbeat(int(now * 1e6) if due else 0, echo)
 
@@ -206,8 +209,8 @@
         self._ack_owed_since = -1.0
         credit = []
         for stream, state in self.streams.items():
-            if state.received + CREDIT - state.receive_limit >= ACK_EVERY:
-                state.receive_limit = state.received + CREDIT
+            if state.received + CREDIT_MESSAGES - state.receive_limit >= ACK_INTERVAL_MESSAGES:
+                state.receive_limit = state.received + CREDIT_MESSAGES
             if state.announced_limit < state.receive_limit:
                 state.announced_limit = state.receive_limit
                 credit.append((stream, state.receive_limit))
@@ -233,10 +236,12 @@
                     state.send_limit = max(state.send_limit, send_limit)
             case Heartbeat(at, echo):
                 if at:
-                    self._echo = at
+                    self._pending_echo_us = at
                 if echo:
-                    trip = max(0.0, now - echo / 1e6) / 2
-                    self.delay_s = trip if not self.delay_s else 0.8 * self.delay_s + 0.2 * trip
+                    delay_s_sample = max(0.0, now - echo / 1e6) / 2
+                    self.delay_s = (
+                        delay_s_sample if not self.delay_s else 0.8 * self.delay_s + 0.2 * delay_s_sample
+                    )
             case _:
                 raise ProtocolError("a second hello")
         return None
@@ -267,21 +272,23 @@
 # ---- who is there --------------------------------------------------------------------------------------
 
 
-def stale_store_reason(hello: Hello, known: tuple[int, str], ours: tuple[int, str]) -> str:
+def stale_store_reason(hello: Hello, known_epoch: tuple[int, str], own_epoch: tuple[int, str]) -> str:
     """Return why no work may pass: an older copy of a store on one of the sides; '' where all is well.
 
     `known`: epoch and token of the other side's store as we last wrote them down, (0, '') for never; `ours`:
     our own. Guards against a site that has forgotten what it offered or started: its ids would come twice.
     """
-    if known[0] and (hello.epoch < known[0] or (hello.epoch == known[0] and hello.token != known[1])):
+    if known_epoch[0] and (
+        hello.epoch < known_epoch[0] or (hello.epoch == known_epoch[0] and hello.token != known_epoch[1])
+    ):
         return (
-            f"site {hello.site} comes with epoch {hello.epoch}, and was at {known[0]} before: "
+            f"site {hello.site} comes with epoch {hello.epoch}, and was at {known_epoch[0]} before: "
             "its store is an older copy"
         )
     their_epoch, their_token = hello.known_peer_epoch
-    if their_epoch > ours[0] or (their_epoch == ours[0] and their_token not in ("", ours[1])):
+    if their_epoch > own_epoch[0] or (their_epoch == own_epoch[0] and their_token not in ("", own_epoch[1])):
         return (
-            f"site {hello.site} knows us at epoch {their_epoch}, and we are at {ours[0]}: "
+            f"site {hello.site} knows us at epoch {their_epoch}, and we are at {own_epoch[0]}: "
             "our store is an older copy"
         )
     return ""
--- a/weldhatch/sites/storage.py
+++ b/weldhatch/sites/storage.py
@@ -29,7 +29,7 @@
         """Begin with nothing lent, taken or met."""
         self.epoch = 0
         self.token = ""
-        self.met: dict[str, tuple[int, str]] = {}
+        self.known_epochs: dict[str, tuple[int, str]] = {}
         self.source = HandoffSource(0)
         self.targets: dict[str, HandoffTarget] = {}
 
@@ -45,7 +45,7 @@
             case "begins", [int(epoch), str(token)]:
                 self.begin_epoch(epoch, token)
             case "met", [str(site), int(epoch), str(token)]:
-                self.met[site] = (epoch, token)
+                self.known_epochs[site] = (epoch, token)
             case "lender", [*record]:
                 self.source.apply(decode_record(msgspec.json.encode(record)))
             case "taker", [str(site), *record]:
@@ -72,7 +72,7 @@
         for site, target in self.targets.items():
             for record in target.snapshot_records():
                 yield encode_target_record(site, record)
-        for site, (epoch, token) in self.met.items():
+        for site, (epoch, token) in self.known_epochs.items():
             yield msgspec.json.encode(("met", site, epoch, token))
         yield msgspec.json.encode(("begins", self.epoch, self.token))
 
@@ -80,7 +80,7 @@
     def snapshot_size(self) -> int:
         """About how many records `snapshot_records` gives."""
         taken = sum(3 * len(target.transfers) + len(target.tombstones) for target in self.targets.values())
-        return 2 + 2 * len(self.source.transfers) + len(self.met) + taken
+        return 2 + 2 * len(self.source.transfers) + len(self.known_epochs) + taken
 
 
 def encode_source_record(record: HandoffRecord) -> bytes:
@@ -109,7 +109,7 @@
             epoch, token = self.begin_run(store, memory.epoch, memory.begin_epoch)
         except OSError as error:
             raise ConfigError(f"sites.store: {error}") from None
-        super().__init__(store, epoch, token, memory.met)
+        super().__init__(store, epoch, token, memory.known_epochs)
         self.source = memory.source
         self.targets = memory.targets
         self.target = memory.target
--- a/weldhatch/store/__init__.py
+++ b/weldhatch/store/__init__.py
@@ -1,1 +1,1 @@
-"""What has to outlast the process: a checksummed log, its folder's lock, states folded from its records."""
+"""Durable storage: a checksummed append-only log, a folder lock, and states rebuilt from log records."""
--- a/weldhatch/store/commit.py
+++ b/weldhatch/store/commit.py
@@ -1,4 +1,4 @@
-"""Group commit: many writers, one thread that waits for the disk, and an event loop that never does."""
+"""Group commit: batches the records of many writers on one disk thread, so the event loop never blocks."""
 
 from __future__ import annotations
 
@@ -9,15 +9,13 @@
 
 from weldhatch.store.log import Log, LogError
 
-RETRY_DELAY_S = 0.5  # until records that the disk did not take are tried again
-NO_OP_RECORD = (
-    b'["probe"]'  # a record without effect, written to learn whether there is room on the disk again
-)
+RETRY_DELAY_S = 0.5  # delay before records that failed to write are retried
+NO_OP_RECORD = b'["probe"]'  # changes no state; written to find out whether the disk accepts records again
 
 
 @dataclass(slots=True)
 class _Entry:
-    """A record that waits to be written; `done` is the future of the last record of an append."""
+    """A queued record. `done` is set on the last record of an append and resolves with the whole append."""
 
     payload: bytes
     must_succeed: bool
@@ -33,11 +31,11 @@
 
 
 class GroupCommitter:
-    """Appends records to a log in the order in which they were put; each write takes all that wait.
+    """Appends records to a log in the order of the `append` calls; each write takes all queued records.
 
-    Owns the log and its thread; `close` gives both back. There are two kinds of record. Those that may fail
-    announce something: their writers take back what they were about to do. Those that must succeed report
-    what has happened already: they are kept, and written once the disk takes them again.
+    Owns the log and its thread; `close` releases both. There are two kinds of records. A record that may fail
+    announces an action, and its writer cancels the action if the write fails. A record that must succeed
+    reports something that has already happened: it is kept in the queue until the disk accepts it.
     """
 
     def __init__(
@@ -47,10 +45,10 @@
         log_line: Callable[[str], None],
         on_batch: Callable[[], None] = lambda: None,
     ) -> None:
-        """Start without a batch. Needs a running event loop.
+        """Start with an empty queue. Needs a running event loop.
 
-        `on_written` receives each record once it is on the disk, in order; `on_batch` is called after each
-        batch; `log_line` gets a line where the disk begins or ceases to fail.
+        `on_written` receives each record in order once it is on the disk. `on_batch` is called after each
+        written batch. `log_line` receives a line when writes start to fail and when they succeed again.
         """
         self._log = log
         self._on_written = on_written
@@ -62,13 +60,13 @@
         self._busy = False
         self._closed = False
         self._retry_timer: asyncio.TimerHandle | None = None
-        self.write_error = ""  # why the disk takes nothing; '' while it does
+        self.write_error = ""  # why the last write failed; '' while writes succeed
 
     def append(self, payloads: Iterable[bytes], must_succeed: bool = False) -> asyncio.Future[None]:
-        """Queue records; the future is done when all are on the disk.
+        """Queue records; the future resolves when all of them are on the disk.
 
-        It fails with LogError where they may not be written. With `must_succeed` it never fails: the records
-        are kept until the disk takes them.
+        The future fails with LogError if the records could not be written. With `must_succeed` it never
+        fails: the records stay queued until the disk accepts them.
         """
         done: asyncio.Future[None] = self._loop.create_future()
         entries = [_Entry(payload, must_succeed) for payload in payloads]
@@ -85,11 +83,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the thread writes nothing."""
+        """Whether no write or compaction is in progress."""
         return not self._busy
 
     def _write_next(self) -> None:
-        """Give all that waits to the thread as one batch, unless it is at work or a retry is due."""
+        """Write all queued records as one batch, unless a write is in progress or a retry is scheduled."""
         if self._busy or not self._waiting or self._closed or self._retry_timer is not None:
             return
         batch = self._waiting
@@ -110,7 +108,7 @@
 
     def _batch_written(self, batch: list[_Entry]) -> None:
         if self.write_error:
-            self._log_line("store: the disk takes records again")
+            self._log_line("store: the disk accepts records again")
         self.write_error = ""
         for entry in batch:
             self._on_written(entry.payload)
@@ -118,7 +116,7 @@
         self._on_batch()
 
     def _batch_failed(self, batch: list[_Entry], error: BaseException) -> None:
-        """Fail the records that may, keep the others in their order, and try these again later."""
+        """Fail the records that may fail; keep the others in order and schedule a retry for them."""
         if not self.write_error:
             self._log_line(f"store: {error}; new work is refused until it does")
         self.write_error = str(error)
@@ -131,16 +129,16 @@
             self._retry_timer = self._loop.call_later(RETRY_DELAY_S, self._retry)
 
     def _retry(self) -> None:
-        """Write what was kept; with nothing kept, a record without effect shows whether there is room."""
+        """Write the kept records, or a no-op record if there are none, to test whether the disk works."""
         self._retry_timer = None
         if not self._waiting:
             self._waiting.append(_Entry(NO_OP_RECORD, must_succeed=True))
         self._write_next()
 
     def compact(self, payloads: list[bytes]) -> None:
-        """Put these records in the place of the whole log (`Log.rewrite`); what is appended comes after.
+        """Replace the log's contents with these records (`Log.rewrite`); later appends follow them.
 
-        To be called only while `idle`: the payloads have to fold to the state that is on the disk.
+        Call only while `idle`: the payloads must rebuild exactly the state that is on the disk.
         """
         self._busy = True
         self._loop.run_in_executor(self._thread, self._log.rewrite, payloads).add_done_callback(
@@ -154,12 +152,12 @@
         self._write_next()
 
     async def flush(self) -> None:
-        """Wait until all that was appended is on the disk, or the disk has refused it."""
+        """Wait until all appended records are on the disk, or a write has failed."""
         while (self._busy or self._waiting) and not self.write_error:
             await asyncio.sleep(0.001)
 
     def close(self) -> None:
-        """Wait for the thread's last write, then close the log. Blocks for as long as that write takes."""
+        """Wait for the write in progress, then close the log. Blocks for as long as that write takes."""
         self._closed = True
         if self._retry_timer is not None:
             self._retry_timer.cancel()
--- a/weldhatch/store/folded.py
+++ b/weldhatch/store/folded.py
@@ -1,4 +1,4 @@
-"""A folder with one log of records that fold to a state: locked, written by a thread, compacted in time."""
+"""A locked folder with one log, from whose records a state is rebuilt, and which is compacted as it grows."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 from weldhatch.store.lock import Lock, LockHeldError
 from weldhatch.store.log import Disk, Log, LogError
 
-COMPACTION_FACTOR = 4  # a log is compacted when it has so many times the records that its state needs,
-COMPACTION_SLACK_RECORDS = 20_000  # and so many more
+# A log is compacted when its record count exceeds COMPACTION_FACTOR times the snapshot size plus the slack.
+COMPACTION_FACTOR = 4
+COMPACTION_SLACK_RECORDS = 20_000
 
 
 class FoldedState(Protocol):
-    """A state that records bring about. It holds what is on the disk, not what is under way."""
+    """A state built by applying records in order. It reflects records on the disk, not queued ones."""
 
     @property
     def snapshot_size(self) -> int:
-        """About how many records `snapshot_records` gives."""
+        """Approximate number of records that `snapshot_records` returns."""
 
     def apply(self, payload: bytes) -> None:
-        """Apply one record. Raises ValueError for what is none."""
+        """Apply one record. Raises ValueError if it is invalid."""
 
     def snapshot_records(self) -> Iterable[bytes]:
-        """Return the least records that fold to the same state."""
+        """Return a minimal list of records that rebuilds the same state."""
 
 
 class FoldedStore:
-    """Owns the folder: its lock, its log, the thread that writes it. One process at a time."""
+    """Owns a store folder: its lock, its log and the writer thread. One process may open it at a time."""
 
     def __init__(
         self,
@@ -45,14 +46,14 @@
         disk: Disk | None = None,
         slack_records: int | None = None,
     ) -> None:
-        """Lock the folder, made if need be, and apply all records of its log to each of `states`.
+        """Lock the folder, creating it if needed, and apply all records of its log to each of `states`.
 
-        The first of `states` is kept as the disk is; the others are applied to once and then the caller's.
-        `name` begins what is logged; `now`: Unix seconds, told to those whom the lock turns away;
-        `slack_records`: how many records more than it needs the log may have.
+        The first of `states` is kept equal to what is on the disk; the others receive only the recovered
+        records and then belong to the caller. `name` is the prefix of log lines. `now` is in Unix seconds and
+        is shown to processes that fail to get the lock. `slack_records` overrides COMPACTION_SLACK_RECORDS.
 
-        Raises LockHeldError or LogError (both OSError) where the folder can't be used, is another's, or holds
-        what can't be read.
+        Raises LockHeldError or LogError (both OSError) if the folder can't be used, is locked by another
+        process, or holds unreadable records.
         """
         path = Path(folder)
         self.state = states[0]
@@ -73,7 +74,7 @@
             raise
 
     def _recover(self, states: Sequence[FoldedState]) -> None:
-        """Apply what the log holds. Raises LogError for a record that a state can't read."""
+        """Apply the recovered records to all states. Raises LogError if a state rejects a record."""
         for record in self._log.recovered_records():
             for state in states:
                 try:
@@ -85,9 +86,9 @@
             self._log_line(f"{self._name}: the last {length} bytes were no whole record: dropped")
 
     def start(self, records: Sequence[bytes], already_applied: bool = False) -> None:
-        """Write the first records of this run before anything else; then the thread begins.
+        """Write the first records of this run, then start the writer thread.
 
-        `already_applied`: the caller has applied them to the first state already. Raises LogError.
+        `already_applied`: the caller has already applied these records to the first state. Raises LogError.
         """
         try:
             if not already_applied:
@@ -104,56 +105,56 @@
 
     @property
     def needs_compaction(self) -> bool:
-        """Whether the log has many more records than its state needs."""
+        """Whether the log has far more records than a snapshot of its state."""
         slack = COMPACTION_SLACK_RECORDS if self._slack_records is None else self._slack_records
         return self._log.count > COMPACTION_FACTOR * self.state.snapshot_size + slack
 
     def _compact_if_long(self) -> None:
-        """Guard the disk against a gateway that runs for months: the log is compacted while it runs."""
-        if self.needs_compaction and self._running.idle:
+        """Compact the log at run time, so that a gateway that runs for months does not fill the disk."""
+        if self.needs_compaction and self._started_committer.idle:
             self._log_line(
                 f"{self._name}: {self._log.count} records are cut down to {self.state.snapshot_size}"
             )
-            self._running.compact(list(self.state.snapshot_records()))
+            self._started_committer.compact(list(self.state.snapshot_records()))
 
     @property
-    def _running(self) -> GroupCommitter:
+    def _started_committer(self) -> GroupCommitter:
         assert self._committer is not None, "the store was not started"
         return self._committer
 
     @property
     def write_error(self) -> str:
-        """Why nothing new can be taken; '' while the disk takes records."""
-        return self._running.write_error
+        """Why new records can't be written; '' while the disk accepts records."""
+        return self._started_committer.write_error
 
     def append(self, records: Iterable[bytes]) -> asyncio.Future[None]:
-        """Write what is about to happen: done once it is on the disk, LogError if it may not."""
-        return self._running.append(records)
+        """Record an intended action; the future resolves once it is on the disk, or fails with LogError."""
+        return self._started_committer.append(records)
 
     def append_with_retry(self, records: Iterable[bytes]) -> asyncio.Future[None]:
-        """Write what has happened, as soon as the disk takes it; the future never fails."""
-        return self._running.append(records, must_succeed=True)
+        """Record something that has happened, retrying until the disk accepts it; the future never fails."""
+        return self._started_committer.append(records, must_succeed=True)
 
     async def flush(self) -> None:
-        """Wait until all that was appended is on the disk, or the disk has refused it."""
-        await self._running.flush()
+        """Wait until all appended records are on the disk, or a write has failed."""
+        await self._started_committer.flush()
 
     def close(self) -> None:
-        """Wait for the last write; give back the log, its thread and the lock."""
+        """Wait for the write in progress; release the log, its thread and the lock."""
         if self._committer is not None:
             self._committer.close()
         self._lock.close()
 
 
 class EpochStore:
-    """A folded store each of whose runs has an epoch, one more than the run before, and a random token.
+    """A folded store in which each run has an epoch, one above that of the previous run, and a random token.
 
-    The epoch tells names that different runs give apart, and an older copy of the folder from the folder
-    itself; the token tells two runs apart that were both started from one such copy.
+    The epoch distinguishes names created by different runs, and an older copy of the folder from the current
+    one. The token distinguishes two runs that were both started from the same copy.
     """
 
     def __init__(self, store: FoldedStore, epoch: int, token: str) -> None:
-        """Wrap a store that was started with this epoch and token."""
+        """Wrap a store that has been started with this epoch and token."""
         self._store = store
         self.epoch = epoch
         self.token = token
@@ -165,9 +166,9 @@
         first_record: Callable[[int, str], bytes],
         already_applied: bool = False,
     ) -> tuple[int, str]:
-        """Start a run and return its epoch and token; they are on the disk before a name is made of them.
+        """Start a run and return its epoch and token, which are on the disk before any name uses them.
 
-        `first_record` gets both and returns the record that holds them; `already_applied` as in
+        `first_record` receives both and returns the record that holds them. `already_applied` is passed to
         `FoldedStore.start`. Raises LogError.
         """
         epoch = previous_epoch + 1
@@ -177,13 +178,13 @@
 
     @property
     def write_error(self) -> str:
-        """Why nothing new can be taken; '' while the disk takes records."""
+        """Why new records can't be written; '' while the disk accepts records."""
         return self._store.write_error
 
     async def flush(self) -> None:
-        """Wait until all that was appended is on the disk, or the disk has refused it."""
+        """Wait until all appended records are on the disk, or a write has failed."""
         await self._store.flush()
 
     def close(self) -> None:
-        """Wait for the last write, and give the folder back."""
+        """Wait for the write in progress and release the folder."""
         self._store.close()
--- a/weldhatch/store/lock.py
+++ b/weldhatch/store/lock.py
@@ -1,4 +1,4 @@
-"""One owner at a time for a folder, by the operating system's lock: it goes with the process that held it."""
+"""Exclusive ownership of a folder through flock(2); the lock is released when the owning process ends."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class LockHeldError(OSError):
-    """Somebody else has the folder; the text says who, since when, and for what."""
+    """Another process holds the lock, or the lock file can't be opened; the text says which."""
 
 
 class Lock:
-    """Held from its making to `close`."""
+    """A lock that is held from construction until `close`."""
 
     def __init__(self, path: str | Path, who: str, since: str) -> None:
-        """Take the lock, or raise LockHeldError. `who` and `since` are told to those who are turned away."""
+        """Take the lock, or raise LockHeldError. Processes that fail to get it see `who` and `since`."""
         self._path = str(path)
         try:
             self._handle = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -32,13 +32,13 @@
         self.describe_owner(who, since)
 
     def describe_owner(self, who: str, since: str) -> None:
-        """Write what others read of the owner."""
+        """Write the owner's description into the lock file, where `lock_owner` reads it."""
         data = json.dumps({"who": who, "since": since, "pid": os.getpid()}).encode()
         os.ftruncate(self._handle, 0)
         os.pwrite(self._handle, data, 0)
 
     def close(self) -> None:
-        """Give the lock back; a second call does nothing."""
+        """Release the lock; a second call does nothing."""
         if self._handle >= 0:
             os.ftruncate(self._handle, 0)
             os.close(self._handle)
@@ -46,7 +46,7 @@
 
 
 def lock_owner(path: str | Path) -> str:
-    """Return who holds a lock, in words; '' where nobody does."""
+    """Return a description of the lock's owner; '' if the lock is free."""
     try:
         handle = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     except OSError:
@@ -54,13 +54,13 @@
     try:
         try:
             fcntl.flock(handle, fcntl.LOCK_SH | fcntl.LOCK_NB)
-            return ""  # nobody: what stands there was left by one that was killed
+            return ""  # the lock is free; a killed owner left its description behind
         except OSError:
             pass
         try:
             owner = json.loads(os.pread(handle, 4096, 0))
             return f"{owner['who']} (process {owner['pid']}) since {owner['since']}"
         except (ValueError, KeyError, TypeError):
-            return "one that has just come"
+            return "a process that has not written its description yet"
     finally:
         os.close(handle)
--- a/weldhatch/store/log.py
+++ b/weldhatch/store/log.py
@@ -1,12 +1,12 @@
-"""An append-only log on disk. Each record has its number and a checksum; what is appended is on the disk.
+"""An append-only log on disk. Each record has a number and a checksum, and is synced when `append` returns.
 
     file    = magic records
     record  = length:4 crc:4 number:8 payload      big-endian; the CRC-32 covers number and payload
 
-A record that was cut short by the end of its process, or never got further than zeros, is dropped when the
-log is opened, and `torn_tail` says so. A record that is whole and does not match its checksum is no accident
-of that kind: the log is not opened, and the error names the place. A log whose disk is full takes nothing,
-loses nothing, and goes on once there is room.
+A crash can leave a last record that is truncated or consists of zeros. It is dropped when the log is opened,
+and `torn_tail` reports it. A complete record that does not match its checksum can't result from a crash: the
+log is then not opened, and the error names the byte offset. While the disk is full, appends fail without
+losing earlier records; they succeed again once there is space.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 from typing import Protocol
 
 MAGIC = b"WHLOG1\r\n"
-_HEAD = struct.Struct(">IIQ")
+_RECORD_HEADER = struct.Struct(">IIQ")
 MAX_RECORD_BYTES = 64 << 20
 
 
 class LogError(OSError):
-    """The log can't be read or written; the text names its file and the place."""
+    """The log can't be read or written; the text names the file, and the byte offset of unreadable data."""
 
 
 class LogCorruptError(LogError):
-    """A record that was whole once is not as it was written."""
+    """The log holds data that no crash can have left, such as a complete record with a wrong checksum."""
 
 
 class Disk(Protocol):
-    """What the log does to its file; tests put a failing one in its place. All may raise OSError."""
+    """File operations of the log, replaced by failing ones in tests. All may raise OSError."""
 
     def write(self, handle: int, data: bytes | memoryview) -> int:
-        """Write some of the data at the handle's position; return how many bytes were taken."""
+        """Write some of the data at the handle's position; return the number of bytes written."""
 
     def sync(self, handle: int) -> None:
-        """Return once what was written is on the disk."""
+        """Return once all written data is on the disk."""
 
     def truncate(self, handle: int, length: int) -> None:
-        """Cut the file to so many bytes."""
+        """Truncate the file to `length` bytes."""
 
 
 class RealDisk:
-    """The operating system's calls."""
+    """The `Disk` that calls the operating system."""
 
     def write(self, handle: int, data: bytes | memoryview) -> int:
         """Call write(2)."""
@@ -63,21 +63,21 @@
 
 @dataclass(slots=True, frozen=True)
 class TornTail:
-    """The rest of a record that never became whole."""
+    """An incomplete record at the end of the log."""
 
     offset: int
     length: int
 
 
 def encode_record(number: int, payload: bytes) -> bytes:
-    """Return a record as it stands in the file. Records are numbered from 1."""
-    counted = number.to_bytes(8, "big")
-    return _HEAD.pack(len(payload), zlib.crc32(payload, zlib.crc32(counted)), number) + payload
+    """Return a record in its file format. Records are numbered from 1."""
+    number_bytes = number.to_bytes(8, "big")
+    return _RECORD_HEADER.pack(len(payload), zlib.crc32(payload, zlib.crc32(number_bytes)), number) + payload
 
 
 @dataclass(slots=True, frozen=True)
 class _Content:
-    """What a log's file holds: its whole records, how many bytes they and the magic take, what is torn."""
+    """Parsed contents of a log file: complete records, their length with the magic, and a torn tail."""
 
     payloads: list[bytes]
     length: int
@@ -85,70 +85,79 @@
 
 
 def _parse(data: bytes, path: str) -> _Content:
-    """Read a log's bytes. Raises LogCorruptError, with the place, for what no crash leaves behind."""
+    """Parse a log's bytes. Raises LogCorruptError, with the byte offset, for damage no crash can cause."""
     if len(data) < len(MAGIC):
         if MAGIC.startswith(data):
             return _Content([], 0, TornTail(0, len(data)) if data else None)
-        raise LogCorruptError(f"{path}: byte 0: this is no log of ours")
+        raise LogCorruptError(f"{path}: byte 0: not a weldhatch log")
     if not data.startswith(MAGIC):
-        raise LogCorruptError(f"{path}: byte 0: this is no log of ours, or of another version")
+        raise LogCorruptError(f"{path}: byte 0: not a weldhatch log, or one of another version")
     payloads: list[bytes] = []
-    at = len(MAGIC)
-    while at < len(data):
-        payload = _record_at(data, at, len(payloads) + 1)
+    offset = len(MAGIC)
+    while offset < len(data):
+        payload = _record_at(data, offset, len(payloads) + 1)
         if payload is None:
-            _check_torn(data, at, len(payloads), path)
-            return _Content(payloads, at, TornTail(at, len(data) - at))
+            _check_torn(data, offset, len(payloads), path)
+            return _Content(payloads, offset, TornTail(offset, len(data) - offset))
         payloads.append(payload)
-        at += _HEAD.size + len(payload)
-    return _Content(payloads, at, None)
+        offset += _RECORD_HEADER.size + len(payload)
+    return _Content(payloads, offset, None)
 
 
-def _record_at(data: bytes, at: int, number: int) -> bytes | None:
-    """Return the payload of the record of this number, if it stands there whole."""
-    body = at + _HEAD.size
+def _record_at(data: bytes, offset: int, number: int) -> bytes | None:
+    """Return the payload of the record with this number at `offset`; None if it is incomplete or invalid."""
+    body = offset + _RECORD_HEADER.size
     if body > len(data):
         return None
-    length, crc, found = _HEAD.unpack_from(data, at)
+    length, crc, found_number = _RECORD_HEADER.unpack_from(data, offset)
     payload = data[body : body + length]
-    if found != number or len(payload) != length:
+    if found_number != number or len(payload) != length:
         return None
-    return payload if zlib.crc32(payload, zlib.crc32(data[at + 8 : body])) == crc else None
+    return payload if zlib.crc32(payload, zlib.crc32(data[offset + 8 : body])) == crc else None
 
 
-def _check_torn(data: bytes, at: int, good: int, path: str) -> None:
-    """Raise LogCorruptError where no crash has cut what can't be read. `good`: records before it."""
-    body = at + _HEAD.size
+def _check_torn(data: bytes, offset: int, valid_count: int, path: str) -> None:
+    """Raise LogCorruptError if a crash can't explain the unreadable record at `offset`.
+
+    `valid_count`: the number of valid records before it.
+    """
+    body = offset + _RECORD_HEADER.size
     if body <= len(data):
-        length = _HEAD.unpack_from(data, at)[0]
-        whole = length <= MAX_RECORD_BYTES and body + length <= len(data)
-        if whole and any(data[at:]):
+        length = _RECORD_HEADER.unpack_from(data, offset)[0]
+        is_complete = length <= MAX_RECORD_BYTES and body + length <= len(data)
+        if is_complete and any(data[offset:]):
             raise LogCorruptError(
-                f"{path}: byte {at}: record {good + 1} does not match its checksum; "
-                f"{good} records before it are good"
+                f"{path}: byte {offset}: record {valid_count + 1} does not match its checksum; "
+                f"the {valid_count} records before it are valid"
             )
-    if _good_record_follows(data, at + 1, good + 1):
+    if _valid_record_follows(data, offset + 1, valid_count + 1):
         raise LogCorruptError(
-            f"{path}: byte {at}: record {good + 1} can't be read, and others follow it; "
-            f"{good} records before it are good"
+            f"{path}: byte {offset}: record {valid_count + 1} can't be read, and valid records follow it; "
+            f"the {valid_count} records before it are valid"
         )
 
 
-def _good_record_follows(data: bytes, at: int, least: int) -> bool:
-    """Guard against taking a damaged length for a torn end: does a good record stand anywhere behind it?"""
-    end = min(len(data), at + (1 << 20))
-    while at + _HEAD.size <= end:
-        length, crc, number = _HEAD.unpack_from(data, at)
-        if least < number < least + (1 << 32) and length <= len(data) - at - _HEAD.size:
-            body = at + _HEAD.size
-            if zlib.crc32(data[body : body + length], zlib.crc32(data[at + 8 : body])) == crc:
+def _valid_record_follows(data: bytes, offset: int, min_number: int) -> bool:
+    """Return whether a valid record starts within 1 MiB after `offset`.
+
+    A record with a damaged length field looks like a torn tail, but no valid records follow a torn tail.
+    """
+    end = min(len(data), offset + (1 << 20))
+    while offset + _RECORD_HEADER.size <= end:
+        length, crc, number = _RECORD_HEADER.unpack_from(data, offset)
+        if (
+            min_number < number < min_number + (1 << 32)
+            and length <= len(data) - offset - _RECORD_HEADER.size
+        ):
+            body = offset + _RECORD_HEADER.size
+            if zlib.crc32(data[body : body + length], zlib.crc32(data[offset + 8 : body])) == crc:
                 return True
-        at += 1
+        offset += 1
     return False
 
 
 def read_records(path: str | Path) -> list[bytes]:
-    """Return the whole records of a log that another process may be writing; none where no file is there.
+    """Return the complete records of a log that another process may be writing; [] if the file is missing.
 
     Raises LogError.
     """
@@ -162,10 +171,10 @@
 
 
 class Log:
-    """One open log. Owns its file handle, which `close` gives back."""
+    """An open log. Owns its file handle, which `close` releases."""
 
     def __init__(self, path: str | Path, disk: Disk | None = None) -> None:
-        """Open or make the file, and drop its torn end. Raises LogError, LogCorruptError with the place."""
+        """Open or create the file and drop a torn tail. Raises LogError and LogCorruptError."""
         self.path = str(path)
         self._disk = disk or RealDisk()
         self.torn_tail: TornTail | None = None
@@ -182,40 +191,40 @@
 
     def _open(self) -> None:
         data = bytearray()
-        while part := os.read(self._handle, 1 << 20):
-            data += part
+        while chunk := os.read(self._handle, 1 << 20):
+            data += chunk
         content = _parse(bytes(data), self.path)
         self._recovered = content.payloads
         self.torn_tail = content.torn_tail
         self.count = len(content.payloads)
-        good = content.length
+        valid_length = content.length
         try:
-            if good < len(MAGIC):
+            if valid_length < len(MAGIC):
                 self._disk.truncate(self._handle, 0)
                 os.lseek(self._handle, 0, os.SEEK_SET)
                 self._write_all(self._handle, MAGIC)
                 self._disk.sync(self._handle)
                 _sync_folder(self.path)
-                good = len(MAGIC)
+                valid_length = len(MAGIC)
             elif self.torn_tail is not None:
-                self._disk.truncate(self._handle, good)
+                self._disk.truncate(self._handle, valid_length)
                 self._disk.sync(self._handle)
         except OSError as error:
             raise LogError(f"{self.path}: {error.strerror}; nothing was written") from None
-        self.length = good
+        self.length = valid_length
         self._broken = ""
 
     def recovered_records(self) -> Iterator[bytes]:
-        """Return what was there when the log was opened; a second call gives nothing."""
+        """Return the records found when the log was opened; a second call returns none."""
         records = self._recovered
-        self._recovered = []  # a log may be long, and nobody reads them twice
+        self._recovered = []  # frees the memory of a long log; the records are needed only once
         return iter(records)
 
     def append(self, payloads: Iterable[bytes]) -> None:
         """Write these records, all or none, and return once they are on the disk.
 
-        Raises LogError where they are not: the log is as it was before. After a disk that does not say what
-        it has kept, nothing more is taken until the log is opened anew.
+        Raises LogError if the write fails; the log is then unchanged. If a sync or the rollback of a partial
+        write fails, the state of the file is unknown, and appends are rejected until the log is reopened.
         """
         if self._broken:
             raise LogError(f"{self.path}: {self._broken}; open the log anew")
@@ -232,7 +241,7 @@
         try:
             self._disk.sync(self._handle)
         except OSError as error:
-            # A failed sync may have dropped what was written, and a second one would not tell.
+            # The kernel may drop dirty pages after a failed sync, and a second sync would then succeed.
             self._broken = f"the disk did not confirm what was written ({error.strerror})"
             raise LogError(f"{self.path}: {self._broken}") from None
         self.length += len(data)
@@ -244,29 +253,29 @@
             view = view[self._disk.write(handle, view) :]
 
     def _undo_partial_write(self) -> None:
-        """Cut off what was written of a record that did not get through."""
+        """Truncate the file to its length before a write that failed part way."""
         try:
             self._disk.truncate(self._handle, self.length)
         except OSError as error:
             self._broken = f"half a record could not be taken back ({error.strerror})"
 
     def rewrite(self, payloads: Iterable[bytes]) -> None:
-        """Put these records in the place of all that there are: wholly, or not at all."""
+        """Atomically replace all records of the log with these. After a LogError the log is unchanged."""
         payloads = list(payloads)
-        beside = f"{self.path}.new"
+        new_path = f"{self.path}.new"
         data = MAGIC + b"".join(encode_record(n, payload) for n, payload in enumerate(payloads, 1))
         try:
-            handle = os.open(beside, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+            handle = os.open(new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         except OSError as error:
-            raise LogError(f"{beside}: {error.strerror}; the log is as it was") from None
+            raise LogError(f"{new_path}: {error.strerror}; the log is unchanged") from None
         try:
             self._write_all(handle, data)
             self._disk.sync(handle)
-            os.rename(beside, self.path)
+            os.rename(new_path, self.path)
         except OSError as error:
             os.close(handle)
-            Path(beside).unlink(missing_ok=True)
-            raise LogError(f"{beside}: {error.strerror}; the log is as it was") from None
+            Path(new_path).unlink(missing_ok=True)
+            raise LogError(f"{new_path}: {error.strerror}; the log is unchanged") from None
         _sync_folder(self.path)
         os.close(self._handle)
         self._handle = handle
@@ -275,14 +284,14 @@
         self._broken = ""
 
     def close(self) -> None:
-        """Give the file handle back; a second call does nothing."""
+        """Release the file handle; a second call does nothing."""
         if self._handle >= 0:
             os.close(self._handle)
             self._handle = -1
 
 
 def _sync_folder(path: str) -> None:
-    """A new name is only kept once its folder is on the disk."""
+    """Sync the folder of a file: a new or renamed file survives a crash only once the folder is synced."""
     handle = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
     try:
         os.fsync(handle)
