--- a/tests/test_handoff.py
+++ b/tests/test_handoff.py
@@ -178,7 +178,7 @@
         source.reserve_key(UNSAFE)
     assert handoff_source.AnswerOwner(id, "failed") in source.forget_site("b")
     source.reserve_key(UNSAFE)
-    with pytest.raises(TaskBusyError, match="under way here"):
+    with pytest.raises(TaskBusyError, match="in progress here"):
         source.offer("b", UNSAFE, 1)
 
 
--- a/tests/test_sites_link.py
+++ b/tests/test_sites_link.py
@@ -123,9 +123,9 @@
         a.send(0, b"%d" % n)
     for _ in range(5):
         pass_all(a, b, 1.0, got)
-    with pytest.raises(ProtocolError, match="heard up to 0"):
+    with pytest.raises(ProtocolError, match="reports message 0 as its last received, of 40 sent"):
         a.resume(2.0, 0)
-    with pytest.raises(ProtocolError, match="of 40 that were sent"):
+    with pytest.raises(ProtocolError, match="reports message 41 as its last received, of 40 sent"):
         a.resume(2.0, 41)
 
 
@@ -230,7 +230,7 @@
 def test_a_frame_that_is_too_long_is_an_error_at_its_length():
     ring = RingBuffer(1024)
     ring.put(b"\xff\xff\xff\xff")
-    with pytest.raises(ProtocolError, match="are the most"):
+    with pytest.raises(ProtocolError, match="exceeds the limit of"):
         frames.parse(ring)
     with pytest.raises(ValueError):
         frames.encode(Message(1, 0, bytes(frames.MAX_FRAME_BYTES)))
--- a/weldhatch/sites/__init__.py
+++ b/weldhatch/sites/__init__.py
@@ -1,1 +1,1 @@
-"""Work between sites: hand-overs, the link between two gateways, and routing."""
+"""Work between sites: hand-offs, the link between two gateways, and routing."""
--- a/weldhatch/sites/capacity.py
+++ b/weldhatch/sites/capacity.py
@@ -1,4 +1,4 @@
-"""How much room a site has, from what its machines told its own module: the summary for others. No I/O."""
+"""Computes the capacity summary that a site sends to other sites, from its machines' reports. No I/O."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from weldhatch.scheduling.types import ListForm, Machine, MachineKind, MachineState, Settings
 from weldhatch.sites.routing import CapacitySummary
 
-REPORT_TTL_S = 10.0  # a machine whose report is older counts as the average of the others
-MIN_SIZE = 0.01  # of a core, or of a unit of memory: a class that asks for nothing still fills something
+REPORT_TTL_S = 10.0  # a machine with an older report counts as average
+MIN_SIZE = 0.01  # in cores or units of memory; avoids division by zero for a class that requests nothing
 
 
 @dataclass(slots=True)
 class MachineCapacity:
     """One machine: its entry in the endpoint list, and what it last reported.
 
-    `free`: cores and memory that nobody has asked for; `reported_at`: seconds of the caller's clock.
+    `free`: cores and memory that are not requested by any task. `reported_at`: seconds of the caller's clock.
     """
 
     entry: Machine
@@ -26,13 +26,13 @@
 
 @dataclass(slots=True)
 class CapacityTracker:
-    """Watches the events that the module gets, and adds up. Times in seconds."""
+    """Tracks machine capacity from the events sent to the decision module. Times are in seconds."""
 
     settings: Settings
     machines: dict[int, MachineCapacity] = field(default_factory=dict)
 
     def watch(self, now: float, event: Event) -> None:
-        """Take an event of the module."""
+        """Update the tracked machines from an event sent to the decision module."""
         match event:
             case MachinesChanged(form, entries):
                 self._update_machines(now, form, entries)
@@ -59,11 +59,11 @@
         known.reported_at = now
 
     def summary(self, now: float, waiting: int, running: int, draining: bool = False) -> CapacitySummary:
-        """Return what to tell other sites.
+        """Return the summary for other sites, in tasks of the usual size (`usual_cores`, `usual_memory`).
 
-        `waiting`: requests not placed; `standing`: tasks of ours that are placed. A task of usual size asks
-        for `usual_cores` and `usual_memory`; a machine that has told nothing is taken for an average one, and
-        where none has, for one that shares the tasks we know of.
+        `waiting`: requests that are not placed yet; `running`: tasks of this gateway that are placed. A
+        machine without a recent report is assumed to have the average free part of those that reported. If
+        none has reported, the free capacity is the total size less the running tasks.
         """
         settings = self.settings
         usual_cores = max(MIN_SIZE, settings.usual_cores)
@@ -71,7 +71,7 @@
         size = 0
         size_reported = 0
         free = 0
-        for machine in self.machines.values():  # for each request that may cross: kept in one loop
+        for machine in self.machines.values():  # one loop: runs for each forwardable request
             if machine.entry.state != MachineState.READY:
                 continue
             cores, memory = self._dimensions(machine.entry)
@@ -93,7 +93,7 @@
         return CapacitySummary({cls.name: available for cls in settings.classes}, size, waiting, draining)
 
     def _dimensions(self, entry: Machine) -> tuple[float, float]:
-        """Return cores and memory of a machine: its own, or those of its kind."""
+        """Return a machine's cores and memory: its own values, or else those of its kind."""
         kinds = self.settings.kinds
         kind = kinds[entry.kind] if 0 <= entry.kind < len(kinds) else MachineKind("", 1.0, 1.0)
         return entry.cores or kind.cores, entry.memory or kind.memory
--- a/weldhatch/sites/effects.py
+++ b/weldhatch/sites/effects.py
@@ -1,4 +1,4 @@
-"""Carries out, in order, what source and targets of hand-offs decide: records before what follows them."""
+"""Executes hand-off effects in order; each record is on the disk before later effects."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class EffectRunner:
-    """Writes records, sends messages, and hands the rest to whom it concerns.
+    """Writes records, sends messages, and passes all other effects to a callback.
 
-    `on_owner_effect` gets what is for an owner here, `on_task_effect` what is for a task of another site;
-    both are set before the first effect is run.
+    `on_owner_effect` receives effects for an owner at this site, `on_task_effect` those for a task of another
+    site. Both must be set before the first effect is run.
     """
 
     on_owner_effect: Callable[[OwnerEffect], None]
@@ -29,23 +29,23 @@
         storage: SiteStorage,
         send: Callable[[str, messages.ToTarget | messages.ToSource], None],
     ) -> None:
-        """Write to `storage`; `send` gets a site and a message to it, which may get lost."""
+        """Write records to `storage`; `send` receives a site and a message, and may lose it."""
         self._storage = storage
         self._send = send
         self._closed = False
 
     def run_source(self, effects: Sequence[SourceEffect]) -> None:
-        """Carry out what this site has decided as a source."""
+        """Execute effects of this site as the source of hand-offs."""
         self._run("", effects)
 
     def run_target(self, site: str, effects: Sequence[TargetEffect]) -> None:
-        """Carry out what this site has decided as the target of `site`."""
+        """Execute effects of this site as the target of hand-offs from `site`."""
         self._run(site, effects)
 
     def _run(self, site: str, effects: Sequence[SourceEffect | TargetEffect]) -> None:
-        """Carry effects out in order: what follows a record waits until it is on the disk.
+        """Execute effects in order; the effects after a record wait until that record is on the disk.
 
-        Guards against a start by a gateway that was closed while its record was being written.
+        Does nothing once closed: a gateway closed while a record was being written must not start the task.
         """
         if self._closed:
             return
@@ -77,12 +77,12 @@
                 self.on_task_effect(effect)
 
     def close(self) -> None:
-        """Carry out nothing any more, not even what follows a record that is being written."""
+        """Execute no further effects, not even those that wait for a record to be written."""
         self._closed = True
 
 
 def _record_of(site: str, effect: SourceEffect | TargetEffect) -> bytes | None:
-    """Return the record that an effect writes; None for any other effect."""
+    """Return the encoded record that an effect writes; None if it writes none."""
     match effect:
         case handoff_source.WriteRecord(record):
             return encode_source_record(record)
--- a/weldhatch/sites/forwarded_request.py
+++ b/weldhatch/sites/forwarded_request.py
@@ -1,4 +1,4 @@
-"""One request of an owner here that may cross to other sites: a coroutine, from its arrival to its end."""
+"""The coroutine of one local owner's request, which may be forwarded to other sites."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 from weldhatch.sites.routing import KeepLocal
 from weldhatch.sites.task_translation import TaskTranslator
 
-LOCAL_TIME_FRACTION = 0.4  # of the time left, that the local site has before other sites are looked at again
-MIN_SPLIT_US = 200_000  # with less time left than this the local site has all of it
-SPARE_US = 30_000  # an answer from another site has to be here so long before the deadline
-BUSY_WAIT_US = 1_000_000  # when to come back, for a task whose key is in doubt
+LOCAL_TIME_FRACTION = 0.4  # part of the time left for the local site, before other sites are tried again
+MIN_SPLIT_US = 200_000  # with less time left, the local site gets all of it
+SPARE_US = 30_000  # margin by which an answer of another site must arrive before the deadline
+BUSY_WAIT_US = 1_000_000  # retry delay given to the owner of a task whose key is in use or in doubt
 
-Outcome = LocalAnswer | AnswerOwner | ReclaimTask | TaskBusyError | None  # None: the owner gave up
+Outcome = LocalAnswer | AnswerOwner | ReclaimTask | TaskBusyError | None  # None if the owner gave up
 
 
 class ForwardingSite(Protocol):
-    """What a request needs of its site."""
+    """The interface of the site that a forwarded request uses."""
 
     core: Core
     front: SiteFrontEnd
@@ -48,37 +48,40 @@
 
     @property
     def log(self) -> Callable[[str], None]:
-        """Who gets a line of the log."""
+        """The function that writes a log line."""
 
     @property
     def site_names(self) -> Collection[str]:
-        """The other sites."""
+        """Names of the other sites."""
 
     def choose(self, work: Work, left_us: int, visited: frozenset[str]) -> str | KeepLocal:
-        """Return the site that a task goes to, or why it stays; `visited`: those that have had it."""
+        """Return the site to forward a task to, or why it stays. `visited`: sites that have had the task."""
 
     def spawn_settled(self, lifecycle: RequestLifecycle, then: Callable[[], None]) -> None:
-        """Call `then` once a task that was given up, or failed, can't run any more."""
+        """Call `then` once a task that was abandoned or failed can't run any more."""
 
     def begin_request(self, request: ForwardedRequest) -> None:
-        """Take note of a request that is owed an answer."""
+        """Register a request that has no answer yet."""
 
     def count_answered(self) -> None:
-        """Take note that a request has had its answer."""
+        """Count a request as answered."""
 
     def end_request(self, request: ForwardedRequest) -> None:
-        """Take note that nothing of a request is left."""
+        """Remove a request that has ended."""
 
 
 class ForwardedRequest(Mailbox):
-    """One request of an owner here. Exactly one final answer: `_decide` is the only place that gives it."""
+    """A request of a local owner, which gets exactly one final answer.
+
+    `_decide` is the only place that gives the answer, apart from the handler of internal errors in `_run`.
+    """
 
     def __init__(self, site: ForwardingSite, task: ports.Task, owner: ports.Owner) -> None:
-        """Begin at once, as a task of its own."""
+        """Register the request and start its asyncio task."""
         super().__init__()
         self._site = site
         self._owner = owner
-        self._lifecycle: RequestLifecycle | None = None  # of the latest attempt at this site
+        self._lifecycle: RequestLifecycle | None = None  # the latest attempt at this site
         self.task = task
         self.work = site.translator.work_of(task)
         self.answered = False
@@ -95,8 +98,8 @@
             if end_watcher is not None:
                 await end_watcher
         except Exception:
-            # Guards the owner against a fault of ours: its request still gets its one final answer.
-            self._site.log("a crossing: " + traceback.format_exc().replace("\n", " | "))
+            # After an internal error the owner must still get its one final answer.
+            self._site.log("internal error in a request: " + traceback.format_exc().replace("\n", " | "))
             if not self.answered:
                 self._mark_answered()
                 self._owner.failed()
@@ -111,12 +114,12 @@
     # ---- from the arrival to the final answer ----------------------------------------------------------
 
     async def _decide(self) -> Coroutine[object, object, None] | None:
-        """Answer the owner; return what watches the task where it was placed, None where it was not.
+        """Answer the owner. Return a coroutine that waits for the end of a placed task; None if not placed.
 
-        It goes where there is room, else stays here for a part of the time that is left: then it is looked
-        again. Sites that have had it get it no second time.
+        The task is forwarded to a site with free capacity. If there is none, the local site tries to place it
+        for a part of the time left, and then the sites are checked again. No site gets the task twice.
         """
-        # A task that may go to certain machines only stays with them.
+        # A task that is restricted to certain machines is never forwarded.
         visited = set() if self.task.only is None else set(self._site.site_names)
         wait_us = 0
         while self._left_us() > SPARE_US:
@@ -142,7 +145,7 @@
         return None
 
     def _answer(self, outcome: Outcome) -> Coroutine[object, object, None] | None:
-        """Give the owner its one answer."""
+        """Give the owner its answer; return the coroutine that waits for the end of a placed task."""
         match outcome:
             case LocalAnswer(Answer.PLACED, description):
                 self._owner.placed(description)
@@ -157,11 +160,11 @@
             case TaskBusyError():
                 self._owner.refused(BUSY_WAIT_US)
             case _:
-                pass  # the owner gave up, and is owed none
+                pass  # the owner gave up and needs no answer
         return None
 
     async def _place_locally(self, time_limit_us: int) -> LocalAnswer | TaskBusyError | None:
-        """Let this site's module decide, within so much time."""
+        """Have this site's decision module place the task within a time limit; None if the owner gave up."""
         try:
             self._site.source.reserve_key(self.work)
         except TaskBusyError as error:
@@ -174,7 +177,7 @@
                 case LocalAnswer(answer) as local_answer:
                     if answer is Answer.REJECTED:
                         self._release_key()
-                    elif answer is Answer.FAILED:  # it may run: its key is not free before that is over
+                    elif answer is Answer.FAILED:  # it may still run, so its key stays reserved
                         self._site.spawn_settled(lifecycle, self._release_key)
                     return local_answer
                 case GivenUp():
@@ -186,7 +189,7 @@
         self._site.source.release_key(self.work)
 
     async def _hand_off(self, site: str) -> AnswerOwner | ReclaimTask | TaskBusyError | None:
-        """Hand the task to another site and wait for what comes of it."""
+        """Hand the task to another site and wait for the outcome; None if the owner gave up."""
         outgoing = self._site.outgoing
         try:
             id = await outgoing.offer(site, self.work, self._left_us() - SPARE_US, self)
@@ -205,10 +208,10 @@
         finally:
             timer.cancel()
 
-    # ---- while the task stands -------------------------------------------------------------------------
+    # ---- while the task is placed -------------------------------------------------------------------------
 
     async def _watch_local_task(self) -> None:
-        """Wait for the end of a task that was placed at this site; its key is free then."""
+        """Wait for the end of a task that was placed at this site, then release its key."""
         assert self._lifecycle is not None
         try:
             while True:
--- a/weldhatch/sites/forwarding.py
+++ b/weldhatch/sites/forwarding.py
@@ -1,8 +1,9 @@
-"""One gateway among several sites: it stands where the core stands for a front, and passes on what crosses.
+"""A gateway among several sites. It replaces the core for a front end and forwards requests to other sites.
 
-A request is one coroutine (`ForwardedRequest`): it stays where this site has room or no other has, goes to
-one other site at a time where the routing says so, and this site's own module decides on what comes back. A
-task that comes from another site goes through this site's core as any other request does (`IncomingTask`).
+Each request is one coroutine (`ForwardedRequest`). The request stays if this site has capacity or no other
+site has; otherwise the router picks one other site at a time. If that site returns the task, this site's own
+decision module may still place it. A task from another site passes through this site's core like any other
+request (`IncomingTask`).
 """
 
 from __future__ import annotations
@@ -31,15 +32,15 @@
 from weldhatch.sites.storage import SiteStorage
 from weldhatch.sites.task_translation import TaskTranslator
 
-HANDOFF_STREAM = 0  # of a link: messages of hand-offs
-SUMMARY_STREAM = 1  # of a link: capacity summaries
+HANDOFF_STREAM = 0  # the link's stream for hand-off messages
+SUMMARY_STREAM = 1  # the link's stream for capacity summaries
 SUMMARY_INTERVAL_S = 0.5
-REPEAT_INTERVAL_S = 1.0  # between two looks at what another site has not confirmed
-SILENCE_S = 0.5  # idempotent work is taken back from a site whose link has been down for so long
+REPEAT_INTERVAL_S = 1.0  # between repeats of messages that another site has not confirmed
+SILENCE_S = 0.5  # idempotent work is reclaimed from a site whose link has been down this long
 
 
 class SiteForwarder:
-    """All that crosses, both ways. A front may hold it in the place of its core."""
+    """Hand-offs of one gateway in both directions. Can replace a front's core (`arrive`, `adopt`)."""
 
     def __init__(
         self,
@@ -53,10 +54,10 @@
         settle_s: float,
         log: Callable[[str], None],
     ) -> None:
-        """Recall what a former gateway had offered, and begin with all links down.
+        """Recall what a former gateway had offered, and start with all links down.
 
-        `names`: the other sites; `settle_s`: for how long a task that was given up, or whose gateway died,
-        may still run.
+        `names`: the other sites. `settle_s`: how long a task may still run after it was abandoned or its
+        gateway died.
         """
         self.name = name
         self.core = core
@@ -66,7 +67,7 @@
         self.log = log
         self.draining = False
         self.requests: set[ForwardedRequest] = set()
-        self._undecided = 0  # requests of owners here that are owed an answer
+        self._undecided = 0  # requests of local owners that have no answer yet
         self._settle_s = settle_s
         self._down_since: dict[str, float] = {}
         self.capacity = CapacityTracker(settings)
@@ -91,68 +92,68 @@
 
     @property
     def site_names(self) -> Collection[str]:
-        """The other sites."""
+        """Names of the other sites."""
         return self.links.keys()
 
-    # ---- in the place of a core ------------------------------------------------------------------------
+    # ---- interface of the core ------------------------------------------------------------------------
 
     def arrive(self, task: ports.Task, owner: ports.Owner) -> ForwardedRequest:
-        """Take a request; its owner gets one final answer."""
+        """Accept a request; its owner gets exactly one final answer."""
         return ForwardedRequest(self, task, owner)
 
     def adopt(
         self, task: ports.Task, machine: int, owner: ports.Owner, answered: bool = True
     ) -> RequestLifecycle:
-        """Take a task that runs here already: its key is this site's until it is over."""
+        """Adopt a task that already runs at this site, and reserve its key until it is over."""
         work = self.translator.work_of(task)
         lifecycle = self.core.adopt(task, machine, owner, answered)
         try:
             self.source.reserve_key(work)
         except TaskBusyError as error:
-            self.log(f"a task that runs here, of key {work.key:x}: {error}")
+            self.log(f"key {work.key:x} of a task that already runs here is not reserved: {error}")
         else:
             self.background.spawn_after(lifecycle, 0.0, lambda: self.source.release_key(work))
         return lifecycle
 
     @property
     def unanswered(self) -> int:
-        """Requests that are owed an answer: owners' here, and those of other sites."""
+        """Number of requests without an answer, of local owners and of other sites."""
         return self._undecided + self.incoming.undecided
 
     def reconfigure(self, settings: Settings) -> None:
-        """Go on by other settings; classes keep their places."""
+        """Apply new settings, in which the classes must keep their indexes."""
         self.capacity.settings = settings
         self.translator.reconfigure(settings)
 
     # ---- for requests ----------------------------------------------------------------------------------
 
     def begin_request(self, request: ForwardedRequest) -> None:
-        """Take note of a request that is owed an answer."""
+        """Register a request that has no answer yet."""
         self.requests.add(request)
         self._undecided += 1
 
     def count_answered(self) -> None:
-        """Take note that a request has had its answer."""
+        """Count a request as answered."""
         self._undecided -= 1
 
     def end_request(self, request: ForwardedRequest) -> None:
-        """Take note that nothing of a request is left."""
+        """Remove a request that has ended."""
         self.requests.discard(request)
 
     def choose(self, work: Work, left_us: int, visited: frozenset[str]) -> str | KeepLocal:
-        """Return the site that a task goes to, or why it stays; `visited`: those that have had it."""
+        """Return the site to forward a task to, or why it stays. `visited`: sites that have had the task."""
         if self.storage.write_error:
             return KeepLocal("the store takes nothing")
         return self.router.choose(time.monotonic(), work, self.summary(), left_us / 1e6, visited)
 
     def summary(self) -> CapacitySummary:
-        """Return what this site tells others of its room."""
+        """Return this site's capacity summary for other sites."""
         return self.capacity.summary(
             time.monotonic(), self.core.unanswered, len(self.core.requests), self.draining
         )
 
     def spawn_settled(self, lifecycle: RequestLifecycle, then: Callable[[], None]) -> None:
-        """Call `then` once a task that was given up, or failed, can't run any more."""
+        """Call `then` once a task that was abandoned or failed can't run any more."""
         self.background.spawn_after(lifecycle, self._settle_s, then)
 
     # ---- links -----------------------------------------------------------------------------------------
@@ -171,14 +172,14 @@
         self.router.link_changed(time.monotonic(), site, False)
 
     def _receive(self, site: str, stream: int, payload: bytes) -> None:
-        """Take one payload of a link. Raises ProtocolError."""
+        """Handle one message payload of a link. Raises ProtocolError."""
         if stream == SUMMARY_STREAM:
             summary = frames.decode_summary(payload)
             delay_s = self.links[site].session.delay_s
             self.router.receive_summary(time.monotonic(), site, summary, delay_s)
             return
         if stream != HANDOFF_STREAM:
-            raise ProtocolError(f"stream {stream} is not spoken here")
+            raise ProtocolError(f"unknown stream {stream}")
         message = frames.decode_message(payload)
         if isinstance(message, messages.ToTarget):
             self.incoming.receive(site, message, self.draining)
@@ -192,11 +193,11 @@
             self._send_message(site, to_source.message)
 
     def send_summary(self, site: str) -> None:
-        """Tell a site of the room here."""
+        """Send this site's capacity summary to another site."""
         self.links[site].send(SUMMARY_STREAM, frames.encode_summary(self.summary()))
 
     async def _tick(self) -> None:
-        """Send summaries and repeats, and take idempotent work back from sites that are silent."""
+        """Send summaries and unconfirmed messages regularly; reclaim idempotent work of silent sites."""
         repeated_at = time.monotonic()
         while True:
             await asyncio.sleep(SUMMARY_INTERVAL_S / 2)
@@ -215,7 +216,7 @@
     # ---- for operators ---------------------------------------------------------------------------------
 
     def status(self) -> SitesStatus:
-        """Return links, epochs, what is out where, and what is in doubt and why, as it is printed."""
+        """Return the status that `weldhatch sites status` prints: links, epochs and open transfers."""
         return {
             "site": self.name,
             "epoch": self.storage.epoch,
@@ -227,14 +228,14 @@
         }
 
     def forget(self, site: str) -> int:
-        """End all that a site holds: an operator vouches that nothing of ours runs there.
+        """End all transfers to a site, after an operator has confirmed that none of their tasks runs there.
 
-        Return how many transfers are over with it.
+        Return the number of transfers that ended.
         """
         return self.outgoing.forget_site(site)
 
     def close(self) -> None:
-        """Give back every socket and task at once; what was taken gets no more answers."""
+        """Close all sockets and cancel all asyncio tasks; accepted requests get no further answers."""
         self.effects.close()
         self.background.cancel()
         for request in self.requests:
--- a/weldhatch/sites/frames.py
+++ b/weldhatch/sites/frames.py
@@ -1,8 +1,8 @@
-"""The wire of the link: four bytes of length, then a MessagePack pair: the number of its kind, its fields.
+"""Wire format of the link: a length of four bytes, then a MessagePack pair of kind number and fields.
 
-Read and written by msgspec, which is imported only where a gateway has sites. Every frame is checked whole:
-one that does not fit its kind is a `ProtocolError`, and the connection ends with one line in the log. The
-records of a hand-off in the store are here too, since they hold the same work.
+msgspec encodes and decodes it, and is imported only where a gateway has sites. Every frame is validated
+against its type: a mismatch raises `ProtocolError`, and the connection ends with one log line. Hand-off
+records of the store are encoded here as well, since they contain the same `Work`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from weldhatch.sites.session import Ack, Frame, Heartbeat, Hello, Message, ProtocolError
 
 VERSION = 1
-MAX_FRAME_BYTES = 16 * 1024 - 4  # with its length, a message of `net.connection`
+MAX_FRAME_BYTES = 16 * 1024 - 4  # with the length prefix, the largest message of `net.connection`
 _LENGTH = Struct(">I")
 
 _FRAME_KINDS: dict[int, type] = {1: Hello, 2: Message, 3: Ack, 4: Heartbeat}
@@ -60,47 +60,47 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """Return a frame as it goes out. Raises ValueError for one that is too long."""
+    """Return an encoded frame with its length prefix. Raises ValueError if it is too long."""
     data = _pack((_NUMBER_OF_FRAME[type(frame)], frame))
     if len(data) > MAX_FRAME_BYTES:
-        raise ValueError(f"a frame of {len(data)} bytes; {MAX_FRAME_BYTES} are the most")
+        raise ValueError(f"frame of {len(data)} bytes exceeds the limit of {MAX_FRAME_BYTES}")
     return _LENGTH.pack(len(data)) + data
 
 
 def decode(data: bytes) -> Frame:
-    """Return the frame of these bytes, without their length. Raises ProtocolError."""
+    """Decode a frame from bytes without the length prefix. Raises ProtocolError."""
     return cast(Frame, _decode_pair(_FRAME_DECODERS, data, "a frame"))
 
 
 def parse(ring: RingBuffer) -> Frame | None:
-    """Take the next whole frame of a ring; None where there is none yet. Raises ProtocolError."""
+    """Remove the next complete frame from a ring; None if there is none yet. Raises ProtocolError."""
     if len(ring) < _LENGTH.size:
         return None
     (length,) = _LENGTH.unpack(ring.copy(_LENGTH.size))
     if length > MAX_FRAME_BYTES:
-        raise ProtocolError(f"a frame of {length} bytes; {MAX_FRAME_BYTES} are the most")
+        raise ProtocolError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
     if len(ring) < _LENGTH.size + length:
         return None
     return decode(ring.take(_LENGTH.size + length)[_LENGTH.size :])
 
 
 def encode_message(message: messages.ToTarget | messages.ToSource) -> bytes:
-    """Return a message of a hand-off as the payload of a frame."""
+    """Encode a hand-off message as the payload of a frame."""
     return _pack((_NUMBER_OF_MESSAGE[type(message)], message))
 
 
 def decode_message(payload: bytes) -> messages.ToTarget | messages.ToSource:
-    """Return the message of a payload. Raises ProtocolError."""
+    """Decode a hand-off message from a payload. Raises ProtocolError."""
     return cast("messages.ToTarget | messages.ToSource", _decode_pair(_MESSAGE_DECODERS, payload, "a word"))
 
 
 def encode_summary(summary: CapacitySummary) -> bytes:
-    """Return a site's summary as the payload of a frame."""
+    """Encode a capacity summary as the payload of a frame."""
     return _pack([dict(summary.free), summary.size, summary.waiting, summary.draining])
 
 
 def decode_summary(payload: bytes) -> CapacitySummary:
-    """Return the summary of a payload. Raises ProtocolError."""
+    """Decode a capacity summary from a payload. Raises ProtocolError."""
     try:
         free, size, waiting, draining = msgspec.convert(
             _unpack(payload), tuple[dict[str, int], int, int, bool]
@@ -111,12 +111,12 @@
 
 
 def encode_record(record: HandoffRecord) -> bytes:
-    """Return a record of a hand-off for the store: a JSON array, as all its records are."""
+    """Encode a hand-off record for the store, as a JSON array."""
     return msgspec.json.encode(record)
 
 
 def decode_record(data: bytes) -> HandoffRecord:
-    """Return the record of these bytes. Raises ValueError for what is none."""
+    """Decode a hand-off record. Raises ValueError if it is invalid."""
     try:
         kind, *values = msgspec.json.decode(data)
         if kind == "epoch":
--- a/weldhatch/sites/handoff_source.py
+++ b/weldhatch/sites/handoff_source.py
@@ -1,14 +1,14 @@
-"""The source of a hand-off: the site that was asked, and that owes the owner its one answer. No I/O.
+"""The source of a hand-off: the site that received the request and must answer its owner once. No I/O.
 
-A transfer goes from OFFERED to PLACED, and is dropped with its end. RECALLED and RELEASED wait for the end of
-what nobody wants any more. Whoever carries the effects out does so in order, and none before the records that
-precede it are on the disk: each thing is written before it is said.
+A transfer goes from OFFERED to PLACED, and is removed when its task has ended. In RECALLED and RELEASED the
+owner no longer needs the task, and the source waits for its end. Effects are executed in order, and none
+before the records that precede it are on the disk: a state change is durable before any message about it.
 
-The right to start a task is here, or at one target; never at two sites:
+The right to start a task is held by the source or by one target, never by two sites:
 
-* an id is offered to one site, and never to another under the same id;
+* a transfer id is offered to one site only;
 * while the transfer is open, the task is not started here, unless its class is idempotent (`Effect.SAFE`);
-* only `Returned` brings the right back. Time-outs, broken links and restarts do not.
+* only `Returned` gives the right back to the source; time-outs, broken links and restarts do not.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 from weldhatch.sites import messages
 from weldhatch.sites.messages import HandoffRecord, TransferId, Work
 
-MAX_ID_SPAN = 65_536  # ids from the oldest open transfer to the newest: a target remembers those
-CALLED_OFF = 31  # the cause of a task that nobody waits for
+MAX_ID_SPAN = 65_536  # ids from the oldest open transfer to the newest; bounds what a target must remember
+CALLED_OFF = 31  # the cause of the end of a task that is no longer needed
 
 
 class OutgoingPhase(StrEnum):
-    """How far a transfer has come, as its source knows; `weldhatch sites status` prints the values."""
+    """State of a transfer at its source; `weldhatch sites status` prints the values."""
 
-    OFFERED = "out"  # offered; the owner waits
-    PLACED = "stands"  # the owner was told that it stands
-    RECALLED = "called back"  # the owner has its answer, and no use for the task
-    RELEASED = "freed"  # its owner has ended it
+    OFFERED = "out"  # offered; the owner waits for an answer
+    PLACED = "stands"  # the owner was notified that the task is placed
+    RECALLED = "called back"  # the owner has its answer or gave up, and does not need the task
+    RELEASED = "freed"  # the owner has ended the task
 
 
 @dataclass(slots=True, frozen=True)
 class OutgoingTransfer:
-    """One transfer at its source."""
+    """A transfer at its source."""
 
     id: TransferId
     site: str
     work: Work
     phase: OutgoingPhase = OutgoingPhase.OFFERED
-    accepted: bool = False  # the other side has written it down
-    cause: int = 0  # with which its owner ended it
+    accepted: bool = False  # the target has recorded the offer
+    cause: int = 0  # the cause given by the owner that ended the task
 
 
 class Answer(StrEnum):
@@ -59,14 +59,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteRecord:
-    """A record; on the disk before anything that follows it is done."""
+    """Write a record, which must be on the disk before any later effect is executed."""
 
     record: HandoffRecord
 
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
-    """A message to a site, which may be lost: it is sent again until it is confirmed."""
+    """Send a message to a site. It may be lost, and is repeated until it is confirmed."""
 
     site: str
     message: messages.ToTarget
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerOwner:
-    """The one final answer of the request that was handed off. `wait_us`: when its owner may come back."""
+    """Give the owner of a handed-off request its final answer. `wait_us`: delay before a retry."""
 
     id: TransferId
     answer: Answer
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReclaimTask:
-    """The right to start is here again (or was never needed), and the owner still waits: decide anew."""
+    """Decide again on a task that was returned or is idempotent, and whose owner still waits."""
 
     id: TransferId
     wait_us: int
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportEnd:
-    """A task that was placed there is over; the owner is notified, unless it brought that about."""
+    """Notify the owner that a task placed at another site has ended; not sent if the owner ended the task."""
 
     id: TransferId
     cause: int
@@ -103,7 +103,7 @@
 
 
 def exclusive_key(work: Work) -> int | None:
-    """Return the key under which the task may run once only, over all sites; None where it may run twice."""
+    """Return the key under which only one task may run across all sites; None if the task may run twice."""
     return work.key if work.key and work.effect != Effect.SAFE.name else None
 
 
@@ -115,11 +115,11 @@
 
 
 class TaskBusyError(Exception):
-    """The task can't be handed off or started now; the text says why, and a later retry is harmless."""
+    """The task can't be handed off or started now; the text gives the reason. A later retry is safe."""
 
 
 def _records_of(transfer: OutgoingTransfer) -> Iterator[HandoffRecord]:
-    """Return the least records that bring one transfer about."""
+    """Return a minimal list of records that rebuilds one transfer."""
     yield ("lent", transfer.id, transfer.site, transfer.work)
     match transfer.phase:
         case OutgoingPhase.PLACED:
@@ -132,11 +132,11 @@
 
 @dataclass(slots=True)
 class HandoffSource:
-    """All transfers from this site. Feed it messages and events; carry out what it returns, in order.
+    """State machine of all transfers from this site. Execute the effects that its methods return, in order.
 
-    `transfers`: those that are open, the oldest first; `remote_keys`: keys whose right to start is at another
-    site, with the transfer that holds it; `local_keys`: those on which this site's module decides, or whose
-    tasks run here.
+    `transfers`: open transfers, the oldest first. `remote_keys`: keys whose right to start may be held by
+    another site, with the transfer that carries it. `local_keys`: keys on which this site's module decides,
+    or whose tasks run here.
     """
 
     epoch: int
@@ -146,34 +146,35 @@
     local_keys: set[int] = field(default_factory=set)
 
     def reserve_key(self, work: Work) -> None:
-        """Take the task's key, before this site's module decides on it. Raises TaskBusyError if it is taken.
+        """Reserve the task's key before this site's module decides on it. Raises TaskBusyError if in use.
 
-        Guards against a start beside one at another site, or beside another request for the same key.
+        Prevents a start while another site or another request holds the same key.
         """
         if (key := exclusive_key(work)) is not None:
             self._check_key_free(key)
             self.local_keys.add(key)
 
     def release_key(self, work: Work) -> None:
-        """Free the task's key: it is over here, or its request has had its answer and nothing runs."""
+        """Release the task's key once the task has ended here, or was not placed and nothing of it runs."""
         self.local_keys.discard(work.key)
 
     def _check_key_free(self, key: int) -> None:
         if key in self.remote_keys:
-            raise TaskBusyError("its key is lent to another site, or its fate there is not known")
+            raise TaskBusyError("its key is held by another site, or the outcome there is unknown")
         if key in self.local_keys:
-            raise TaskBusyError("a request for its key is under way here, or its task stands")
+            raise TaskBusyError("a request for its key is in progress here, or its task is running")
 
     def offer(self, site: str, work: Work, left_us: int) -> tuple[TransferId, list[SourceEffect]]:
         """Offer a task to another site.
 
-        Raises TaskBusyError where the right to start it is not here to be given away.
+        Raises TaskBusyError if this site does not hold the right to start the task, or if the transfer ids
+        in use would span more than MAX_ID_SPAN.
         """
         if (key := exclusive_key(work)) is not None:
             self._check_key_free(key)
         oldest_epoch, oldest_serial = self.low_watermark
         if oldest_epoch == self.epoch and self.serial + 1 - oldest_serial >= MAX_ID_SPAN:
-            raise TaskBusyError("too many transfers have come after one that is still open")
+            raise TaskBusyError("too many transfers since the oldest one that is still open")
         self.serial += 1
         transfer = OutgoingTransfer((self.epoch, self.serial), site, work)
         self._put(transfer)
@@ -183,13 +184,16 @@
         ]
 
     def cancel_unwritten(self, id: TransferId) -> None:
-        """Drop a transfer whose record the disk did not take: it was not sent, its right is here still."""
+        """Drop a transfer whose record could not be written. It was not sent: this site keeps the right."""
         self._remove(self.transfers[id])
 
-    # ---- what happens here -----------------------------------------------------------------------------
+    # ---- local events -----------------------------------------------------------------------------
 
     def deadline_passed(self, id: TransferId) -> list[SourceEffect]:
-        """Answer an owner whose time is over while nothing was received, which proves nothing."""
+        """Answer an owner whose deadline passed without an answer of the target, and recall the task.
+
+        The task may still have run there: only an idempotent one is answered as rejected, others as failed.
+        """
         transfer = self._in_phase(id, OutgoingPhase.OFFERED)
         if transfer is None:
             return []
@@ -197,21 +201,21 @@
         return [*self._recall(transfer), AnswerOwner(id, answer)]
 
     def abandoned(self, id: TransferId) -> list[SourceEffect]:
-        """Recall a transfer whose owner waits no more; none is owed an answer."""
+        """Recall a transfer whose owner gave up and needs no answer."""
         transfer = self.transfers.get(id)
         return (
             self._recall(transfer) if transfer is not None and transfer.phase is OutgoingPhase.OFFERED else []
         )
 
     def link_silent(self, id: TransferId) -> list[SourceEffect]:
-        """Take idempotent work back from a site whose link is silent; its twin there is recalled."""
+        """Reclaim an idempotent task from a site whose link is silent, and recall the copy there."""
         transfer = self._in_phase(id, OutgoingPhase.OFFERED)
         if transfer is None or transfer.work.effect != Effect.SAFE.name:
             return []
         return [*self._recall(transfer), ReclaimTask(id, 0)]
 
     def released(self, id: TransferId, cause: int) -> list[SourceEffect]:
-        """End a task that was placed there, because its owner does."""
+        """End a task placed at another site, because its owner has ended it."""
         transfer = self._in_phase(id, OutgoingPhase.PLACED)
         if transfer is None:
             return []
@@ -229,16 +233,16 @@
             SendMessage(transfer.site, messages.Withdraw(transfer.id)),
         ]
 
-    # ---- what the target says ----------------------------------------------------------------------
+    # ---- messages of the target ----------------------------------------------------------------------
 
     def receive(self, site: str, message: messages.ToSource) -> list[SourceEffect]:
-        """Take one message of a site.
+        """Handle one message of a site.
 
-        Messages on what is over, and of sites that it was not offered to, change nothing.
+        Messages about closed transfers, or from a site that was not offered the task, change no state.
         """
         transfer = self.transfers.get(message.id)
         if transfer is None:
-            # Guards against a last message that is sent for ever because `Close` was lost.
+            # If `Close` was lost, the target repeats its last message until it gets another one.
             is_final = isinstance(message, messages.Returned | messages.Ended)
             if is_final and message.id <= (self.epoch, self.serial):
                 return [SendMessage(site, messages.Close(message.id))]
@@ -270,7 +274,7 @@
 
     def _returned(self, transfer: OutgoingTransfer, wait_us: int) -> list[SourceEffect]:
         if transfer.phase in (OutgoingPhase.PLACED, OutgoingPhase.RELEASED):
-            return []  # it was placed: a message that can't be true takes nothing away
+            return []  # the task was placed, so the message is wrong; a placed task can't be returned
         effects = self._drop(transfer, "back")
         if transfer.phase is OutgoingPhase.OFFERED:
             effects.append(ReclaimTask(transfer.id, wait_us))
@@ -279,7 +283,7 @@
     def _ended(self, transfer: OutgoingTransfer, cause: int, result: str) -> list[SourceEffect]:
         effects = self._drop(transfer, "over")
         if transfer.phase is OutgoingPhase.OFFERED:
-            # The message that it was placed got lost: it ran, that much is known.
+            # `Placed` was lost, and the task may have run.
             effects.append(AnswerOwner(transfer.id, Answer.FAILED))
         elif transfer.phase is OutgoingPhase.PLACED:
             effects.append(ReportEnd(transfer.id, cause, result))
@@ -288,7 +292,7 @@
     # ---- repeats, restarts, operators ------------------------------------------------------------------
 
     def unconfirmed_messages(self, site: str, left_us: dict[TransferId, int]) -> Iterator[SendMessage]:
-        """Return what a site has not confirmed, to be sent again; `left_us`: how long owners wait yet."""
+        """Return the messages that a site has not confirmed. `left_us`: time left of the waiting owners."""
         yield SendMessage(site, messages.LowWatermark(self.low_watermark))
         for transfer in self.transfers.values():
             if transfer.site != site:
@@ -304,9 +308,9 @@
                     yield SendMessage(site, messages.Release(transfer.id, transfer.cause))
 
     def recover(self) -> list[SourceEffect]:
-        """Recall, after a start from the store, what was offered: its owners have lost their gateway.
+        """After a restart, recall all offered transfers, since their owners have lost the former gateway.
 
-        What was placed goes on, and its end is reported to whoever names it then.
+        Placed tasks continue to run; their ends are received but have no waiting owner.
         """
         effects: list[SourceEffect] = []
         for transfer in [
@@ -316,7 +320,7 @@
         return effects
 
     def forget_site(self, site: str) -> list[SourceEffect]:
-        """End all that a site holds: an operator vouches that nothing of ours runs there any more."""
+        """End all transfers to a site, after an operator has confirmed that no task of them runs there."""
         effects: list[SourceEffect] = []
         for transfer in [transfer for transfer in self.transfers.values() if transfer.site == site]:
             effects += [WriteRecord(("over", transfer.id))]
@@ -329,11 +333,11 @@
 
     @property
     def low_watermark(self) -> TransferId:
-        """The oldest open transfer, or the next one: all before it are over."""
+        """Id of the oldest open transfer, or else the next id: all transfers before it are closed."""
         return next(iter(self.transfers), (self.epoch, self.serial + 1))
 
     def count_open(self, site: str) -> int:
-        """Return how many transfers a site holds, or may."""
+        """Return the number of open transfers to a site."""
         return sum(transfer.site == site for transfer in self.transfers.values())
 
     def _put(self, transfer: OutgoingTransfer) -> None:
@@ -350,10 +354,10 @@
         self._remove(transfer)
         return [WriteRecord((record, transfer.id)), SendMessage(transfer.site, messages.Close(transfer.id))]
 
-    # ---- the fold of its records -----------------------------------------------------------------------
+    # ---- recovery from records -----------------------------------------------------------------------
 
     def apply(self, record: HandoffRecord) -> None:
-        """Apply one record of the store, in order. Raises ValueError for what is none."""
+        """Apply one record of the store; call in order. Raises ValueError if the record is invalid."""
         match record:
             case ("epoch", int(epoch)):
                 self.epoch = epoch
@@ -366,7 +370,7 @@
             case ("stands" | "called" | "freed" as kind, id, *rest):
                 if transfer := self.transfers.get(id):
                     phase = _PHASE_OF_RECORD[kind]
-                    accepted = transfer.accepted or kind != "called"  # what was placed had been accepted
+                    accepted = transfer.accepted or kind != "called"  # a placed task had been accepted
                     cause = rest[0] if rest else 0
                     self._put(replace(transfer, phase=phase, accepted=accepted, cause=cause))
             case ("back" | "over", id):
@@ -376,7 +380,7 @@
                 raise ValueError(f"a record that can't be read: {record!r}")
 
     def snapshot_records(self) -> Iterator[HandoffRecord]:
-        """Return the least records that fold to the same state."""
+        """Return a minimal list of records that rebuilds the same state."""
         for transfer in self.transfers.values():
             yield from _records_of(transfer)
         yield ("epoch", self.epoch)
--- a/weldhatch/sites/handoff_target.py
+++ b/weldhatch/sites/handoff_target.py
@@ -1,18 +1,18 @@
 """The target of a hand-off: the site that was offered a task, whose own module places it. No I/O.
 
 A transfer goes from PLACING to PLACED, and ends as RETURNED (it never started here) or ENDED. Its last
-message is sent until the source has written it down; then only its id is kept, as a tombstone, until the
-source's low watermark has passed it. Whoever carries the effects out does so in order, and none before the
-records that precede it are on the disk.
+message is repeated until the source confirms that it has recorded it; after that only the transfer id is
+kept, as a tombstone, until the source's low watermark has passed it. Effects are executed in order, and none
+before the records that precede it are on the disk.
 
-What guards what:
+Guarantees:
 
-* an id is placed once: a doubled, late or overtaken offer meets the id's entry, its tombstone, or the
+* an id is placed once: duplicate, late or reordered offers find the id's entry, its tombstone, or the
   watermark;
-* a recall that overtakes its offer leaves an entry, so that the offer finds the task returned;
-* `Returned` is sent only where nothing ran and nothing will: by the module's rejection, or for what it was
-  never asked to place;
-* after a start from the store, what was being placed may have run: it ends, and is never returned.
+* a recall that arrives before its offer leaves an entry, so that the offer is answered with `Returned`;
+* `Returned` is sent only if the task did not run and never will: the module rejected it, or was never asked
+  to place it;
+* after a restart, a transfer that was being placed may have run: it ends, and is never returned.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from weldhatch.sites import messages
 from weldhatch.sites.messages import HandoffRecord, TransferId, Work
 
-MAX_HOPS = 2  # sites that a task crosses; then it is returned, not passed on
-LOST_WITH_GATEWAY = 41  # the cause of a task that was lost with its gateway
-CALLED_OFF = 31  # the cause of a task that nobody waits for
+MAX_HOPS = 2  # a task is returned, not placed, from this many hand-offs on
+LOST_WITH_GATEWAY = 41  # the cause of the end of a task whose gateway died
+CALLED_OFF = 31  # the cause of the end of a task that is no longer needed
 
 
 class IncomingPhase(StrEnum):
-    """How far a transfer has come, as its target knows."""
+    """State of a transfer at its target."""
 
-    PLACING = "tried"  # written down, and the module decides
-    RECALLED = "called back"  # nobody waits for it any more, and its end is awaited
+    PLACING = "tried"  # recorded; the module decides
+    RECALLED = "called back"  # recalled by the source; the module has not finished yet
     PLACED = "stands"
-    ENDING = "ending"  # it stands, and was told to end
+    ENDING = "ending"  # placed, and asked to end
     RETURNED = "returned"
     ENDED = "ended"
 
@@ -45,10 +45,10 @@
 
 @dataclass(slots=True, frozen=True)
 class IncomingTransfer:
-    """One transfer at its target."""
+    """A transfer at its target."""
 
     id: TransferId
-    work: Work | None  # None where only the call-back of it has come
+    work: Work | None  # None if only the recall of the transfer has arrived
     phase: IncomingPhase = IncomingPhase.PLACING
     description: str = ""
     cause: int = 0
@@ -61,14 +61,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteRecord:
-    """A record; on the disk before anything that follows it is done."""
+    """Write a record, which must be on the disk before any later effect is executed."""
 
     record: HandoffRecord
 
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
-    """A message to the source, which may be lost: it is sent again until it is confirmed."""
+    """Send a message to the source. It may be lost, and is repeated until it is confirmed."""
 
     site: str
     message: messages.ToSource
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartTask:
-    """Hand the task to this site's core, as a request with so much time left."""
+    """Hand the task to this site's core, as a request with `left_us` until its deadline."""
 
     site: str
     id: TransferId
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AbandonTask:
-    """Tell the core that nobody waits for the answer; it tells by `returned` or `ended` what came of it."""
+    """Notify the core that the owner gave up; the outcome is reported by `returned` or `ended`."""
 
     site: str
     id: TransferId
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseTask:
-    """End the task that stands here, with this cause."""
+    """End the task that is placed here, with this cause."""
 
     site: str
     id: TransferId
@@ -106,10 +106,10 @@
 
 @dataclass(slots=True)
 class HandoffTarget:
-    """All transfers from one other site. Feed it messages and events; carry out what it returns, in order.
+    """State machine of all transfers from one site. Execute the effects that its methods return, in order.
 
-    `tombstones`: closed transfers that the source's low watermark has not passed; `newest`: the latest id
-    that was seen, proof of what the source has offered.
+    `tombstones`: closed transfers that the source's low watermark has not passed. `newest`: the highest id
+    received, which proves that the source has offered transfers up to it.
     """
 
     site: str
@@ -118,10 +118,10 @@
     low_watermark: TransferId = (0, 0)
     newest: TransferId = (0, 0)
 
-    # ---- what the source says ----------------------------------------------------------------------
+    # ---- messages of the source ----------------------------------------------------------------------
 
     def receive(self, message: messages.ToTarget, draining: bool = False) -> list[TargetEffect]:
-        """Take one message of the source. `draining`: this site takes nothing new."""
+        """Handle one message of the source. `draining`: this site accepts no new tasks."""
         if isinstance(message, messages.LowWatermark):
             return self._advance_watermark(message.id)
         if message.id > self.newest:
@@ -139,7 +139,7 @@
                 return self._withdraw(transfer, id)
             case messages.Close(id):
                 if transfer is None or transfer.phase in OPEN_PHASES:
-                    return []  # only what has had its last message can be closed
+                    return []  # a transfer is closed only after its last message
                 self._close(id)
                 return [WriteRecord(("closed", id))]
 
@@ -149,7 +149,7 @@
         if transfer is not None:
             return [self._current_message(transfer)]
         if id < self.low_watermark or id in self.tombstones:
-            return []  # over at both sides: a copy of the offer that was long under way
+            return []  # closed at both sides; this is a late copy of the offer
         if draining or work.hops >= MAX_HOPS or left_us <= 0:
             return self._return_task(IncomingTransfer(id, work), 0)
         self.transfers[id] = IncomingTransfer(id, work)
@@ -163,7 +163,7 @@
         if transfer is None:
             if id < self.low_watermark or id in self.tombstones:
                 return []
-            # Its offer, if it still comes, finds it returned.
+            # If the offer arrives later, it is answered with `Returned`.
             return self._return_task(IncomingTransfer(id, None), 0)
         match transfer.phase:
             case IncomingPhase.PLACING:
@@ -177,7 +177,7 @@
         return []
 
     def _advance_watermark(self, low_watermark: TransferId) -> list[TargetEffect]:
-        """Forget what is over before the watermark: nothing before it is open at the source."""
+        """Forget closed transfers before the watermark and withdraw open ones; the source closed all."""
         if low_watermark <= self.low_watermark:
             return []
         self.low_watermark = low_watermark
@@ -192,13 +192,13 @@
             del self.tombstones[oldest]
         effects: list[TargetEffect] = [WriteRecord(("floor", low_watermark))]
         for transfer in [transfer for id, transfer in self.transfers.items() if id < low_watermark]:
-            effects += self._withdraw(transfer, transfer.id)  # forgotten there, while it still goes on here
+            effects += self._withdraw(transfer, transfer.id)  # still open here, though closed at the source
         return effects
 
-    # ---- what happens here -----------------------------------------------------------------------------
+    # ---- local events -----------------------------------------------------------------------------
 
     def placed(self, id: TransferId, description: str) -> list[TargetEffect]:
-        """Report that the module has placed the task, and its machine holds it."""
+        """Handle the placement of the task by the module; its machine has accepted it."""
         transfer = self.transfers.get(id)
         if transfer is None or transfer.phase not in (IncomingPhase.PLACING, IncomingPhase.RECALLED):
             return []
@@ -215,7 +215,7 @@
         return [record_effect, SendMessage(self.site, messages.Placed(id, description))]
 
     def returned(self, id: TransferId, wait_us: int = 0) -> list[TargetEffect]:
-        """Report that the module has rejected it; only for a core that is sure that nothing ran."""
+        """Handle the rejection of the task by the module. The task must not have run."""
         transfer = self.transfers.get(id)
         if transfer is None or transfer.phase not in (IncomingPhase.PLACING, IncomingPhase.RECALLED):
             return []
@@ -229,7 +229,7 @@
         ]
 
     def ended(self, id: TransferId, cause: int, result: str = "") -> list[TargetEffect]:
-        """Report that it is over: after it was placed, with its result; or failed, where it may have run."""
+        """Handle the end of the task: a placed task with its result, or a failed one that may have run."""
         transfer = self.transfers.get(id)
         if transfer is None or transfer.phase not in OPEN_PHASES:
             return []
@@ -241,13 +241,13 @@
     # ---- repeats and restarts --------------------------------------------------------------------------
 
     def unconfirmed_messages(self) -> Iterator[SendMessage]:
-        """Return what the source has not confirmed, to be sent again, as after a broken link."""
+        """Return the messages that the source has not confirmed, to be sent again."""
         for transfer in self.transfers.values():
             if transfer.phase is not IncomingPhase.PLACING and transfer.phase is not IncomingPhase.RECALLED:
                 yield self._current_message(transfer)
 
     def _current_message(self, transfer: IncomingTransfer) -> SendMessage:
-        """Return the message that says where a transfer is now."""
+        """Return the message that reports the current phase of a transfer."""
         match transfer.phase:
             case IncomingPhase.PLACING | IncomingPhase.RECALLED:
                 return SendMessage(self.site, messages.Accepted(transfer.id))
@@ -260,10 +260,10 @@
                 return SendMessage(self.site, end)
 
     def recover(self, ids: Iterable[TransferId] | None = None) -> list[TargetEffect]:
-        """End what a former gateway had here, once nothing that it started can run any more.
+        """End the transfers of a former gateway, once none of their tasks can run any more.
 
-        What was being placed may have run, and what was placed is lost with its gateway: both have ended, and
-        are not returned. `ids`: what was there at the start; None for all.
+        Tasks that were being placed may have run, and placed tasks were lost with the gateway: both end, and
+        are not returned. `ids`: the transfers found at the start; None for all.
         """
         effects: list[TargetEffect] = []
         for id in list(self.transfers if ids is None else ids):
@@ -277,10 +277,10 @@
         if id >= self.low_watermark:
             self.tombstones[id] = None
 
-    # ---- the fold of its records -----------------------------------------------------------------------
+    # ---- recovery from records -----------------------------------------------------------------------
 
     def apply(self, record: HandoffRecord) -> None:
-        """Apply one record of the store, in order. Raises ValueError for what is none."""
+        """Apply one record of the store; call in order. Raises ValueError if the record is invalid."""
         match record:
             case ("taken", id, Work() as work):
                 self.transfers[id] = IncomingTransfer(id, work)
@@ -316,7 +316,7 @@
         self.newest = max(self.newest, record[1])
 
     def snapshot_records(self) -> Iterator[HandoffRecord]:
-        """Return the least records that fold to the same state."""
+        """Return a minimal list of records that rebuilds the same state."""
         yield ("floor", self.low_watermark)
         for transfer in self.transfers.values():
             if transfer.work is not None:
--- a/weldhatch/sites/incoming.py
+++ b/weldhatch/sites/incoming.py
@@ -1,4 +1,4 @@
-"""Tasks of other sites at this site's core, and what the source is told of them."""
+"""Runs tasks of other sites at this site's core, and reports their outcomes to the source sites."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from weldhatch.sites.storage import SiteStorage
 from weldhatch.sites.task_translation import TaskTranslator
 
-MAX_RESULT_CHARS = 12 * 1024  # of what a task has come to; a longer text stays where it ran
-FAILED_CAUSE = 47  # the cause of a task that may have run
+MAX_RESULT_CHARS = 12 * 1024  # longest task result that is sent to the source; longer ones are dropped
+FAILED_CAUSE = 47  # the cause of the end of a task that failed and may have run
 
 
 class IncomingTask:
-    """A task of another site, at this site's core: the core's owner of it."""
+    """A task of another site; the owner of its request at this site's core."""
 
     def __init__(self, tasks: IncomingTasks, offer: StartTask) -> None:
-        """Hand the task to the core. Raises ValueError where the front can't read it."""
+        """Hand the task to the core. Raises ValueError if the front end can't read it."""
         self._tasks = tasks
         self.site = offer.site
         self.id = offer.id
@@ -36,42 +36,42 @@
         )
 
     def _keep_result(self, result: str) -> None:
-        """Keep what its machine says that it has come to; its end follows."""
+        """Keep the result that the machine reported, until the task's end is handled."""
         if len(result) <= MAX_RESULT_CHARS:
             self._result = result
         else:
-            self._tasks.log(f"site {self.site}: a result of {len(result)} characters does not cross")
+            self._tasks.log(f"site {self.site}: a result of {len(result)} characters is too long: dropped")
 
     def placed(self, description: str | None) -> None:
-        """Take note that a machine holds it."""
+        """Handle the acceptance of the task by a machine."""
         self.is_placed = True
         effects = self._target.placed(self.id, description or "")
         self._tasks.effects.run_target(self.site, effects)
 
     def refused(self, wait_us: int) -> None:
-        """Return it: the module has rejected it, and nothing ran."""
+        """Return the task to its source: the module has rejected it, and it did not run."""
         self._tasks.remove(self)
         self._tasks.effects.run_target(self.site, self._target.returned(self.id, wait_us))
 
     def failed(self) -> None:
-        """Take note that it failed: it may have run, and may still."""
+        """Handle a failure: the task may have run and may still run, so its end is reported later."""
         self._tasks.spawn_settled(self._lifecycle, lambda: self._ended(FAILED_CAUSE))
 
     def released(self, cause: int) -> None:
-        """Take note that it is over at its machine."""
+        """Handle the end of the task at its machine."""
         self._ended(cause)
 
     def moved(self) -> None:
-        """End it: a migration inside this site is no answer to another one."""
+        """End the task: a migration within this site is not passed on to the source."""
         self._ended(CALLED_OFF)
 
     def abandon(self) -> None:
-        """Give it up: nobody waits for it. It may have run, so it ends once it can't run any more."""
+        """Abandon a recalled task. It may have run: its end is reported once it can't run any more."""
         self._lifecycle.deliver(GivenUp())
         self._tasks.spawn_settled(self._lifecycle, lambda: self._ended(GIVEN_UP))
 
     def release(self, cause: int) -> None:
-        """End it. The core tells an owner nothing of an end that the owner asked for: it is waited for."""
+        """End the task. The core does not report an end that its owner requested, so this waits for it."""
         self._lifecycle.deliver(Released(cause))
         self._tasks.background.spawn_after(self._lifecycle, 0.0, lambda: self._ended(cause))
 
@@ -85,7 +85,7 @@
 
 
 class IncomingTasks:
-    """All tasks of other sites. `tasks`: by site and transfer."""
+    """All tasks of other sites at this site. `tasks`: by site and transfer id."""
 
     def __init__(
         self,
@@ -97,7 +97,7 @@
         settle_s: float,
         log: Callable[[str], None],
     ) -> None:
-        """`settle_s`: for how long a task that was given up, or whose gateway died, may still run."""
+        """`settle_s`: how long a task may still run after it was abandoned or its gateway died."""
         self.core = core
         self.effects = effects
         self.translator = translator
@@ -110,19 +110,19 @@
 
     @property
     def undecided(self) -> int:
-        """How many are neither placed nor over."""
+        """Number of tasks that are neither placed nor ended."""
         return sum(not task.is_placed for task in self.tasks.values())
 
     def target(self, site: str) -> HandoffTarget:
-        """Return the target's side of all hand-offs from a site."""
+        """Return the state machine of the hand-offs from a site."""
         return self._storage.target(site)
 
     def spawn_settled(self, lifecycle: Lifecycle, then: Callable[[], None]) -> None:
-        """Call `then` once a task that was given up, or failed, can't run any more."""
+        """Call `then` once a task that was abandoned or failed can't run any more."""
         self.background.spawn_after(lifecycle, self._settle_s, then)
 
     def recover(self) -> None:
-        """End what a former gateway had here, once nothing that it started can run any more."""
+        """Schedule the end of a former gateway's transfers for when none of their tasks can run any more."""
         former_transfers = {site: list(target.transfers) for site, target in self._storage.targets.items()}
         asyncio.get_running_loop().call_later(self._settle_s, self._end_former_transfers, former_transfers)
 
@@ -131,13 +131,13 @@
             self.effects.run_target(site, self.target(site).recover(ids))
 
     def receive(self, site: str, message: messages.ToTarget, draining: bool) -> None:
-        """Take one message of a source. `draining`: this site takes nothing new."""
+        """Handle one message of a source. `draining`: this site accepts no new tasks."""
         if isinstance(message, messages.Offer) and self._storage.write_error:
-            return  # it will be sent again
+            return  # the source repeats the offer
         self.effects.run_target(site, self.target(site).receive(message, draining))
 
     def run_effect(self, effect: TaskEffect) -> None:
-        """Start, give up or end a task."""
+        """Start, abandon or end a task."""
         match effect:
             case StartTask():
                 self._start(effect)
@@ -149,7 +149,7 @@
                     task.release(cause)
 
     def _start(self, offer: StartTask) -> None:
-        """Hand a task of another site to this site's core, or return it where it can't start here."""
+        """Hand a task of another site to this site's core, or return it if it can't start here."""
         reason = self._try_start(offer)
         if reason:
             epoch, serial = offer.id
@@ -157,7 +157,7 @@
             self.effects.run_target(offer.site, self.target(offer.site).returned(offer.id))
 
     def _try_start(self, offer: StartTask) -> str:
-        """Return why a task can't start here; '' where the core has it."""
+        """Hand a task to the core. Return why it can't start here; '' on success."""
         if reason := self.translator.why_not_admitted(offer.work):
             return reason
         try:
@@ -172,6 +172,6 @@
         return ""
 
     def remove(self, task: IncomingTask) -> None:
-        """Forget a task that is over here, and free its key."""
+        """Remove a task that has ended here, and release its key."""
         if self.tasks.pop((task.site, task.id), None) is not None:
             self._keys.release_key(task.work)
--- a/weldhatch/sites/link.py
+++ b/weldhatch/sites/link.py
@@ -1,8 +1,9 @@
-"""The link to one other site: a connection, made again whenever it ends, and the session that outlives it.
+"""The link to one other site: a connection, which is re-established when it ends, and its session.
 
-Of two sites the one whose name sorts first dials; the other listens. Both say hello; the dialling side names
-the session, and the other goes on with it where it remembers it. Work passes only while the link is up, that
-is from the two hellos until silence, a fault, or an older copy of a store.
+Of two sites the one whose name sorts first dials, and the other listens. Both send a hello. The dialling side
+names the session, and the other side resumes it if it still has its state. Work is exchanged only while the
+link is up, that is from the exchange of hellos until a timeout, a fault, or the detection of an older copy of
+a store.
 """
 
 from __future__ import annotations
@@ -28,33 +29,33 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-HELLO_TIMEOUT_S = 2.0  # a connection that has not said hello by then is closed
-MIN_BACKOFF_S = 0.1  # between two attempts to connect; doubles
+HELLO_TIMEOUT_S = 2.0  # a connection without a hello by then is closed
+MIN_BACKOFF_S = 0.1  # first delay between connection attempts; doubles each time
 MAX_BACKOFF_S = 2.0
 TICK_S = 0.02
-LINGER_S = 0.2  # what was said before a fault may still leave for so long: the other side learns why
-MAX_UNSENT_BYTES = 48 * 1024  # that wait in a connection, before frames wait in their streams instead
+LINGER_S = 0.2  # time to flush frames queued before a fault, such as the hello that explains it
+MAX_UNSENT_BYTES = 48 * 1024  # in a connection; beyond it frames wait in their streams
 
 
 class EpochRegistry(Protocol):
-    """What this site's store says of itself, and what it has written down of others."""
+    """The epoch of this site's store, and the recorded epochs of other sites' stores."""
 
     @property
     def own_epoch(self) -> tuple[int, str]:
         """Epoch and token of this site's store."""
 
     def known_epoch(self, site: str) -> tuple[int, str]:
-        """Return epoch and token of another site's store, as last written down; (0, '') for never."""
+        """Return the last recorded epoch and token of another site's store; (0, '') if there is none."""
 
     async def record_epoch(self, site: str, epoch: int, token: str) -> None:
-        """Write down what another site's store said; done once it is on the disk."""
+        """Record epoch and token of another site's store; returns once the record is on the disk."""
 
 
 @dataclass(slots=True, frozen=True)
 class LinkHandlers:
-    """Who receives what a link reports. All get the other site's name first.
+    """Callbacks for the events of a link. The first argument of each is the other site's name.
 
-    `on_message` gets the stream and the payload as well, and may raise ProtocolError.
+    `on_message` also receives the stream and the payload, and may raise ProtocolError.
     """
 
     on_up: Callable[[str], None]
@@ -63,7 +64,7 @@
 
 
 def parse(ring: RingBuffer) -> Frame | None:
-    """Take the next whole frame of a connection; None where there is none yet.
+    """Remove the next complete frame of a connection from its ring; None if there is none yet.
 
     Raises MalformedMessageError.
     """
@@ -87,12 +88,12 @@
     except ssl.SSLError as error:
         log(f"site {site}: no TLS: {error}")
     except (OSError, TimeoutError):
-        pass  # the next attempt follows; a link that is down is told by `sites status`
+        pass  # `_dial` retries; `sites status` shows a link that is down
     return None
 
 
 class Link:
-    """One other site. Owns its connection, its session and the task that dials."""
+    """The link to one site. Owns its connection, its session and its asyncio tasks."""
 
     def __init__(
         self,
@@ -103,7 +104,7 @@
         log: Callable[[str], None],
         tick_s: float = TICK_S,
     ) -> None:
-        """Begin without a connection; `tick_s`: how often it looks for silence and for what is owed."""
+        """Start without a connection. `tick_s`: interval of timeout checks and flushes."""
         self.site = site
         self._own_name = own_name
         self._epochs = epochs
@@ -112,10 +113,10 @@
         self._tick_s = tick_s
         self._session_count = 0
         self.session = Session(self._new_session_name())
-        self._connection: Connection | None = None  # the one that has said hello
-        self._early_frames: list[Frame] = []  # what came before the other side's epoch was on the disk
+        self._connection: Connection | None = None  # the connection whose hello has been accepted
+        self._early_frames: list[Frame] = []  # frames received before the peer's epoch was on the disk
         self.up = False
-        self.stale_reason = ""  # why no work may pass, though the other side can be reached
+        self.stale_reason = ""  # why no work is exchanged although the peer is reachable
         self.break_count = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._flush_scheduled = False
@@ -134,7 +135,7 @@
     def dial(
         self, endpoint: tuple[str, int], share: DescriptorShare, tls: ssl.SSLContext | None = None
     ) -> None:
-        """Connect, and again whenever the connection ends. `share`: of descriptors, one while it stands."""
+        """Connect, and reconnect whenever the connection ends. `share`: descriptor quota."""
         self._spawn(self._dial(endpoint, share, tls))
 
     async def _dial(
@@ -147,13 +148,13 @@
             if connection is not None:
                 connection.send(frames.encode(self._hello()))
                 await self._serve_dialled(connection)
-                if self.break_count != break_count:  # it had come up
+                if self.break_count != break_count:  # the link was up
                     backoff_s = MIN_BACKOFF_S
             await asyncio.sleep(backoff_s)
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def _serve_dialled(self, connection: Connection) -> None:
-        """Read a connection until it ends; one that does not say hello in time is closed."""
+        """Read from a connection until it ends; close it if no hello arrives in time."""
         hello_timer = asyncio.get_running_loop().call_later(
             HELLO_TIMEOUT_S, lambda: None if self._connection is connection else connection.close()
         )
@@ -181,14 +182,14 @@
         )
 
     def receive(self, connection: Connection, frame: Frame, dialled: bool) -> None:
-        """Take one frame of a connection: its hello first. `dialled`: by this side.
+        """Handle one frame of a connection; the first must be a hello. `dialled`: this side connected.
 
         Raises MalformedMessageError, which ends the connection.
         """
         try:
             if connection is not self._connection:
                 if not isinstance(frame, Hello):
-                    raise ProtocolError("a frame before hello")
+                    raise ProtocolError("frame received before hello")
                 self._handle_hello(connection, frame, dialled)
             elif not self.up:
                 self._early_frames.append(frame)
@@ -203,13 +204,13 @@
         self.flush()
 
     def _handle_hello(self, connection: Connection, hello: Hello, dialled: bool) -> None:
-        """Go on with the session or begin a new one, and take the connection. Raises ProtocolError."""
+        """Resume or start a session, and adopt the connection. Raises ProtocolError."""
         self._check_hello(connection, hello, dialled)
         if dialled:
             self._resume_own_session(hello)
         elif not self._resume_peer_session(connection, hello):
             return
-        if self._connection is not None:  # the other side has given the old one up
+        if self._connection is not None:  # the peer has given up the old connection
             self._connection.close()
             self._mark_down()
         self._connection = connection
@@ -217,37 +218,37 @@
         self._spawn(self._complete_handshake(connection, hello))
 
     def _check_hello(self, connection: Connection, hello: Hello, dialled: bool) -> None:
-        """Raise ProtocolError for a wrong version or site, or where a store is an older copy."""
+        """Raise ProtocolError for a wrong version or site, or if either store is an older copy."""
         if hello.version != frames.VERSION:
-            raise ProtocolError(f"version {hello.version} of the link, and {frames.VERSION} is spoken here")
+            raise ProtocolError(f"link protocol version is {hello.version}, expected {frames.VERSION}")
         if hello.site != self.site:
-            raise ProtocolError(f"it is site {hello.site!r}, and {self.site!r} was expected")
+            raise ProtocolError(f"connected to site {hello.site!r}, expected {self.site!r}")
         reason = stale_store_reason(hello, self._epochs.known_epoch(self.site), self._epochs.own_epoch)
         if reason and reason != self.stale_reason:
             self._log(f"site {self.site}: no work passes: {reason}")
         self.stale_reason = reason
         if reason:
             if not dialled:
-                connection.send(frames.encode(self._hello()))  # so that the other side can tell as well
+                connection.send(frames.encode(self._hello()))  # so that the peer detects it as well
             raise ProtocolError("a store is an older copy")
 
     def _resume_own_session(self, hello: Hello) -> None:
-        """Go on with the session that this side has named. Raises ProtocolError where the other can't."""
+        """Resume the session that this side has named. Raises ProtocolError if the peer can't resume it."""
         if hello.session != self.session.name:
-            raise ProtocolError("it answers with another session")
+            raise ProtocolError("peer answered with a different session")
         try:
-            # Guards against a side that began anew under our session: its numbers begin anew too.
+            # A peer without the session's state restarts its message numbers, so it can't be resumed.
             if hello.is_new and not self.session.unused:
                 raise ProtocolError("it has forgotten the session")
             self.session.resume(time.monotonic(), hello.received)
         except ProtocolError:
-            self.session = Session(self._new_session_name())  # the next connection has a session of its own
+            self.session = Session(self._new_session_name())  # the next connection starts a new session
             raise
 
     def _resume_peer_session(self, connection: Connection, hello: Hello) -> bool:
-        """Answer a hello, and go on with the session that it names; False where that one is forgotten here.
+        """Answer a hello and resume the session it names; False if this side has no state of that session.
 
-        The other side learns from the answer that it is forgotten, and comes again with a new session.
+        The peer learns from the answer that the session is lost, and reconnects with a new one.
         """
         if hello.session != self.session.name:
             self.session = Session(hello.session)
@@ -258,7 +259,10 @@
         return True
 
     async def _complete_handshake(self, connection: Connection, hello: Hello) -> None:
-        """Write down the other side's epoch, then let work pass: a restart could not tell it stale before."""
+        """Record the peer's epoch, then mark the link up.
+
+        Without the record, this side could not detect an older copy of the peer's store after a restart.
+        """
         await self._epochs.record_epoch(self.site, hello.epoch, hello.token)
         if self._connection is not connection or connection.closed:
             return
@@ -276,7 +280,7 @@
         self.flush()
 
     def connection_ended(self, connection: Connection) -> None:
-        """Take note that a connection has ended: the link is down, if it was on that one."""
+        """Handle the end of a connection: mark the link down if it used that connection."""
         if self._connection is connection:
             self._connection = None
             self._mark_down()
@@ -289,14 +293,14 @@
             self._handlers.on_down(self.site)
 
     def drop_connection(self) -> None:
-        """End the connection, as a fault would."""
+        """Close the current connection, if any; a dialling side then reconnects."""
         if self._connection is not None:
             self._connection.close()
 
     def send(self, stream: int, payload: bytes) -> bool:
-        """Queue one message for the session; False where the link is down or the stream's queue is full.
+        """Queue one message for the session; False if the link is down or the stream's queue is full.
 
-        What is not taken is not kept: whoever must be heard sends it again once the link is up.
+        A rejected message is dropped; the caller must send it again once the link is up.
         """
         if not self.up:
             return False
@@ -315,7 +319,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Send what may go out: no more than the connection can hold, the rest stays in its streams."""
+        """Send queued frames up to the connection's buffer limit; the others stay in their streams."""
         connection = self._connection
         if connection is None:
             return
@@ -337,7 +341,7 @@
             self.flush()
 
     def close(self) -> None:
-        """End the connection and all tasks; the link comes up no more."""
+        """Close the connection and cancel all asyncio tasks; the link stays down."""
         for task in self._tasks:
             task.cancel()
         self.drop_connection()
--- a/weldhatch/sites/link_listener.py
+++ b/weldhatch/sites/link_listener.py
@@ -1,4 +1,4 @@
-"""Where other sites connect: who a connection comes from, and handing it to that site's link."""
+"""Accepts connections of other sites, identifies the site, and passes its frames to that site's link."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LinkListener:
-    """Where other sites connect. A connection is nobody's until it has said which site it is."""
+    """Listens for other sites. A connection belongs to no link until its hello has named the site."""
 
     def __init__(
         self,
@@ -29,9 +29,9 @@
         log: Callable[[str], None],
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """Listen. `tls`: who connects has to show the certificate of the site that it says it is.
+        """Listen. `tls`: a peer must present the certificate of the site that its hello names.
 
-        Raises OSError for the address.
+        Raises OSError if the address can't be bound.
         """
         self._links = links
         self._share = share
@@ -46,7 +46,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, stream: IOStream, host: str) -> None:
-        """Read one connection until it ends."""
+        """Read from one connection until it ends."""
         certified_site = ""
         if self._tls is not None:
             try:
@@ -76,19 +76,19 @@
                 link.connection_ended(connection)
 
     def _identify(self, frame: object, certified_site: str) -> Link:
-        """Return the link of the site that a first frame names. Raises MalformedMessageError."""
+        """Return the link of the site named by the first frame. Raises MalformedMessageError."""
         if not isinstance(frame, Hello):
-            raise MalformedMessageError("it does not say which site it is")
+            raise MalformedMessageError("the first frame is not a hello")
         if frame.site not in self._links:
             raise MalformedMessageError(f"site {frame.site!r} is not configured here")
         if self._tls is not None and certified_site != frame.site:
             raise MalformedMessageError(
-                f"it says that it is {frame.site!r}, and shows the certificate of {certified_site!r}"
+                f"peer claims to be site {frame.site!r}, and shows the certificate of {certified_site!r}"
             )
         return self._links[frame.site]
 
     def close(self) -> None:
-        """Stop listening, and end the connections that are served."""
+        """Stop listening, and end all open connections."""
         self.listener.close()
         for task in self._tasks:
             task.cancel()
--- a/weldhatch/sites/local_site.py
+++ b/weldhatch/sites/local_site.py
@@ -1,4 +1,4 @@
-"""What the sites need of the front, and what this site's core answers a request that may cross."""
+"""The front end's interface for hand-offs, and the core's answers to requests that may be forwarded."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 
 class SiteFrontEnd(Protocol):
-    """What the sites need of the front whose requests cross."""
+    """The interface that hand-offs need of the front end whose requests are forwarded."""
 
     def encode_passed_on(self, task: ports.Task) -> tuple[str, ...]:
-        """Return what another site's front needs of a task, as text that crosses unread."""
+        """Return the data that another site's front end needs for a task, as opaque text."""
 
     def decode_passed_on(
         self, site: str, id: TransferId, work: Work, on_result: Callable[[str], None]
     ) -> tuple[object, object]:
-        """Return the label of another site's task, and what is passed on with it to a machine.
+        """Return the label of another site's task, and the data passed with it to a machine.
 
-        `on_result` is to be told, before its end, what its machine says that it has come to.
+        `on_result` must be called with the result that the machine reports, before the task's end.
 
-        Raises ValueError where the task can't be read.
+        Raises ValueError if the task can't be decoded.
         """
 
     def report_result(self, task: ports.Task, result: str) -> None:
-        """Take what a task has come to at another site; its end follows."""
+        """Receive the result of a task at another site; the task's end is reported afterwards."""
 
     def why_not_admitted(self, work: Work) -> str:
-        """Return why another site's task may not start here; '' where it may."""
+        """Return why another site's task may not start here; '' if it may."""
 
     def task_ran(self, work: Work) -> None:
-        """Take note that a task has run, or may have, at another site."""
+        """Note that a task has run or may have run at another site."""
 
 
-# ---- events of a request's coroutine ----------------------------------------------------------------------
+# ---- events for a request's coroutine ----------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
 class LocalAnswer:
-    """What this site's core has answered. `wait_us`: when the owner may come back."""
+    """The answer of this site's core. `wait_us`: delay before the owner may retry."""
 
     answer: Answer
     description: str | None = None
@@ -52,35 +52,35 @@
 
 @dataclass(slots=True, frozen=True)
 class LocalEnd:
-    """A task that was placed at this site is over; `migrated`: by a migration to another machine."""
+    """The end of a task that was placed at this site. `migrated`: it migrated to another machine."""
 
     cause: int
     migrated: bool = False
 
 
 class LocalOwner:
-    """The core's owner for a task that this site's core decides on: tells the request's coroutine."""
+    """The owner passed to this site's core; turns the core's calls into events for a request's coroutine."""
 
     def __init__(self, notify: Callable[[object], None]) -> None:
-        """Tell `notify` what the core says."""
+        """Pass the events to `notify`."""
         self._notify = notify
 
     def placed(self, description: str | None) -> None:
-        """Report that a machine holds the task."""
+        """Report that a machine has accepted the task."""
         self._notify(LocalAnswer(Answer.PLACED, description))
 
     def refused(self, wait_us: int) -> None:
-        """Report that the core has rejected it."""
+        """Report that the core has rejected the request."""
         self._notify(LocalAnswer(Answer.REJECTED, None, wait_us))
 
     def failed(self) -> None:
-        """Report that it failed: it may have run, and may still."""
+        """Report a failure: the task may have run, and may still run."""
         self._notify(LocalAnswer(Answer.FAILED))
 
     def released(self, cause: int) -> None:
-        """Report that it is over."""
+        """Report that the task has ended."""
         self._notify(LocalEnd(cause))
 
     def moved(self) -> None:
-        """Report that it is over by a migration."""
+        """Report that the task has ended by a migration."""
         self._notify(LocalEnd(CALLED_OFF, migrated=True))
--- a/weldhatch/sites/messages.py
+++ b/weldhatch/sites/messages.py
@@ -1,7 +1,7 @@
-"""The messages of a hand-off between two sites. Each may be lost, doubled, late or overtaken by a later one.
+"""The messages of a hand-off between two sites. Each may be lost, duplicated, delayed or reordered.
 
-They cross under the names of their fields, and under the numbers of their kinds in `frames`: a field that is
-renamed here needs its old name there.
+The field names are part of the wire format and of stored records, and so are the kind numbers in `frames`: a
+field that is renamed here must keep its old name there.
 """
 
 from __future__ import annotations
@@ -9,17 +9,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-# A transfer's id, unique for ever at its source: the epoch of the source's store, and a serial within that.
+# Id of a transfer, never reused by its source: the epoch of the source's store and a serial within the epoch.
 TransferId = tuple[int, int]
-# A record of a hand-off in the store: the text that says its kind, then its values.
+# A hand-off record in the store: its kind as text, then its values.
 HandoffRecord = tuple[Any, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Work:
-    """One task as it crosses: what the target's module and machines need of it.
+    """A task as sent between sites: the data that the target's module and machines need.
 
-    `cores` and `memory` in the units of the settings; `effect` is the name of the class's `Effect`.
+    `cores` and `memory` are in the units of the settings. `effect` is the name of the class's `Effect`.
     """
 
     class_name: str
@@ -29,8 +29,8 @@
     cores: float
     memory: float
     tenant: str = ""
-    names: tuple[str, ...] = ()  # what the front passes on, unread here
-    hops: int = 0  # sites that it has crossed before
+    names: tuple[str, ...] = ()  # opaque data of the front end
+    hops: int = 0  # number of hand-offs so far, including the current one
 
 
 # ---- from the source to the target -------------------------------------------------------------------------
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """Place it within `left_us` of receiving this. The right to start it goes along until it is returned."""
+    """Place the task within `left_us` of receipt. Carries the right to start it, until it is returned."""
 
     id: TransferId
     work: Work
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Withdraw:
-    """Nobody waits for it any more: do not start it, and end it if it stands."""
+    """Recall the task, whose owner no longer waits: do not start it, and end it if it is placed."""
 
     id: TransferId
 
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """The owner of a task that was placed has ended it, with this cause."""
+    """The owner of a placed task has ended it, with this cause."""
 
     id: TransferId
     cause: int
@@ -62,14 +62,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Close:
-    """The last message was received and written down: it need not be sent again."""
+    """The target's last message on a transfer has been recorded and need not be repeated."""
 
     id: TransferId
 
 
 @dataclass(slots=True, frozen=True)
 class LowWatermark:
-    """All transfers before this id are over at the source: no message of theirs means anything now."""
+    """All transfers before this id are closed at the source, and late messages about them are void."""
 
     id: TransferId
 
@@ -79,14 +79,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """The offer was written down there, and its module decides."""
+    """The target has recorded the offer, and its module decides."""
 
     id: TransferId
 
 
 @dataclass(slots=True, frozen=True)
 class Placed:
-    """A machine holds it; the description is that machine's, unchanged."""
+    """A machine has accepted the task; the description is the machine's own."""
 
     id: TransferId
     description: str
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Returned:
-    """It never started there and never will: the right to start it is the source's again."""
+    """The task did not start at the target and never will; the source holds the right to start it again."""
 
     id: TransferId
     wait_us: int = 0
@@ -102,9 +102,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """It is over there. Not `stood`: it may have run, and nobody was notified that it was placed.
+    """The task has ended at the target.
 
-    `result`: what its machine said that the task has come to, as text that crosses unread.
+    `stood`: it was placed before; if false, it may have run, but no placement was reported. `result`: the
+    result that its machine reported, as opaque text.
     """
 
     id: TransferId
--- a/weldhatch/sites/routing.py
+++ b/weldhatch/sites/routing.py
@@ -1,9 +1,9 @@
-"""Which site gets a task that its own can't place now: what goes over and what stays. No I/O.
+"""Chooses the site that gets a task which the local site can't place now, or keeps the task. No I/O.
 
-As inside a site: filter the sites, draw a few uniformly, and take the one with the most free capacity (power
-of d choices, Mitzenmacher 2001). What each site tells of itself comes late, so what went over since counts
-as there already; a site that fails is excluded for a while, and then let back by a ramp. Inside a site its
-decision module decides as ever.
+As within a site: filter the sites, sample a few uniformly, and take the one with the most free capacity
+(power of d choices, Mitzenmacher 2001). Summaries of other sites arrive late, so tasks forwarded since are
+subtracted from the reported free capacity. A failing site is excluded for a while and then readmitted by a
+recovery ramp. Placement within a site is left to its decision module.
 
 Times are in seconds of the caller's clock, capacities in tasks of a class's usual size.
 """
@@ -17,37 +17,37 @@
 
 from weldhatch.sites.messages import Work
 
-SITES_SAMPLED = 2  # for a task, as machines are inside a site
-SUMMARY_TTL_S = 5.0  # an older summary says nothing of room
-RECENT_TRANSFERS_S = 6.0  # how long what went over is remembered, to be counted against an older summary
-CAPACITY_MARGIN = 1.25  # the other site has to have so much more free: guards against herds
-LOCAL_CAPACITY_RESERVE = 0.05  # a site with more than this part of its size free keeps what it can place
-MAX_OPEN_FRACTION = 0.75  # the part of a site's size that one other site may fill: its own work comes on top
-MIN_OPEN_LIMIT = 2  # transfers that a site may hold whatever it tells, where it is not excluded
-DELAY_PRICE = 0.5  # what a second of delay each way costs, in parts of free capacity
-REJECTION_TTL_S = 1.0  # a task returned speaks for all of its class that ask as much, for so long
-FAILURES_TO_EXCLUDE = 3  # transfers in a row without a message, or failed, that exclude a site
-EXCLUDE_S = 2.0  # for so long at first; doubles
+SITES_SAMPLED = 2  # sites sampled per task (power of d choices)
+SUMMARY_TTL_S = 5.0  # an older summary is not used
+RECENT_TRANSFERS_S = 6.0  # how long forwarded tasks are kept, to be subtracted from older summaries
+CAPACITY_MARGIN = 1.25  # factor by which the other site must be freer; prevents herding
+LOCAL_CAPACITY_RESERVE = 0.05  # a site keeps its tasks while more than this part of its size is free
+MAX_OPEN_FRACTION = 0.75  # part of a site's size that one other site may fill; its own work comes on top
+MIN_OPEN_LIMIT = 2  # open transfers always allowed to a site that is not excluded
+DELAY_PRICE = 0.5  # free fraction deducted per second of one-way delay
+REJECTION_TTL_S = 1.0  # how long a returned task excludes tasks of its class that need as much
+FAILURES_TO_EXCLUDE = 3  # consecutive failed or unanswered transfers that exclude a site
+EXCLUDE_S = 2.0  # first exclusion; doubles each time
 EXCLUDE_MAX_S = 60.0
-RAMP_STEP_S = 1.0  # a site that is let back may have twice as much out after each such step without a failure
+RAMP_STEP_S = 1.0  # a readmitted site's limit doubles after each such step without a failure
 
 
 class RandomSource(Protocol):
     """A source of random choices, such as `random.Random` with a seed."""
 
     def sample(self, population: list[RemoteSite], k: int) -> list[RemoteSite]:
-        """Return k of them, none twice."""
+        """Return `k` distinct elements."""
 
     def shuffle(self, x: list[RemoteSite]) -> None:
-        """Bring them into a random order, in place."""
+        """Shuffle the list in place."""
 
 
 @dataclass(slots=True, frozen=True)
 class CapacitySummary:
-    """What a site tells of itself.
+    """The free capacity that a site reports to other sites.
 
-    `free`: tasks of usual size by class that it would take now; `size`: those it could take empty; `waiting`:
-    requests that its module has not placed; `draining`: it takes nothing new.
+    `free`: by class, how many tasks of the usual size the site would accept now. `size`: how many it could
+    accept when empty. `waiting`: requests that its module has not placed. `draining`: it accepts none.
     """
 
     free: Mapping[str, int]
@@ -58,24 +58,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """A task that a site has returned: until then it takes none of its class that asks for as much."""
+    """A task that a site has returned. Tasks of its class that need as much are not sent until `until`."""
 
     until: float
     cores: float
     memory: float
 
     def covers(self, now: float, work: Work) -> bool:
-        """Return whether a task of the same class would be returned as well."""
+        """Return whether a task of the same class is expected to be returned as well."""
         return now < self.until and work.cores >= self.cores and work.memory >= self.memory
 
 
 @dataclass(slots=True)
 class RemoteSite:
-    """What is known of one other site.
+    """The known state of one other site.
 
-    `up`: its link stands, and no store is an older copy; `open_transfers`: what it holds of ours;
-    `recent_transfers`: when, and of which class; `rejections`: by class; `ramp_limit`: how many transfers it
-    may hold while it is let back, None where nothing limits it.
+    `up`: its link is up, and neither store is an older copy. `open_transfers`: transfers from this site that
+    it holds. `recent_transfers`: time and class of each. `rejections`: by class. `ramp_limit`: open transfers
+    allowed during the recovery ramp; None outside a ramp.
     """
 
     name: str
@@ -95,37 +95,37 @@
 
 @dataclass(slots=True, frozen=True)
 class KeepLocal:
-    """No site is chosen; `why` is one of a closed set of reasons, for those who ask."""
+    """The task stays at the local site; `reason` is a fixed text, after the name of each site it is about."""
 
     reason: str
 
 
 class Router:
-    """Chooses for one site, among those of these names."""
+    """Routes the tasks of one site to the other sites."""
 
     def __init__(self, names: list[str], random_source: RandomSource) -> None:
-        """Begin with all links down and nothing known."""
+        """Start with all links down and no summaries. `names`: the other sites."""
         self.sites = {name: RemoteSite(name) for name in names}
         self._random_source = random_source
 
-    # ---- what is reported ---------------------------------------------------------------------------------
+    # ---- reported events ---------------------------------------------------------------------------------
 
     def link_changed(self, now: float, name: str, up: bool) -> None:
-        """Take note of a link that has come up or gone down. What the site told before a break is void."""
+        """Handle a link that came up or went down. A summary from before a break is discarded."""
         site = self.sites[name]
         if site.up and not up:
             site.summary = None
         site.up = up
 
     def receive_summary(self, now: float, name: str, summary: CapacitySummary, delay_s: float) -> None:
-        """Take what a site tells of itself; `delay_s`: of its link, one way."""
+        """Store a site's summary. `delay_s`: one-way delay of its link."""
         site = self.sites[name]
         site.summary = summary
         site.summary_at = now
         site.delay_s = delay_s
 
     def transfer_sent(self, now: float, name: str, work: Work) -> None:
-        """Take note of a task that went over."""
+        """Count a task that was forwarded."""
         site = self.sites[name]
         site.open_transfers += 1
         site.recent_transfers.append((now, work.class_name))
@@ -133,7 +133,7 @@
             site.recent_transfers.popleft()
 
     def transfer_placed(self, now: float, name: str) -> None:
-        """Take note that a task was placed there: the site works."""
+        """Handle a placement at the site: reset its failures, and advance its recovery ramp."""
         site = self.sites[name]
         site.consecutive_failures = 0
         site.backoff_s = EXCLUDE_S
@@ -144,13 +144,13 @@
                 site.ramp_limit = None
 
     def transfer_returned(self, now: float, name: str, work: Work) -> None:
-        """Take note that it took nothing of that kind: it would reject the next one as well."""
+        """Handle a returned task: tasks like it are not sent to the site for REJECTION_TTL_S."""
         site = self.sites[name]
         site.rejections[work.class_name] = Rejection(now + REJECTION_TTL_S, work.cores, work.memory)
         site.consecutive_failures = 0
 
     def transfer_failed(self, now: float, name: str) -> None:
-        """Take note of a task without a message in time, or failed there. Several in a row exclude a site."""
+        """Count a failed or unanswered transfer; several in a row, or one during a ramp, exclude the site."""
         site = self.sites[name]
         site.consecutive_failures += 1
         if (
@@ -163,7 +163,7 @@
             site.ramp_stepped_at = site.excluded_until
 
     def transfer_ended(self, name: str) -> None:
-        """Take note that the site holds one transfer less."""
+        """Count one open transfer less."""
         site = self.sites[name]
         site.open_transfers = max(0, site.open_transfers - 1)
 
@@ -177,9 +177,9 @@
         left_s: float,
         visited: frozenset[str] = frozenset(),
     ) -> str | KeepLocal:
-        """Return the site that a task goes to, or why it stays.
+        """Return the site to forward a task to, or why it stays.
 
-        `local`: what this site tells of itself; `left_s`: how long the owner waits; `visited`: sites that
+        `local`: this site's own summary. `left_s`: time until the owner's deadline. `visited`: sites that
         have had the task already.
         """
         local_free = local.free.get(work.class_name, 0)
@@ -204,7 +204,7 @@
         return best.name
 
     def free_capacity(self, now: float, site: RemoteSite, class_name: str) -> int:
-        """Return what a site told it would take, less what went there since it can have counted it."""
+        """Return a site's reported free capacity, less the tasks forwarded too late to be counted in it."""
         if site.summary is None or now - site.summary_at > SUMMARY_TTL_S:
             return 0
         counted_since = site.summary_at - 2 * site.delay_s
@@ -235,6 +235,6 @@
         return ""
 
     def _free_fraction(self, now: float, site: RemoteSite, work: Work) -> float:
-        """Return the part of its size that is free for the class, less the price of the way."""
+        """Return the fraction of a site's size that is free for the class, less a penalty for link delay."""
         size = site.summary.size if site.summary is not None else 1
         return self.free_capacity(now, site, work.class_name) / max(1, size) - DELAY_PRICE * site.delay_s
--- a/weldhatch/sites/session.py
+++ b/weldhatch/sites/session.py
@@ -1,13 +1,13 @@
-"""Messages between two gateways over connections that break: numbered, acknowledged, resumed. No I/O.
+"""A resumable session of numbered, acknowledged messages between two gateways. No I/O.
 
-A session outlives its connections. Each side numbers what it sends and keeps it until the other side has
-acknowledged it; after a break both say how far they have received, and the rest is sent again, once. Where
-one side has lost its memory of the session, a new one begins, and what was under way is lost: the hand-off
-sends again what was not confirmed.
+A session outlives its connections. Each side numbers its messages and keeps them until the other side has
+acknowledged them. After a break both sides exchange the last number received, and only the later messages
+are sent again. If one side has lost the session's state, a new session starts and the messages in flight are
+lost; the hand-off protocol repeats what was not confirmed.
 
-Streams share one connection: each has a queue of its own and a credit of its own, given by the receiver
-(credit-based flow control, as the windows of HTTP/2, RFC 9113 5.2), and they are sent by turns, so that none
-blocks another. Times are in seconds of the caller's clock.
+Several streams share one connection. Each has its own queue and its own credit, granted by the receiver
+(credit-based flow control, like the windows of HTTP/2, RFC 9113 5.2). Streams are served in rotation, so that
+none blocks another. Times are in seconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 from msgspec import Struct
 
-CREDIT_MESSAGES = 256  # messages of a stream that may be under way; the receiver gives more as it takes them
-MAX_QUEUED_MESSAGES = 1024  # of a stream, that wait for credit; more are refused with an error
-ACK_INTERVAL_MESSAGES = 16  # messages received before an acknowledgement goes out by itself
-ACK_DELAY_S = 0.02  # or after this, if there is less to acknowledge
-HEARTBEAT_INTERVAL_S = 1.0  # a heartbeat shows that a side is there, and measures the delay
-SILENCE_TIMEOUT_S = 3.5  # a connection on which nothing is received for so long is given up
+CREDIT_MESSAGES = 256  # messages of a stream in flight; the receiver grants more as it receives them
+MAX_QUEUED_MESSAGES = 1024  # per stream; `send` raises StreamFullError beyond
+ACK_INTERVAL_MESSAGES = 16  # an Ack is sent at the latest after this many messages
+ACK_DELAY_S = 0.02  # and at the latest this long after an unacknowledged message
+HEARTBEAT_INTERVAL_S = 1.0  # a heartbeat shows that a side is alive, and measures the delay
+SILENCE_TIMEOUT_S = 3.5  # a connection that receives nothing for so long is closed
 MAX_STREAMS = 8
 
 
 class ProtocolError(Exception):
-    """The other side breaks the protocol; the text says how. The connection ends, the session may not."""
+    """A protocol violation by the peer. It ends the connection, but not necessarily the session."""
 
 
 class StreamFullError(Exception):
-    """A stream's queue is full: nothing was taken."""
+    """A stream's queue is full, and the message was not queued."""
 
 
 # ---- frames --------------------------------------------------------------------------------------------
@@ -41,11 +41,12 @@
 class Hello(
     Struct, frozen=True, rename={"known_peer_epoch": "yours", "received": "heard", "is_new": "fresh"}
 ):
-    """The first frame of each connection, both ways.
+    """The first frame of each connection, in both directions.
 
-    `epoch`, `token`: the sender's store, which tells an older copy; `known_peer_epoch`: both as the sender
-    last wrote them down of the other side; `received`: the last message of that session that it has received;
-    `is_new`: it has just begun the session, and knows nothing of what either side said there before.
+    `epoch`, `token`: identify the run of the sender's store, to detect an older copy. `known_peer_epoch`:
+    epoch and token of the receiver's store, as last recorded by the sender. `received`: number of the last
+    message of the session that the sender has received. `is_new`: the sender has no earlier state of the
+    session.
     """
 
     version: int
@@ -59,7 +60,7 @@
 
 
 class Message(Struct, frozen=True):
-    """`number` counts all messages of a session and direction from 1."""
+    """A message of a stream. `number` counts the messages of a session in one direction from 1."""
 
     number: int
     stream: int
@@ -67,14 +68,14 @@
 
 
 class Ack(Struct, frozen=True, rename={"received": "heard"}):
-    """All up to `received` have come; `credit`: by stream, how many of its messages may be sent in all."""
+    """Acknowledges messages up to `received`. `credit`: by stream, the total number that may be sent."""
 
     received: int
     credit: tuple[tuple[int, int], ...] = ()
 
 
 class Heartbeat(Struct, frozen=True):
-    """Nothing to say; `at` comes back in an echo, so that the sender learns the link's delay."""
+    """A keep-alive. The receiver returns `at` as `echo`, from which the sender measures the delay."""
 
     at: int
     echo: int = 0
@@ -85,10 +86,11 @@
 
 @dataclass(slots=True)
 class StreamState:
-    """One stream, as its sender sees it and as its receiver does. All counts begin with the session.
+    """Send and receive state of one stream. All counts are totals since the start of the session.
 
-    `sent`: messages that have been given a number; `send_limit`: how many the other side has allowed;
-    `receive_limit`: how many we have allowed; `announced_limit`: how many of those the other side knows of.
+    `sent`: messages that have a number. `send_limit`: messages that the peer allows in total.
+    `receive_limit`: messages that this side allows in total. `announced_limit`: the receive limit last sent
+    to the peer.
     """
 
     waiting: deque[bytes] = field(default_factory=deque)
@@ -101,10 +103,11 @@
 
 @dataclass(slots=True)
 class Session:
-    """One side: `send` queues, `outgoing_frames` gives what goes out now, `receive` takes a frame.
+    """One side of a session: `send` queues, `outgoing_frames` returns frames to send, `receive` handles one.
 
-    `number`: the last message that was sent; `received`: the last that was received; `acknowledged`: the last
-    that we have acknowledged; `delay_s`: one way, half of the smoothed round trip, 0 until it is known.
+    `number`: number of the last message sent. `received`: of the last one received. `acknowledged`: of the
+    last one acknowledged by this side. `delay_s`: one-way delay, half of the smoothed round-trip time; 0
+    until it is known.
     """
 
     name: str
@@ -118,49 +121,49 @@
     _resend_queue: deque[Message] = field(default_factory=deque)
     _ack_owed_since: float = -1.0
     _heartbeat_at: float = 0.0
-    _received_at: float = 0.0  # when anything was received
+    _received_at: float = 0.0  # time of the last received frame
     _pending_echo_us: int = 0
 
     # ---- connections -----------------------------------------------------------------------------------
 
     def resume(self, now: float, peer_received: int) -> None:
-        """Go on over a new connection: what the other side has not received goes out again, in order.
+        """Continue over a new connection: messages that the peer has not received are sent again, in order.
 
-        Raises ProtocolError where it claims to have received what was never sent, or has forgotten what it
-        acknowledged.
+        Raises ProtocolError if the peer claims to have received messages that were never sent, or lacks
+        messages that it had acknowledged.
         """
         if not self.number - len(self.unacknowledged) <= peer_received <= self.number:
             raise ProtocolError(
-                f"the other side has heard up to {peer_received}, of {self.number} that were sent"
+                f"the peer reports message {peer_received} as its last received, of {self.number} sent"
             )
         self._drop_acknowledged(peer_received)
         self._resend_queue = deque(self.unacknowledged)
         self._heartbeat_at = now
         self._received_at = now
         for state in self.streams.values():
-            state.announced_limit = 0  # guards against a credit that got lost with the old connection
+            state.announced_limit = 0  # announce again: the last credit may be lost with the old connection
         self._ack_owed_since = now - ACK_DELAY_S if self.streams else -1.0
 
     @property
     def unused(self) -> bool:
-        """Whether nothing was said in it yet, either way."""
+        """Whether no message has been sent or received in this session."""
         return not (self.number or self.received)
 
     def timed_out(self, now: float) -> bool:
-        """Return whether nothing was received for too long: the connection is to be given up."""
+        """Return whether nothing was received for SILENCE_TIMEOUT_S; the caller closes the connection."""
         return now - self._received_at > SILENCE_TIMEOUT_S
 
     # ---- sending ---------------------------------------------------------------------------------------
 
     def send(self, stream: int, payload: bytes) -> None:
-        """Queue one message. Raises StreamFullError where its stream's queue is full."""
+        """Queue one message. Raises StreamFullError if the stream's queue is full."""
         state = self._stream(stream)
         if len(state.waiting) >= MAX_QUEUED_MESSAGES:
-            raise StreamFullError(f"stream {stream}: {MAX_QUEUED_MESSAGES} messages wait for the other side")
+            raise StreamFullError(f"stream {stream}: queue is full at {MAX_QUEUED_MESSAGES} messages")
         state.waiting.append(payload)
 
     def outgoing_frames(self, now: float, max_frames: int = 64) -> Iterator[Frame]:
-        """Return what goes out now, streams by turns, at most so many frames."""
+        """Yield the frames to send now, with the streams in rotation, at most `max_frames`."""
         for _ in range(max_frames):
             frame = self._next_frame(now)
             if frame is None:
@@ -179,7 +182,7 @@
         return self._next_message() or self._heartbeat(now)
 
     def _next_message(self) -> Message | None:
-        """Return the next message that has credit, of the stream whose turn it is."""
+        """Return the next message that has credit, with the streams in rotation; None if there is none."""
         streams = sorted(self.streams)
         for step in range(len(streams)):
             stream = streams[(self._next_stream_index + step) % len(streams)]
@@ -194,7 +197,7 @@
         return None
 
     def _heartbeat(self, now: float) -> Heartbeat | None:
-        """Return a heartbeat where one is due or owed an echo; one that is not due asks for no echo."""
+        """Return a heartbeat if one is due or an echo is pending; only one that is due requests an echo."""
         due = now - self._heartbeat_at >= HEARTBEAT_INTERVAL_S
         if not (due or self._pending_echo_us):
             return None
@@ -204,7 +207,7 @@
         return Heartbeat(int(now * 1e6) if due else 0, echo)
 
     def _ack(self) -> Ack:
-        """Acknowledge, and guard a receiver against a flood: it allows as many more as it has taken."""
+        """Return an acknowledgement that renews the credit of received messages, to bound the inflow."""
         self.acknowledged = self.received
         self._ack_owed_since = -1.0
         credit = []
@@ -219,17 +222,17 @@
     # ---- receiving -------------------------------------------------------------------------------------
 
     def receive(self, now: float, frame: Frame) -> tuple[int, bytes] | None:
-        """Take one frame; return its stream and payload if it is a new message. Raises ProtocolError."""
+        """Handle one frame. Return stream and payload of a new message, else None. Raises ProtocolError."""
         self._received_at = now
         match frame:
             case Message(number, stream, payload):
                 if number <= self.received:
-                    return None  # sent again after a break, and received before it
+                    return None  # sent again after a break, but received before it
                 self._receive_message(now, number, stream)
                 return stream, payload
             case Ack(received, credit):
                 if received > self.number:
-                    raise ProtocolError(f"message {received} is acknowledged, and {self.number} were sent")
+                    raise ProtocolError(f"message {received} is acknowledged, but {self.number} were sent")
                 self._drop_acknowledged(received)
                 for stream, send_limit in credit:
                     state = self._stream(stream)
@@ -243,12 +246,12 @@
                         delay_s_sample if not self.delay_s else 0.8 * self.delay_s + 0.2 * delay_s_sample
                     )
             case _:
-                raise ProtocolError("a second hello")
+                raise ProtocolError("second hello on one connection")
         return None
 
     def _receive_message(self, now: float, number: int, stream: int) -> None:
         if number != self.received + 1:
-            raise ProtocolError(f"message {number} after {self.received}")
+            raise ProtocolError(f"message {number} received after message {self.received}")
         state = self._stream(stream)
         if state.received >= state.receive_limit:
             raise ProtocolError(f"stream {stream}: a message over its credit")
@@ -269,14 +272,15 @@
         return self.streams[stream]
 
 
-# ---- who is there --------------------------------------------------------------------------------------
+# ---- store epochs --------------------------------------------------------------------------------------
 
 
 def stale_store_reason(hello: Hello, known_epoch: tuple[int, str], own_epoch: tuple[int, str]) -> str:
-    """Return why no work may pass: an older copy of a store on one of the sides; '' where all is well.
+    """Return a text if the store of either side is an older copy, so that no work may pass; '' otherwise.
 
-    `known`: epoch and token of the other side's store as we last wrote them down, (0, '') for never; `ours`:
-    our own. Guards against a site that has forgotten what it offered or started: its ids would come twice.
+    `known_epoch`: last recorded epoch and token of the peer's store, (0, '') if there are none. `own_epoch`:
+    those of this side's store. A site with an older store has lost what it offered or started, and would
+    reuse transfer ids.
     """
     if known_epoch[0] and (
         hello.epoch < known_epoch[0] or (hello.epoch == known_epoch[0] and hello.token != known_epoch[1])
--- a/weldhatch/sites/status.py
+++ b/weldhatch/sites/status.py
@@ -1,4 +1,4 @@
-"""What operators are told of one other site: the JSON of `weldhatch sites status`, whose keys are fixed."""
+"""Status of one other site for operators: the JSON of `weldhatch sites status`, whose keys are fixed."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from weldhatch.sites.routing import RemoteSite
 from weldhatch.sites.storage import SiteStorage
 
-MAX_IN_DOUBT = 100
+MAX_IN_DOUBT = 100  # transfers in doubt that are listed per site
 
 
 class SitesStatus(TypedDict):
-    """What a gateway says of its site, and by name of the others."""
+    """Status of a gateway's own site, and of the other sites by name."""
 
     site: str
     epoch: int
@@ -24,7 +24,7 @@
 
 
 def site_status(site: str, link: Link, remote: RemoteSite, storage: SiteStorage) -> dict[str, Any]:
-    """Return its link and epoch, what it holds and has lent, its room as told, and what is in doubt."""
+    """Return a site's link and epoch, open transfers both ways, last summary, and transfers in doubt."""
     now = time.monotonic()
     transfers = [transfer for transfer in storage.source.transfers.values() if transfer.site == site]
     phases = [transfer.phase for transfer in transfers]
--- a/weldhatch/sites/storage.py
+++ b/weldhatch/sites/storage.py
@@ -1,8 +1,8 @@
-"""The sites' store: what a site lent, what it took, and which epochs of other sites it has met, on the disk.
+"""The sites' store on disk: outgoing and incoming transfers, and the known epochs of other sites.
 
-Records are JSON arrays: ["begins", epoch, token], ["met", site, epoch, token], ["lender", ...] and
-["taker", site, ...], the last two as the hand-off's own. What is in memory runs ahead of the disk; the state
-here holds what is on it, from which the log is compacted while it is written.
+Records are JSON arrays: ["begins", epoch, token], ["met", site, epoch, token], ["lender", ...] for a record
+of a `HandoffSource`, and ["taker", site, ...] for one of a `HandoffTarget`. The state in memory is ahead of
+the disk; a second state tracks what is on the disk, and is the source of compaction at run time.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 class SiteState:
-    """All records of a site's store, folded."""
+    """The state rebuilt from all records of a site's store."""
 
     def __init__(self) -> None:
-        """Begin with nothing lent, taken or met."""
+        """Start without transfers and known epochs."""
         self.epoch = 0
         self.token = ""
         self.known_epochs: dict[str, tuple[int, str]] = {}
@@ -34,7 +34,7 @@
         self.targets: dict[str, HandoffTarget] = {}
 
     def apply(self, payload: bytes) -> None:
-        """Apply one record. Raises ValueError for what is none."""
+        """Apply one record. Raises ValueError if it is invalid."""
         if payload == NO_OP_RECORD:
             return
         try:
@@ -54,18 +54,18 @@
                 raise ValueError(f"a record that can't be read: {payload[:80]!r}")
 
     def begin_epoch(self, epoch: int, token: str) -> bytes:
-        """Set the epoch of a run, and return the record that says so."""
+        """Set epoch and token of a run, and return the record for them."""
         self.epoch = epoch
         self.token = token
         self.source.apply(("epoch", epoch))
         return msgspec.json.encode(("begins", epoch, token))
 
     def target(self, site: str) -> HandoffTarget:
-        """Return what was taken from a site."""
+        """Return the incoming transfers of a site."""
         return self.targets.setdefault(site, HandoffTarget(site))
 
     def snapshot_records(self) -> Iterator[bytes]:
-        """Return the least records that fold to the same state."""
+        """Return a minimal list of records that rebuilds the same state."""
         for record in self.source.snapshot_records():
             if record[0] != "epoch":
                 yield encode_source_record(record)
@@ -78,34 +78,35 @@
 
     @property
     def snapshot_size(self) -> int:
-        """About how many records `snapshot_records` gives."""
+        """Approximate number of records that `snapshot_records` returns."""
         taken = sum(3 * len(target.transfers) + len(target.tombstones) for target in self.targets.values())
         return 2 + 2 * len(self.source.transfers) + len(self.known_epochs) + taken
 
 
 def encode_source_record(record: HandoffRecord) -> bytes:
-    """Return a record of what was lent, as it stands in the log."""
+    """Encode a record of an outgoing transfer for the log."""
     return b'["lender",' + encode_record(record)[1:]
 
 
 def encode_target_record(site: str, record: HandoffRecord) -> bytes:
-    """Return a record of what was taken from a site, as it stands in the log."""
+    """Encode a record of an incoming transfer from a site for the log."""
     return msgspec.json.encode(("taker", site))[:-1] + b"," + encode_record(record)[1:]
 
 
 class SiteStorage(EpochStorage):
-    """The sites' folder: a state as it is on the disk, and one that runs ahead of it."""
+    """The sites' store folder, with one state as on the disk and one in memory that is ahead of it."""
 
     def __init__(self, folder: str, now: float, log: Callable[[str], None]) -> None:
-        """Open the folder and begin an epoch. `now`: Unix seconds.
+        """Open the folder and start a new epoch. `now`: Unix seconds.
 
-        Raises ConfigError where the folder can't be used, is another's, or holds what can't be read.
+        Raises ConfigError if the folder can't be used, is locked by another process, or holds unreadable
+        records.
         """
         self.disk = SiteState()
         memory = SiteState()
         try:
             store = FoldedStore(folder, "sites.log", "sites", now, [self.disk, memory], log)
-            # The epoch is on the disk before the first id of it is given.
+            # The epoch is on the disk before any transfer id uses it.
             epoch, token = self.begin_run(store, memory.epoch, memory.begin_epoch)
         except OSError as error:
             raise ConfigError(f"sites.store: {error}") from None
@@ -115,9 +116,9 @@
         self.target = memory.target
 
     def append(self, records: list[bytes]) -> asyncio.Future[None]:
-        """Write what is about to happen: done once it is on the disk, LogError if it may not."""
+        """Record an intended action; the future resolves once it is on the disk, or fails with LogError."""
         return self._store.append(records)
 
     def append_with_retry(self, records: list[bytes]) -> asyncio.Future[None]:
-        """Write what has happened, as soon as the disk takes it; the future never fails."""
+        """Record something that has happened, retrying until the disk accepts it; the future never fails."""
         return self._store.append_with_retry(records)
--- a/weldhatch/sites/task_translation.py
+++ b/weldhatch/sites/task_translation.py
@@ -1,4 +1,4 @@
-"""A task as this site's core has it, and as it crosses: classes and tenants go by name, not by index."""
+"""Converts tasks between the core's form and the form sent to sites: classes and tenants go by name."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class TaskTranslator:
-    """Translates by the settings in force."""
+    """Converts tasks according to the current settings."""
 
     def __init__(self, settings: Settings, front: SiteFrontEnd) -> None:
-        """Translate by these settings; `front` knows what is passed on with a task."""
+        """Use these settings; `front` encodes and decodes the data that only it understands."""
         self._front = front
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Translate by other settings from now on."""
+        """Use other settings from now on."""
         self._settings = settings
         self._class_indexes = {cls.name: index for index, cls in enumerate(settings.classes)}
 
     def work_of(self, task: ports.Task) -> Work:
-        """Return a task of this site as it crosses."""
+        """Return a task of this site in the form sent to other sites."""
         cls = self._settings.classes[task.class_index]
         tenants = self._settings.tenants
         return Work(
@@ -42,9 +42,9 @@
     def task_of(
         self, site: str, id: TransferId, work: Work, left_us: int, on_result: Callable[[str], None]
     ) -> ports.Task:
-        """Return a task of another site for this site's core. Raises ValueError where it can't be read.
+        """Return a task of another site for this site's core. Raises ValueError if it can't be decoded.
 
-        `left_us`: how long its owner waits from now on; `on_result` gets what its machine says of it.
+        `left_us`: time until the owner's deadline. `on_result` receives the result that its machine reports.
         """
         tenants = [tenant.name for tenant in self._settings.tenants]
         label, passed_on = self._front.decode_passed_on(site, id, work, on_result)
@@ -61,7 +61,7 @@
         )
 
     def why_not_admitted(self, work: Work) -> str:
-        """Return why a task of another site may not start here; '' where it may."""
+        """Return why a task of another site may not start here; '' if it may."""
         index = self._class_indexes.get(work.class_name)
         if index is None:
             return f"no class is named {work.class_name!r} here"
