--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -505,7 +505,7 @@
     return [first_bytes, (folder / "log").read_bytes().hex(), text, (folder / "lock").read_text()]
 
 
-# ---- records of a running pull queue ---------------------------------------------------------------
+# ---- records of a running pull queue ----------------------------------------------------------------------
 
 
 def shape(value):
--- a/weldhatch/sites/forwarded_request.py
+++ b/weldhatch/sites/forwarded_request.py
@@ -208,7 +208,7 @@
         finally:
             timer.cancel()
 
-    # ---- while the task is placed -------------------------------------------------------------------------
+    # ---- while the task is placed ----------------------------------------------------------------------
 
     async def _watch_local_task(self) -> None:
         """Wait for the end of a task that was placed at this site, then release its key."""
--- a/weldhatch/sites/forwarding.py
+++ b/weldhatch/sites/forwarding.py
@@ -95,7 +95,7 @@
         """Names of the other sites."""
         return self.links.keys()
 
-    # ---- interface of the core ------------------------------------------------------------------------
+    # ---- interface of the core -------------------------------------------------------------------------
 
     def arrive(self, task: ports.Task, owner: ports.Owner) -> ForwardedRequest:
         """Accept a request; its owner gets exactly one final answer."""
--- a/weldhatch/sites/handoff_source.py
+++ b/weldhatch/sites/handoff_source.py
@@ -187,7 +187,7 @@
         """Drop a transfer whose record could not be written. It was not sent: this site keeps the right."""
         self._remove(self.transfers[id])
 
-    # ---- local events -----------------------------------------------------------------------------
+    # ---- local events ----------------------------------------------------------------------------------
 
     def deadline_passed(self, id: TransferId) -> list[SourceEffect]:
         """Answer an owner whose deadline passed without an answer of the target, and recall the task.
@@ -233,7 +233,7 @@
             SendMessage(transfer.site, messages.Withdraw(transfer.id)),
         ]
 
-    # ---- messages of the target ----------------------------------------------------------------------
+    # ---- messages of the target ------------------------------------------------------------------------
 
     def receive(self, site: str, message: messages.ToSource) -> list[SourceEffect]:
         """Handle one message of a site.
@@ -354,7 +354,7 @@
         self._remove(transfer)
         return [WriteRecord((record, transfer.id)), SendMessage(transfer.site, messages.Close(transfer.id))]
 
-    # ---- recovery from records -----------------------------------------------------------------------
+    # ---- recovery from records -------------------------------------------------------------------------
 
     def apply(self, record: HandoffRecord) -> None:
         """Apply one record of the store; call in order. Raises ValueError if the record is invalid."""
--- a/weldhatch/sites/handoff_target.py
+++ b/weldhatch/sites/handoff_target.py
@@ -118,7 +118,7 @@
     low_watermark: TransferId = (0, 0)
     newest: TransferId = (0, 0)
 
-    # ---- messages of the source ----------------------------------------------------------------------
+    # ---- messages of the source ------------------------------------------------------------------------
 
     def receive(self, message: messages.ToTarget, draining: bool = False) -> list[TargetEffect]:
         """Handle one message of the source. `draining`: this site accepts no new tasks."""
@@ -195,7 +195,7 @@
             effects += self._withdraw(transfer, transfer.id)  # still open here, though closed at the source
         return effects
 
-    # ---- local events -----------------------------------------------------------------------------
+    # ---- local events ----------------------------------------------------------------------------------
 
     def placed(self, id: TransferId, description: str) -> list[TargetEffect]:
         """Handle the placement of the task by the module; its machine has accepted it."""
@@ -277,7 +277,7 @@
         if id >= self.low_watermark:
             self.tombstones[id] = None
 
-    # ---- recovery from records -----------------------------------------------------------------------
+    # ---- recovery from records -------------------------------------------------------------------------
 
     def apply(self, record: HandoffRecord) -> None:
         """Apply one record of the store; call in order. Raises ValueError if the record is invalid."""
--- a/weldhatch/sites/local_site.py
+++ b/weldhatch/sites/local_site.py
@@ -38,7 +38,7 @@
         """Note that a task has run or may have run at another site."""
 
 
-# ---- events for a request's coroutine ----------------------------------------------------------------------
+# ---- events for a request's coroutine ---------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
--- a/weldhatch/sites/messages.py
+++ b/weldhatch/sites/messages.py
@@ -33,7 +33,7 @@
     hops: int = 0  # number of hand-offs so far, including the current one
 
 
-# ---- from the source to the target -------------------------------------------------------------------------
+# ---- from the source to the target ------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
@@ -74,7 +74,7 @@
     id: TransferId
 
 
-# ---- from the target to the source -------------------------------------------------------------------------
+# ---- from the target to the source ------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
--- a/weldhatch/sites/routing.py
+++ b/weldhatch/sites/routing.py
@@ -24,12 +24,12 @@
 LOCAL_CAPACITY_RESERVE = 0.05  # a site keeps its tasks while more than this part of its size is free
 MAX_OPEN_FRACTION = 0.75  # part of a site's size that one other site may fill; its own work comes on top
 MIN_OPEN_LIMIT = 2  # open transfers always allowed to a site that is not excluded
-DELAY_PRICE = 0.5  # free fraction deducted per second of one-way delay
+DELAY_PENALTY_PER_S = 0.5  # free fraction deducted per second of one-way delay
 REJECTION_TTL_S = 1.0  # how long a returned task excludes tasks of its class that need as much
 FAILURES_TO_EXCLUDE = 3  # consecutive failed or unanswered transfers that exclude a site
 EXCLUDE_S = 2.0  # first exclusion; doubles each time
-EXCLUDE_MAX_S = 60.0
-RAMP_STEP_S = 1.0  # a readmitted site's limit doubles after each such step without a failure
+MAX_EXCLUDE_S = 60.0
+RAMP_STEP_S = 1.0  # least time between two doublings of a readmitted site's limit
 
 
 class RandomSource(Protocol):
@@ -108,7 +108,7 @@
         self.sites = {name: RemoteSite(name) for name in names}
         self._random_source = random_source
 
-    # ---- reported events ---------------------------------------------------------------------------------
+    # ---- reported events -------------------------------------------------------------------------------
 
     def link_changed(self, now: float, name: str, up: bool) -> None:
         """Handle a link that came up or went down. A summary from before a break is discarded."""
@@ -158,7 +158,7 @@
         ) and now >= site.excluded_until:
             site.excluded_until = now + site.backoff_s
             site.consecutive_failures = 0
-            site.backoff_s = min(2 * site.backoff_s, EXCLUDE_MAX_S)
+            site.backoff_s = min(2 * site.backoff_s, MAX_EXCLUDE_S)
             site.ramp_limit = 1
             site.ramp_stepped_at = site.excluded_until
 
@@ -167,7 +167,7 @@
         site = self.sites[name]
         site.open_transfers = max(0, site.open_transfers - 1)
 
-    # ---- the choice --------------------------------------------------------------------------------------
+    # ---- the choice ------------------------------------------------------------------------------------
 
     def choose(
         self,
@@ -237,4 +237,6 @@
     def _free_fraction(self, now: float, site: RemoteSite, work: Work) -> float:
         """Return the fraction of a site's size that is free for the class, less a penalty for link delay."""
         size = site.summary.size if site.summary is not None else 1
-        return self.free_capacity(now, site, work.class_name) / max(1, size) - DELAY_PRICE * site.delay_s
+        return (
+            self.free_capacity(now, site, work.class_name) / max(1, size) - DELAY_PENALTY_PER_S * site.delay_s
+        )
--- a/weldhatch/sites/session.py
+++ b/weldhatch/sites/session.py
@@ -35,7 +35,7 @@
     """A stream's queue is full, and the message was not queued."""
 
 
-# ---- frames --------------------------------------------------------------------------------------------
+# ---- frames -----------------------------------------------------------------------------------------------
 
 
 class Hello(
@@ -241,9 +241,9 @@
                 if at:
                     self._pending_echo_us = at
                 if echo:
-                    delay_s_sample = max(0.0, now - echo / 1e6) / 2
+                    delay_sample_s = max(0.0, now - echo / 1e6) / 2
                     self.delay_s = (
-                        delay_s_sample if not self.delay_s else 0.8 * self.delay_s + 0.2 * delay_s_sample
+                        delay_sample_s if not self.delay_s else 0.8 * self.delay_s + 0.2 * delay_sample_s
                     )
             case _:
                 raise ProtocolError("second hello on one connection")
@@ -272,7 +272,7 @@
         return self.streams[stream]
 
 
-# ---- store epochs --------------------------------------------------------------------------------------
+# ---- store epochs -----------------------------------------------------------------------------------------
 
 
 def stale_store_reason(hello: Hello, known_epoch: tuple[int, str], own_epoch: tuple[int, str]) -> str:
@@ -289,10 +289,12 @@
             f"site {hello.site} comes with epoch {hello.epoch}, and was at {known_epoch[0]} before: "
             "its store is an older copy"
         )
-    their_epoch, their_token = hello.known_peer_epoch
-    if their_epoch > own_epoch[0] or (their_epoch == own_epoch[0] and their_token not in ("", own_epoch[1])):
+    peer_known_epoch, peer_known_token = hello.known_peer_epoch
+    if peer_known_epoch > own_epoch[0] or (
+        peer_known_epoch == own_epoch[0] and peer_known_token not in ("", own_epoch[1])
+    ):
         return (
-            f"site {hello.site} knows us at epoch {their_epoch}, and we are at {own_epoch[0]}: "
+            f"site {hello.site} knows us at epoch {peer_known_epoch}, and we are at {own_epoch[0]}: "
             "our store is an older copy"
         )
     return ""
