--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -61,8 +61,8 @@
             )
         ]
         with (
-            unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_S", 0.01),
-            unittest.mock.patch.object(rate_limited_log, "MAX_LINES_S", 1000),
+            unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_DELAY_S", 0.01),
+            unittest.mock.patch.object(rate_limited_log, "MAX_LINES_PER_S", 1000),
         ):
             for n, fields in enumerate(bad):
                 await self.closed(f"b{n}", line(**fields))
@@ -81,18 +81,18 @@
         await self.play("s1 send ANSWER a1 | v=0\nusual expect STARTED a1 | v=0")
 
     async def test_those_who_say_nothing_or_half_a_message_are_closed(self):
-        with unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_S", 0.3):
+        with unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_TIMEOUT_S", 0.3):
             for name, data in (("silent", b""), ("half", line()[:40]), ("more", line(verb="ECHO") + b"{")):
                 await self.closed(name, data)
             await self.play(USUAL.format("a1"))
 
     async def test_nothing_is_kept_of_a_line_that_can_be_no_message(self):
-        with unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_S", 1000.0):
+        with unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_TIMEOUT_S", 1000.0):
             await self.closed("noise", b"\xb3\xfc\xaf")  # closed at once, though the line has no end
 
     async def test_one_that_asked_and_stays_is_closed_once_it_has_idled_but_not_one_with_a_task(self):
         await self.play(USUAL.format("a1"))
-        with unittest.mock.patch.object(client_connection, "IDLE_S", 0.3):
+        with unittest.mock.patch.object(client_connection, "MAX_IDLE_S", 0.3):
             await self.closed("stays", line(verb="ECHO"))
             self.assertFalse(self.parties["usual"].closed.is_set())
             await self.play("s1 send RELEASE a1 cause=16\nusual expect FINISH a1\nusual wait closed")
@@ -102,16 +102,16 @@
         count = 300
         fields = {**SET_UP, "left": "9000"}
         bad = await self.client("bad", b"".join(line(f"b{n}", **fields) for n in range(count)))
-        for _ in range(count - client_front.OPEN_MOST):
+        for _ in range(count - client_front.MAX_OPEN_REQUESTS):
             verb, _, fields, _ = await asyncio.wait_for(bad.heard.get(), 20)
             self.assertEqual(("FINISH", "42", "1000"), (verb, fields["cause"], fields["wait"]))
-        [link] = [link for link in self.gateway.clients.connections if link.open]
-        self.assertEqual(client_front.OPEN_MOST, len(link.open))
+        [link] = [link for link in self.gateway.clients.connections if link.open_requests]
+        self.assertEqual(client_front.MAX_OPEN_REQUESTS, len(link.open_requests))
 
     async def test_set_ups_taken_back_at_once_reach_no_server_and_end_the_connection(self):
         pairs = (
             line(f"b{n}", **SET_UP) + line(f"b{n}", "FINISH")
-            for n in range(2 * client_connection.TAKEN_BACK_MOST)
+            for n in range(2 * client_connection.MAX_IMMEDIATE_CANCELS)
         )
         await self.closed("bad", b"".join(pairs))
         await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
@@ -134,7 +134,7 @@
 
     async def test_a_client_that_is_turned_away_is_not_closed_at_once(self):
         """Guards against one that comes again as soon as it is closed."""
-        with unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_S", 1000.0):
+        with unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_DELAY_S", 1000.0):
             await self.client("bad", b"[]\n")
             await self.until(
                 lambda: any(link.is_rejected for link in self.gateway.clients.connections), "turned away"
@@ -149,8 +149,8 @@
     async def test_clients_that_say_nothing_or_ask_once_keep_no_other_out(self):
         share = self.gateway.clients._share
         with (
-            unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_S", 1000.0),
-            unittest.mock.patch.object(client_connection, "IDLE_S", 1000.0),
+            unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_TIMEOUT_S", 1000.0),
+            unittest.mock.patch.object(client_connection, "MAX_IDLE_S", 1000.0),
         ):
             await self.play(USUAL.format("a1"))
             for n in range(2 * share.most):
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -213,7 +213,7 @@
 
     async def test_one_that_leaves_while_its_probes_are_awaited_is_not_sent(self) -> None:
         [server] = self.recorders()
-        self.gateway.servers._probe_s = 5.0
+        self.gateway.servers._probe_timeout_s = 5.0
         classes = [{**cls, "aimUs": 20_000_000, "hardLimitUs": 3_000_000} for cls in SETTINGS["classes"]]
         self.gateway.driver.reconfigure(config.settings_from_json({**SETTINGS, "classes": classes}))
         for n, how in enumerate(LEAVES):
@@ -274,7 +274,7 @@
 
     async def test_a_client_that_is_turned_away_has_nothing_sent_for_it_from_then_on(self) -> None:
         """It isn't read any more until it is closed, and it leaves meanwhile."""
-        with unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_S", 1000.0):
+        with unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_DELAY_S", 1000.0):
             client = self.client()
             client.ask("a1")
             await self.play("s1 expect SET_UP a1")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -157,8 +157,8 @@
                 await self.discovery(False)
                 await self.answered(60)
                 with (
-                    unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_S", 1000.0),
-                    unittest.mock.patch.object(client_connection, "IDLE_S", 1000.0),
+                    unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_TIMEOUT_S", 1000.0),
+                    unittest.mock.patch.object(client_connection, "MAX_IDLE_S", 1000.0),
                 ):
                     await self.fill(says)
                     await self.comes_back()
@@ -179,7 +179,7 @@
             pass
         with (
             unittest.mock.patch.object(self.gateway.clients, "free_descriptors"),
-            unittest.mock.patch.object(client_connection, "IDLE_S", 1000.0),
+            unittest.mock.patch.object(client_connection, "MAX_IDLE_S", 1000.0),
         ):
             await self.play("late send ECHO t0 cause=0\nlate expect ECHOED t0")
 
--- a/tests/test_faulty_servers.py
+++ b/tests/test_faulty_servers.py
@@ -76,7 +76,7 @@
 
     async def test_a_release_that_nobody_claims_is_kept_for_a_while_only(self):
         await self.play(SEND.format("a1", "unsafe"))
-        with unittest.mock.patch.object(unmatched_tasks, "UNCLAIMED_S", 0.2):
+        with unittest.mock.patch.object(unmatched_tasks, "UNCLAIMED_END_TIMEOUT_S", 0.2):
             self.write(server_codec.encode(server_codec.RELEASE, tag("zz"), {server_codec.CAUSE: b"\x10"}))
             await self.until(lambda: self.gateway.servers._unmatched.has_unclaimed, "the release was kept")
             await self.until(lambda: not self.gateway.servers._unmatched.has_unclaimed, "it was dropped")
@@ -135,7 +135,7 @@
         server = self.parties["s1"]
         server.hung = True
         server.server.close()
-        with unittest.mock.patch.object(health_check, "QUIET_S", 1e9):
+        with unittest.mock.patch.object(health_check, "QUIET_LIMIT_S", 1e9):
             self.bus.add([self.target("s1", "draining")])
             await self.play("owner expect FINISH a1 cause=41")
 
--- a/tests/test_health_check.py
+++ b/tests/test_health_check.py
@@ -7,10 +7,10 @@
 
 from weldhatch.platform import health_check, servers, silence_check
 from weldhatch.platform.health_check import (
-    CELLS_MOST,
-    QUIET_S,
-    SUSPECT_QUIET_S,
-    SUSPECT_SPAN_S,
+    MAX_SUSPECT_CELLS,
+    QUIET_LIMIT_S,
+    SUSPECT_DURATION_S,
+    SUSPECT_QUIET_LIMIT_S,
     HealthCheckSchedule,
 )
 
@@ -25,42 +25,46 @@
 
 class QuietLimit(unittest.TestCase):
     def test_what_follows_an_unanswered_test_still_ends_within_the_rules_eight_seconds(self):
-        trial = silence_check.SILENT_S + silence_check.LOST_TRIES * max(silence_check.SILENT_S, 0.25)
-        stalls = 3 * servers.STALL_S
-        self.assertLess(QUIET_S + 2 * servers.WATCH_S + trial + stalls, 8.0)
+        trial = silence_check.SILENCE_LIMIT_S + silence_check.MAX_FAILED_CONNECTS * max(
+            silence_check.SILENCE_LIMIT_S, 0.25
+        )
+        stalls = 3 * servers.MAX_WATCH_DELAY_S
+        self.assertLess(QUIET_LIMIT_S + 2 * servers.WATCH_INTERVAL_S + trial + stalls, 8.0)
 
     def test_a_vanished_server_makes_its_cell_suspect_for_a_while_and_no_other(self):
         schedule = HealthCheckSchedule()
-        schedule.vanished(10.0, 0, 3)
+        schedule.mark_unresponsive(10.0, 0, 3)
         self.assertEqual(
-            [SUSPECT_QUIET_S, QUIET_S, QUIET_S],
+            [SUSPECT_QUIET_LIMIT_S, QUIET_LIMIT_S, QUIET_LIMIT_S],
             [
                 schedule.quiet_limit(10.1, 0, 3),
                 schedule.quiet_limit(10.1, 0, 4),
                 schedule.quiet_limit(10.1, 1, 3),
             ],
         )
-        self.assertEqual(QUIET_S, schedule.quiet_limit(10.1 + SUSPECT_SPAN_S, 0, 3))
+        self.assertEqual(QUIET_LIMIT_S, schedule.quiet_limit(10.1 + SUSPECT_DURATION_S, 0, 3))
 
     def test_two_suspect_cells_make_their_zone_suspect_and_one_does_not(self):
         schedule = HealthCheckSchedule()
-        schedule.vanished(10.0, 0, 3)
-        schedule.vanished(12.0, 0, 4)
+        schedule.mark_unresponsive(10.0, 0, 3)
+        schedule.mark_unresponsive(12.0, 0, 4)
         self.assertEqual(
-            [SUSPECT_QUIET_S, QUIET_S], [schedule.quiet_limit(12.5, 0, 9), schedule.quiet_limit(12.5, 1, 9)]
+            [SUSPECT_QUIET_LIMIT_S, QUIET_LIMIT_S],
+            [schedule.quiet_limit(12.5, 0, 9), schedule.quiet_limit(12.5, 1, 9)],
         )
         self.assertEqual(
-            [QUIET_S, SUSPECT_QUIET_S], [schedule.quiet_limit(16.5, 0, 9), schedule.quiet_limit(16.5, 0, 4)]
+            [QUIET_LIMIT_S, SUSPECT_QUIET_LIMIT_S],
+            [schedule.quiet_limit(16.5, 0, 9), schedule.quiet_limit(16.5, 0, 4)],
         )
 
     def test_many_cells_are_remembered_within_a_bound(self):
         schedule = HealthCheckSchedule()
-        for cell in range(3 * CELLS_MOST):
-            schedule.vanished(1.0, 0, cell)
-            schedule.vanished(1.0, 0, cell)  # a second server of the cell adds nothing
-        self.assertEqual(CELLS_MOST, len(schedule._cells))
-        self.assertEqual(CELLS_MOST, schedule._zones[0])
-        self.assertEqual(QUIET_S, schedule.quiet_limit(99.0, 0, 1))
+        for cell in range(3 * MAX_SUSPECT_CELLS):
+            schedule.mark_unresponsive(1.0, 0, cell)
+            schedule.mark_unresponsive(1.0, 0, cell)  # a second server of the cell adds nothing
+        self.assertEqual(MAX_SUSPECT_CELLS, len(schedule._cells))
+        self.assertEqual(MAX_SUSPECT_CELLS, schedule._zones[0])
+        self.assertEqual(QUIET_LIMIT_S, schedule.quiet_limit(99.0, 0, 1))
         self.assertEqual((0, 0), (len(schedule._cells), schedule._zones[0]))
 
 
@@ -74,15 +78,15 @@
         watched, tested = [], []
         watch, test = type(link.silence).watch, servers.Servers.check_health
         with (
-            mock.patch.object(health_check, "QUIET_S", 1000.0),
-            mock.patch.object(health_check, "SUSPECT_QUIET_S", 0.0),
-            mock.patch.object(silence_check, "SUSPECT_QUIET_S", 0.0),
+            mock.patch.object(health_check, "QUIET_LIMIT_S", 1000.0),
+            mock.patch.object(health_check, "SUSPECT_QUIET_LIMIT_S", 0.0),
+            mock.patch.object(silence_check, "SUSPECT_QUIET_LIMIT_S", 0.0),
             mock.patch.object(type(link.silence), "watch", lambda *a: (watched.append(a), watch(*a))),
             mock.patch.object(servers.Servers, "check_health", lambda *a: (tested.append(a), test(*a))),
         ):
             await self.until(lambda: len(watched) >= 3, "the server is watched")
             self.assertEqual([], tested)
-            self.gateway.servers.mark_vanished(link.server)
+            self.gateway.servers.mark_unresponsive(link.server)
             await self.until(lambda: tested, "the neighbour of a vanished server is tested")
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,8 +10,8 @@
 
 from weldhatch.net.connection import Connection, MalformedMessageError, connect
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
-from weldhatch.net.rate_limited_log import MAX_LINES_S, RateLimitedLog
-from weldhatch.net.ring_buffer import INITIAL_LENGTH, RingBuffer
+from weldhatch.net.rate_limited_log import MAX_LINES_PER_S, RateLimitedLog
+from weldhatch.net.ring_buffer import INITIAL_SIZE_BYTES, RingBuffer
 from weldhatch.platform import client_codec, event_stream, server_codec
 from weldhatch.pullqueue import http
 
@@ -40,10 +40,10 @@
 def test_a_ring_takes_space_as_it_needs_it_and_gives_it_back():
     """Guards against connections by hundreds that say little and hold whole rings."""
     ring = RingBuffer(128 * 1024)
-    assert len(ring.free_space()) == INITIAL_LENGTH
+    assert len(ring.free_space()) == INITIAL_SIZE_BYTES
     assert ring.put(b"x" * 100_000) and len(ring) == 100_000
     assert ring.take(100_000) == b"x" * 100_000
-    assert len(ring.free_space()) == INITIAL_LENGTH
+    assert len(ring.free_space()) == INITIAL_SIZE_BYTES
 
 
 def in_pieces(parse, data, size, capacity=4096):
@@ -87,7 +87,9 @@
         parts = [body[:5], body[5:]]
         body = b"".join(f"{len(part):x}\r\n".encode() + part + b"\r\n" for part in parts)
     head = b"HTTP/1.1 200 OK\r\n" + b"Transfer-Encoding: chunked\r\n" * chunked + b"\r\n"
-    lines = [line for some in in_pieces(event_stream.EventStream().lines, head + body, size) for line in some]
+    lines = [
+        line for some in in_pieces(event_stream.EventStream().read_lines, head + body, size) for line in some
+    ]
     assert lines == [": hello", "", "id: 2", "data: {}", ""]
 
 
@@ -102,7 +104,7 @@
         (client_codec.parse, b'{"verb":"START","tag":"9b1f03aa5c7e2d41","blob":"\\ud800"}\n'),
         (client_codec.parse, b'{"verb":1,"tag":"9b1f03aa5c7e2d41"}\n'),
         (client_codec.parse, b'{"verb":"FINISH","tag":"9b1f03aa5c7e2d41","rc":"x"}\n'),
-        (event_stream.EventStream().lines, b"HTTP/1.1 503 No\r\n\r\n"),
+        (event_stream.EventStream().read_lines, b"HTTP/1.1 503 No\r\n\r\n"),
     ],
 )
 def test_what_cannot_be_read_is_malformed(parse, data):
@@ -121,7 +123,8 @@
     with unittest.mock.patch("time.monotonic", return_value=2.5):
         log("later")
     assert (
-        lines[-2:] == [f"{500 - MAX_LINES_S} lines were left out", "later"] and len(lines) == MAX_LINES_S + 2
+        lines[-2:] == [f"{500 - MAX_LINES_PER_S} lines were left out", "later"]
+        and len(lines) == MAX_LINES_PER_S + 2
     )
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -254,7 +254,7 @@
         await self.play(PLACE)
         servers, told = self.gateway.servers, []
         [(machine, link)] = servers._links.items()
-        link.drop("for the test")
+        link.drop_connection("for the test")
         names = TaskNames(tag("a2"), "unsafe", "7", "", "v=0")
         servers.offer(
             machine,
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -20,7 +20,7 @@
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.platform import client_connection
 from weldhatch.platform.server_link import ServerLink
-from weldhatch.platform.silence_check import EXCUSES_MOST
+from weldhatch.platform.silence_check import MAX_BUSY_EXTENSIONS
 from weldhatch.scheduling.actions import Cancel
 
 PLACE = """
@@ -230,8 +230,8 @@
     async def test_a_trial_of_a_silent_connection_leaves_the_one_that_came_after_it_alone(self):
         await self.play("owner send START a1 class=unsafe\ns1 expect SET_UP a1\ns1 hang")
         link, server = self.link(), self.parties["s1"]
-        link.silence._excuses = (
-            EXCUSES_MOST  # this trial is the last that the silent connection is excused for
+        link.silence._busy_extensions = (
+            MAX_BUSY_EXTENSIONS  # this trial is the last that the silent connection is excused for
         )
         real, dials, gate = self.gateway.servers.connect, [], asyncio.Event()
 
@@ -249,7 +249,7 @@
             "owner expect FINISH a1 cause=47\nowner send START a2 class=unsafe\ns1 expect SET_UP a2"
         )
         gate.set()
-        await self.until(lambda: not link.silence.is_trying, "the end of the trial")
+        await self.until(lambda: not link.silence.is_checking, "the end of the trial")
         await self.play("s1 send ANSWER a2\nowner expect STARTED a2")
 
 
@@ -471,13 +471,15 @@
 
     async def test_a_request_that_is_coming_in_pieces_is_not_taken_for_silence(self):
         owner, link, rest = await self.half()
-        link.last_used -= client_connection.COMPLETE_MESSAGE_S + 0.1  # as if it had connected that long ago
+        link.last_used -= (
+            client_connection.COMPLETE_MESSAGE_TIMEOUT_S + 0.1
+        )  # as if it had connected that long ago
         self.gateway.clients.sweep(time.monotonic())
         await self.goes_on(owner, link, rest)
 
     async def test_a_request_that_is_coming_in_pieces_is_not_closed_to_make_room(self):
         owner, link, rest = await self.half()
-        link.last_used -= 2 * client_connection.SWEEP_S
+        link.last_used -= 2 * client_connection.SWEEP_INTERVAL_S
         self.gateway.clients.free_descriptors()
         await self.goes_on(owner, link, rest)
 
@@ -505,9 +507,9 @@
     async def test_set_ups_taken_back_now_and_then_do_not_end_their_connection(self):
         """Only many at a time do: a connection that lives for long takes some back in its whole life."""
         with unittest.mock.patch.object(
-            client_connection, "TAKEN_BACK_SPAN_S", 0.0
+            client_connection, "IMMEDIATE_CANCEL_WINDOW_S", 0.0
         ):  # each is long after the last
-            for n in range(2 * client_connection.TAKEN_BACK_MOST):
+            for n in range(2 * client_connection.MAX_IMMEDIATE_CANCELS):
                 await self.play(f"owner send START b{n}\nowner send FINISH b{n} cause=16")
             await self.play("owner send START a1\nowner send ECHO t0\nowner expect ECHOED t0")
             self.assertFalse([text for text in self.logged if "takes back" in text], self.logged)
--- a/weldhatch/net/connection.py
+++ b/weldhatch/net/connection.py
@@ -22,8 +22,8 @@
 Message = TypeVar("Message")
 
 MESSAGE_MOST = 16 * 1024  # a longer message closes its connection
-IN_MOST = MESSAGE_MOST + 2048  # one message, and the start of the next
-OUT_MOST = 128 * 1024  # a peer that leaves so much unread is closed
+RECEIVE_BUFFER_BYTES = MESSAGE_MOST + 2048  # one message, and the start of the next
+SEND_BUFFER_BYTES = 128 * 1024  # a peer that leaves so much unread is closed
 FINAL_ITERATIONS = 4  # of the event loop, in which what has come is read, parsed and answered
 NO_LINGER = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets
 
@@ -32,7 +32,7 @@
     """What came in does not follow the protocol; the text says how."""
 
 
-class Slots(Protocol):
+class SlotOwner(Protocol):
     """Where a socket's slot of the descriptor budget goes back to."""
 
     def give_back(self) -> None:
@@ -42,17 +42,17 @@
 class Connection:
     """Owns its socket and its slot in the budget; both are given back in `close`, once."""
 
-    def __init__(self, stream: IOStream, slots: Slots, name: str, log: Callable[[str], None]) -> None:
+    def __init__(self, stream: IOStream, slots: SlotOwner, name: str, log: Callable[[str], None]) -> None:
         """Take over a stream that is connected, and its slot; `name` is for the log."""
         self._stream = stream
         self._slots = slots
         self.name = name
         self._log = log
-        self._in = RingBuffer(IN_MOST)
-        self._out = RingBuffer(OUT_MOST)
+        self._receive_buffer = RingBuffer(RECEIVE_BUFFER_BYTES)
+        self._send_buffer = RingBuffer(SEND_BUFFER_BYTES)
         self._reading: asyncio.Future[int] | None = None  # of `pump`, while it may still hand on something
         self._flushing: asyncio.Task[None] | None = None
-        self._flush_soon = False
+        self._is_flush_scheduled = False
         self.closed = False
         self.reset = False
         self.last_received = time.monotonic()  # when anything came last
@@ -63,7 +63,7 @@
         self,
         parse: Callable[[RingBuffer], Message | None],
         handle: Callable[[Message], None],
-        turn_away: Callable[[], Awaitable[None]] | None = None,
+        on_malformed: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
         """Hand on each message until the connection ends; then give it back.
 
@@ -72,24 +72,24 @@
         try:
             while not self.closed:
                 self._reading = asyncio.ensure_future(
-                    self._stream.read_into(self._in.free_space(), partial=True)  # type: ignore[arg-type]
+                    self._stream.read_into(self._receive_buffer.free_space(), partial=True)  # type: ignore[arg-type]
                 )
                 count = await self._reading
-                self._in.commit(count)
+                self._receive_buffer.commit(count)
                 self.last_received = time.monotonic()
-                while not self.closed and (message := parse(self._in)) is not None:
+                while not self.closed and (message := parse(self._receive_buffer)) is not None:
                     self.incomplete_since = 0.0
                     handle(message)
-                if len(self._in) > MESSAGE_MOST:
+                if len(self._receive_buffer) > MESSAGE_MOST:
                     raise MalformedMessageError(f"a message over {MESSAGE_MOST} bytes")
-                if not len(self._in):
+                if not len(self._receive_buffer):
                     self.incomplete_since = 0.0
                 elif not self.incomplete_since:
                     self.incomplete_since = self.last_received
         except StreamClosedError as end:
             self.reset = isinstance(end.real_error, ConnectionResetError)
         except MalformedMessageError as error:
-            await self._reject(error, turn_away)
+            await self._reject(error, on_malformed)
         except Exception:
             # Guards the process against a fault of ours in one message: that connection alone ends.
             self._log(f"{self.name}: closed: " + traceback.format_exc().replace("\n", " | "))
@@ -98,14 +98,14 @@
             self.close()
 
     async def _reject(
-        self, error: MalformedMessageError, turn_away: Callable[[], Awaitable[None]] | None
+        self, error: MalformedMessageError, on_malformed: Callable[[], Awaitable[None]] | None
     ) -> None:
         if self.closed:
             return
         self._log(f"{self.name}: closed: {error}")
-        if turn_away is not None:
+        if on_malformed is not None:
             self._reading = None
-            await turn_away()
+            await on_malformed()
 
     @property
     def has_unhandled(self) -> bool:
@@ -125,18 +125,18 @@
         if not self.queue(data):
             return False
         if (
-            self._flushing is None and not self._flush_soon
+            self._flushing is None and not self._is_flush_scheduled
         ):  # all that is sent in one iteration goes out together
-            self._flush_soon = True
-            asyncio.get_running_loop().call_soon(self._start_soon)
+            self._is_flush_scheduled = True
+            asyncio.get_running_loop().call_soon(self._flush_scheduled_data)
         return True
 
     def queue(self, data: bytes) -> bool:
         """Queue the bytes as `send` does, for those who gather what goes out together: then call `push`."""
         if self.closed:
             return False
-        if not self._out.put(data):
-            self._log(f"{self.name}: closed: it leaves more than {OUT_MOST} bytes unread")
+        if not self._send_buffer.put(data):
+            self._log(f"{self.name}: closed: it leaves more than {SEND_BUFFER_BYTES} bytes unread")
             self.close()
             return False
         return True
@@ -144,42 +144,42 @@
     def push(self) -> None:
         """Write what is queued. Mostly the socket takes all of it at once, and no task is needed."""
         try:
-            while self._flushing is None and len(self._out) and not self.closed:
-                front = self._out.front()
+            while self._flushing is None and len(self._send_buffer) and not self.closed:
+                front = self._send_buffer.front()
                 written = self._stream.write(front)
                 if not written.done():
                     self._flushing = asyncio.get_running_loop().create_task(self._flush(written, len(front)))
                     return
-                self._out.drop(len(front))
+                self._send_buffer.drop(len(front))
         except StreamClosedError:
             pass  # the reader sees it too, and closes
 
     @property
     def unsent(self) -> int:
         """Bytes that were sent and have not left yet, of OUT_MOST."""
-        return len(self._out)
+        return len(self._send_buffer)
 
-    def _start_soon(self) -> None:
-        self._flush_soon = False
+    def _flush_scheduled_data(self) -> None:
+        self._is_flush_scheduled = False
         self.push()
 
     async def _flush(self, written: Awaitable[None], count: int) -> None:
         """Go on from a write that the socket did not take whole."""
         try:
             await written
-            self._out.drop(count)
-            while len(self._out) and not self.closed:
-                front = self._out.front()
+            self._send_buffer.drop(count)
+            while len(self._send_buffer) and not self.closed:
+                front = self._send_buffer.front()
                 await self._stream.write(front)
-                self._out.drop(len(front))
+                self._send_buffer.drop(len(front))
         except StreamClosedError:
             pass  # the reader sees it too, and closes
         finally:
             self._flushing = None
 
-    async def _emptied(self, end: float) -> None:
+    async def _wait_until_sent(self, end: float) -> None:
         """Wait until all that was sent has left, or until then by the monotonic clock."""
-        while len(self._out) and not self.closed and time.monotonic() < end:
+        while len(self._send_buffer) and not self.closed and time.monotonic() < end:
             self.push()
             if self._flushing is None:
                 break
@@ -196,28 +196,28 @@
                 self._stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         self.close()
 
-    async def finish(self, within: float) -> None:
+    async def finish(self, timeout_s: float) -> None:
         """Close once what has come by now is answered and all of that has left, or when the time is up."""
-        end = time.monotonic() + within
+        end = time.monotonic() + timeout_s
         for _ in range(FINAL_ITERATIONS):
             await asyncio.sleep(0)
-        await self._emptied(end)
+        await self._wait_until_sent(end)
         self.close()
 
-    async def linger(self, within: float) -> None:
+    async def linger(self, timeout_s: float) -> None:
         """Let all that was sent leave, then read and throw away for a while before the close.
 
         Guards against a reset that would take the last answer from a peer that is still sending.
         """
-        end = time.monotonic() + within
-        await self._emptied(end)
+        end = time.monotonic() + timeout_s
+        await self._wait_until_sent(end)
         with contextlib.suppress(StreamClosedError, OSError, TimeoutError):
             if not self.closed:
                 self._stream.socket.shutdown(socket.SHUT_WR)
             async with asyncio.timeout(max(0.0, end - time.monotonic())):
-                waste = bytearray(4096)
+                discarded = bytearray(4096)
                 while not self.closed:
-                    await self._stream.read_into(waste, partial=True)
+                    await self._stream.read_into(discarded, partial=True)
         self.close()
 
     def close(self) -> None:
@@ -230,8 +230,8 @@
 
 async def connect(
     endpoint: tuple[str, int],
-    within: float,
-    slots: Slots,
+    timeout_s: float,
+    slots: SlotOwner,
     name: str,
     log: Callable[[str], None],
     tls: ssl.SSLContext | None = None,
@@ -249,7 +249,7 @@
         slots.give_back()
         raise
     try:
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_s):
             await stream.connect(endpoint)
             if tls is not None:
                 stream = await stream.start_tls(False, tls, server_hostname=endpoint[0])
--- a/weldhatch/net/listener.py
+++ b/weldhatch/net/listener.py
@@ -11,8 +11,10 @@
 from weldhatch.net.descriptor_budget import DescriptorShare
 
 BACKLOG = 512
-RETRY_S = 0.2  # a listener that still waits for a slot asks for one again after this long
-ACCEPTED_AT_ONCE = 16  # in one iteration of the loop: connections that are open are served in between
+SLOT_RETRY_INTERVAL_S = 0.2  # a listener that still waits for a slot asks for one again after this long
+MAX_ACCEPTED_PER_ITERATION = (
+    16  # in one iteration of the loop: connections that are open are served in between
+)
 
 
 class Listener:
@@ -22,33 +24,33 @@
         self,
         address: tuple[str, int],
         share: DescriptorShare,
-        taken: Callable[[IOStream, str], None],
-        full: Callable[[], None] = lambda: None,
+        on_accept: Callable[[IOStream, str], None],
+        on_exhausted: Callable[[], None] = lambda: None,
     ) -> None:
         """Listen at `address`, and hand each connection on to `taken` with its peer's address.
 
         `full`: called while connections wait and no slot is left, for whoever can free one.
         """
         self._share = share
-        self._taken = taken
-        self._full = full
+        self._on_accept = on_accept
+        self._on_exhausted = on_exhausted
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.setblocking(False)
         self._socket.bind(address)
         self._socket.listen(BACKLOG)
         self.address: tuple[str, int] = self._socket.getsockname()
-        self._open = True
-        self._paused = False
+        self._is_open = True
+        self._is_paused = False
         self._resume()
 
     def _resume(self) -> None:
-        self._paused = False
-        if self._open:
-            asyncio.get_running_loop().add_reader(self._socket.fileno(), self._ready)
+        self._is_paused = False
+        if self._is_open:
+            asyncio.get_running_loop().add_reader(self._socket.fileno(), self._accept_ready)
 
-    def _ready(self) -> None:
-        for _ in range(ACCEPTED_AT_ONCE):
+    def _accept_ready(self) -> None:
+        for _ in range(MAX_ACCEPTED_PER_ITERATION):
             if not self._share.take():
                 self._pause()
                 return
@@ -63,35 +65,35 @@
             self._share.give_back()
             return False
         accepted.setblocking(False)
-        self._taken(IOStream(accepted), peer[0])
+        self._on_accept(IOStream(accepted), peer[0])
         return True
 
     def _pause(self) -> None:
         """Go on once a slot is free, and say so to whoever can free one."""
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
-        self._paused = True
+        self._is_paused = True
         self._share.when_free(self._resume)
         self._ask_for_slot()
 
     def _ask_for_slot(self) -> None:
         """Ask again and again: what may not be closed yet may be a moment later."""
-        if self._paused and self._open:
-            self._full()
-            asyncio.get_running_loop().call_later(RETRY_S, self._ask_for_slot)
+        if self._is_paused and self._is_open:
+            self._on_exhausted()
+            asyncio.get_running_loop().call_later(SLOT_RETRY_INTERVAL_S, self._ask_for_slot)
 
     def finish(self) -> None:
         """Take what the system has accepted already, as far as there are slots, and listen no more.
 
         Guards against clients whose request is reset unread with the listening socket.
         """
-        for _ in range(BACKLOG if self._open else 0):
+        for _ in range(BACKLOG if self._is_open else 0):
             if not self._share.take() or not self._accept():
                 break
         self.close()
 
     def close(self) -> None:
         """Listen no more. What the system has accepted and nobody has taken is reset."""
-        if self._open:
+        if self._is_open:
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
-            self._open = False
+            self._is_open = False
             self._socket.close()
--- a/weldhatch/net/loop_lag.py
+++ b/weldhatch/net/loop_lag.py
@@ -16,23 +16,25 @@
         """Measure the running loop; `clock` is monotonic, in seconds."""
         self._clock = clock
         self._loop = asyncio.get_running_loop()
-        self._marked = False
-        self._began = 0.0
-        self._ended = 0.0
-        self._last = 0.0  # how long the last iteration took, if this one followed at once
+        self._is_iteration_marked = False
+        self._iteration_began = 0.0
+        self._last_iteration_end = 0.0
+        self._last_duration_s = 0.0  # how long the last iteration took, if this one followed at once
 
     def age(self) -> float:
         """Return for how many seconds something that is read now may have waited."""
         now = self._clock()
-        if not self._marked:
-            self._marked = True
-            if now - self._ended > 0.001:  # the loop had nothing to do in between: nothing waited
-                self._last = 0.0
-            self._began = now
+        if not self._is_iteration_marked:
+            self._is_iteration_marked = True
+            if (
+                now - self._last_iteration_end > 0.001
+            ):  # the loop had nothing to do in between: nothing waited
+                self._last_duration_s = 0.0
+            self._iteration_began = now
             self._loop.call_soon(self._iteration_ended)
-        return self._last + now - self._began
+        return self._last_duration_s + now - self._iteration_began
 
     def _iteration_ended(self) -> None:
-        self._marked = False
-        self._ended = self._clock()
-        self._last = self._ended - self._began
+        self._is_iteration_marked = False
+        self._last_iteration_end = self._clock()
+        self._last_duration_s = self._last_iteration_end - self._iteration_began
--- a/weldhatch/net/rate_limited_log.py
+++ b/weldhatch/net/rate_limited_log.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-MAX_LINES_S = 20  # lines that one group of connections may log in a second
+MAX_LINES_PER_S = 20  # lines that one group of connections may log in a second
 
 
 class RateLimitedLog:
@@ -16,19 +16,19 @@
         self._log = log
         self._second = 0
         self._lines = 0
-        self._left_out = 0
+        self._suppressed = 0
 
     def __call__(self, text: str) -> None:
         """Log one line, or count it where this second's lines are used up."""
         second = int(time.monotonic())
         if second != self._second:
-            if self._left_out:
-                self._log(f"{self._left_out} lines were left out")
+            if self._suppressed:
+                self._log(f"{self._suppressed} lines were left out")
             self._second = second
             self._lines = 0
-            self._left_out = 0
-        if self._lines < MAX_LINES_S:
+            self._suppressed = 0
+        if self._lines < MAX_LINES_PER_S:
             self._lines += 1
             self._log(text)
         else:
-            self._left_out += 1
+            self._suppressed += 1
--- a/weldhatch/net/ring_buffer.py
+++ b/weldhatch/net/ring_buffer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-INITIAL_LENGTH = 2048  # what a ring starts with, and goes back to once it is empty
+INITIAL_SIZE_BYTES = 2048  # what a ring starts with, and goes back to once it is empty
 
 
 class RingBuffer:
@@ -12,30 +12,30 @@
     connections by hundreds that say little: whole rings for all of them would use up the memory.
     """
 
-    __slots__ = ("_buffer", "_head", "_length", "_size", "_view", "capacity")
+    __slots__ = ("_allocated", "_buffer", "_head", "_size", "_view", "capacity")
 
     def __init__(self, capacity: int) -> None:
         """Begin empty; `capacity` in bytes."""
         self.capacity = capacity
         self._size = 0
-        self._take_space(0)
+        self._reallocate(0)
 
-    def _take_space(self, length: int) -> None:
+    def _reallocate(self, size: int) -> None:
         """Go on in a space of that length, with the data at its start."""
-        buffer = bytearray(length)
+        buffer = bytearray(size)
         if self._size:
             buffer[: self._size] = self.copy(self._size)
         self._buffer = buffer
         self._view = memoryview(buffer)
         self._head = 0
-        self._length = length
+        self._allocated = size
 
     def _grow(self, need: int) -> None:
-        length = max(self._length, min(INITIAL_LENGTH, self.capacity))
-        while length < need:
-            length = min(2 * length, self.capacity)
-        if length != self._length:
-            self._take_space(length)
+        size = max(self._allocated, min(INITIAL_SIZE_BYTES, self.capacity))
+        while size < need:
+            size = min(2 * size, self.capacity)
+        if size != self._allocated:
+            self._reallocate(size)
 
     def __len__(self) -> int:
         """Return the bytes that are held."""
@@ -43,13 +43,13 @@
 
     def free_space(self) -> memoryview:
         """Return the free space that follows the data in one piece; empty only where the ring is full."""
-        if self._size == self._length and self._length < self.capacity:
+        if self._size == self._allocated and self._allocated < self.capacity:
             self._grow(self._size + 1)
         if not self._size:
             self._head = 0
         tail = self._head + self._size
-        if tail >= self._length:
-            return self._view[tail - self._length : self._head]
+        if tail >= self._allocated:
+            return self._view[tail - self._allocated : self._head]
         return self._view[tail:]
 
     def commit(self, count: int) -> None:
@@ -72,17 +72,17 @@
 
     def front(self) -> memoryview:
         """Return the first data in one piece; what has wrapped round follows once this is dropped."""
-        return self._view[self._head : min(self._head + self._size, self._length)]
+        return self._view[self._head : min(self._head + self._size, self._allocated)]
 
-    def find(self, mark: bytes, start: int = 0) -> int:
+    def find(self, byte: bytes, start: int = 0) -> int:
         """Return how many bytes stand before the one-byte mark, from `start` on; -1 where there is none."""
-        wrap = self._length - self._head
+        wrap = self._allocated - self._head
         if start < wrap:
-            at = self._buffer.find(mark, self._head + start, min(self._head + self._size, self._length))
+            at = self._buffer.find(byte, self._head + start, min(self._head + self._size, self._allocated))
             if at >= 0:
                 return at - self._head
         if self._size > wrap:
-            at = self._buffer.find(mark, max(0, start - wrap), self._size - wrap)
+            at = self._buffer.find(byte, max(0, start - wrap), self._size - wrap)
             if at >= 0:
                 return at + wrap
         return -1
@@ -90,21 +90,21 @@
     def copy(self, count: int, start: int = 0) -> bytes:
         """Return so many bytes from `start` on, which stay in the ring."""
         first = self._head + start
-        if first >= self._length:
-            first -= self._length
+        if first >= self._allocated:
+            first -= self._allocated
         last = first + count
-        if last <= self._length:
+        if last <= self._allocated:
             return bytes(self._view[first:last])
-        return bytes(self._view[first:]) + bytes(self._view[: last - self._length])
+        return bytes(self._view[first:]) + bytes(self._view[: last - self._allocated])
 
     def drop(self, count: int) -> None:
         """Remove the first bytes; a ring that is empty gives its space back."""
         self._head += count
-        if self._head >= self._length:
-            self._head -= self._length
+        if self._head >= self._allocated:
+            self._head -= self._allocated
         self._size -= count
-        if not self._size and self._length > INITIAL_LENGTH:
-            self._take_space(0)
+        if not self._size and self._allocated > INITIAL_SIZE_BYTES:
+            self._reallocate(0)
 
     def take(self, count: int) -> bytes:
         """Remove and return the first bytes."""
--- a/weldhatch/net/tls.py
+++ b/weldhatch/net/tls.py
@@ -10,7 +10,7 @@
 
 from tornado.iostream import IOStream, SSLIOStream, StreamClosedError
 
-HANDSHAKE_S = 5.0
+HANDSHAKE_TIMEOUT_S = 5.0
 
 
 async def accept_tls(stream: IOStream, context: ssl.SSLContext) -> tuple[IOStream, str]:
@@ -20,16 +20,16 @@
     """
     # The stream has given its socket away by the time a handshake fails, and can't close it: guards against
     # a descriptor that is lost with each client that speaks no TLS, or says nothing.
-    spare = stream.socket.dup()
+    duplicate = stream.socket.dup()
     try:
-        async with asyncio.timeout(HANDSHAKE_S):
+        async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
             secure: SSLIOStream = await stream.start_tls(True, context)
     except (StreamClosedError, TimeoutError, ssl.SSLError) as error:
         with contextlib.suppress(OSError):
-            spare.shutdown(socket.SHUT_RDWR)
+            duplicate.shutdown(socket.SHUT_RDWR)
         raise ConnectionError(f"no TLS: {error}") from None
     finally:
-        spare.close()
+        duplicate.close()
     certificate: dict[str, Any] | None = None
     if context.verify_mode is ssl.CERT_REQUIRED:
         certificate = secure.socket.getpeercert()
--- a/weldhatch/platform/client_codec.py
+++ b/weldhatch/platform/client_codec.py
@@ -43,16 +43,20 @@
         return None
     data = ring.take(end + 1)
     try:
-        return _message(json.loads(data))
+        return _message_from_json(json.loads(data))
     except KeyError as missing:
         raise MalformedMessageError(f"a line without {missing}") from None
     except (ValueError, TypeError, AttributeError, RecursionError) as error:
         raise MalformedMessageError(f"a line that can't be read: {error}") from None
 
 
-def _message(tree: Any) -> ClientMessage:
+def _message_from_json(json_object: Any) -> ClientMessage:
     message = ClientMessage(
-        tree["verb"], tree["tag"], tree.get("opts") or {}, tree.get("rc"), tree.get("blob")
+        json_object["verb"],
+        json_object["tag"],
+        json_object.get("opts") or {},
+        json_object.get("rc"),
+        json_object.get("blob"),
     )
     if not (
         isinstance(message.verb, str) and isinstance(message.tag, str) and isinstance(message.fields, dict)
@@ -73,9 +77,9 @@
     verb: str, tag: str, fields: Mapping[str, str], cause: int | None = None, description: str | None = None
 ) -> bytes:
     """Encode one line, with its end."""
-    tree: dict[str, Any] = {"verb": verb, "tag": tag, "opts": fields}
+    json_object: dict[str, Any] = {"verb": verb, "tag": tag, "opts": fields}
     if cause is not None:
-        tree["rc"] = cause
+        json_object["rc"] = cause
     if description is not None:
-        tree["blob"] = description
-    return _encode_json(tree).encode() + b"\n"
+        json_object["blob"] = description
+    return _encode_json(json_object).encode() + b"\n"
--- a/weldhatch/platform/client_connection.py
+++ b/weldhatch/platform/client_connection.py
@@ -10,16 +10,16 @@
 from weldhatch.platform import client_codec
 from weldhatch.platform.client_codec import ClientMessage
 
-IDLE_S = 6.0  # clients close what idles for 4 s; past this the dispatcher does it
-RUNNING_IDLE_S = 1.0  # past this, one with running tasks gives way too: they belong to no connection
-COMPLETE_MESSAGE_S = 2.0  # a connection that has brought no complete message by then is closed
-FIRST_MESSAGE_S = 2.8  # and one whose first message began in time is closed by then
+MAX_IDLE_S = 6.0  # clients close what idles for 4 s; past this the dispatcher does it
+MAX_IDLE_WITH_TASKS_S = 1.0  # past this, one with running tasks gives way too: they belong to no connection
+COMPLETE_MESSAGE_TIMEOUT_S = 2.0  # a connection that has brought no complete message by then is closed
+FIRST_MESSAGE_TIMEOUT_S = 2.8  # and one whose first message began in time is closed by then
 INCOMPLETE_GRACE_S = 0.5  # a message that began so lately is waited for, also where descriptors run short
-SWEEP_S = 0.2
-REJECTED_CLOSE_S = 0.4  # a rejected client waits for the close so long: none comes again at full speed
+SWEEP_INTERVAL_S = 0.2
+REJECTED_CLOSE_DELAY_S = 0.4  # a rejected client waits for the close so long: none comes again at full speed
 # Requests that a connection may take back in the moment it asks for them, with less than a span between two.
-TAKEN_BACK_MOST = 16
-TAKEN_BACK_SPAN_S = 1.0
+MAX_IMMEDIATE_CANCELS = 16
+IMMEDIATE_CANCEL_WINDOW_S = 1.0
 
 
 class OpenRequest(Protocol):
@@ -53,13 +53,13 @@
         self._front = front
         self.connection = connection
         self.host = host
-        self.open: dict[str, OpenRequest] = {}  # by tag: requests without an answer
-        self.running = 0  # running tasks that were asked for here
-        self._taken_back = 0
-        self._last_taken_back = 0.0
+        self.open_requests: dict[str, OpenRequest] = {}  # by tag: requests without an answer
+        self.running_tasks = 0  # running tasks that were asked for here
+        self._immediate_cancels = 0
+        self._last_immediate_cancel = 0.0
         self.last_used = time.monotonic()
-        self._has_spoken = False  # a complete message came
-        self.has_asked = False  # a request came
+        self._has_received_message = False  # a complete message came
+        self.has_sent_request = False  # a request came
         self.is_rejected = False
 
     async def run(self) -> None:
@@ -67,18 +67,18 @@
         try:
             await self.connection.pump(client_codec.parse, self._handle, self._reject)
         finally:
-            self._give_up()
+            self._abandon_requests()
             self._front.closed(self)
 
-    def _give_up(self) -> None:
-        for request in list(self.open.values()):
+    def _abandon_requests(self) -> None:
+        for request in list(self.open_requests.values()):
             request.abandon()
 
     async def _reject(self) -> None:
         """Hold the close back: a client that comes again as soon as it is closed costs all others."""
         self.is_rejected = True
-        self._give_up()
-        await asyncio.sleep(REJECTED_CLOSE_S)
+        self._abandon_requests()
+        await asyncio.sleep(REJECTED_CLOSE_DELAY_S)
 
     def has_unread(self) -> bool:
         """Return whether the client has sent something, or has closed, and that is still to be read."""
@@ -93,31 +93,31 @@
         self.last_used = time.monotonic()
         return self.connection.send(data)
 
-    def takes_back_too_often(self, now: float) -> bool:
+    def record_immediate_cancel(self, now: float) -> bool:
         """Count a request that was taken back as soon as it was asked for; return whether these are too many.
 
         `now` is on the monotonic clock, in seconds.
         """
-        if now - self._last_taken_back > TAKEN_BACK_SPAN_S:
-            self._taken_back = 0
-        self._last_taken_back = now
-        self._taken_back += 1
-        return self._taken_back > TAKEN_BACK_MOST
+        if now - self._last_immediate_cancel > IMMEDIATE_CANCEL_WINDOW_S:
+            self._immediate_cancels = 0
+        self._last_immediate_cancel = now
+        self._immediate_cancels += 1
+        return self._immediate_cancels > MAX_IMMEDIATE_CANCELS
 
     def reason_to_close(self, now: float) -> str | None:
         """Return why the connection is to be closed now; '' where no log line is needed, None to keep it."""
-        if self.is_rejected or self.open:
+        if self.is_rejected or self.open_requests:
             return None
         incomplete_since = self.connection.incomplete_since
-        if incomplete_since and now - incomplete_since > COMPLETE_MESSAGE_S:
+        if incomplete_since and now - incomplete_since > COMPLETE_MESSAGE_TIMEOUT_S:
             return "closed: a message without an end"
-        if not self._has_spoken:
-            latest = self.last_used + FIRST_MESSAGE_S - COMPLETE_MESSAGE_S
+        if not self._has_received_message:
+            latest = self.last_used + FIRST_MESSAGE_TIMEOUT_S - COMPLETE_MESSAGE_TIMEOUT_S
             quiet_since = max(self.last_used, min(incomplete_since, latest))
-            return "" if now - quiet_since > COMPLETE_MESSAGE_S else None
+            return "" if now - quiet_since > COMPLETE_MESSAGE_TIMEOUT_S else None
         if incomplete_since:
             return None
-        return "" if not self.running and now - self.last_used > IDLE_S else None
+        return "" if not self.running_tasks and now - self.last_used > MAX_IDLE_S else None
 
     def cost_of_closing(self, now: float) -> tuple[int, float] | None:
         """Return what closing costs its client, where descriptors run short; None where it must stay.
@@ -131,17 +131,17 @@
             return 0, self.last_used
         if incomplete_since and now - incomplete_since < INCOMPLETE_GRACE_S:
             return None
-        if not self._has_spoken:  # its first message may be on its way
-            return (1, self.last_used) if idle > SWEEP_S else None
-        if self.open or idle < SWEEP_S:
+        if not self._has_received_message:  # its first message may be on its way
+            return (1, self.last_used) if idle > SWEEP_INTERVAL_S else None
+        if self.open_requests or idle < SWEEP_INTERVAL_S:
             return None
-        if self.running:
-            return (4, self.last_used) if idle > RUNNING_IDLE_S else None
-        return (3 if self.has_asked else 2), self.last_used
+        if self.running_tasks:
+            return (4, self.last_used) if idle > MAX_IDLE_WITH_TASKS_S else None
+        return (3 if self.has_sent_request else 2), self.last_used
 
     def _handle(self, message: ClientMessage) -> None:
         self.last_used = time.monotonic()
-        self._has_spoken = True
+        self._has_received_message = True
         match message.verb:
             case "START":
                 self._front.start(self, message)
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -17,17 +17,17 @@
 from weldhatch.net.rate_limited_log import RateLimitedLog
 from weldhatch.placement_request import FieldError, PlacementForm
 from weldhatch.platform.client_codec import ClientMessage
-from weldhatch.platform.client_connection import SWEEP_S, ClientConnection
+from weldhatch.platform.client_connection import SWEEP_INTERVAL_S, ClientConnection
 from weldhatch.platform.client_request import ClientRequest
 from weldhatch.platform.endpoint_list import machine_number
 from weldhatch.platform.task_names import TaskNames
 from weldhatch.scheduling.types import Settings
 
 SHUTDOWN_RETRY_US = 1_000_000  # when to come back, for what reaches a dispatcher that shuts down
-OPEN_MOST = 64  # open requests of one connection; more are rejected, which harms none
-TAKEN_BACK_S = 0.02  # a request that is given up within this was taken back at once
-HOSTS_MOST = 256  # hosts of clients that are remembered
-CLOSED_AT_ONCE = 16  # connections closed at a time where no descriptor is left
+MAX_OPEN_REQUESTS = 64  # open requests of one connection; more are rejected, which harms none
+IMMEDIATE_CANCEL_S = 0.02  # a request that is given up within this was taken back at once
+MAX_CLIENT_HOSTS = 256  # hosts of clients that are remembered
+MAX_CLOSED_AT_ONCE = 16  # connections closed at a time where no descriptor is left
 
 
 class ClientFront:
@@ -46,10 +46,10 @@
         self._form = PlacementForm(settings, strict=True)
         self.connections: set[ClientConnection] = set()
         self._requests: dict[str, ClientRequest] = {}
-        self._unsent: list[bytes] = []  # ends of tasks that no connection was open for
+        self._unsent_ends: list[bytes] = []  # ends of tasks that no connection was open for
         self._client_hosts: dict[str, None] = {}  # the one that asked the longest ago first
         self._tasks: set[asyncio.Task[None]] = set()
-        self._sweeping = asyncio.get_running_loop().create_task(self._sweep())
+        self._sweep_task = asyncio.get_running_loop().create_task(self._sweep())
         self.shutting_down = False  # what comes now is rejected at once
 
     def reconfigure(self, settings: Settings) -> None:
@@ -63,7 +63,7 @@
         task = asyncio.get_running_loop().create_task(client.run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        if self._unsent and host in self._client_hosts:
+        if self._unsent_ends and host in self._client_hosts:
             self.flush(client)
 
     def closed(self, connection: ClientConnection) -> None:
@@ -78,25 +78,25 @@
         Raises:
             MalformedMessageError: a field can't be used, or the tag is in use.
         """
-        task, holder = self._task(message)
+        task, holder = self._read_task(message)
         known = self._requests.get(message.tag)
         if known is not None:
             if not holder:
                 raise MalformedMessageError(f"the tag {message.tag} is in use")
             return  # it names a task that is held here already
         request = self._requests[message.tag] = ClientRequest(self, connection, message.tag)
-        connection.has_asked = True
+        connection.has_sent_request = True
         self._remember_host(connection.host)
-        if self._unsent:
+        if self._unsent_ends:
             self.flush(connection)
         if holder:
             request.mark_running()
-            request.follow(self._core.adopt(task, machine_number(holder), request))
-        elif self.shutting_down or len(connection.open) >= OPEN_MOST:
+            request.attach_lifecycle(self._core.adopt(task, machine_number(holder), request))
+        elif self.shutting_down or len(connection.open_requests) >= MAX_OPEN_REQUESTS:
             request.refused(SHUTDOWN_RETRY_US)
         else:
-            connection.open[message.tag] = request
-            request.follow(self._core.arrive(task, request, connection.has_unread))
+            connection.open_requests[message.tag] = request
+            request.attach_lifecycle(self._core.arrive(task, request, connection.has_unread))
 
     def finish(self, connection: ClientConnection, message: ClientMessage) -> None:
         """End the running task of this tag, or give its request up.
@@ -112,15 +112,15 @@
             return
         request.abandon()
         now = time.monotonic()
-        if now - request.arrived_at < TAKEN_BACK_S and connection.takes_back_too_often(now):
+        if now - request.arrived_at < IMMEDIATE_CANCEL_S and connection.record_immediate_cancel(now):
             raise MalformedMessageError("it takes back what it asks for at once")
 
     def forget(self, tag: str) -> None:
         """Drop the request of this tag."""
         if request := self._requests.pop(tag, None):
-            request.forgotten()
+            request.uncount_running()
 
-    def _task(self, message: ClientMessage) -> tuple[ports.Task, str]:
+    def _read_task(self, message: ClientMessage) -> tuple[ports.Task, str]:
         """Return what is asked, and the machine that holds the task already, or ''."""
         try:
             form = self._form.read(message.fields)
@@ -160,26 +160,26 @@
         candidates = [
             other for other in self.connections if not other.is_rejected and other.host in self._client_hosts
         ]
-        candidates.sort(key=lambda other: (not other.has_asked, other.host != connection.host))
+        candidates.sort(key=lambda other: (not other.has_sent_request, other.host != connection.host))
         for other in candidates:
             if other.send(data):
                 return
-        self._unsent.append(data)
+        self._unsent_ends.append(data)
 
     def flush(self, connection: ClientConnection) -> None:
         """Send ends of tasks that no connection was open for."""
-        unsent = self._unsent
-        self._unsent = []
+        unsent = self._unsent_ends
+        self._unsent_ends = []
         for index, data in enumerate(unsent):
             if not connection.send(data):
-                self._unsent = unsent[index:] + self._unsent
+                self._unsent_ends = unsent[index:] + self._unsent_ends
                 return
 
     def _remember_host(self, host: str) -> None:
         """Remember where readable requests came from: that tells clients from those who only connect."""
         self._client_hosts.pop(host, None)
         self._client_hosts[host] = None
-        if len(self._client_hosts) > HOSTS_MOST:
+        if len(self._client_hosts) > MAX_CLIENT_HOSTS:
             del self._client_hosts[next(iter(self._client_hosts))]
 
     # ---- connections that cost more than they bring --------------------------------------------------------
@@ -195,12 +195,12 @@
             for index, client in enumerate(self.connections)
             if (cost := client.cost_of_closing(now))
         ]
-        for _, _, client in sorted(costs)[:CLOSED_AT_ONCE]:
+        for _, _, client in sorted(costs)[:MAX_CLOSED_AT_ONCE]:
             client.connection.close()
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.sweep(time.monotonic())
 
     def sweep(self, now: float) -> None:
@@ -215,7 +215,7 @@
 
     def close(self) -> None:
         """Stop the sweep and close all connections at once."""
-        self._sweeping.cancel()
+        self._sweep_task.cancel()
         for client in list(self.connections):
             client.connection.close()
 
--- a/weldhatch/platform/client_request.py
+++ b/weldhatch/platform/client_request.py
@@ -40,19 +40,19 @@
         self._is_abandoned = False
         self.arrived_at = time.monotonic()
 
-    def follow(self, lifecycle: RequestLifecycle) -> None:
+    def attach_lifecycle(self, lifecycle: RequestLifecycle) -> None:
         """Set the core's side of the request."""
         self._lifecycle = lifecycle
 
     def mark_running(self) -> None:
         """Count the task as running at its connection."""
         self.is_running = True
-        self._connection.running += 1
+        self._connection.running_tasks += 1
 
     def abandon(self) -> None:
         """Give the request up: its client waits no more, or has left."""
         self._is_abandoned = True
-        self._connection.open.pop(self._tag, None)
+        self._connection.open_requests.pop(self._tag, None)
         self._front.forget(self._tag)
         if self._lifecycle is not None:
             self._lifecycle.deliver(GivenUp())
@@ -63,10 +63,10 @@
             self._lifecycle.deliver(Released(cause))
         self._front.forget(self._tag)
 
-    def forgotten(self) -> None:
+    def uncount_running(self) -> None:
         """Take back what `mark_running` counted."""
         if self.is_running:
-            self._connection.running -= 1
+            self._connection.running_tasks -= 1
 
     # ---- core.ports.Owner ----------------------------------------------------------------------------------
 
@@ -74,7 +74,7 @@
         """Answer that the task runs; nothing is sent where the answer crossed the client's departure."""
         if self._is_abandoned:
             return
-        self._connection.open.pop(self._tag, None)
+        self._connection.open_requests.pop(self._tag, None)
         self.mark_running()
         self._connection.send(client_codec.encode("STARTED", self._tag, {}, None, description))
 
@@ -89,7 +89,7 @@
     def _answer(self, cause: int, fields: Mapping[str, str]) -> None:
         if self._is_abandoned:  # it has been forgotten, and its tag may be another's by now
             return
-        self._connection.open.pop(self._tag, None)
+        self._connection.open_requests.pop(self._tag, None)
         self._front.forget(self._tag)
         self._connection.send(client_codec.encode("FINISH", self._tag, fields, cause))
 
--- a/weldhatch/platform/endpoint_list.py
+++ b/weldhatch/platform/endpoint_list.py
@@ -53,14 +53,14 @@
             if offset <= self.offset:
                 return None
             topology = event["topology"]
-            whole = bool(topology.get("all"))
-            entries = [self._entry(target) for target in topology.get("targets") or ()]
+            is_full_list = bool(topology.get("all"))
+            entries = [self._parse_target(target) for target in topology.get("targets") or ()]
             version = int(topology.get("rev") or 0)
         except (KeyError, TypeError, AttributeError) as fault:
             raise ValueError(f"event bus: an event that can't be read: {fault!r}") from None
-        first = not self.offset
+        is_first_event = not self.offset
         servers = [server for server, _ in entries]
-        if whole:
+        if is_full_list:
             named = {server.machine for server in servers}
             servers += [
                 replace(old, state=MachineState.REMOVED)
@@ -75,10 +75,16 @@
         self.offset = offset
         names = ", ".join(f"{server.uid} {server.state.label}" for server in servers)
         self._log(f"event bus: event {offset}: {names}")
-        form = ListForm.CACHED if first and whole else ListForm.FULL if whole else ListForm.DELTA
-        return MachinesChanged(form, tuple(machine for _, machine in entries), version)
+        list_form = (
+            ListForm.CACHED
+            if is_first_event and is_full_list
+            else ListForm.FULL
+            if is_full_list
+            else ListForm.DELTA
+        )
+        return MachinesChanged(list_form, tuple(machine for _, machine in entries), version)
 
-    def _entry(self, target: dict[str, Any]) -> tuple[Server, Machine]:
+    def _parse_target(self, target: dict[str, Any]) -> tuple[Server, Machine]:
         uid = str(target["uid"])
         state = _STATES[target["state"]]
         boot_ms = int(target.get("boot_ms") or 0)
--- a/weldhatch/platform/event_bus.py
+++ b/weldhatch/platform/event_bus.py
@@ -12,10 +12,10 @@
 from weldhatch.net.descriptor_budget import DescriptorShare
 from weldhatch.platform.event_stream import EventStream
 
-QUIET_S = 1.7  # a comment comes each second: no byte for so long means a broken connection
-BACKOFF_S = 0.05  # the first wait between connects; what broke off counts as reported after 2 s
-BACKOFF_MOST_S = 0.4
-CONNECT_S = 1.0
+SILENCE_TIMEOUT_S = 1.7  # a comment comes each second: no byte for so long means a broken connection
+MIN_BACKOFF_S = 0.05  # the first wait between connects; what broke off counts as reported after 2 s
+MAX_BACKOFF_S = 0.4
+CONNECT_TIMEOUT_S = 1.0
 
 
 class EventBus:
@@ -26,7 +26,7 @@
         endpoint: tuple[str, int],
         share: DescriptorShare,
         offset: Callable[[], int],
-        take: Callable[[dict[str, Any]], None],
+        on_event: Callable[[dict[str, Any]], None],
         log: Callable[[str], None],
     ) -> None:
         """Subscribe later, by `subscribe`.
@@ -37,7 +37,7 @@
         self._endpoint = endpoint
         self._share = share
         self._offset = offset
-        self._take = take
+        self._on_event = on_event
         self._log = log
         self._task: asyncio.Task[None] | None = None
         self._connection: Connection | None = None
@@ -70,28 +70,28 @@
             self._connection.close()
 
     async def _run(self) -> None:
-        backoff = BACKOFF_S
+        backoff = MIN_BACKOFF_S
         while True:
             began = time.monotonic()
             try:
-                await self._follow()
+                await self._read_events()
             except (OSError, TimeoutError) as error:
                 self._log(f"event bus: no connection: {error or type(error).__name__}")
             else:
                 self._log("event bus: the connection ended, connecting anew")
             if time.monotonic() - began > 1:
-                backoff = BACKOFF_S
+                backoff = MIN_BACKOFF_S
             await asyncio.sleep(backoff)
-            backoff = min(2 * backoff, BACKOFF_MOST_S)
+            backoff = min(2 * backoff, MAX_BACKOFF_S)
 
-    async def _follow(self) -> None:
+    async def _read_events(self) -> None:
         """One connection from its request to its end, which comes as an end, a reset or silence."""
         if not self._share.take():
             raise OSError("no descriptor is left")
-        link = await connect(self._endpoint, CONNECT_S, self._share, "event bus", self._log)
-        self._connection = link
+        connection = await connect(self._endpoint, CONNECT_TIMEOUT_S, self._share, "event bus", self._log)
+        self._connection = connection
         host, port = self._endpoint
-        link.send(
+        connection.send(
             f"GET /bus/read HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: text/event-stream\r\n"
             f"Last-Event-ID: {self._offset()}\r\n\r\n".encode()
         )
@@ -105,28 +105,28 @@
                 elif not line and data:
                     text = "\n".join(data)
                     data.clear()
-                    self._event(text)
+                    self._handle_event(text)
 
-        watch = asyncio.get_running_loop().create_task(self._watch(link))
+        watch = asyncio.get_running_loop().create_task(self._watch_for_silence(connection))
         try:
-            await link.pump(stream.lines, handle)
+            await connection.pump(stream.read_lines, handle)
         finally:
             watch.cancel()
 
-    async def _watch(self, link: Connection) -> None:
-        while not link.closed:
-            quiet = time.monotonic() - link.last_received
-            if quiet >= QUIET_S:
+    async def _watch_for_silence(self, connection: Connection) -> None:
+        while not connection.closed:
+            silent_s = time.monotonic() - connection.last_received
+            if silent_s >= SILENCE_TIMEOUT_S:
                 self._log("event bus: silent, connecting anew")
-                link.close()
+                connection.close()
                 return
-            await asyncio.sleep(QUIET_S - quiet + 0.01)
+            await asyncio.sleep(SILENCE_TIMEOUT_S - silent_s + 0.01)
 
-    def _event(self, text: str) -> None:
+    def _handle_event(self, text: str) -> None:
         try:
             event = json.loads(text)
             if not isinstance(event, dict):
                 raise ValueError("event bus: an event that is no object")
-            self._take(event)
-        except ValueError as fault:
-            raise MalformedMessageError(str(fault)) from None
+            self._on_event(event)
+        except ValueError as error:
+            raise MalformedMessageError(str(error)) from None
--- a/weldhatch/platform/event_stream.py
+++ b/weldhatch/platform/event_stream.py
@@ -5,7 +5,7 @@
 from weldhatch.net.connection import MalformedMessageError
 from weldhatch.net.ring_buffer import RingBuffer
 
-LINE_MOST = 4 * 1024 * 1024  # bytes of one line: a complete list has about 150 for each server
+MAX_LINE_BYTES = 4 * 1024 * 1024  # bytes of one line: a complete list has about 150 for each server
 
 
 class EventStream:
@@ -15,10 +15,10 @@
         """Start before the head."""
         self._in_head = True
         self._chunked = False
-        self._chunk_left = 0  # bytes of the chunk that are still to come
-        self._line = b""  # the start of a line that is not complete
+        self._chunk_bytes_left = 0  # bytes of the chunk that are still to come
+        self._incomplete_line = b""  # the start of a line that is not complete
 
-    def lines(self, ring: RingBuffer) -> list[str] | None:
+    def read_lines(self, ring: RingBuffer) -> list[str] | None:
         """Take the complete lines that have come; None where there are no more bytes to read now.
 
         Raises:
@@ -26,11 +26,11 @@
         """
         if self._in_head and not self._read_head(ring):
             return None
-        data = self._chunk(ring) if self._chunked else ring.take(len(ring)) if len(ring) else None
+        data = self._read_chunk(ring) if self._chunked else ring.take(len(ring)) if len(ring) else None
         if data is None:
             return None
-        *lines, self._line = (self._line + data).split(b"\n")
-        if len(self._line) > LINE_MOST:
+        *lines, self._incomplete_line = (self._incomplete_line + data).split(b"\n")
+        if len(self._incomplete_line) > MAX_LINE_BYTES:
             raise MalformedMessageError("event bus: an endless line")
         return [line.rstrip(b"\r").decode("utf-8", "replace") for line in lines]
 
@@ -46,19 +46,19 @@
                 return True
         return False
 
-    def _chunk(self, ring: RingBuffer) -> bytes | None:
-        if not self._chunk_left:
+    def _read_chunk(self, ring: RingBuffer) -> bytes | None:
+        if not self._chunk_bytes_left:
             end = ring.find(b"\n")
             if end < 0:
                 return None
             size = ring.take(end + 1).split(b";")[0].strip()
             try:
-                self._chunk_left = int(size, 16) if size else 0
+                self._chunk_bytes_left = int(size, 16) if size else 0
             except ValueError:
                 raise MalformedMessageError(f"event bus: a chunk of size {size!r}") from None
             return b""
         if not len(ring):
             return None
-        data = ring.take(min(self._chunk_left, len(ring)))
-        self._chunk_left -= len(data)
+        data = ring.take(min(self._chunk_bytes_left, len(ring)))
+        self._chunk_bytes_left -= len(data)
         return data
--- a/weldhatch/platform/server_codec.py
+++ b/weldhatch/platform/server_codec.py
@@ -36,9 +36,9 @@
 CODES = range(64, 80)
 
 _LENGTH = struct.Struct(">H")
-_HEAD = struct.Struct(">HB8s")
+_HEADER = struct.Struct(">HB8s")
 _PARAMETER = struct.Struct(">BH")
-_CONTROL = re.compile("[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
+_CONTROL_CHARACTERS = re.compile("[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         if DESCRIPTION not in self.parameters:
             raise MalformedMessageError(f"a message of type {self.type} without a description")
         text = self._text(DESCRIPTION, self.parameters[DESCRIPTION])
-        if _CONTROL.search(text):
+        if _CONTROL_CHARACTERS.search(text):
             raise MalformedMessageError("a description with control characters")
         return text
 
@@ -83,7 +83,7 @@
         values = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
         if not all(name in values for name in fields):
             return ()
-        return tuple(number(values[name]) for name in fields)
+        return tuple(finite_number(values[name]) for name in fields)
 
     @staticmethod
     def _text(code: int, value: bytes) -> str:
@@ -109,24 +109,24 @@
     if len(ring) < 2 + length:
         return None
     data = ring.take(2 + length)
-    _, kind, tag = _HEAD.unpack_from(data)
+    _, kind, tag = _HEADER.unpack_from(data)
     parameters = {}
-    at = _HEAD.size
-    while at < len(data):
-        if at + 3 > len(data):
+    position = _HEADER.size
+    while position < len(data):
+        if position + 3 > len(data):
             raise MalformedMessageError("a parameter is cut short")
-        code, size = _PARAMETER.unpack_from(data, at)
-        at += 3
-        if at + size > len(data):
+        code, size = _PARAMETER.unpack_from(data, position)
+        position += 3
+        if position + size > len(data):
             raise MalformedMessageError(f"parameter {code} is cut short")
         if code in parameters or code not in CODES:
             raise MalformedMessageError(f"parameter {code} is unknown or comes twice")
-        parameters[code] = data[at : at + size]
-        at += size
+        parameters[code] = data[position : position + size]
+        position += size
     return Message(kind, tag, parameters)
 
 
-def number(text: str) -> float:
+def finite_number(text: str) -> float:
     """Read a figure of a note or a report; MalformedMessageError where it is none, or not finite."""
     try:
         value = float(text)
@@ -143,4 +143,4 @@
     for code, value in (parameters or {}).items():
         parts += (_PARAMETER.pack(code, len(value)), value)
     body = b"".join(parts)
-    return _HEAD.pack(9 + len(body), kind, tag) + body
+    return _HEADER.pack(9 + len(body), kind, tag) + body
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -19,10 +19,10 @@
 from weldhatch.platform.silence_check import CheckOwner, SilenceCheck
 from weldhatch.scheduling.types import MachineState, Outcome
 
-LOST_S = 2.0  # no connection has come up for so long: the server has vanished; one may take 1 s
-RECONNECT_S = 0.02  # after a connection that ended
-REDIAL_S = 0.1  # between two connects that fail
-IN_USE_S = 0.05  # a connection that was in use so lately is not closed for another
+UNRESPONSIVE_AFTER_S = 2.0  # no connection has come up for so long: the server has vanished; one may take 1 s
+RECONNECT_DELAY_S = 0.02  # after a connection that ended
+CONNECT_RETRY_DELAY_S = 0.1  # between two connects that fail
+MIN_IDLE_S = 0.05  # a connection that was in use so lately is not closed for another
 
 
 class LinkOwner(ReportOwner, CheckOwner, Protocol):
@@ -51,8 +51,8 @@
     """
 
     __slots__ = (
-        "_connecting",
-        "_makes_room",
+        "_connection_task",
+        "_is_evicted",
         "connection",
         "is_replaced",
         "last_used",
@@ -69,10 +69,10 @@
         self.records = ServerRecords()
         self.silence = SilenceCheck(self)
         self.connection: Connection | None = None
-        self._connecting: asyncio.Task[None] | None = None
+        self._connection_task: asyncio.Task[None] | None = None
         self.last_used = time.monotonic()  # when something last went out
         # The connection is closed for another: that says nothing of the server.
-        self._makes_room = False
+        self._is_evicted = False
         self.is_replaced = False  # another server has the address: nothing goes there under this uid
 
     # ---- what goes out -------------------------------------------------------------------------------------
@@ -83,8 +83,8 @@
         connection = self.connection
         if connection is not None and not connection.closed:
             silence = self.silence
-            if not silence.asked_at or connection.last_received > silence.asked_at:
-                silence.asked_at = time.monotonic()
+            if not silence.unanswered_since or connection.last_received > silence.unanswered_since:
+                silence.unanswered_since = time.monotonic()
             connection.send(data)
         else:
             self.records.waiting[name] = data
@@ -127,7 +127,7 @@
         return self.connection is not None and not self.connection.closed
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the machine is gone and nothing is left to come from it."""
         return self.server.state == MachineState.REMOVED and self.records.is_settled
 
@@ -138,24 +138,24 @@
             connection is not None
             and not connection.closed
             and self.records.is_settled
-            and not self.silence.is_trying
+            and not self.silence.is_checking
             and not connection.unsent
-            and now - max(self.last_used, connection.last_received) > IN_USE_S
+            and now - max(self.last_used, connection.last_received) > MIN_IDLE_S
         )
 
-    def make_room(self) -> None:
+    def evict(self) -> None:
         """Close the idle connection for another that needs its descriptor."""
-        self._makes_room = True
-        self.silence.close_spare()
+        self._is_evicted = True
+        self.silence.close_spare_connection()
         if self.connection is not None:
             self.connection.close()
 
     def open(self) -> None:
         """Connect, unless a connection is up or on its way."""
-        if self._connecting is None and not self.is_connected:
-            self._connecting = asyncio.get_running_loop().create_task(self._live())
+        if self._connection_task is None and not self.is_connected:
+            self._connection_task = asyncio.get_running_loop().create_task(self._run())
 
-    async def _live(self) -> None:
+    async def _run(self) -> None:
         """Connect, read until the connection ends, and settle what was open on it.
 
         A server that still holds tasks of ours is connected to again, to receive their ends.
@@ -163,19 +163,19 @@
         failing_since = 0.0
         try:
             while True:
-                pause = REDIAL_S
+                pause = CONNECT_RETRY_DELAY_S
                 try:
-                    self.connection = await self._come_up()
+                    self.connection = await self._connect()
                 except NoDescriptorError:
                     # Nothing that waited has left, and that says nothing of the server.
                     self.records.end_all(Outcome.NOT_SENT, Outcome.FULL)
                 except (OSError, TimeoutError) as error:
                     failing_since = failing_since or time.monotonic()
                     self.records.end_all(Outcome.CONNECT_FAILED)
-                    self._lose_if_ended(error, failing_since)
+                    self._lose_tasks_if_unreachable(error, failing_since)
                 else:
                     failing_since = 0.0
-                    pause = RECONNECT_S
+                    pause = RECONNECT_DELAY_S
                     self._send_waiting(self.connection)
                     try:
                         await self.read(self.connection)
@@ -185,10 +185,10 @@
                     return
                 await asyncio.sleep(pause)
         finally:
-            if self._connecting is asyncio.current_task():
-                self._connecting = None
+            if self._connection_task is asyncio.current_task():
+                self._connection_task = None
 
-    def _lose_if_ended(self, error: Exception, failing_since: float) -> None:
+    def _lose_tasks_if_unreachable(self, error: Exception, failing_since: float) -> None:
         """Whether connects that fail show the end of the process, and so of the tasks that ran there.
 
         A connection that came up and was reset shows none; one that comes up late may do so the next time.
@@ -196,12 +196,12 @@
         if not self.records.running:
             return
         if isinstance(error, ConnectionRefusedError):
-            self.lose("refuses connections")
-        elif time.monotonic() - failing_since >= LOST_S:
-            self.owner.mark_vanished(self.server)
-            self.lose("is silent")
+            self.lose_tasks("refuses connections")
+        elif time.monotonic() - failing_since >= UNRESPONSIVE_AFTER_S:
+            self.owner.mark_unresponsive(self.server)
+            self.lose_tasks("is silent")
 
-    async def _come_up(self) -> Connection:
+    async def _connect(self) -> Connection:
         """Connect, and first receive from those clients who may have left in the meantime.
 
         Guards against an offer that waited for the connection and goes out for a client whose close came
@@ -240,37 +240,37 @@
 
     def _send_waiting(self, connection: Connection) -> None:
         data = self.records.take_waiting()
-        self.silence.asked_at = time.monotonic() if data else 0.0
+        self.silence.unanswered_since = time.monotonic() if data else 0.0
         if data:
             connection.send(data)
 
     def _connection_ended(self) -> None:
         """Settle what was in flight on it: that may have run."""
         self.connection = None
-        if not self._makes_room:
+        if not self._is_evicted:
             self.owner.connection_lost(self.server.machine)
-        self._makes_room = False
+        self._is_evicted = False
         self.records.end_open(Outcome.RESET)
 
     # ---- ends ----------------------------------------------------------------------------------------------
 
-    def drop(self, reason: str) -> None:
+    def drop_connection(self, reason: str) -> None:
         """End the connection. What it has not taken yet never reaches the server: offers end here."""
         if self.connection is not None and not self.connection.closed:
             self.owner.log(f"server {self.server.uid}: {reason}")
             self.connection.abort()
 
-    def lose(self, reason: str, before: float = float("inf")) -> None:
+    def lose_tasks(self, reason: str, before: float = float("inf")) -> None:
         """End the running tasks as lost: those that ran before that moment (Unix time, seconds)."""
-        lost = [tag for tag, record in self.records.running.items() if record.since < before]
+        lost = [tag for tag, record in self.records.running.items() if record.running_since < before]
         if lost:
             self.owner.log(f"server {self.server.uid}: {reason}; {len(lost)} tasks are lost")
-        self.records.cut(lost)
+        self.records.end_as_lost(lost)
 
     def replace(self) -> None:
         """End all that was meant for this server: another one has the address now."""
         self.is_replaced = True
-        self.lose("has lost its address")
+        self.lose_tasks("has lost its address")
         self.records.end_open(Outcome.RESET)
         self.records.end_all(Outcome.CONNECT_FAILED)
         self.close()
@@ -278,8 +278,8 @@
     def close(self) -> None:
         """Close the connections and stop their tasks; nothing is settled."""
         self.silence.close()
-        if self._connecting is not None:
-            self._connecting.cancel()
-            self._connecting = None
+        if self._connection_task is not None:
+            self._connection_task.cancel()
+            self._connection_task = None
         if self.connection is not None:
             self.connection.close()
--- a/weldhatch/platform/server_messages.py
+++ b/weldhatch/platform/server_messages.py
@@ -35,13 +35,13 @@
     """Who takes what belongs to no record of the link."""
 
     @property
-    def reported(self) -> Callable[[int, tuple[float, ...]], None]:
+    def on_load_report(self) -> Callable[[int, tuple[float, ...]], None]:
         """Take the load report of a machine that no probe asked for."""
 
-    def unclaimed(self, tag: bytes, ended: Ended) -> None:
+    def keep_unclaimed_end(self, tag: bytes, ended: Ended) -> None:
         """Take the end of a task that no client has named yet."""
 
-    def report(self, message: server_codec.Message) -> tuple[float, ...]:
+    def read_report(self, message: server_codec.Message) -> tuple[float, ...]:
         """Return the load report of the message in the settings' order, or ()."""
 
 
@@ -70,13 +70,13 @@
     """
     match message.type:
         case server_codec.ANSWER:
-            _answered(link, message)
+            _handle_answer(link, message)
         case server_codec.RELEASE:
-            _released(link, message)
+            _handle_release(link, message)
         case server_codec.NOTE:
-            _noted(link, message)
+            _handle_note(link, message)
         case server_codec.TESTED:
-            _tested(link, message)
+            _handle_test_answer(link, message)
         case server_codec.TEST:
             link.send(
                 message.tag,
@@ -88,40 +88,40 @@
             raise MalformedMessageError(f"a message of type {message.type}, which no server sends")
 
 
-def _answered(link: ReceivingLink, message: server_codec.Message) -> None:
+def _handle_answer(link: ReceivingLink, message: server_codec.Message) -> None:
     description = message.description
     records = link.records
     records.mark_answered(message.tag)
     if record := records.in_flight.pop(message.tag, None):
         records.running[message.tag] = record
-        record.since = time.time()
+        record.running_since = time.time()
         record.receiver.deliver(Answered(record.attempt, description))
 
 
-def _noted(link: ReceivingLink, message: server_codec.Message) -> None:
+def _handle_note(link: ReceivingLink, message: server_codec.Message) -> None:
     records = link.records
     record = records.running.get(message.tag) or records.in_flight.get(message.tag)
     topic = TOPICS.get(message.text(server_codec.TOPIC))
     if record is not None and topic is not None:
-        figure = server_codec.number(message.text(server_codec.FIGURE))
+        figure = server_codec.finite_number(message.text(server_codec.FIGURE))
         record.receiver.deliver(Noted(record.attempt, topic, figure))
 
 
-def _tested(link: ReceivingLink, message: server_codec.Message) -> None:
-    report = link.owner.report(message)
+def _handle_test_answer(link: ReceivingLink, message: server_codec.Message) -> None:
+    report = link.owner.read_report(message)
     passed = message.cause == 1
     if probe := link.records.probes.pop(message.tag, None):
         done, timer = probe
         timer.cancel()
         done(Outcome.OK if passed else Outcome.FULL, report)
     elif passed and report:
-        link.owner.reported(link.server.machine, report)
+        link.owner.on_load_report(link.server.machine, report)
 
 
-def _released(link: ReceivingLink, message: server_codec.Message) -> None:
+def _handle_release(link: ReceivingLink, message: server_codec.Message) -> None:
     cause = message.cause
     reason = REASONS.get(message.text(server_codec.TOPIC), 0)
-    report = link.owner.report(message)
+    report = link.owner.read_report(message)
     records = link.records
     records.mark_answered(message.tag)
     if record := records.in_flight.pop(message.tag, None):
@@ -132,4 +132,4 @@
     if record := records.running.pop(message.tag, None):
         record.receiver.deliver(Ended(record.attempt, outcome, reason, report, cause))
     else:
-        link.owner.unclaimed(message.tag, Ended(0, outcome, reason, report, cause))
+        link.owner.keep_unclaimed_end(message.tag, Ended(0, outcome, reason, report, cause))
--- a/weldhatch/platform/server_records.py
+++ b/weldhatch/platform/server_records.py
@@ -12,7 +12,7 @@
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.scheduling.types import Outcome
 
-LATE_ANSWER_S = 5.0  # so long after it was given up, a set-up may still be answered
+LATE_ANSWER_WINDOW_S = 5.0  # so long after it was given up, a set-up may still be answered
 
 # Gets the outcome of a probe and the load report.
 ProbeDone = Callable[[Outcome, tuple[float, ...]], None]
@@ -24,7 +24,7 @@
 
     attempt: int
     receiver: ports.Receiver
-    since: float  # of a running task: Unix time, seconds
+    running_since: float  # of a running task: Unix time, seconds
     start_by_us: int = 0  # an offer that has not left by then must not; 0 for any time
     end_request: bytes = b""  # the release or migration of a running task: repeated until its end comes
 
@@ -61,7 +61,7 @@
         if self._given_up is None:
             self._given_up = {}
         given_up = self._given_up
-        while given_up and now - next(iter(given_up.values()))[0] > LATE_ANSWER_S:
+        while given_up and now - next(iter(given_up.values()))[0] > LATE_ANSWER_WINDOW_S:
             del given_up[next(iter(given_up))]
         given_up.pop(tag, None)
         given_up[tag] = (now, receiver)
@@ -72,7 +72,7 @@
             return False
         now = time.monotonic()
         given_up_at, given_up_by = self._given_up.get(tag, (0.0, None))
-        return given_up_by is receiver and now - given_up_at <= LATE_ANSWER_S
+        return given_up_by is receiver and now - given_up_at <= LATE_ANSWER_WINDOW_S
 
     def mark_answered(self, tag: bytes) -> None:
         """Forget that this offer was given up: its answer has come."""
@@ -117,7 +117,7 @@
         self.waiting.clear()
         self.end_open(outcome, probe_outcome)
 
-    def cut(self, tags: list[bytes]) -> None:
+    def end_as_lost(self, tags: list[bytes]) -> None:
         """End these running tasks as lost."""
         for tag in tags:
             record = self.running.pop(tag)
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -20,13 +20,13 @@
 from weldhatch.platform.unmatched_tasks import UnmatchedTasks
 from weldhatch.scheduling.types import MachineState, Outcome, Settings
 
-WATCH_S = 0.1
-STALL_S = 0.3  # a watch that comes so late tells of us, not of the servers
+WATCH_INTERVAL_S = 0.1
+MAX_WATCH_DELAY_S = 0.3  # a watch that comes so late tells of us, not of the servers
 # A server that drains or is gone is checked sooner. Its tasks may end without a word some seconds before its
 # process does, and a check that is answered in between shows nothing: little is left of the 8 s until their
 # clients must have heard.
-LEAVING_QUIET_S = 2.5
-ROOM_MOST = 4  # idle links closed at a time where clients want descriptors
+LEAVING_QUIET_LIMIT_S = 2.5
+MAX_EVICTED_LINKS = 4  # idle links closed at a time where clients want descriptors
 
 
 def _ignore_machine(machine: int) -> None:
@@ -40,9 +40,9 @@
         self,
         settings: Settings,
         share: DescriptorShare,
-        dial_s: float,
-        probe_s: float,
-        reported: Callable[[int, tuple[float, ...]], None],
+        connect_timeout_s: float,
+        probe_timeout_s: float,
+        on_load_report: Callable[[int, tuple[float, ...]], None],
         log: Callable[[str], None],
     ) -> None:
         """Start to watch; `reported` takes a machine's load report that no probe asked for.
@@ -51,19 +51,19 @@
         """
         self._report_fields = settings.report_fields
         self._share = share
-        self.reported = reported
+        self.on_load_report = on_load_report
         # Guards against paying twice: a health check is priced as a probe is, so where probes are allowed it
         # asks for the report that the policy would otherwise probe for.
-        self._asks_report = int(settings.may_probe and bool(settings.report_fields))
-        self._dial_s = dial_s
-        self._probe_s = probe_s
+        self._report_requested = int(settings.may_probe and bool(settings.report_fields))
+        self._connect_timeout_s = connect_timeout_s
+        self._probe_timeout_s = probe_timeout_s
         self.log = log
         self.connection_lost: Callable[[int], None] = _ignore_machine  # called with the machine
         self._links: dict[int, ServerLink] = {}
         self._unmatched = UnmatchedTasks(log)
         self._check_count = 0
         self._schedule = HealthCheckSchedule()
-        self._watching = asyncio.get_running_loop().create_task(self._watch())
+        self._watch_task = asyncio.get_running_loop().create_task(self._watch())
 
     # ---- the list ------------------------------------------------------------------------------------------
 
@@ -87,9 +87,9 @@
         link.is_replaced = link.is_replaced and is_removed
         self._replace_others_at(server)
         if server.endpoint != old.endpoint and not is_removed:
-            link.drop("has a new address")
+            link.drop_connection("has a new address")
         if server.boot_ms > old.boot_ms:
-            link.lose("has started anew", server.boot_ms / 1000)
+            link.lose_tasks("has started anew", server.boot_ms / 1000)
         if is_removed and link.records.running:
             link.check_alive()
 
@@ -113,30 +113,32 @@
         """
         if not self._share.take() and not (self.make_room(1) and self._share.take()):
             raise NoDescriptorError("no descriptor is left")
-        return await connect(server.endpoint, self._dial_s, self._share, f"server {server.uid}", self.log)
+        return await connect(
+            server.endpoint, self._connect_timeout_s, self._share, f"server {server.uid}", self.log
+        )
 
-    def make_room(self, most: int = ROOM_MOST) -> int:
+    def make_room(self, max_count: int = MAX_EVICTED_LINKS) -> int:
         """Close idle links, the least lately used first; return how many.
 
         Guards against a fleet larger than the budget: the servers asked first would shut out all others.
         """
         now = time.monotonic()
         idle = [link for link in self._links.values() if link.is_idle(now)]
-        for link in heapq.nsmallest(most, idle, key=lambda link: link.last_used):
-            link.make_room()
-        return min(most, len(idle))
+        for link in heapq.nsmallest(max_count, idle, key=lambda link: link.last_used):
+            link.evict()
+        return min(max_count, len(idle))
 
     async def _watch(self) -> None:
         last = time.monotonic()
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             now = time.monotonic()
             for machine, link in list(self._links.items()):
-                if link.is_over:  # nothing more can come from it
+                if link.is_finished:  # nothing more can come from it
                     link.close()
                     del self._links[machine]
-                elif now - last > WATCH_S + STALL_S:
-                    link.silence.excuse(now)
+                elif now - last > WATCH_INTERVAL_S + MAX_WATCH_DELAY_S:
+                    link.silence.reset_timers(now)
                 else:
                     link.silence.watch(now)
             self._unmatched.expire_unlisted(time.time())
@@ -145,7 +147,7 @@
 
     def close(self) -> None:
         """Stop to watch, and close all connections."""
-        self._watching.cancel()
+        self._watch_task.cancel()
         for link in self._links.values():
             link.close()
 
@@ -236,7 +238,7 @@
             done(Outcome.CONNECT_FAILED, ())
             return
         tag = self._next_check_tag()
-        timer = asyncio.get_running_loop().call_later(self._probe_s, self._probe_timed_out, link, tag)
+        timer = asyncio.get_running_loop().call_later(self._probe_timeout_s, self._probe_timed_out, link, tag)
         link.records.probes[tag] = (done, timer)
         link.send(tag, server_codec.encode(server_codec.TEST, tag, {server_codec.CAUSE: b"\1"}))
 
@@ -254,7 +256,7 @@
 
     def health_check_message(self) -> bytes:
         """Return a new health check as bytes."""
-        parameters = {server_codec.CAUSE: bytes((self._asks_report,))}
+        parameters = {server_codec.CAUSE: bytes((self._report_requested,))}
         return server_codec.encode(server_codec.TEST, self._next_check_tag(), parameters)
 
     def _next_check_tag(self) -> bytes:
@@ -266,17 +268,17 @@
     def quiet_limit(self, server: Server, now: float) -> float:
         """Return the seconds for which a server with running tasks may be quiet."""
         limit = self._schedule.quiet_limit(now, server.zone, server.cell)
-        return limit if server.state == MachineState.READY else min(LEAVING_QUIET_S, limit)
+        return limit if server.state == MachineState.READY else min(LEAVING_QUIET_LIMIT_S, limit)
 
-    def mark_vanished(self, server: Server) -> None:
+    def mark_unresponsive(self, server: Server) -> None:
         """Note that a server gives no sign, and no connection to it comes up."""
-        self._schedule.vanished(time.monotonic(), server.zone, server.cell)
+        self._schedule.mark_unresponsive(time.monotonic(), server.zone, server.cell)
 
-    def unclaimed(self, tag: bytes, ended: Ended) -> None:
+    def keep_unclaimed_end(self, tag: bytes, ended: Ended) -> None:
         """Keep the end of a task that no client has named yet."""
         self._unmatched.keep_end(tag, ended)
 
-    def report(self, message: server_codec.Message) -> tuple[float, ...]:
+    def read_report(self, message: server_codec.Message) -> tuple[float, ...]:
         """Return the load report of a message in the settings' order, or () where it has not all fields.
 
         Raises:
--- a/weldhatch/platform/unmatched_tasks.py
+++ b/weldhatch/platform/unmatched_tasks.py
@@ -9,9 +9,11 @@
 from weldhatch.platform.server_records import TaskRecord
 from weldhatch.scheduling.types import Outcome
 
-UNCLAIMED_MOST = 4096  # ends of tasks that no client has named yet
-UNCLAIMED_S = 10.0  # how long they are kept
-UNLISTED_S = 6.0  # a task on a machine that is not listed by then is lost; its client must hear within 8 s
+MAX_UNCLAIMED_ENDS = 4096  # ends of tasks that no client has named yet
+UNCLAIMED_END_TIMEOUT_S = 10.0  # how long they are kept
+UNLISTED_TASK_TIMEOUT_S = (
+    6.0  # a task on a machine that is not listed by then is lost; its client must hear within 8 s
+)
 
 
 class UnmatchedTasks:
@@ -31,7 +33,7 @@
     def keep_end(self, tag: bytes, ended: Ended) -> None:
         """Guards against a race after a restart: the release may come before the client names the task."""
         self._unclaimed[tag] = (time.monotonic(), ended)
-        if len(self._unclaimed) > UNCLAIMED_MOST:
+        if len(self._unclaimed) > MAX_UNCLAIMED_ENDS:
             del self._unclaimed[next(iter(self._unclaimed))]
 
     def claim_end(self, tag: bytes) -> Ended | None:
@@ -55,7 +57,7 @@
         """Lose tasks whose machine no list has named in time (`now` in Unix seconds)."""
         for machine, unlisted in list(self._unlisted.items()):
             for tag, record in list(unlisted.items()):
-                if now - record.since > UNLISTED_S:
+                if now - record.running_since > UNLISTED_TASK_TIMEOUT_S:
                     del unlisted[tag]
                     self._log(f"a task on machine {machine}, which no list has named")
                     record.receiver.deliver(Ended(0, Outcome.RESET))
@@ -65,6 +67,6 @@
     def expire_unclaimed(self, now: float) -> None:
         """Drop ends that no client has claimed in time (`now` in monotonic seconds)."""
         for tag, (kept_at, _) in list(self._unclaimed.items()):
-            if now - kept_at < UNCLAIMED_S:
+            if now - kept_at < UNCLAIMED_END_TIMEOUT_S:
                 break
             del self._unclaimed[tag]
