--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -153,7 +153,7 @@
             unittest.mock.patch.object(client_connection, "MAX_IDLE_S", 1000.0),
         ):
             await self.play(USUAL.format("a1"))
-            for n in range(2 * share.most):
+            for n in range(2 * share.limit):
                 party = Owner()
                 self.parties[f"x{n}"] = party
                 await party.open(self.gateway.listener.address)
@@ -166,7 +166,7 @@
                 late expect STARTED a2
             """)
             self.assertFalse(self.parties["usual"].closed.is_set())
-            self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.most)
+            self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
 
 
 if __name__ == "__main__":
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -89,7 +89,7 @@
         share = self.gateway.clients._share
         budget = self.gateway.budget
         await self.until(
-            lambda: share.held >= share.most or budget.held >= budget.most, "the descriptors are used up"
+            lambda: share.held >= share.limit or budget.held >= budget.limit, "the descriptors are used up"
         )
 
     async def answered(self, count: int) -> float:
@@ -136,7 +136,7 @@
                 break
             await self.answered(1)
         self.assertTrue(late.used, "a server that needs a connection got one")
-        self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.most)
+        self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
 
 
 class MoreServersThanDescriptors(Short):
@@ -149,7 +149,7 @@
         unused = sum(not server.used for server in machines)
         self.assertEqual(0, unused, "servers that were never reached")
         self.assertFalse([text for text in self.logged if "is silent" in text])
-        self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.most)
+        self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
 
     async def test_discovery_servers_and_a_new_client_get_theirs_beside_idle_clients(self) -> None:
         for says in ("nothing", "a test", "half a message", "a set-up"):
@@ -197,7 +197,7 @@
     async def test_discovery_and_a_new_client_get_theirs_where_every_connection_has_a_task(self) -> None:
         await self.discovery(False)
         await self.answered(40)
-        await self.fill("a set-up", self.gateway.clients._share.most)
+        await self.fill("a set-up", self.gateway.clients._share.limit)
         await self.comes_back()
 
 
@@ -215,7 +215,7 @@
             await self.play(f"first send START f{n} left={DEADLINE_MS} extras={extras}")
             verb, *_ = await asyncio.wait_for(self.parties["first"].heard.get(), 20.0)
             refused += verb == "FINISH"
-        await self.fill("a set-up", self.gateway.clients._share.most)
+        await self.fill("a set-up", self.gateway.clients._share.limit)
         self.bus.add([self.target("s1", "draining")], tell=False)
         began = time.monotonic()
         await self.discovery(True)
@@ -225,7 +225,7 @@
         await self.play("new send ECHO t0 cause=0\nnew expect ECHOED t0")
         self.assertLess(time.monotonic() - began, DEADLINE_MS / 1000)
         self.assertFalse([text for text in self.logged if "are lost" in text])
-        self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.most)
+        self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
 
 
 class NoneLeft(Scenario):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -135,7 +135,7 @@
     assert [other.take() for _ in range(5)] == [True] * 4 + [False]
     other.when_free(lambda: woken.append("other"))
     share.give_back()
-    assert woken == ["other"] and other.take() and budget.held == budget.most
+    assert woken == ["other"] and other.take() and budget.held == budget.limit
 
 
 def after_the_end(end):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -361,15 +361,15 @@
     async def test_connections_past_the_budget_wait_for_a_free_descriptor(self):
         share = self.gateway.clients._share
         links = []
-        for _ in range(share.most + 4):
+        for _ in range(share.limit + 4):
             reader, writer = await asyncio.open_connection(*self.gateway.listener.address)
             writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             writer.write(b'{"verb":"ECHO","tag":"%s","opts":{},"rc":0}\n' % tag("t").hex().encode())
             links.append((reader, writer))
-        await self.until(lambda: share.held == share.most, "the budget is used up")
+        await self.until(lambda: share.held == share.limit, "the budget is used up")
         last = asyncio.create_task(links[-1][0].readline())
         await links[0][0].readline()
-        self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.most)
+        self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
         self.assertFalse(last.done())
         for _, writer in links[:5]:
             writer.close()
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -358,7 +358,7 @@
             self.bus.reset()
             await self.until(dialled.is_set, "a dial to the old address")
             connection.IOStream.connect = real
-            self.gateway.bus.move(new.endpoint)
+            self.gateway.bus.change_endpoint(new.endpoint)
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the event of the new bus was taken")
         self.assertEqual(1, share.held)
 
--- a/weldhatch/gateway.py
+++ b/weldhatch/gateway.py
@@ -11,7 +11,7 @@
 from weldhatch.core.policy_driver import Driver
 from weldhatch.core.ports import Rules
 from weldhatch.core.request_lifecycle import Core
-from weldhatch.net.descriptor_budget import RESERVED, DescriptorBudget, DescriptorShare
+from weldhatch.net.descriptor_budget import RESERVED_DESCRIPTORS, DescriptorBudget, DescriptorShare
 from weldhatch.net.listener import Listener
 from weldhatch.platform.client_front import ClientFront
 from weldhatch.platform.endpoint_list import EndpointList
@@ -60,7 +60,7 @@
         self._configuration = configuration
         self._log = log
         self.budget = DescriptorBudget(configuration.sockets, BUS_SLOTS)
-        least = min(LEAST_SLOTS, self.budget.most // 2)
+        least = min(LEAST_SLOTS, self.budget.limit // 2)
         self.driver = Driver(Policy(self.settings, configuration.seed), log)
         self._connect_platform(least)
         self.core = Core(self.driver, self.servers, log)
@@ -79,7 +79,7 @@
         configuration = self._configuration
         self.servers = Servers(
             self.settings,
-            DescriptorShare(self.budget, self.budget.most - least),
+            DescriptorShare(self.budget, self.budget.limit - least),
             configuration.dial_s,
             configuration.probe_s,
             self._load_reported,
@@ -88,7 +88,7 @@
         self.servers_list = EndpointList(self.settings, self.servers.update, self._log)
         # Whatever clients and servers hold, the bus has descriptors of its own: else nobody would bring the
         # list up to date.
-        bus_share = DescriptorShare(DescriptorBudget(RESERVED + LEAST_SLOTS), BUS_SLOTS)
+        bus_share = DescriptorShare(DescriptorBudget(RESERVED_DESCRIPTORS + LEAST_SLOTS), BUS_SLOTS)
         self.bus = EventBus(
             configuration.bus, bus_share, lambda: self.servers_list.offset, self._bus_event, self._log
         )
@@ -97,7 +97,7 @@
 
     def _listen(self, least: int) -> None:
         """Accept clients. They hold at most two thirds of the descriptors; a third is left for servers."""
-        most = min(self._configuration.sockets * 2 // 3, self.budget.most - least)
+        most = min(self._configuration.sockets * 2 // 3, self.budget.limit - least)
         self._client_share = DescriptorShare(self.budget, most)
         self.clients = ClientFront(self.settings, self.core, self._client_share, self._log)
         self.listener = Listener(
@@ -106,14 +106,14 @@
 
     def _free_descriptors(self) -> None:
         """Make place for a client that waits: servers give a descriptor back where clients hold few."""
-        if self._client_share.is_exhausted or not self.servers.make_room():
+        if self._client_share.is_exhausted or not self.servers.evict_idle_links():
             self.clients.free_descriptors()
 
     def _load_reported(self, machine: int, report: tuple[float, ...]) -> None:
         self.driver.post(ProbeAnswered(machine, Outcome.OK, 0, report))
 
     def _bus_event(self, event: dict[str, Any]) -> None:
-        if changed := self.servers_list.take(event):
+        if changed := self.servers_list.apply_event(event):
             self.driver.post(changed)
             if self.endpoint_list is not None:
                 self.endpoint_list.list_changed(event["topology"], changed.machines)
@@ -154,7 +154,7 @@
         """
         for event in configuration.known:
             self._bus_event(event)
-        self.bus.move(configuration.bus)
+        self.bus.change_endpoint(configuration.bus)
         started = self._configuration
         for key, now, then in (
             ("listen", started.listen, configuration.listen),
--- a/weldhatch/net/connection.py
+++ b/weldhatch/net/connection.py
@@ -21,8 +21,8 @@
 
 Message = TypeVar("Message")
 
-MESSAGE_MOST = 16 * 1024  # a longer message closes its connection
-RECEIVE_BUFFER_BYTES = MESSAGE_MOST + 2048  # one message, and the start of the next
+MAX_MESSAGE_BYTES = 16 * 1024  # a longer message closes its connection
+RECEIVE_BUFFER_BYTES = MAX_MESSAGE_BYTES + 2048  # one message, and the start of the next
 SEND_BUFFER_BYTES = 128 * 1024  # a peer that leaves so much unread is closed
 FINAL_ITERATIONS = 4  # of the event loop, in which what has come is read, parsed and answered
 NO_LINGER = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets
@@ -80,8 +80,8 @@
                 while not self.closed and (message := parse(self._receive_buffer)) is not None:
                     self.incomplete_since = 0.0
                     handle(message)
-                if len(self._receive_buffer) > MESSAGE_MOST:
-                    raise MalformedMessageError(f"a message over {MESSAGE_MOST} bytes")
+                if len(self._receive_buffer) > MAX_MESSAGE_BYTES:
+                    raise MalformedMessageError(f"a message over {MAX_MESSAGE_BYTES} bytes")
                 if not len(self._receive_buffer):
                     self.incomplete_since = 0.0
                 elif not self.incomplete_since:
--- a/weldhatch/net/descriptor_budget.py
+++ b/weldhatch/net/descriptor_budget.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-RESERVED = 24  # standard streams, the event loop's own, a few files
+RESERVED_DESCRIPTORS = 24  # standard streams, the event loop's own, a few files
 
 
 class NoDescriptorError(OSError):
@@ -14,15 +14,15 @@
 class DescriptorBudget:
     """How many sockets may be open at once. A listener that found none left is woken by the next return."""
 
-    def __init__(self, descriptors: int, kept: int = 0) -> None:
+    def __init__(self, descriptors: int, excluded: int = 0) -> None:
         """Budget `descriptors` of the process; `kept` are its sockets that don't come from here."""
-        self.most = max(8, descriptors - RESERVED) - kept
+        self.limit = max(8, descriptors - RESERVED_DESCRIPTORS) - excluded
         self.held = 0
         self._waiting: list[Callable[[], None]] = []
 
     def take(self) -> bool:
         """Take a slot; False where none is left."""
-        if self.held >= self.most:
+        if self.held >= self.limit:
             return False
         self.held += 1
         return True
@@ -43,21 +43,21 @@
 class DescriptorShare:
     """A part of the budget: what one group of sockets may hold of it."""
 
-    def __init__(self, budget: DescriptorBudget, most: int) -> None:
+    def __init__(self, budget: DescriptorBudget, limit: int) -> None:
         """Hold at most `most` slots of the budget."""
         self._budget = budget
-        self.most = most
+        self.limit = limit
         self.held = 0
         self._waiting: list[Callable[[], None]] = []
 
     @property
     def is_exhausted(self) -> bool:
         """Whether all of this part is held; what it lacks otherwise, others hold."""
-        return self.held >= self.most
+        return self.held >= self.limit
 
     def take(self) -> bool:
         """Take a slot; False where this part or the budget has none left."""
-        if self.held >= self.most or not self._budget.take():
+        if self.held >= self.limit or not self._budget.take():
             return False
         self.held += 1
         return True
@@ -73,4 +73,4 @@
 
     def when_free(self, wake: Callable[[], None]) -> None:
         """Call `wake` once, when the next slot is given back of what is used up: this part, or the budget."""
-        (self._waiting if self.held >= self.most else self._budget._waiting).append(wake)
+        (self._waiting if self.held >= self.limit else self._budget._waiting).append(wake)
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -210,7 +210,7 @@
                 if reason:
                     self._log(f"{client.connection.name}: {reason}")
                 client.connection.close()
-        if self._share.held >= self._share.most:
+        if self._share.held >= self._share.limit:
             self.free_descriptors()
 
     def close(self) -> None:
--- a/weldhatch/platform/endpoint_list.py
+++ b/weldhatch/platform/endpoint_list.py
@@ -46,7 +46,7 @@
         self.servers: dict[int, Server] = {}
         self.offset = 0
 
-    def take(self, event: dict[str, Any]) -> MachinesChanged | None:
+    def apply_event(self, event: dict[str, Any]) -> MachinesChanged | None:
         """Apply one event of the bus; None where it is old. Raises ValueError where it can't be read."""
         try:
             offset = int(event["offset"])
--- a/weldhatch/platform/event_bus.py
+++ b/weldhatch/platform/event_bus.py
@@ -49,7 +49,7 @@
         elif not on:
             self.close()
 
-    def move(self, endpoint: tuple[str, int]) -> None:
+    def change_endpoint(self, endpoint: tuple[str, int]) -> None:
         """Follow the bus to a new address: the old one tells nothing more, so it is left at once.
 
         The new one is asked from the last event on, so what came between is told and the numbers go on.
--- a/weldhatch/platform/server_codec.py
+++ b/weldhatch/platform/server_codec.py
@@ -7,7 +7,7 @@
 import struct
 from dataclasses import dataclass, field
 
-from weldhatch.net.connection import MESSAGE_MOST, MalformedMessageError
+from weldhatch.net.connection import MAX_MESSAGE_BYTES, MalformedMessageError
 from weldhatch.net.ring_buffer import RingBuffer
 
 # Types of messages, by the names of the wire: plain numbers, compared for each message.
@@ -102,7 +102,7 @@
     if len(ring) < 2:
         return None
     (length,) = _LENGTH.unpack(ring.copy(2))
-    if length < 9 or length > MESSAGE_MOST:
+    if length < 9 or length > MAX_MESSAGE_BYTES:
         raise MalformedMessageError(f"a message of {length} bytes")
     if len(ring) > 2 and (kind := ring.copy(1, 2)[0]) not in TYPES:
         raise MalformedMessageError(f"a message of unknown type {kind}")  # at once: nothing is kept of it
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -111,13 +111,13 @@
             OSError: it is refused or fails.
             TimeoutError: it does not come up in time.
         """
-        if not self._share.take() and not (self.make_room(1) and self._share.take()):
+        if not self._share.take() and not (self.evict_idle_links(1) and self._share.take()):
             raise NoDescriptorError("no descriptor is left")
         return await connect(
             server.endpoint, self._connect_timeout_s, self._share, f"server {server.uid}", self.log
         )
 
-    def make_room(self, max_count: int = MAX_EVICTED_LINKS) -> int:
+    def evict_idle_links(self, max_count: int = MAX_EVICTED_LINKS) -> int:
         """Close idle links, the least lately used first; return how many.
 
         Guards against a fleet larger than the budget: the servers asked first would shut out all others.
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -281,7 +281,7 @@
             listener = Listener(told.listen, self._share, self._taken)
             self.listener.close()
         self.listener, self._told = listener, told
-        self.bots.leases.timing, self._ledger.capacity, self._share.most = (
+        self.bots.leases.timing, self._ledger.capacity, self._share.limit = (
             told.timing,
             told.remember,
             told.connections,
--- a/weldhatch/testbed/servers.py
+++ b/weldhatch/testbed/servers.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from weldhatch.net.connection import MESSAGE_MOST, MalformedMessageError
+from weldhatch.net.connection import MAX_MESSAGE_BYTES, MalformedMessageError
 from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.platform import server_codec as b
 
@@ -102,7 +102,7 @@
 class Conn(asyncio.Protocol):
     def __init__(self, port: Port) -> None:
         self.port, self.hung = port, False
-        self._in = RingBuffer(MESSAGE_MOST + 2048)
+        self._in = RingBuffer(MAX_MESSAGE_BYTES + 2048)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
