--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -24,7 +24,7 @@
 from weldhatch.gateway import Gateway
 from weldhatch.platform import server_codec
 
-LONG = 40.0  # seconds until a state that is waited for counts as never
+EVENT_TIMEOUT_S = 40.0  # seconds until a state that is waited for counts as never
 TYPES = {
     name: getattr(server_codec, name)
     for name in ("SET_UP", "PROGRESS", "ANSWER", "RELEASE", "RELEASE_HEARD", "NOTE", "MOVE", "TEST", "TESTED")
@@ -79,7 +79,7 @@
     return name.encode().ljust(8, b"\0")
 
 
-def parts_of(data):
+def split_message(data):
     """A server's message without its length: its type, its task, its parameters by code."""
     parameters, at = {}, 9
     while at < len(data):
@@ -89,11 +89,11 @@
     return data[0], data[1:9], parameters
 
 
-class Party:
+class StandIn:
     """One stand-in: what it has received, and the connections it speaks on."""
 
     def __init__(self):
-        self.heard = asyncio.Queue()
+        self.received = asyncio.Queue()
         self.writers = []
         self.server = None
         self.closed, self.connected = asyncio.Event(), asyncio.Event()
@@ -122,7 +122,7 @@
         self.writers.clear()
 
 
-class Server(Party):
+class Server(StandIn):
     """A server on binary messages; tests are answered by themselves with `report`."""
 
     report = "x0:40;x1:90"
@@ -134,7 +134,7 @@
             if self.hung:
                 continue
             self.used = True
-            kind, name, parameters = parts_of(data)
+            kind, name, parameters = split_message(data)
             if kind == server_codec.TEST:
                 writer.write(
                     server_codec.encode(server_codec.TESTED, name, {78: b"\1", 73: self.report.encode()})
@@ -147,7 +147,7 @@
                 }
                 if 78 in parameters:
                     fields["cause"] = str(parameters[78][0])
-                self.heard.put_nowait((NAMES[kind], name, fields, parameters.get(79, b"").decode()))
+                self.received.put_nowait((NAMES[kind], name, fields, parameters.get(79, b"").decode()))
 
     def send(self, kind, name, fields, description):
         parameters = {
@@ -159,7 +159,7 @@
         self.writers[-1].write(server_codec.encode(TYPES[kind], tag(name), parameters))
 
 
-class Owner(Party):
+class Owner(StandIn):
     async def open(self, address):
         reader, writer = await asyncio.open_connection(*address)
         self.task = asyncio.create_task(self.serve(reader, writer))
@@ -169,7 +169,7 @@
         while line := await reader.readline():
             m = json.loads(line)
             fields = {**m["opts"], **({"cause": str(m["rc"])} if "rc" in m else {})}
-            self.heard.put_nowait((m["verb"], bytes.fromhex(m["tag"]), fields, m.get("blob", "")))
+            self.received.put_nowait((m["verb"], bytes.fromhex(m["tag"]), fields, m.get("blob", "")))
 
     def send(self, kind, name, fields, description):
         message = {"verb": kind, "tag": tag(name).hex(), "opts": {}}
@@ -188,33 +188,33 @@
         self.writers[-1].write(json.dumps(message).encode() + b"\n")
 
 
-class Bus(Party):
+class Bus(StandIn):
     async def read(self, reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
         after = int(head.lower().split(b"last-event-id:")[1].split()[0])
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n")
         for event in self.events[after:]:
-            writer.write(self.form(event))
+            writer.write(self.encode(event))
         while not self.hung:
             await asyncio.sleep(0.5)
             writer.write(b":\n\n")
             await writer.drain()
-        await asyncio.sleep(LONG)
+        await asyncio.sleep(EVENT_TIMEOUT_S)
 
     events = ()
 
     @staticmethod
-    def form(event):
+    def encode(event):
         return f"id: {event['offset']}\ndata: {json.dumps(event)}\n\n".encode()
 
-    def add(self, targets, whole=False, tell=True, rev=1):
-        event = {"offset": len(self.events) + 1, "topology": {"rev": rev, "all": whole, "targets": targets}}
+    def add(self, targets, is_full=False, notify=True, rev=1):
+        event = {"offset": len(self.events) + 1, "topology": {"rev": rev, "all": is_full, "targets": targets}}
         self.events = [*self.events, event]
-        for writer in self.writers if tell and not self.hung else ():
-            writer.write(self.form(event))
+        for writer in self.writers if notify and not self.hung else ():
+            writer.write(self.encode(event))
 
 
-class Client(Party):
+class Client(StandIn):
     """A client of the pull queue. It remembers the last session, lease and task for $session and so on."""
 
     def __init__(self):
@@ -230,7 +230,7 @@
             for name in [body.get("name", ""), *(lease["id"] for lease in body.get("leases", ()))]:
                 kind = {"botSessions": "session", "tasks": "task", "leases": "lease"}.get(name.split("/")[0])
                 self.seen[kind] = name
-            self.heard.put_nowait((int(head.split()[1]), body))
+            self.received.put_nowait((int(head.split()[1]), body))
 
     def send(self, method, path, fields, body):
         for name, value in self.seen.items():
@@ -252,13 +252,13 @@
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
-        self.parties, self.logged, self.boots = {}, [], {}
+        self.parties, self.logged, self.boot_times_ms = {}, [], {}
         self.bus = self.parties["bus"] = Bus()
         await self.bus.listen()
         for n in range(1, self.servers + 1):
             self.parties[f"s{n}"] = server = self.server_class()
             await server.listen()
-        self.bus.add([self.target(f"s{n}") for n in range(1, self.servers + 1)], whole=True)
+        self.bus.add([self.target(f"s{n}") for n in range(1, self.servers + 1)], is_full=True)
         await self.start()
 
     async def start(self):
@@ -288,7 +288,7 @@
             "pod_group": 1,
             "state": state,
             "capacity_hint": 1,
-            "boot_ms": self.boots.get(name, 0),
+            "boot_ms": self.boot_times_ms.get(name, 0),
         }
 
     async def asyncTearDown(self):
@@ -301,17 +301,17 @@
     async def play(self, text):
         for line in filter(None, map(str.strip, text.splitlines())):
             try:
-                await asyncio.wait_for(self.line(line), LONG)
+                await asyncio.wait_for(self.line(line), EVENT_TIMEOUT_S)
             except (TimeoutError, AssertionError) as fault:
                 raise AssertionError(f"{line}: {fault or 'nothing came'}; log: {self.logged}") from None
 
-    newcomer = Owner  # what a party is that is named for the first time
+    new_party_class = Owner  # what a party is that is named for the first time
 
     async def line(self, line):
         words, _, description = line.partition(" | ")
         who, verb, *rest = words.split()
         if who not in self.parties:
-            self.parties[who] = self.newcomer()
+            self.parties[who] = self.new_party_class()
             await self.parties[who].open(self.gateway.listener.address)
         party = self.parties[who]
         fields = dict(word.split("=", 1) for word in rest if "=" in word)
@@ -322,7 +322,7 @@
             case "send":
                 party.send(rest[0], rest[1], fields, description)
             case "expect" if isinstance(party, Client):
-                code, body = await party.heard.get()
+                code, body = await party.received.get()
                 self.assertEqual(int(rest[0]), code, body)
                 for path, value in fields.items():
                     found = body
@@ -330,7 +330,7 @@
                         found = found[int(step)] if step.isdigit() else found.get(step)
                     self.assertEqual(value, str(found), body)
             case "expect":
-                kind, name, got, blob = await party.heard.get()
+                kind, name, got, blob = await party.received.get()
                 self.assertEqual((rest[0], tag(rest[1])), (kind, name))
                 self.assertEqual(fields, {word: got.get(word) for word in fields})
                 if " | " in line:
@@ -349,7 +349,7 @@
 
     async def until(self, condition, what):
         """Wait for a state of the gateway that no message shows."""
-        end = time.monotonic() + LONG
+        end = time.monotonic() + EVENT_TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), end, f"never: {what}; log: {self.logged}")
             await asyncio.sleep(0.01)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -103,7 +103,7 @@
         fields = {**SET_UP, "left": "9000"}
         bad = await self.client("bad", b"".join(line(f"b{n}", **fields) for n in range(count)))
         for _ in range(count - client_front.MAX_OPEN_REQUESTS):
-            verb, _, fields, _ = await asyncio.wait_for(bad.heard.get(), 20)
+            verb, _, fields, _ = await asyncio.wait_for(bad.received.get(), 20)
             self.assertEqual(("FINISH", "42", "1000"), (verb, fields["cause"], fields["wait"]))
         [link] = [link for link in self.gateway.clients.connections if link.open_requests]
         self.assertEqual(client_front.MAX_OPEN_REQUESTS, len(link.open_requests))
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -18,7 +18,7 @@
 
 import pytest
 import stepped
-from scenario import SETTINGS, Bus, parts_of, tag
+from scenario import SETTINGS, Bus, split_message, tag
 
 from weldhatch import config
 from weldhatch.gateway import Gateway
@@ -89,7 +89,7 @@
             (length,) = struct.unpack_from(">H", self._data)
             if len(self._data) < 2 + length:
                 return
-            kind, name, parameters = parts_of(self._data[2 : 2 + length])
+            kind, name, parameters = split_message(self._data[2 : 2 + length])
             self._data = self._data[2 + length :]
             if kind == server_codec.TEST:
                 self._say(
@@ -196,7 +196,7 @@
             await machine.listen()
         for dispatcher in self.dispatchers:
             await dispatcher.bus.listen()
-            dispatcher.bus.add([self.warm.target()], whole=True)
+            dispatcher.bus.add([self.warm.target()], is_full=True)
             await dispatcher.start()
         await asyncio.sleep(0.3)  # under load before any server starts
         return self
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -17,7 +17,7 @@
 import unittest.mock
 from collections.abc import Callable, Iterator
 
-from scenario import SETTINGS, Scenario, Server, parts_of, tag
+from scenario import SETTINGS, Scenario, Server, split_message, tag
 
 from weldhatch import config
 from weldhatch.net.connection import Connection
@@ -42,7 +42,7 @@
     async def read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             (length,) = struct.unpack(">H", await reader.readexactly(2))
-            kind, name, parameters = parts_of(await reader.readexactly(length))
+            kind, name, parameters = split_message(await reader.readexactly(length))
             if kind == server_codec.TEST:
                 answer = server_codec.encode(server_codec.TESTED, name, {78: b"\1", 73: self.report.encode()})
                 if self.kept is None:
@@ -59,7 +59,7 @@
                     continue
             cause = {"cause": str(parameters[78][0])} if 78 in parameters else {}
             kinds = {server_codec.SET_UP: "SET_UP", server_codec.RELEASE: "RELEASE"}
-            self.heard.put_nowait((kinds.get(kind, str(kind)), name, cause, ""))
+            self.received.put_nowait((kinds.get(kind, str(kind)), name, cause, ""))
 
     def answer_tests(self) -> None:
         kept, self.kept = self.kept or [], None
@@ -184,8 +184,8 @@
 
     async def drain(self) -> None:
         for server in self.recorders():
-            while not server.heard.empty():
-                server.heard.get_nowait()
+            while not server.received.empty():
+                server.received.get_nowait()
 
     @contextlib.contextmanager
     def dialled(self, last: Callable[[], None] = lambda: None) -> Iterator[asyncio.Event]:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 import unittest
 import unittest.mock
 
-from scenario import SETTINGS, Scenario, Server, parts_of, tag
+from scenario import SETTINGS, Scenario, Server, split_message, tag
 
 from weldhatch.platform import client_connection, server_codec
 
@@ -32,7 +32,7 @@
     async def read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             (length,) = struct.unpack(">H", await reader.readexactly(2))
-            kind, name, parameters = parts_of(await reader.readexactly(length))
+            kind, name, parameters = split_message(await reader.readexactly(length))
             if kind == server_codec.TEST:
                 writer.write(
                     server_codec.encode(server_codec.TESTED, name, {78: b"\1", 73: self.report.encode()})
@@ -119,10 +119,10 @@
 
     async def comes_back(self) -> None:
         """Discovery is back: its news, a server that only it knows and a new client get through."""
-        self.bus.add([self.target(f"s{n}", "gone") for n in range(1, self.servers)], tell=False)
+        self.bus.add([self.target(f"s{n}", "gone") for n in range(1, self.servers)], notify=False)
         self.parties["late"] = late = self.server_class()
         await late.listen()
-        self.bus.add([self.target("late")], tell=False)
+        self.bus.add([self.target("late")], notify=False)
         began = time.monotonic()
         await self.discovery(True)
         await self.until(
@@ -169,7 +169,7 @@
         await self.discovery(False)
         while self.gateway.budget.take():
             pass
-        self.bus.add([self.target("s1", "draining")], tell=False)
+        self.bus.add([self.target("s1", "draining")], notify=False)
         await self.discovery(True)
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
 
@@ -213,10 +213,10 @@
             n += 1
             extras = f"cores:1;memory:2;service:{n}"
             await self.play(f"first send START f{n} left={DEADLINE_MS} extras={extras}")
-            verb, *_ = await asyncio.wait_for(self.parties["first"].heard.get(), 20.0)
+            verb, *_ = await asyncio.wait_for(self.parties["first"].received.get(), 20.0)
             refused += verb == "FINISH"
         await self.fill("a set-up", self.gateway.clients._share.limit)
-        self.bus.add([self.target("s1", "draining")], tell=False)
+        self.bus.add([self.target("s1", "draining")], notify=False)
         began = time.monotonic()
         await self.discovery(True)
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
--- a/tests/test_faulty_servers.py
+++ b/tests/test_faulty_servers.py
@@ -4,7 +4,7 @@
 import unittest
 import unittest.mock
 
-from scenario import LONG, Scenario, tag
+from scenario import EVENT_TIMEOUT_S, Scenario, tag
 
 from weldhatch.core import ports
 from weldhatch.platform import health_check, server_codec, unmatched_tasks
@@ -49,7 +49,7 @@
             self.write(data)
             await self.play("owner expect FINISH a1 cause=47\nowner expect FINISH a2 cause=47")
             self.assertTrue(any("closed" in text for text in self.logged), (data, self.logged))
-        self.assertTrue(self.parties["owner"].heard.empty())
+        self.assertTrue(self.parties["owner"].received.empty())
 
     async def test_an_answer_that_stops_short_ends_its_connection_long_before_the_deadline(self):
         await self.play(SEND.format("a1", "unsafe"))
@@ -71,7 +71,7 @@
         await self.play("owner expect STARTED a1 | v=0 s=9")
         self.write(release + GOOD + release)
         await self.play("owner expect FINISH a1 cause=16\n" + SEND.format("a2", "unsafe"))
-        self.assertTrue(self.parties["owner"].heard.empty())
+        self.assertTrue(self.parties["owner"].received.empty())
         self.assertFalse(self.parties["s1"].closed.is_set())
 
     async def test_a_release_that_nobody_claims_is_kept_for_a_while_only(self):
@@ -88,7 +88,7 @@
         [old] = server.writers
         server.connected.clear()
         await self.play("s1 hang")
-        await asyncio.wait_for(server.connected.wait(), LONG)
+        await asyncio.wait_for(server.connected.wait(), EVENT_TIMEOUT_S)
         [second] = [writer for writer in server.writers if writer is not old]
         second.write(server_codec.encode(server_codec.RELEASE, tag("a1"), {server_codec.CAUSE: b"\x10"}))
         await self.play("owner expect FINISH a1 cause=16")
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from scenario import SETTINGS, Bus, Owner, Party, parts_of
+from scenario import SETTINGS, Bus, Owner, StandIn, split_message
 
 from weldhatch.platform import server_codec
 from weldhatch.testbed.process_cluster import Rig, settings, until
@@ -21,7 +21,7 @@
 SERVICES = 40
 
 
-class Machine(Party):
+class Machine(StandIn):
     """Takes every set-up, says when and by whom it was sent, and ends it after a moment."""
 
     def __init__(self):
@@ -31,7 +31,7 @@
     async def read(self, reader, writer):
         while True:
             (length,) = struct.unpack(">H", await reader.readexactly(2))
-            kind, name, parameters = parts_of(await reader.readexactly(length))
+            kind, name, parameters = split_message(await reader.readexactly(length))
             if kind == server_codec.TEST:
                 writer.write(server_codec.encode(server_codec.TESTED, name, {78: b"\1", 73: b"x0:40;x1:90"}))
             elif kind == server_codec.SET_UP:
@@ -54,7 +54,7 @@
         for name, one in self.nodes.items():
             bus = self.buses[name] = Bus()
             await bus.listen()
-            bus.add([self.target(server) for server in self.servers], whole=True, rev=1)
+            bus.add([self.target(server) for server in self.servers], is_full=True, rev=1)
             path = one.folder / f"{name}-platform.json"
             path.write_text(
                 json.dumps(
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -115,7 +115,7 @@
 class Restart(Scenario):
     """The words outlast the gateway, and a second start reads them before it gives anything out."""
 
-    newcomer = PullScenario.newcomer
+    new_party_class = PullScenario.new_party_class
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -10,7 +10,7 @@
 import unittest
 from pathlib import Path
 
-from scenario import LONG, SETTINGS
+from scenario import EVENT_TIMEOUT_S, SETTINGS
 
 from weldhatch import config
 from weldhatch.pullqueue import reconfiguration
@@ -57,7 +57,7 @@
 
     async def logs(self, text):
         while True:
-            line = (await asyncio.wait_for(self.process.stderr.readline(), LONG)).decode()
+            line = (await asyncio.wait_for(self.process.stderr.readline(), EVENT_TIMEOUT_S)).decode()
             self.assertTrue(line, f"the program ended; it logged {self.lines}")
             self.lines.append(line)
             if text in line:
@@ -73,7 +73,7 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
-        out, _ = await asyncio.wait_for(process.communicate(), LONG)
+        out, _ = await asyncio.wait_for(process.communicate(), EVENT_TIMEOUT_S)
         return process.returncode, out.decode()
 
     async def test_a_plan_is_shown_and_applied_and_a_second_one_on_its_base_is_refused(self):
@@ -118,7 +118,7 @@
     async def test_sigterm_ends_it_with_0(self):
         await self.start(self.write("base"))
         self.process.send_signal(signal.SIGTERM)
-        self.assertEqual(0, await asyncio.wait_for(self.process.wait(), LONG))
+        self.assertEqual(0, await asyncio.wait_for(self.process.wait(), EVENT_TIMEOUT_S))
 
     async def test_a_file_that_can_not_be_used_is_named_with_its_key(self):
         for changes, key in (
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,7 +6,7 @@
 import unittest
 import unittest.mock
 
-from scenario import LONG, SETTINGS, Owner, Scenario, tag
+from scenario import EVENT_TIMEOUT_S, SETTINGS, Owner, Scenario, tag
 
 from weldhatch.core import ports
 from weldhatch.core.messages import Answered
@@ -107,7 +107,7 @@
                 s1 expect RELEASE a1 cause=16
                 owner expect FINISH a1 cause={cause}
             """)
-        self.assertTrue(self.parties["owner"].heard.empty())
+        self.assertTrue(self.parties["owner"].received.empty())
 
     async def test_refusals_lead_to_further_attempts_up_to_the_limit_and_then_to_a_refusal(self):
         tries = "s1 expect SET_UP a1\ns1 send RELEASE a1 cause=34 topic=queue_full\n" * 3
@@ -120,7 +120,7 @@
             s1 send RELEASE a1 cause=41
             owner expect FINISH a1 cause=47
         """)
-        self.assertTrue(self.parties["s1"].heard.empty())
+        self.assertTrue(self.parties["s1"].received.empty())
 
     async def test_tasks_of_a_server_that_died_are_released_at_once(self):
         await self.play(
@@ -224,7 +224,9 @@
             s1 send RELEASE a1 cause=16
             owner expect FINISH a1 cause=16
         """)
-        await asyncio.wait_for(ending, LONG)  # though a2 still stands: a new dispatcher takes it over
+        await asyncio.wait_for(
+            ending, EVENT_TIMEOUT_S
+        )  # though a2 still stands: a new dispatcher takes it over
         self.assertIsNone(ending.result())
         with self.assertRaises(OSError):
             await asyncio.open_connection(*self.gateway.listener.address)
@@ -239,7 +241,7 @@
             s1 send ANSWER a1
             owner expect STARTED a1
         """)
-        await asyncio.wait_for(ending, LONG)
+        await asyncio.wait_for(ending, EVENT_TIMEOUT_S)
 
     async def test_tasks_that_stand_are_looked_after_until_a_planned_end_has_to_be_over(self):
         """Guards against owners that nobody tells of the end of their tasks while a dispatcher restarts."""
@@ -247,7 +249,7 @@
         ending = asyncio.create_task(self.gateway.end())
         await self.until(lambda: self.gateway.clients.shutting_down, "its span is over")
         await self.play("s1 send RELEASE a1 cause=16\nowner expect FINISH a1 cause=16")
-        await asyncio.wait_for(ending, LONG)
+        await asyncio.wait_for(ending, EVENT_TIMEOUT_S)
 
     async def test_an_offer_made_while_a_link_is_closing_goes_out_once_or_is_told_as_ended(self):
         """Guards against a set-up that is told as ended with the old connection and sent on the new one."""
@@ -298,18 +300,18 @@
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
         for n in range(8):
             await self.play(f"owner send START a{n}\ns2 expect SET_UP a{n}")
-        self.assertTrue(self.parties["s1"].heard.empty())
+        self.assertTrue(self.parties["s1"].received.empty())
 
     async def test_the_bus_is_taken_up_where_it_broke_off(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
         self.bus.reset()
-        self.bus.add([self.target("s1", "gone")], tell=False)
+        self.bus.add([self.target("s1", "gone")], notify=False)
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event was taken")
 
     async def test_an_event_that_breaks_off_is_asked_for_again_and_a_doubled_one_counts_once(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
-        self.bus.add([self.target("s1", "draining")], tell=False)
-        whole = self.bus.form(self.bus.events[-1])
+        self.bus.add([self.target("s1", "draining")], notify=False)
+        whole = self.bus.encode(self.bus.events[-1])
         old = self.gateway.bus._connection
         before = old.last_received
         self.bus.writers[-1].write(whole[:-9])
@@ -326,7 +328,7 @@
         await self.until(lambda: self.bus.writers, "the bus is read")
         self.bus.hung = True
         old = list(self.bus.writers)
-        self.bus.add([self.target("s1", "gone")], tell=False)
+        self.bus.add([self.target("s1", "gone")], notify=False)
         await self.until(lambda: set(self.bus.writers) - set(old), "a new connection")
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event was taken")
 
@@ -351,7 +353,7 @@
         await self.play("bus send s2=draining")
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the drain was taken")
         await self.play(PLACE)
-        self.boots["s1"] = 99_999_999_999_999
+        self.boot_times_ms["s1"] = 99_999_999_999_999
         await self.play("bus send s1=ready\nowner expect FINISH a1 cause=41")
 
 
--- a/tests/test_pullqueue.py
+++ b/tests/test_pullqueue.py
@@ -12,7 +12,7 @@
 from itertools import pairwise
 from typing import ClassVar
 
-from scenario import LONG, SETTINGS, Client, Scenario
+from scenario import EVENT_TIMEOUT_S, SETTINGS, Client, Scenario
 
 from weldhatch import config
 from weldhatch.core import ports
@@ -58,7 +58,7 @@
 
 
 class PullScenario(Scenario):
-    newcomer = Client
+    new_party_class = Client
     timing = TIMING
 
     async def asyncSetUp(self):
@@ -267,7 +267,7 @@
 
     async def call(self, client, method, path, body, **headers):
         client.send(method, path, headers, body)
-        return await asyncio.wait_for(client.heard.get(), LONG)
+        return await asyncio.wait_for(client.received.get(), EVENT_TIMEOUT_S)
 
     def stop(self, id, at=None):
         run, *_ = self.held.pop(id)
@@ -375,7 +375,7 @@
                 key, cls = f"{next(keys):x}", rnd.choice(("safe", "keyed", "unsafe"))
                 for _ in range(3):
                     client.send("POST", "tasks", {}, task(cls, key, left=rnd.choice((250, 600, 1500))))
-                    code, said = await asyncio.wait_for(client.heard.get(), LONG)
+                    code, said = await asyncio.wait_for(client.received.get(), EVENT_TIMEOUT_S)
                     self.assertEqual(200, code, said)
                     answers[said["answer"]] += 1
                     if said["answer"] == "refused":
@@ -384,7 +384,7 @@
                         state = "PLACED"
                         while state == "PLACED":
                             client.send("GET", said["name"], {"X-Server-Timeout": "9"}, "")
-                            _, said = await asyncio.wait_for(client.heard.get(), LONG)
+                            _, said = await asyncio.wait_for(client.received.get(), EVENT_TIMEOUT_S)
                             state = said["state"]
                         if state == "DONE":
                             break
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -11,7 +11,7 @@
 import time
 import unittest.mock
 
-from scenario import LONG, SETTINGS, Bus, Owner, Scenario, Server, tag
+from scenario import EVENT_TIMEOUT_S, SETTINGS, Bus, Owner, Scenario, Server, tag
 from test_clients import SET_UP, line
 
 from weldhatch import gateway as gateway_module
@@ -96,11 +96,11 @@
             self.lives = list(self.gateway.core.requests)
             await self.play("s1 send ANSWER a1 | v=0 s=9")
             server, owner = self.parties["s1"], self.parties["owner"]
-            await self.first(server.heard, owner.heard)
-        if server.heard.empty():  # the answer went before what crossed it
-            self.assertEqual("STARTED", owner.heard.get_nowait()[0])
+            await self.first(server.received, owner.received)
+        if server.received.empty():  # the answer went before what crossed it
+            self.assertEqual("STARTED", owner.received.get_nowait()[0])
         else:  # or the task was ended where it stood, before anything else went out
-            self.assertEqual(("RELEASE", tag("a1")), server.heard.get_nowait()[:2])
+            self.assertEqual(("RELEASE", tag("a1")), server.received.get_nowait()[:2])
 
     async def test_an_attempt_that_is_cancelled_as_its_answer_comes_is_not_made_twice(self):
         await self.crossed(Cancel(1, 0))
@@ -123,8 +123,8 @@
         life.deliver(Cancel(life.id, 0))
         await self.play("s1 expect RELEASE a1 cause=16")
         server, owner = self.parties["s1"], self.parties["owner"]
-        await self.first(server.heard, owner.heard)
-        if server.heard.empty():
+        await self.first(server.received, owner.received)
+        if server.received.empty():
             return  # no further attempt is made there
         await self.play("""
             s1 expect SET_UP a1
@@ -178,8 +178,10 @@
     async def stands_on(self, name="a1"):
         """The server is connected to again, and its own word is the first that the owner hears of an end."""
         server, owner = self.parties["s1"], self.parties["owner"]
-        await self.until(lambda: server.writers or not owner.heard.empty(), "connected anew, or told as cut")
-        self.assertTrue(owner.heard.empty(), f"told as cut: {self.logged[-1]}")
+        await self.until(
+            lambda: server.writers or not owner.received.empty(), "connected anew, or told as cut"
+        )
+        self.assertTrue(owner.received.empty(), f"told as cut: {self.logged[-1]}")
         await self.play(f"s1 send RELEASE {name} cause=16\nowner expect FINISH {name} cause=16")
 
     async def test_a_task_stands_on_where_a_new_connection_is_reset_before_it_is_used(self):
@@ -222,8 +224,8 @@
         self.bus.add([{**self.target("s1"), "endpoint": f"{host}:{port}"}])
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the new address was told")
         self.gate.set()
-        await self.first(old.heard, new.heard)
-        self.assertTrue(old.heard.empty(), "a set-up went to the address that it has left")
+        await self.first(old.received, new.received)
+        self.assertTrue(old.received.empty(), "a set-up went to the address that it has left")
 
 
 class Trials(Races):
@@ -264,7 +266,7 @@
             client.close()
         await self.play("owner send START b1\ns1 expect SET_UP b1")
         await self.until(lambda: len(self.gateway.core.requests) == 1, "the others were forgotten")
-        self.assertTrue(self.parties["s1"].heard.empty())
+        self.assertTrue(self.parties["s1"].received.empty())
 
     async def test_a_request_and_its_end_in_one_read_make_no_attempt(self):
         self.parties["owner"] = owner = Owner()
@@ -293,25 +295,25 @@
         the time that a dial has."""
         await self.play("owner send START a1 left=900 class=keyed idem=5c")
         servers = [self.parties["s1"], self.parties["s2"]]
-        await self.first(*(server.heard for server in servers))
+        await self.first(*(server.received for server in servers))
         over = time.monotonic() + WINDOW_S + 0.06
         for server in servers:
-            while not server.heard.empty():
-                server.heard.get_nowait()
+            while not server.received.empty():
+                server.received.get_nowait()
         self.hold_connects()
         for server in servers:
             server.reset()
         owner = self.parties["owner"]
         await self.until(
-            lambda: self.dialled.is_set() or not owner.heard.empty(),
+            lambda: self.dialled.is_set() or not owner.received.empty(),
             "a connect for the further attempt, or the answer where none is made",
         )
         await asyncio.sleep(max(0.0, over - time.monotonic()))
         self.gate.set()
-        await self.first(owner.heard, *(server.heard for server in servers))
-        late = [server.heard.get_nowait()[0] for server in servers if not server.heard.empty()]
+        await self.first(owner.received, *(server.received for server in servers))
+        late = [server.received.get_nowait()[0] for server in servers if not server.received.empty()]
         self.assertEqual([], late, "a further attempt after the window")
-        self.assertEqual("FINISH", owner.heard.get_nowait()[0])
+        self.assertEqual("FINISH", owner.received.get_nowait()[0])
 
 
 class Discovery(Races):
@@ -327,7 +329,7 @@
             }
             for n in range(600)
         ]
-        self.bus.add([first, *fleet], whole=True)
+        self.bus.add([first, *fleet], is_full=True)
         await self.until(
             lambda: self.gateway.servers_list.offset == 2 or any("closed" in text for text in self.logged),
             "the list was taken, or the connection closed",
@@ -385,7 +387,7 @@
             bus send s2=ready
         """)
         owner = self.parties["owner"]
-        await self.until(lambda: server.writers or not owner.heard.empty(), "connected, or told as cut")
+        await self.until(lambda: server.writers or not owner.received.empty(), "connected, or told as cut")
         await self.play("s2 send RELEASE b1 cause=16\nowner expect FINISH b1 cause=16")
 
 
@@ -440,10 +442,10 @@
         await self.clients(f"next{{0}} send START c{{0}} {AT.format('s2')}")
         await self.play("s1 close")
         await self.until(
-            lambda: len(refused) > 3 or not owner.heard.empty() or server.writers,
+            lambda: len(refused) > 3 or not owner.received.empty() or server.writers,
             "connected anew, or out of descriptors several times, or told as cut",
         )
-        self.assertTrue(owner.heard.empty(), f"told as cut: {self.logged[-1]}")
+        self.assertTrue(owner.received.empty(), f"told as cut: {self.logged[-1]}")
         for n in range(self.more):
             await self.play(f"next{n} close")
         await self.until(lambda: server.writers, "connected anew for the standing task")
@@ -500,7 +502,7 @@
         await self.play("s1 send RELEASE a1 cause=16")
         await self.until(lambda: not self.gateway.core.requests, "the end was heard")
         await self.play("owner2 send ECHO t0\nowner2 expect FINISH a1 cause=16")
-        self.assertTrue(silent.heard.empty())
+        self.assertTrue(silent.received.empty())
 
 
 class TakenBack(Races):
@@ -538,10 +540,10 @@
             answers = []
             for client in sockets:
                 try:
-                    answers.append(await asyncio.wait_for(loop.sock_recv(client, 4096), LONG))
+                    answers.append(await asyncio.wait_for(loop.sock_recv(client, 4096), EVENT_TIMEOUT_S))
                 except ConnectionResetError:
                     answers.append(b"")
-        await asyncio.wait_for(ending, LONG)
+        await asyncio.wait_for(ending, EVENT_TIMEOUT_S)
         self.assertEqual(40, sum(b"FINISH" in answer for answer in answers), "requests with an answer")
 
     async def test_a_request_that_came_before_the_connections_are_closed_is_answered(self):
@@ -554,10 +556,10 @@
 
         self.gateway.clients.finish_all = asked_before
         with unittest.mock.patch.object(gateway_module, "LISTEN_ON_S", 0):
-            await asyncio.wait_for(self.gateway.end(), LONG)
-        await asyncio.wait_for(owner.closed.wait(), LONG)
-        self.assertFalse(owner.heard.empty(), "closed without an answer")
-        self.assertEqual("FINISH", owner.heard.get_nowait()[0])
+            await asyncio.wait_for(self.gateway.end(), EVENT_TIMEOUT_S)
+        await asyncio.wait_for(owner.closed.wait(), EVENT_TIMEOUT_S)
+        self.assertFalse(owner.received.empty(), "closed without an answer")
+        self.assertEqual("FINISH", owner.received.get_nowait()[0])
 
 
 if __name__ == "__main__":
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -27,7 +27,7 @@
 class Kept(Scenario):
     """A gateway with a store; `again` kills it and starts the next one on the same folder."""
 
-    newcomer = Client
+    new_party_class = Client
     timing: ClassVar = {"lease": 30, "grace": 0.2, "session": 60, "pickup": 10, "poll": 10, "settle": 0}
 
     async def asyncSetUp(self):
--- a/tests/test_remote_sites.py
+++ b/tests/test_remote_sites.py
@@ -33,7 +33,7 @@
 
 
 class RemoteSites(Scenario):
-    newcomer = Client
+    new_party_class = Client
     timing: ClassVar = {"lease": 30, "grace": 0.2, "session": 60, "pickup": 10, "poll": 10, "settle": 0}
 
     async def asyncSetUp(self):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 import pytest
-from scenario import LONG, SETTINGS, Bus, tag
+from scenario import EVENT_TIMEOUT_S, SETTINGS, Bus, tag
 
 ROOT = Path(__file__).parent.parent
 READY_S = 10.0  # the term
@@ -108,7 +108,7 @@
     async def end(self, how: signal.Signals) -> None:
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(how)
-            await asyncio.wait_for(self.process.wait(), LONG)
+            await asyncio.wait_for(self.process.wait(), EVENT_TIMEOUT_S)
 
     async def hammer(self, number: int) -> None:
         """A client that comes again as soon as it is refused or closed, with a set-up that stays open."""
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -9,7 +9,7 @@
 import unittest
 from pathlib import Path
 
-from scenario import LONG, SETTINGS, Bus, Server
+from scenario import EVENT_TIMEOUT_S, SETTINGS, Bus, Server
 
 ROOT = Path(__file__).parent.parent
 
@@ -36,7 +36,7 @@
                     "boot_ms": 0,
                 }
             ],
-            whole=True,
+            is_full=True,
         )
         self.configure(self.bus)
         self.process = await asyncio.create_subprocess_exec(
@@ -76,14 +76,14 @@
 
     async def logs(self, text):
         """The next line of the log that holds the text."""
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(EVENT_TIMEOUT_S):
             while text not in (line := (await self.process.stderr.readline()).decode()):
                 self.assertTrue(line, f"the log ended before {text!r}")
             return line
 
     async def test_a_hangup_moves_to_the_new_bus_and_a_bad_file_changes_nothing(self):
         """Guards against ending on SIGHUP, and against events lost between two buses."""
-        await asyncio.wait_for(self.bus.connected.wait(), LONG)
+        await asyncio.wait_for(self.bus.connected.wait(), EVENT_TIMEOUT_S)
         for bad in ("{", '{"bus": "nowhere"}', "[]"):
             self.path.write_text(bad)
             self.process.send_signal(signal.SIGHUP)
@@ -106,7 +106,7 @@
     async def test_a_planned_end_ends_with_0(self):
         self.process.send_signal(signal.SIGTERM)
         await self.logs("told to end")
-        self.assertEqual(0, await asyncio.wait_for(self.process.wait(), LONG))
+        self.assertEqual(0, await asyncio.wait_for(self.process.wait(), EVENT_TIMEOUT_S))
 
 
 if __name__ == "__main__":
--- a/tests/test_standalone_zones.py
+++ b/tests/test_standalone_zones.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from random import Random
 
-from scenario import LONG, SETTINGS, Owner, Scenario
+from scenario import EVENT_TIMEOUT_S, SETTINGS, Owner, Scenario
 
 from weldhatch import config
 from weldhatch.gateway import Gateway
@@ -120,19 +120,25 @@
                 party = self.parties[name]
                 party.server.close()
                 party.reset()
-            await until(lambda: any("west is leaving" in text for text in self.logged), LONG, "it is left")
+            await until(
+                lambda: any("west is leaving" in text for text in self.logged), EVENT_TIMEOUT_S, "it is left"
+            )
             await until(
                 lambda: all(
                     node.entry.state is not MachineState.READY  # in the module's next batch
                     for node in self.gateway.driver._policy._cluster.machines.values()
                     if node.entry.zone == 1
                 ),
-                LONG,
+                EVENT_TIMEOUT_S,
                 "the module avoids it",
             )
             for name in ("s4", "s5", "s6"):
                 await self.parties[name].listen(self.parties[name].endpoint)
-            await until(lambda: any("west is returning" in text for text in self.logged), LONG, "it returns")
+            await until(
+                lambda: any("west is returning" in text for text in self.logged),
+                EVENT_TIMEOUT_S,
+                "it returns",
+            )
         finally:
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
