--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -67,7 +67,7 @@
             for n, fields in enumerate(bad):
                 await self.closed(f"b{n}", line(**fields))
         await self.play(USUAL.format("a1"))  # the first that the server hears of
-        self.assertEqual(len(bad), sum("unusable field" in text for text in self.logged), self.logged)
+        self.assertEqual(len(bad), sum("invalid field" in text for text in self.logged), self.logged)
 
     async def test_a_task_that_stands_is_believed_whatever_its_owner_says_it_waits(self):
         """Guards against losing all owners at a start: theirs come with the longest time there is."""
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -123,7 +123,7 @@
     with unittest.mock.patch("time.monotonic", return_value=2.5):
         log("later")
     assert (
-        lines[-2:] == [f"{500 - MAX_LINES_PER_S} lines were left out", "later"]
+        lines[-2:] == [f"{500 - MAX_LINES_PER_S} log lines were suppressed", "later"]
         and len(lines) == MAX_LINES_PER_S + 2
     )
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -514,7 +514,7 @@
             for n in range(2 * client_connection.MAX_IMMEDIATE_CANCELS):
                 await self.play(f"owner send START b{n}\nowner send FINISH b{n} cause=16")
             await self.play("owner send START a1\nowner send ECHO t0\nowner expect ECHOED t0")
-            self.assertFalse([text for text in self.logged if "takes back" in text], self.logged)
+            self.assertFalse([text for text in self.logged if "requests cancelled" in text], self.logged)
 
     async def test_a_refusal_that_crosses_the_end_of_its_owners_interest_is_not_sent(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
--- a/weldhatch/net/__init__.py
+++ b/weldhatch/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: the ring buffer, the connection, the listener and the budget of descriptors. No protocol."""
+"""Sockets, independent of any protocol: ring buffer, connection, listener and descriptor budget."""
--- a/weldhatch/net/connection.py
+++ b/weldhatch/net/connection.py
@@ -1,4 +1,4 @@
-"""One connection: an IOStream with one bounded ring buffer a direction."""
+"""A connection: an IOStream with a bounded receive buffer and a bounded send buffer."""
 
 from __future__ import annotations
 
@@ -21,42 +21,44 @@
 
 Message = TypeVar("Message")
 
-MAX_MESSAGE_BYTES = 16 * 1024  # a longer message closes its connection
+MAX_MESSAGE_BYTES = 16 * 1024  # a connection that receives a longer message is closed
 RECEIVE_BUFFER_BYTES = MAX_MESSAGE_BYTES + 2048  # one message, and the start of the next
-SEND_BUFFER_BYTES = 128 * 1024  # a peer that leaves so much unread is closed
-FINAL_ITERATIONS = 4  # of the event loop, in which what has come is read, parsed and answered
-NO_LINGER = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets
+SEND_BUFFER_BYTES = 128 * 1024  # a connection whose peer leaves more than this unread is closed
+FINAL_ITERATIONS = 4  # event-loop iterations in which received input is still read and answered
+NO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER value with which a close resets the connection
 
 
 class MalformedMessageError(Exception):
-    """What came in does not follow the protocol; the text says how."""
+    """Received bytes violate the protocol; the text names the violation."""
 
 
 class SlotOwner(Protocol):
-    """Where a socket's slot of the descriptor budget goes back to."""
+    """The descriptor budget, or a share of it, that a socket's slot is returned to."""
 
     def give_back(self) -> None:
-        """Take the slot of one socket that is closed."""
+        """Return the slot of one closed socket."""
 
 
 class Connection:
-    """Owns its socket and its slot in the budget; both are given back in `close`, once."""
+    """Owns a socket and its slot in the descriptor budget; `close` releases both, exactly once."""
 
     def __init__(self, stream: IOStream, slots: SlotOwner, name: str, log: Callable[[str], None]) -> None:
-        """Take over a stream that is connected, and its slot; `name` is for the log."""
+        """Take ownership of a connected stream and its slot; `name` identifies the connection in the log."""
         self._stream = stream
         self._slots = slots
         self.name = name
         self._log = log
         self._receive_buffer = RingBuffer(RECEIVE_BUFFER_BYTES)
         self._send_buffer = RingBuffer(SEND_BUFFER_BYTES)
-        self._reading: asyncio.Future[int] | None = None  # of `pump`, while it may still hand on something
+        self._reading: asyncio.Future[int] | None = (
+            None  # the read that `pump` awaits; None once it stops reading
+        )
         self._flushing: asyncio.Task[None] | None = None
         self._is_flush_scheduled = False
         self.closed = False
         self.reset = False
-        self.last_received = time.monotonic()  # when anything came last
-        self.incomplete_since = 0.0  # since when the rest of a message that has begun is awaited
+        self.last_received = time.monotonic()  # monotonic time of the last received bytes
+        self.incomplete_since = 0.0  # monotonic time since which a message is incomplete; 0.0 if none is
         stream.set_nodelay(True)
 
     async def pump(
@@ -65,9 +67,9 @@
         handle: Callable[[Message], None],
         on_malformed: Callable[[], Awaitable[None]] | None = None,
     ) -> None:
-        """Hand on each message until the connection ends; then give it back.
+        """Pass each received message to `handle` until the connection ends, then close it.
 
-        `turn_away` comes between a message that can't be read and the close; nothing more is read.
+        `on_malformed` is awaited between a malformed message and the close; nothing more is read meanwhile.
         """
         try:
             while not self.closed:
@@ -81,7 +83,7 @@
                     self.incomplete_since = 0.0
                     handle(message)
                 if len(self._receive_buffer) > MAX_MESSAGE_BYTES:
-                    raise MalformedMessageError(f"a message over {MAX_MESSAGE_BYTES} bytes")
+                    raise MalformedMessageError(f"message longer than {MAX_MESSAGE_BYTES} bytes")
                 if not len(self._receive_buffer):
                     self.incomplete_since = 0.0
                 elif not self.incomplete_since:
@@ -91,7 +93,7 @@
         except MalformedMessageError as error:
             await self._reject(error, on_malformed)
         except Exception:
-            # Guards the process against a fault of ours in one message: that connection alone ends.
+            # A defect in the handling of one message closes this connection alone, not the process.
             self._log(f"{self.name}: closed: " + traceback.format_exc().replace("\n", " | "))
         finally:
             self._reading = None
@@ -109,40 +111,42 @@
 
     @property
     def has_unhandled(self) -> bool:
-        """Whether something has come, or the connection has ended, and `pump` has not handed that on yet."""
+        """Whether received input, or the end of the connection, has not been processed by `pump` yet."""
         if self._reading is None:
             return False
         if self._reading.done() or self.closed or self._stream.closed():
             return True
-        if (descriptor := self._stream.socket.fileno()) < 0:  # of a simulation, whose readers get all at once
+        if (
+            descriptor := self._stream.socket.fileno()
+        ) < 0:  # a simulated socket, which delivers all input at once
             return False
         poll = select.poll()
         poll.register(descriptor, select.POLLIN)
         return bool(poll.poll(0))
 
     def send(self, data: bytes) -> bool:
-        """Queue the bytes; False where the connection is closed, or was for leaving too much unread."""
+        """Queue the bytes; return False if the connection is closed, or closes as its buffer is full."""
         if not self.queue(data):
             return False
         if (
             self._flushing is None and not self._is_flush_scheduled
-        ):  # all that is sent in one iteration goes out together
+        ):  # bytes sent in one loop iteration are written together
             self._is_flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush_scheduled_data)
         return True
 
     def queue(self, data: bytes) -> bool:
-        """Queue the bytes as `send` does, for those who gather what goes out together: then call `push`."""
+        """Queue the bytes as `send` does, but write nothing until the caller, after a batch, calls `push`."""
         if self.closed:
             return False
         if not self._send_buffer.put(data):
-            self._log(f"{self.name}: closed: it leaves more than {SEND_BUFFER_BYTES} bytes unread")
+            self._log(f"{self.name}: closed: the peer has left more than {SEND_BUFFER_BYTES} bytes unread")
             self.close()
             return False
         return True
 
     def push(self) -> None:
-        """Write what is queued. Mostly the socket takes all of it at once, and no task is needed."""
+        """Write the queued bytes. A task is started only if the socket does not accept all at once."""
         try:
             while self._flushing is None and len(self._send_buffer) and not self.closed:
                 front = self._send_buffer.front()
@@ -152,11 +156,11 @@
                     return
                 self._send_buffer.drop(len(front))
         except StreamClosedError:
-            pass  # the reader sees it too, and closes
+            pass  # `pump` gets the same error and closes the connection
 
     @property
     def unsent(self) -> int:
-        """Bytes that were sent and have not left yet, of OUT_MOST."""
+        """Number of queued bytes not yet written to the socket, at most SEND_BUFFER_BYTES."""
         return len(self._send_buffer)
 
     def _flush_scheduled_data(self) -> None:
@@ -164,7 +168,7 @@
         self.push()
 
     async def _flush(self, written: Awaitable[None], count: int) -> None:
-        """Go on from a write that the socket did not take whole."""
+        """Complete a write that the socket accepted only in part, then write all that is queued."""
         try:
             await written
             self._send_buffer.drop(count)
@@ -173,12 +177,12 @@
                 await self._stream.write(front)
                 self._send_buffer.drop(len(front))
         except StreamClosedError:
-            pass  # the reader sees it too, and closes
+            pass  # `pump` gets the same error and closes the connection
         finally:
             self._flushing = None
 
     async def _wait_until_sent(self, end: float) -> None:
-        """Wait until all that was sent has left, or until then by the monotonic clock."""
+        """Wait until the send buffer is empty, or until `end` on the monotonic clock (seconds)."""
         while len(self._send_buffer) and not self.closed and time.monotonic() < end:
             self.push()
             if self._flushing is None:
@@ -186,18 +190,18 @@
             await asyncio.wait([self._flushing], timeout=max(0.0, end - time.monotonic()))
 
     def abort(self) -> None:
-        """Close at once, by a reset.
+        """Close at once with a TCP reset.
 
-        Guards against what was sent and has not arrived: the system would go on sending it after a close, and
-        where a link comes back seconds later it would arrive as if it had just been said.
+        After an ordinary close the kernel keeps retransmitting data that has not arrived. On a network path
+        that recovers seconds later, the peer would take this stale data for new.
         """
         if not self.closed:
-            with contextlib.suppress(OSError, AttributeError):  # of one that has just ended
+            with contextlib.suppress(OSError, AttributeError):  # the socket has just been closed
                 self._stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         self.close()
 
     async def finish(self, timeout_s: float) -> None:
-        """Close once what has come by now is answered and all of that has left, or when the time is up."""
+        """Close once input received by now is answered and all answers are written, or after `timeout_s`."""
         end = time.monotonic() + timeout_s
         for _ in range(FINAL_ITERATIONS):
             await asyncio.sleep(0)
@@ -205,9 +209,9 @@
         self.close()
 
     async def linger(self, timeout_s: float) -> None:
-        """Let all that was sent leave, then read and throw away for a while before the close.
+        """Write all queued bytes, discard input until the peer closes, then close; all within `timeout_s`.
 
-        Guards against a reset that would take the last answer from a peer that is still sending.
+        A close with unread input resets the connection, and a peer still sending would lose the last answer.
         """
         end = time.monotonic() + timeout_s
         await self._wait_until_sent(end)
@@ -221,7 +225,7 @@
         self.close()
 
     def close(self) -> None:
-        """Give the socket and its slot back, once; what has not left is still sent by the system."""
+        """Close the socket and return its slot, once; the kernel still sends the bytes written so far."""
         if not self.closed:
             self.closed = True
             self._stream.close()
@@ -236,12 +240,11 @@
     log: Callable[[str], None],
     tls: ssl.SSLContext | None = None,
 ) -> Connection:
-    """Open a connection. Raises OSError where it is refused, TimeoutError where it does not come up in time.
+    """Open a connection. Raises OSError if it fails, TimeoutError if it takes longer than `timeout_s`.
 
-    `within`: seconds; `tls`: with a handshake, in which the other side's certificate has to be for the
-    endpoint's host.
+    With `tls`, a TLS handshake follows, in which the server's certificate must match the endpoint's host.
 
-    The caller has taken the slot. A failure gives it back here, a success hands it to the connection.
+    The caller has taken the slot. A failure returns it to the budget, a success passes it to the connection.
     """
     try:
         stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
--- a/weldhatch/net/descriptor_budget.py
+++ b/weldhatch/net/descriptor_budget.py
@@ -1,34 +1,34 @@
-"""The budget of descriptors: every socket holds one slot of it and gives it back in one place."""
+"""The budget of file descriptors: every open socket holds one slot of it."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-RESERVED_DESCRIPTORS = 24  # standard streams, the event loop's own, a few files
+RESERVED_DESCRIPTORS = 24  # for standard streams, the event loop and a few files
 
 
 class NoDescriptorError(OSError):
-    """No slot is left for another socket: this says nothing of the other side."""
+    """No slot is left for another socket. The error says nothing about the state of the peer."""
 
 
 class DescriptorBudget:
-    """How many sockets may be open at once. A listener that found none left is woken by the next return."""
+    """Limits how many sockets may be open at once. Callbacks waiting for a slot run when one is returned."""
 
     def __init__(self, descriptors: int, excluded: int = 0) -> None:
-        """Budget `descriptors` of the process; `kept` are its sockets that don't come from here."""
+        """Budget the process's `descriptors`, less `excluded` for sockets that take no slot here."""
         self.limit = max(8, descriptors - RESERVED_DESCRIPTORS) - excluded
         self.held = 0
         self._waiting: list[Callable[[], None]] = []
 
     def take(self) -> bool:
-        """Take a slot; False where none is left."""
+        """Take a slot; return False if none is left."""
         if self.held >= self.limit:
             return False
         self.held += 1
         return True
 
     def give_back(self) -> None:
-        """Give a slot back, and wake all that wait for one."""
+        """Return a slot and run all waiting callbacks."""
         self.held -= 1
         waiting = self._waiting
         self._waiting = []
@@ -36,15 +36,15 @@
             wake()
 
     def when_free(self, wake: Callable[[], None]) -> None:
-        """Call `wake` once, when the next slot is given back."""
+        """Call `wake` once, when the next slot is returned."""
         self._waiting.append(wake)
 
 
 class DescriptorShare:
-    """A part of the budget: what one group of sockets may hold of it."""
+    """The part of the budget that one group of sockets may hold."""
 
     def __init__(self, budget: DescriptorBudget, limit: int) -> None:
-        """Hold at most `most` slots of the budget."""
+        """Allow at most `limit` slots of the budget."""
         self._budget = budget
         self.limit = limit
         self.held = 0
@@ -52,18 +52,18 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether all of this part is held; what it lacks otherwise, others hold."""
+        """Whether this share is used up. If not and `take` fails, the whole budget is used up."""
         return self.held >= self.limit
 
     def take(self) -> bool:
-        """Take a slot; False where this part or the budget has none left."""
+        """Take a slot; return False if this share or the budget is used up."""
         if self.held >= self.limit or not self._budget.take():
             return False
         self.held += 1
         return True
 
     def give_back(self) -> None:
-        """Give a slot back, and wake all that wait for one of the budget, then those of this part."""
+        """Return a slot; run the callbacks that wait for the budget, then those that wait for this share."""
         self.held -= 1
         self._budget.give_back()
         waiting = self._waiting
@@ -72,5 +72,5 @@
             wake()
 
     def when_free(self, wake: Callable[[], None]) -> None:
-        """Call `wake` once, when the next slot is given back of what is used up: this part, or the budget."""
+        """Call `wake` once, when a slot is returned to this share if it is used up, else to the budget."""
         (self._waiting if self.held >= self.limit else self._budget._waiting).append(wake)
--- a/weldhatch/net/listener.py
+++ b/weldhatch/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that accepts only as far as the descriptor budget allows."""
+"""A listening socket that accepts connections only within the descriptor budget."""
 
 from __future__ import annotations
 
@@ -11,14 +11,12 @@
 from weldhatch.net.descriptor_budget import DescriptorShare
 
 BACKLOG = 512
-SLOT_RETRY_INTERVAL_S = 0.2  # a listener that still waits for a slot asks for one again after this long
-MAX_ACCEPTED_PER_ITERATION = (
-    16  # in one iteration of the loop: connections that are open are served in between
-)
+SLOT_RETRY_INTERVAL_S = 0.2  # interval at which a listener that waits for a slot asks for one again
+MAX_ACCEPTED_PER_ITERATION = 16  # so that open connections are served in between
 
 
 class Listener:
-    """Owns the listening socket. A connection that finds no slot waits in the backlog for the next one."""
+    """Owns the listening socket. While no slot is free, connections wait in the backlog."""
 
     def __init__(
         self,
@@ -27,9 +25,9 @@
         on_accept: Callable[[IOStream, str], None],
         on_exhausted: Callable[[], None] = lambda: None,
     ) -> None:
-        """Listen at `address`, and hand each connection on to `taken` with its peer's address.
+        """Listen at `address`, and pass each connection to `on_accept` with its peer's IP address.
 
-        `full`: called while connections wait and no slot is left, for whoever can free one.
+        `on_exhausted` is called repeatedly while connections wait and no slot is left: it may free one.
         """
         self._share = share
         self._on_accept = on_accept
@@ -58,10 +56,10 @@
                 return
 
     def _accept(self) -> bool:
-        """Hand on one connection, for which a slot has been taken; False where there is none."""
+        """Accept one connection, for which a slot has been taken; return False if none is pending."""
         try:
             accepted, peer = self._socket.accept()
-        except OSError:  # nothing left to accept, or the peer has gone again
+        except OSError:  # no connection is pending, or its peer has already left
             self._share.give_back()
             return False
         accepted.setblocking(False)
@@ -69,22 +67,22 @@
         return True
 
     def _pause(self) -> None:
-        """Go on once a slot is free, and say so to whoever can free one."""
+        """Stop accepting until a slot is returned, and ask for one to be freed."""
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
         self._is_paused = True
         self._share.when_free(self._resume)
         self._ask_for_slot()
 
     def _ask_for_slot(self) -> None:
-        """Ask again and again: what may not be closed yet may be a moment later."""
+        """Ask at an interval: a connection that can't be closed yet may be closable later."""
         if self._is_paused and self._is_open:
             self._on_exhausted()
             asyncio.get_running_loop().call_later(SLOT_RETRY_INTERVAL_S, self._ask_for_slot)
 
     def finish(self) -> None:
-        """Take what the system has accepted already, as far as there are slots, and listen no more.
+        """Accept the connections pending in the backlog, as far as slots allow, and stop listening.
 
-        Guards against clients whose request is reset unread with the listening socket.
+        Closing the listening socket resets pending connections: their requests would be lost unread.
         """
         for _ in range(BACKLOG if self._is_open else 0):
             if not self._share.take() or not self._accept():
@@ -92,7 +90,7 @@
         self.close()
 
     def close(self) -> None:
-        """Listen no more. What the system has accepted and nobody has taken is reset."""
+        """Stop listening. Connections that are still pending in the backlog are reset."""
         if self._is_open:
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
             self._is_open = False
--- a/weldhatch/net/loop_lag.py
+++ b/weldhatch/net/loop_lag.py
@@ -1,4 +1,4 @@
-"""Measure how long what is read now may have waited, by the iterations of the event loop."""
+"""Estimates how long received data has waited unread, from the duration of event-loop iterations."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 
 class LoopLag:
-    """In a busy loop, what came during the last iteration is read in this one, after all that is before it.
+    """The longest time that data may wait in a busy event loop.
 
-    Costs one call of the loop an iteration, and only in those that ask.
+    Data that arrives during one iteration is read in the next one, after the callbacks queued before it. The
+    measurement costs one callback per iteration, and only in iterations that call `age`.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -19,16 +20,14 @@
         self._is_iteration_marked = False
         self._iteration_began = 0.0
         self._last_iteration_end = 0.0
-        self._last_duration_s = 0.0  # how long the last iteration took, if this one followed at once
+        self._last_duration_s = 0.0  # duration of the last iteration; 0.0 if the loop was idle after it
 
     def age(self) -> float:
-        """Return for how many seconds something that is read now may have waited."""
+        """Return the longest time, in seconds, that data read now may have waited."""
         now = self._clock()
         if not self._is_iteration_marked:
             self._is_iteration_marked = True
-            if (
-                now - self._last_iteration_end > 0.001
-            ):  # the loop had nothing to do in between: nothing waited
+            if now - self._last_iteration_end > 0.001:  # the loop was idle in between, so no data has waited
                 self._last_duration_s = 0.0
             self._iteration_began = now
             self._loop.call_soon(self._iteration_ended)
--- a/weldhatch/net/rate_limited_log.py
+++ b/weldhatch/net/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Limit the lines that a group of connections may log: a flood can't fill the log."""
+"""A rate limit for the log lines of a group of connections, so that a flood can't fill the log."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RateLimitedLog:
-    """Passes on so many lines a second. What it leaves out is counted, and logged with the next line."""
+    """Passes on at most MAX_LINES_PER_S lines a second, then logs how many lines were suppressed."""
 
     def __init__(self, log: Callable[[str], None]) -> None:
         """Pass lines on to `log`."""
@@ -19,11 +19,11 @@
         self._suppressed = 0
 
     def __call__(self, text: str) -> None:
-        """Log one line, or count it where this second's lines are used up."""
+        """Log one line, or count it as suppressed if the limit of this second is reached."""
         second = int(time.monotonic())
         if second != self._second:
             if self._suppressed:
-                self._log(f"{self._suppressed} lines were left out")
+                self._log(f"{self._suppressed} log lines were suppressed")
             self._second = second
             self._lines = 0
             self._suppressed = 0
--- a/weldhatch/net/ring_buffer.py
+++ b/weldhatch/net/ring_buffer.py
@@ -1,27 +1,27 @@
-"""A bounded ring of bytes: one for each direction of a connection."""
+"""A bounded ring buffer of bytes; a connection has one per direction."""
 
 from __future__ import annotations
 
-INITIAL_SIZE_BYTES = 2048  # what a ring starts with, and goes back to once it is empty
+INITIAL_SIZE_BYTES = 2048  # first allocation; a larger one is freed once the ring is empty
 
 
 class RingBuffer:
-    """Bytes in order, never more than `capacity`. Space is handed out and data read without copies.
+    """A first-in, first-out byte buffer of at most `capacity` bytes, written and read without copies.
 
-    The space is taken as the data asks for it and given back once the ring is empty. Guards against
-    connections by hundreds that say little: whole rings for all of them would use up the memory.
+    Memory is allocated as the data needs it and freed once the ring is empty: rings at full capacity for
+    hundreds of nearly silent connections would exhaust the memory.
     """
 
     __slots__ = ("_allocated", "_buffer", "_head", "_size", "_view", "capacity")
 
     def __init__(self, capacity: int) -> None:
-        """Begin empty; `capacity` in bytes."""
+        """Create an empty ring of at most `capacity` bytes."""
         self.capacity = capacity
         self._size = 0
         self._reallocate(0)
 
     def _reallocate(self, size: int) -> None:
-        """Go on in a space of that length, with the data at its start."""
+        """Allocate a new buffer of `size` bytes, with the data at its start."""
         buffer = bytearray(size)
         if self._size:
             buffer[: self._size] = self.copy(self._size)
@@ -38,11 +38,11 @@
             self._reallocate(size)
 
     def __len__(self) -> int:
-        """Return the bytes that are held."""
+        """Return the number of bytes held."""
         return self._size
 
     def free_space(self) -> memoryview:
-        """Return the free space that follows the data in one piece; empty only where the ring is full."""
+        """Return the contiguous free space after the data; it is empty only if the ring is full."""
         if self._size == self._allocated and self._allocated < self.capacity:
             self._grow(self._size + 1)
         if not self._size:
@@ -53,11 +53,11 @@
         return self._view[tail:]
 
     def commit(self, count: int) -> None:
-        """Take so many bytes of `free_space` for data: they have been written there."""
+        """Count the first `count` bytes of `free_space`, which the caller has written, as data."""
         self._size += count
 
     def put(self, data: bytes) -> bool:
-        """Append all of the data, or nothing and False where it does not fit."""
+        """Append all of the data; return False, and append nothing, if it does not fit."""
         if len(data) > self.capacity - self._size:
             return False
         self._grow(self._size + len(data))
@@ -71,11 +71,11 @@
         return True
 
     def front(self) -> memoryview:
-        """Return the first data in one piece; what has wrapped round follows once this is dropped."""
+        """Return the first contiguous part of the data; a wrapped rest follows once this part is dropped."""
         return self._view[self._head : min(self._head + self._size, self._allocated)]
 
     def find(self, byte: bytes, start: int = 0) -> int:
-        """Return how many bytes stand before the one-byte mark, from `start` on; -1 where there is none."""
+        """Return the offset of the first `byte` (a single one) at or after `start`; -1 if there is none."""
         wrap = self._allocated - self._head
         if start < wrap:
             at = self._buffer.find(byte, self._head + start, min(self._head + self._size, self._allocated))
@@ -88,7 +88,7 @@
         return -1
 
     def copy(self, count: int, start: int = 0) -> bytes:
-        """Return so many bytes from `start` on, which stay in the ring."""
+        """Return `count` bytes from offset `start`; they stay in the ring."""
         first = self._head + start
         if first >= self._allocated:
             first -= self._allocated
@@ -98,7 +98,7 @@
         return bytes(self._view[first:]) + bytes(self._view[: last - self._allocated])
 
     def drop(self, count: int) -> None:
-        """Remove the first bytes; a ring that is empty gives its space back."""
+        """Remove the first `count` bytes; a ring that becomes empty frees a large buffer."""
         self._head += count
         if self._head >= self._allocated:
             self._head -= self._allocated
@@ -107,7 +107,7 @@
             self._reallocate(0)
 
     def take(self, count: int) -> bytes:
-        """Remove and return the first bytes."""
+        """Remove and return the first `count` bytes."""
         data = self.copy(count)
         self.drop(count)
         return data
--- a/weldhatch/net/tls.py
+++ b/weldhatch/net/tls.py
@@ -1,4 +1,4 @@
-"""The serving side of a TLS handshake, and the name that the other side's certificate shows."""
+"""The server side of a TLS handshake, and the common name in the client's certificate."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 async def accept_tls(stream: IOStream, context: ssl.SSLContext) -> tuple[IOStream, str]:
-    """Return the stream to go on with, and the common name in the client's certificate, '' without one.
+    """Return the encrypted stream, and the common name in the client's certificate ('' without one).
 
-    Raises ConnectionError where it fails; the socket is closed then.
+    Raises ConnectionError if the handshake fails; the socket is closed then.
     """
-    # The stream has given its socket away by the time a handshake fails, and can't close it: guards against
-    # a descriptor that is lost with each client that speaks no TLS, or says nothing.
+    # When a handshake fails, the stream no longer owns its socket and can't close it. Without the duplicate,
+    # each client that speaks no TLS, or stays silent, would leak a descriptor.
     duplicate = stream.socket.dup()
     try:
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
--- a/weldhatch/platform/__init__.py
+++ b/weldhatch/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: owners on JSON lines, servers on binary messages, the event bus."""
+"""The platform's protocol: clients on JSON lines, servers on binary messages, and the event bus."""
--- a/weldhatch/platform/client_codec.py
+++ b/weldhatch/platform/client_codec.py
@@ -1,6 +1,6 @@
-"""The clients' messages: one JSON object a line.
+"""Codec of the client protocol: one JSON object per line.
 
-The names of the keys (`verb`, `tag`, `opts`, `rc`, `blob`) are the platform's and stay in this module.
+The key names on the wire (`verb`, `tag`, `opts`, `rc`, `blob`) appear only in this module.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 
 @dataclass(slots=True)
 class ClientMessage:
-    """One line, in either direction."""
+    """One line of the protocol, from or to a client."""
 
     verb: str
-    tag: str  # 16 hex digits that name the request
+    tag: str  # request id: 16 hex digits
     fields: dict[str, Any] = field(default_factory=dict)
     cause: int | None = None
-    description: str | None = None  # passed on unchanged
+    description: str | None = None  # opaque text, forwarded unchanged
 
 
 def parse(ring: RingBuffer) -> ClientMessage | None:
-    """Take the next line from the ring; None where it is not complete yet.
+    """Take the next line from the ring; return None if it is not complete yet.
 
     Raises:
-        MalformedMessageError: the line can't be a message. One that can't become an object raises before it
-            is complete, so that nothing is kept of it until its end.
+        MalformedMessageError: the line is not a valid message. A line that can't be a JSON object raises
+            before it is complete, so that the rest of it is not buffered.
     """
     if len(ring) and ring.copy(1) not in LINE_STARTS:
-        raise MalformedMessageError("a line that is no object")
+        raise MalformedMessageError("line is not a JSON object")
     end = ring.find(b"\n")
     if end < 0:
         return None
@@ -45,9 +45,9 @@
     try:
         return _message_from_json(json.loads(data))
     except KeyError as missing:
-        raise MalformedMessageError(f"a line without {missing}") from None
+        raise MalformedMessageError(f"line without the field {missing}") from None
     except (ValueError, TypeError, AttributeError, RecursionError) as error:
-        raise MalformedMessageError(f"a line that can't be read: {error}") from None
+        raise MalformedMessageError(f"invalid line: {error}") from None
 
 
 def _message_from_json(json_object: Any) -> ClientMessage:
@@ -61,13 +61,13 @@
     if not (
         isinstance(message.verb, str) and isinstance(message.tag, str) and isinstance(message.fields, dict)
     ):
-        raise TypeError("a field of the wrong type")
+        raise TypeError("verb, tag or opts has the wrong type")
     if message.cause is not None and not isinstance(message.cause, int):
-        raise TypeError("rc is no whole number")
+        raise TypeError("rc is not an integer")
     if message.description is not None:
         if not isinstance(message.description, str):
-            raise TypeError("blob is no text")
-        message.description.encode()  # half a character can be written in JSON and nowhere else
+            raise TypeError("blob is not a string")
+        message.description.encode()  # raises on a lone surrogate, which JSON allows and UTF-8 does not
     if len(bytes.fromhex(message.tag)) != TAG_BYTES:
         raise ValueError("tag is not 16 hex digits")
     return message
@@ -76,7 +76,7 @@
 def encode(
     verb: str, tag: str, fields: Mapping[str, str], cause: int | None = None, description: str | None = None
 ) -> bytes:
-    """Encode one line, with its end."""
+    """Encode one line, including its newline."""
     json_object: dict[str, Any] = {"verb": verb, "tag": tag, "opts": fields}
     if cause is not None:
         json_object["rc"] = cause
--- a/weldhatch/platform/client_connection.py
+++ b/weldhatch/platform/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client, and how long it may stay. Its open requests are given up when it ends."""
+"""A client's connection, and when it is closed. Its open requests are abandoned when it ends."""
 
 from __future__ import annotations
 
@@ -10,60 +10,61 @@
 from weldhatch.platform import client_codec
 from weldhatch.platform.client_codec import ClientMessage
 
-MAX_IDLE_S = 6.0  # clients close what idles for 4 s; past this the dispatcher does it
-MAX_IDLE_WITH_TASKS_S = 1.0  # past this, one with running tasks gives way too: they belong to no connection
-COMPLETE_MESSAGE_TIMEOUT_S = 2.0  # a connection that has brought no complete message by then is closed
-FIRST_MESSAGE_TIMEOUT_S = 2.8  # and one whose first message began in time is closed by then
-INCOMPLETE_GRACE_S = 0.5  # a message that began so lately is waited for, also where descriptors run short
+MAX_IDLE_S = 6.0  # clients close their idle connections after 4 s
+# Idle connections with running tasks may be evicted after this time: tasks are not bound to a connection.
+MAX_IDLE_WITH_TASKS_S = 1.0
+COMPLETE_MESSAGE_TIMEOUT_S = 2.0  # limit for receiving the rest of a message, or a first one
+FIRST_MESSAGE_TIMEOUT_S = 2.8  # limit for the first message where it began within COMPLETE_MESSAGE_TIMEOUT_S
+INCOMPLETE_GRACE_S = 0.5  # an incomplete message younger than this protects its connection from eviction
 SWEEP_INTERVAL_S = 0.2
-REJECTED_CLOSE_DELAY_S = 0.4  # a rejected client waits for the close so long: none comes again at full speed
-# Requests that a connection may take back in the moment it asks for them, with less than a span between two.
+REJECTED_CLOSE_DELAY_S = 0.4  # slows down rejected clients that reconnect as soon as they are closed
+# Immediately cancelled requests allowed per connection, each within the window after the one before.
 MAX_IMMEDIATE_CANCELS = 16
 IMMEDIATE_CANCEL_WINDOW_S = 1.0
 
 
 class OpenRequest(Protocol):
-    """A request without an answer."""
+    """A request that has not been answered."""
 
     def abandon(self) -> None:
-        """Give the request up: its client waits no more, or has left."""
+        """Abandon the request: its client has cancelled it or disconnected."""
 
 
 class ConnectionFront(Protocol):
-    """What a connection needs of the front that it belongs to."""
+    """The callbacks of the client front that a connection uses."""
 
     def start(self, connection: ClientConnection, message: ClientMessage) -> None:
-        """Take a request up."""
+        """Start a request."""
 
     def finish(self, connection: ClientConnection, message: ClientMessage) -> None:
-        """End a request or a running task."""
+        """End a running task, or cancel a request."""
 
     def flush(self, connection: ClientConnection) -> None:
-        """Send ends of tasks that no connection was open for."""
+        """Send the queued notifications of ended tasks."""
 
     def closed(self, connection: ClientConnection) -> None:
-        """Drop a connection that has ended."""
+        """Remove a connection that has ended."""
 
 
 class ClientConnection:
-    """Reads a client's messages and keeps what decides on closing the connection."""
+    """Handles a client's messages, and keeps the state that decides when the connection is closed."""
 
     def __init__(self, front: ConnectionFront, connection: Connection, host: str) -> None:
         """`host`: the client's address without its port."""
         self._front = front
         self.connection = connection
         self.host = host
-        self.open_requests: dict[str, OpenRequest] = {}  # by tag: requests without an answer
-        self.running_tasks = 0  # running tasks that were asked for here
+        self.open_requests: dict[str, OpenRequest] = {}  # unanswered requests by tag
+        self.running_tasks = 0  # number of running tasks requested on this connection
         self._immediate_cancels = 0
         self._last_immediate_cancel = 0.0
         self.last_used = time.monotonic()
-        self._has_received_message = False  # a complete message came
-        self.has_sent_request = False  # a request came
+        self._has_received_message = False  # a complete message has been received
+        self.has_sent_request = False  # a request has been received
         self.is_rejected = False
 
     async def run(self) -> None:
-        """Read until the connection ends; it is closed then. May be cancelled."""
+        """Handle messages until the connection ends, then close it. May be cancelled."""
         try:
             await self.connection.pump(client_codec.parse, self._handle, self._reject)
         finally:
@@ -75,26 +76,26 @@
             request.abandon()
 
     async def _reject(self) -> None:
-        """Hold the close back: a client that comes again as soon as it is closed costs all others."""
+        """Delay the close: a client that reconnects at once after it would take resources from all others."""
         self.is_rejected = True
         self._abandon_requests()
         await asyncio.sleep(REJECTED_CLOSE_DELAY_S)
 
     def has_unread(self) -> bool:
-        """Return whether the client has sent something, or has closed, and that is still to be read."""
+        """Return whether input of the client, or its close, is still unread."""
         return self.connection.has_unhandled
 
     def send(self, data: bytes) -> bool:
-        """Send an answer or the end of a task; False where the connection has ended.
+        """Send an answer or the end of a task; return False if the connection has ended.
 
-        This counts as use: with its last task over, a connection that its client has not used for a while
-        would be closed by the sweep before the data has left.
+        Sending counts as use. Otherwise the sweep could close a connection that is idle since its last task
+        ended before the data is written.
         """
         self.last_used = time.monotonic()
         return self.connection.send(data)
 
     def record_immediate_cancel(self, now: float) -> bool:
-        """Count a request that was taken back as soon as it was asked for; return whether these are too many.
+        """Count a request that was cancelled at once; return whether the limit is exceeded.
 
         `now` is on the monotonic clock, in seconds.
         """
@@ -105,12 +106,12 @@
         return self._immediate_cancels > MAX_IMMEDIATE_CANCELS
 
     def reason_to_close(self, now: float) -> str | None:
-        """Return why the connection is to be closed now; '' where no log line is needed, None to keep it."""
+        """Return the reason to close the connection now ('' to close it without a log line), or None."""
         if self.is_rejected or self.open_requests:
             return None
         incomplete_since = self.connection.incomplete_since
         if incomplete_since and now - incomplete_since > COMPLETE_MESSAGE_TIMEOUT_S:
-            return "closed: a message without an end"
+            return "closed: a message was not completed in time"
         if not self._has_received_message:
             latest = self.last_used + FIRST_MESSAGE_TIMEOUT_S - COMPLETE_MESSAGE_TIMEOUT_S
             quiet_since = max(self.last_used, min(incomplete_since, latest))
@@ -120,10 +121,10 @@
         return "" if not self.running_tasks and now - self.last_used > MAX_IDLE_S else None
 
     def cost_of_closing(self, now: float) -> tuple[int, float] | None:
-        """Return what closing costs its client, where descriptors run short; None where it must stay.
+        """Return the eviction rank, used when descriptors run short; None if the connection must stay open.
 
-        The lower goes first: rejected, silent, only tested, idle, with running tasks; then the least lately
-        used.
+        The lowest rank is evicted first: rejected, without any message, without any request, idle, idle with
+        running tasks; within these, the least recently used.
         """
         idle = now - self.last_used
         incomplete_since = self.connection.incomplete_since
@@ -131,7 +132,7 @@
             return 0, self.last_used
         if incomplete_since and now - incomplete_since < INCOMPLETE_GRACE_S:
             return None
-        if not self._has_received_message:  # its first message may be on its way
+        if not self._has_received_message:  # its first message may be in transit
             return (1, self.last_used) if idle > SWEEP_INTERVAL_S else None
         if self.open_requests or idle < SWEEP_INTERVAL_S:
             return None
@@ -153,4 +154,4 @@
             case "FINISHED" | "ECHOED" | "NOTICE" | "PENDING":
                 pass
             case _:
-                raise MalformedMessageError(f"a line with the unknown verb {message.verb!r}")
+                raise MalformedMessageError(f"line with the unknown verb {message.verb!r}")
--- a/weldhatch/platform/client_front.py
+++ b/weldhatch/platform/client_front.py
@@ -1,4 +1,4 @@
-"""The clients' side of the platform's protocol: requests on JSON lines in, answers and ends of tasks out."""
+"""The client side of the platform's protocol: receives requests, sends answers and ends of tasks."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from weldhatch.platform.task_names import TaskNames
 from weldhatch.scheduling.types import Settings
 
-SHUTDOWN_RETRY_US = 1_000_000  # when to come back, for what reaches a dispatcher that shuts down
-MAX_OPEN_REQUESTS = 64  # open requests of one connection; more are rejected, which harms none
-IMMEDIATE_CANCEL_S = 0.02  # a request that is given up within this was taken back at once
-MAX_CLIENT_HOSTS = 256  # hosts of clients that are remembered
-MAX_CLOSED_AT_ONCE = 16  # connections closed at a time where no descriptor is left
+SHUTDOWN_RETRY_US = 1_000_000  # retry time for requests that reach a dispatcher during its shutdown
+MAX_OPEN_REQUESTS = 64  # of one connection; further requests are rejected, which is harmless
+IMMEDIATE_CANCEL_S = 0.02  # a request cancelled within this time counts as cancelled at once
+MAX_CLIENT_HOSTS = 256  # client hosts that are remembered
+MAX_CLOSED_AT_ONCE = 16  # connections closed at a time when no descriptor is left
 
 
 class ClientFront:
-    """All clients' connections, and the requests by tag: a running task belongs to no connection.
+    """All client connections, and the requests by tag; a running task is not bound to a connection.
 
-    Owns the connections, their tasks and the sweep that closes idle ones.
+    Owns the connections, their asyncio tasks, and the sweep that closes idle connections.
     """
 
     def __init__(
@@ -46,18 +46,18 @@
         self._form = PlacementForm(settings, strict=True)
         self.connections: set[ClientConnection] = set()
         self._requests: dict[str, ClientRequest] = {}
-        self._unsent_ends: list[bytes] = []  # ends of tasks that no connection was open for
-        self._client_hosts: dict[str, None] = {}  # the one that asked the longest ago first
+        self._unsent_ends: list[bytes] = []  # notifications of ended tasks for which no connection was open
+        self._client_hosts: dict[str, None] = {}  # ordered by the last request, oldest first
         self._tasks: set[asyncio.Task[None]] = set()
         self._sweep_task = asyncio.get_running_loop().create_task(self._sweep())
-        self.shutting_down = False  # what comes now is rejected at once
+        self.shutting_down = False  # new requests are rejected at once
 
     def reconfigure(self, settings: Settings) -> None:
-        """Read requests by these settings from now on; classes keep their places."""
+        """Read requests by these settings from now on; the indices of the classes stay the same."""
         self._form = PlacementForm(settings, strict=True)
 
     def accept(self, stream: IOStream, host: str) -> None:
-        """Serve a connection that a client opened; the front owns the stream from now on."""
+        """Serve a connection that a client has opened; takes ownership of the stream."""
         client = ClientConnection(self, Connection(stream, self._share, f"owner {host}", self._log), host)
         self.connections.add(client)
         task = asyncio.get_running_loop().create_task(client.run())
@@ -67,23 +67,23 @@
             self.flush(client)
 
     def closed(self, connection: ClientConnection) -> None:
-        """Drop a connection that has ended."""
+        """Remove a connection that has ended."""
         self.connections.discard(connection)
 
     # ---- requests ------------------------------------------------------------------------------------------
 
     def start(self, connection: ClientConnection, message: ClientMessage) -> None:
-        """Take up a request, or a task that a machine holds already.
+        """Start a request, or adopt a task that runs on a machine already.
 
         Raises:
-            MalformedMessageError: a field can't be used, or the tag is in use.
+            MalformedMessageError: a field is invalid, or the tag is in use.
         """
         task, holder = self._read_task(message)
         known = self._requests.get(message.tag)
         if known is not None:
             if not holder:
                 raise MalformedMessageError(f"the tag {message.tag} is in use")
-            return  # it names a task that is held here already
+            return  # the task has already been adopted
         request = self._requests[message.tag] = ClientRequest(self, connection, message.tag)
         connection.has_sent_request = True
         self._remember_host(connection.host)
@@ -99,10 +99,10 @@
             request.attach_lifecycle(self._core.arrive(task, request, connection.has_unread))
 
     def finish(self, connection: ClientConnection, message: ClientMessage) -> None:
-        """End the running task of this tag, or give its request up.
+        """End the running task of this tag, or cancel its request.
 
         Raises:
-            MalformedMessageError: the client takes back requests at once too often.
+            MalformedMessageError: the client has cancelled too many requests at once.
         """
         request = self._requests.get(message.tag)
         if request is None:
@@ -113,19 +113,19 @@
         request.abandon()
         now = time.monotonic()
         if now - request.arrived_at < IMMEDIATE_CANCEL_S and connection.record_immediate_cancel(now):
-            raise MalformedMessageError("it takes back what it asks for at once")
+            raise MalformedMessageError("too many requests cancelled right after they were sent")
 
     def forget(self, tag: str) -> None:
-        """Drop the request of this tag."""
+        """Remove the request of this tag."""
         if request := self._requests.pop(tag, None):
             request.uncount_running()
 
     def _read_task(self, message: ClientMessage) -> tuple[ports.Task, str]:
-        """Return what is asked, and the machine that holds the task already, or ''."""
+        """Return the task, and the uid of the machine where it runs already ('' if it is to be placed)."""
         try:
             form = self._form.read(message.fields)
         except FieldError as error:
-            raise MalformedMessageError(f"a set-up with an unusable field: {error}") from None
+            raise MalformedMessageError(f"request with an invalid field: {error}") from None
         names = TaskNames(
             bytes.fromhex(message.tag),
             form.class_name,
@@ -150,10 +150,10 @@
     # ---- ends of tasks -------------------------------------------------------------------------------------
 
     def relay(self, connection: ClientConnection, data: bytes) -> None:
-        """Send the end of a task on its connection, on another of its client, or on the next one opened.
+        """Send the end of a task on its connection, else on another client connection, else on the next one.
 
-        Connections that never asked for a task come last: such a client may read nothing, and the end would
-        be lost with it.
+        Only connections from known client hosts are used. Those that never sent a request come last: their
+        clients may read nothing, and the notification would be lost.
         """
         if connection.send(data):
             return
@@ -167,7 +167,7 @@
         self._unsent_ends.append(data)
 
     def flush(self, connection: ClientConnection) -> None:
-        """Send ends of tasks that no connection was open for."""
+        """Send the queued notifications of ended tasks on this connection."""
         unsent = self._unsent_ends
         self._unsent_ends = []
         for index, data in enumerate(unsent):
@@ -176,18 +176,18 @@
                 return
 
     def _remember_host(self, host: str) -> None:
-        """Remember where readable requests came from: that tells clients from those who only connect."""
+        """Remember the host of a valid request, to distinguish clients from peers that only connect."""
         self._client_hosts.pop(host, None)
         self._client_hosts[host] = None
         if len(self._client_hosts) > MAX_CLIENT_HOSTS:
             del self._client_hosts[next(iter(self._client_hosts))]
 
-    # ---- connections that cost more than they bring --------------------------------------------------------
+    # ---- eviction of idle connections ----------------------------------------------------------------------
 
     def free_descriptors(self) -> None:
-        """Close the connections that lose least by it; called where no descriptor is left.
+        """Close the connections with the lowest eviction rank; called when no descriptor is left.
 
-        Connections that send nothing, or ask once and stay, would keep all others out.
+        Connections that send nothing, or stay open after one request, would otherwise lock out new clients.
         """
         now = time.monotonic()
         costs = [
@@ -204,7 +204,7 @@
             self.sweep(time.monotonic())
 
     def sweep(self, now: float) -> None:
-        """Close what sends nothing, stops within a message, or has idled (`now` in monotonic seconds)."""
+        """Close connections that are silent, stalled within a message, or idle (`now`: monotonic seconds)."""
         for client in list(self.connections):
             if (reason := client.reason_to_close(now)) is not None:
                 if reason:
@@ -220,5 +220,5 @@
             client.connection.close()
 
     async def finish_all(self, within_s: float) -> None:
-        """Let what was sent leave, for `within_s` seconds at most, and close all connections."""
+        """Write what is queued, for at most `within_s` seconds, and close all connections."""
         await asyncio.gather(*(client.connection.finish(within_s) for client in list(self.connections)))
--- a/weldhatch/platform/client_request.py
+++ b/weldhatch/platform/client_request.py
@@ -1,4 +1,4 @@
-"""One request of a client: what the core answers goes out on the connection that the request came on."""
+"""A client's request: the core's answer is sent on the connection that the request was received on."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from weldhatch.platform import client_codec
 from weldhatch.platform.client_connection import ClientConnection
 
-# The causes, on the wire, of the two final answers that are not 'placed'.
+# Cause codes on the wire for the two final answers other than 'placed'.
 CAUSE_REJECTED = 42
 CAUSE_FAILED = 47
 
 
 class RequestFront(Protocol):
-    """What a request needs of the front that it belongs to."""
+    """The callbacks of the client front that a request uses."""
 
     def forget(self, tag: str) -> None:
-        """Drop the request of this tag."""
+        """Remove the request of this tag."""
 
     def relay(self, connection: ClientConnection, data: bytes) -> None:
         """Send the end of a running task to its client, on any of its connections."""
@@ -31,26 +31,26 @@
     """The core's `Owner` of one request."""
 
     def __init__(self, front: RequestFront, connection: ClientConnection, tag: str) -> None:
-        """Begin without a lifecycle; `follow` sets it once the core has taken the request up."""
+        """Create a request without a lifecycle; `attach_lifecycle` sets it once the core has started it."""
         self._front = front
         self._connection = connection
         self._tag = tag
         self._lifecycle: RequestLifecycle | None = None
-        self.is_running = False  # the task has been placed and is not over
+        self.is_running = False  # the task has been placed and has not ended
         self._is_abandoned = False
         self.arrived_at = time.monotonic()
 
     def attach_lifecycle(self, lifecycle: RequestLifecycle) -> None:
-        """Set the core's side of the request."""
+        """Set the lifecycle by which the core handles the request."""
         self._lifecycle = lifecycle
 
     def mark_running(self) -> None:
-        """Count the task as running at its connection."""
+        """Count the task among the running tasks of its connection."""
         self.is_running = True
         self._connection.running_tasks += 1
 
     def abandon(self) -> None:
-        """Give the request up: its client waits no more, or has left."""
+        """Abandon the request: its client has cancelled it or disconnected."""
         self._is_abandoned = True
         self._connection.open_requests.pop(self._tag, None)
         self._front.forget(self._tag)
@@ -58,20 +58,20 @@
             self._lifecycle.deliver(GivenUp())
 
     def end_task(self, cause: int) -> None:
-        """End the running task, as its client asks."""
+        """End the running task at its client's request."""
         if self._lifecycle is not None:
             self._lifecycle.deliver(Released(cause))
         self._front.forget(self._tag)
 
     def uncount_running(self) -> None:
-        """Take back what `mark_running` counted."""
+        """Undo the count of `mark_running`, once the front has removed the request."""
         if self.is_running:
             self._connection.running_tasks -= 1
 
     # ---- core.ports.Owner ----------------------------------------------------------------------------------
 
     def placed(self, description: str | None) -> None:
-        """Answer that the task runs; nothing is sent where the answer crossed the client's departure."""
+        """Answer that the task runs; nothing is sent for a request that has been abandoned meanwhile."""
         if self._is_abandoned:
             return
         self._connection.open_requests.pop(self._tag, None)
@@ -79,28 +79,28 @@
         self._connection.send(client_codec.encode("STARTED", self._tag, {}, None, description))
 
     def refused(self, wait_us: int) -> None:
-        """Answer that the request is rejected, and after what time (microseconds) a retry may come."""
+        """Answer that the request is rejected, and after how many microseconds a retry may follow."""
         self._answer(CAUSE_REJECTED, {"wait": str(math.ceil(wait_us / 1000))} if wait_us > 0 else {})
 
     def failed(self) -> None:
-        """Answer that the request failed, with no promise about its effect."""
+        """Answer that the request failed; whether the task had an effect is unknown."""
         self._answer(CAUSE_FAILED, {})
 
     def _answer(self, cause: int, fields: Mapping[str, str]) -> None:
-        if self._is_abandoned:  # it has been forgotten, and its tag may be another's by now
+        if self._is_abandoned:  # the request has been removed, and its tag may be in use again
             return
         self._connection.open_requests.pop(self._tag, None)
         self._front.forget(self._tag)
         self._connection.send(client_codec.encode("FINISH", self._tag, fields, cause))
 
     def released(self, cause: int) -> None:
-        """Notify the client that its running task is over."""
+        """Notify the client that its running task has ended."""
         if self._is_abandoned:
             return
         self._front.forget(self._tag)
         self._front.relay(self._connection, client_codec.encode("FINISH", self._tag, {}, cause))
 
     def moved(self) -> None:
-        """Notify the client that its task is to be placed anew: it should ask again."""
+        """Notify the client that its task has to move: the client should request it again."""
         self._front.forget(self._tag)
         self._front.relay(self._connection, client_codec.encode("MOVE", self._tag, {}))
--- a/weldhatch/platform/endpoint_list.py
+++ b/weldhatch/platform/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of machines as the event bus tells it: uids, addresses and numbers, merged event by event."""
+"""The list of machines, merged from the events of the event bus: uids, addresses and numbers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Server:
-    """One machine under its uid: an address passes to other machines, a uid never does."""
+    """A machine, identified by its uid: an address may be reused by another machine, a uid never is."""
 
     machine: int
     uid: str
@@ -27,17 +27,17 @@
 
 
 def machine_number(uid: str) -> int:
-    """Return the machine's number for the policy: the same at every dispatcher, whose homes must agree."""
+    """Return the machine's number for the policy, equal at all dispatchers so that homes agree."""
     return int.from_bytes(hashlib.blake2b(uid.encode(), digest_size=6).digest(), "big")
 
 
 class EndpointList:
-    """Turns bus events into list events for the policy, and knows the newest address of each machine."""
+    """Converts bus events into list events for the policy, and keeps each machine's latest address."""
 
     def __init__(
         self, settings: Settings, changed: Callable[[list[Server]], None], log: Callable[[str], None]
     ) -> None:
-        """Start with an empty list; `changed` gets the servers of each event."""
+        """Start with an empty list; `changed` is called with the servers of each event."""
         self._zones = {name: n for n, name in enumerate(settings.zones)}
         self._kinds = {kind.name: n for n, kind in enumerate(settings.kinds)}
         self._cells: dict[object, int] = {}
@@ -47,7 +47,7 @@
         self.offset = 0
 
     def apply_event(self, event: dict[str, Any]) -> MachinesChanged | None:
-        """Apply one event of the bus; None where it is old. Raises ValueError where it can't be read."""
+        """Apply a bus event; return None if it is outdated. Raises ValueError if it is invalid."""
         try:
             offset = int(event["offset"])
             if offset <= self.offset:
@@ -57,7 +57,7 @@
             entries = [self._parse_target(target) for target in topology.get("targets") or ()]
             version = int(topology.get("rev") or 0)
         except (KeyError, TypeError, AttributeError) as fault:
-            raise ValueError(f"event bus: an event that can't be read: {fault!r}") from None
+            raise ValueError(f"event bus: invalid event: {fault!r}") from None
         is_first_event = not self.offset
         servers = [server for server, _ in entries]
         if is_full_list:
@@ -69,7 +69,7 @@
             ]
         self.servers.update((server.machine, server) for server in servers)
         self._changed(servers)
-        for server in servers:  # what has gone is told of as new if it ever comes back
+        for server in servers:  # a removed machine that returns is reported as new
             if server.state == MachineState.REMOVED:
                 self.servers.pop(server.machine, None)
         self.offset = offset
@@ -97,7 +97,7 @@
         zone = self._zones.get(zone_name, 0)
         kind = self._kinds.get(kind_name, 0)
         if zone_name not in self._zones or kind_name not in self._kinds:
-            self._log(f"event bus: {uid} is in an unknown zone or of an unknown kind")
+            self._log(f"event bus: {uid} has an unknown zone or kind")
         machine = Machine(
             number, zone, kind, cell, state, boot_ms * 1000, weight=float(target.get("capacity_hint") or 1)
         )
