--- a/weldhatch/net/descriptor_budget.py
+++ b/weldhatch/net/descriptor_budget.py
@@ -8,7 +8,7 @@
 
 
 class NoDescriptorError(OSError):
-    """No slot is left for another socket. The error says nothing about the state of the peer."""
+    """No slot is left for another socket. The error does not reflect the state of the peer."""
 
 
 class DescriptorBudget:
--- a/weldhatch/platform/event_bus.py
+++ b/weldhatch/platform/event_bus.py
@@ -1,4 +1,4 @@
-"""The event bus: server-sent events over one HTTP connection, taken up again where they broke off."""
+"""The event bus: server-sent events over HTTP, resumed from the last event after a broken connection."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from weldhatch.net.descriptor_budget import DescriptorShare
 from weldhatch.platform.event_stream import EventStream
 
-SILENCE_TIMEOUT_S = 1.7  # a comment comes each second: no byte for so long means a broken connection
-MIN_BACKOFF_S = 0.05  # the first wait between connects; what broke off counts as reported after 2 s
+SILENCE_TIMEOUT_S = 1.7  # the bus sends a comment each second; a longer silence is a broken connection
+MIN_BACKOFF_S = 0.05  # well under 2 s, after which missed events count as delivered
 MAX_BACKOFF_S = 0.4
 CONNECT_TIMEOUT_S = 1.0
 
 
 class EventBus:
-    """Keeps one subscription; every break is followed by a new connection from the last event on."""
+    """One subscription: after each break a new connection resumes from the last event."""
 
     def __init__(
         self,
@@ -29,10 +29,10 @@
         on_event: Callable[[dict[str, Any]], None],
         log: Callable[[str], None],
     ) -> None:
-        """Subscribe later, by `subscribe`.
+        """Create without a connection; `subscribe` opens one.
 
-        `offset` returns the number of the last event taken; `take` gets each event, and raises ValueError
-        where it can't be read.
+        `offset` returns the number of the last processed event; `on_event` processes an event, and raises
+        ValueError if it is invalid.
         """
         self._endpoint = endpoint
         self._share = share
@@ -50,9 +50,9 @@
             self.close()
 
     def change_endpoint(self, endpoint: tuple[str, int]) -> None:
-        """Follow the bus to a new address: the old one tells nothing more, so it is left at once.
+        """Reconnect to the bus at a new address at once: the old address delivers no more events.
 
-        The new one is asked from the last event on, so what came between is told and the numbers go on.
+        The new connection resumes from the last event, so that no event is missed; the numbering continues.
         """
         if endpoint == self._endpoint:
             return
@@ -78,14 +78,14 @@
             except (OSError, TimeoutError) as error:
                 self._log(f"event bus: no connection: {error or type(error).__name__}")
             else:
-                self._log("event bus: the connection ended, connecting anew")
+                self._log("event bus: the connection ended, reconnecting")
             if time.monotonic() - began > 1:
                 backoff = MIN_BACKOFF_S
             await asyncio.sleep(backoff)
             backoff = min(2 * backoff, MAX_BACKOFF_S)
 
     async def _read_events(self) -> None:
-        """One connection from its request to its end, which comes as an end, a reset or silence."""
+        """Connect, and read events until the connection is closed, reset or silent for too long."""
         if not self._share.take():
             raise OSError("no descriptor is left")
         connection = await connect(self._endpoint, CONNECT_TIMEOUT_S, self._share, "event bus", self._log)
@@ -117,7 +117,7 @@
         while not connection.closed:
             silent_s = time.monotonic() - connection.last_received
             if silent_s >= SILENCE_TIMEOUT_S:
-                self._log("event bus: silent, connecting anew")
+                self._log("event bus: silent, reconnecting")
                 connection.close()
                 return
             await asyncio.sleep(SILENCE_TIMEOUT_S - silent_s + 0.01)
@@ -126,7 +126,7 @@
         try:
             event = json.loads(text)
             if not isinstance(event, dict):
-                raise ValueError("event bus: an event that is no object")
+                raise ValueError("event bus: event is not a JSON object")
             self._on_event(event)
         except ValueError as error:
             raise MalformedMessageError(str(error)) from None
--- a/weldhatch/platform/health_check.py
+++ b/weldhatch/platform/health_check.py
@@ -1,7 +1,8 @@
-"""How long a server with tasks of ours may be quiet before it is sent a test. No I/O; the caller's clock.
+"""How long a server with running tasks may be quiet before a health check is sent. No I/O, no clock.
 
-A test is a probe and is priced, and every dispatcher watches every server that holds a task of its own: with
-sixteen of them over 400 servers, tests each 1.5 s were two thirds of all probes (docs/mass-days.md).
+A health check is priced like a probe, and each dispatcher watches every server that runs one of its tasks:
+with 16 dispatchers and 400 servers, health checks every 1.5 s made up two thirds of all probes
+(docs/mass-days.md).
 """
 
 from __future__ import annotations
@@ -9,24 +10,24 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-QUIET_LIMIT_S = (
-    4.0  # with what follows a test that stays unanswered (1.7 s), within the 8 s that the rules leave
-)
-SUSPECT_QUIET_LIMIT_S = 1.0  # near a server that vanished lately: cells and zones fail as one
-SUSPECT_DURATION_S = 6.0  # for how long a cell stays suspect
-MIN_SUSPECT_CELLS_OF_ZONE = 2  # suspect cells that make their whole zone suspect
-MAX_SUSPECT_CELLS = 256  # cells remembered; the one that became suspect first is forgotten first
+QUIET_LIMIT_S = 4.0  # plus the 1.7 s after an unanswered health check, within the 8 s for reporting a loss
+SUSPECT_QUIET_LIMIT_S = 1.0  # near a recently unresponsive server, since cells and zones fail together
+SUSPECT_DURATION_S = 6.0  # how long a cell stays suspect
+MIN_SUSPECT_CELLS_OF_ZONE = 2  # from this many suspect cells on, the whole zone is suspect
+MAX_SUSPECT_CELLS = 256  # remembered cells; beyond this the oldest is dropped
 
 
 @dataclass(slots=True)
 class HealthCheckSchedule:
-    """When servers are checked, by the cells (zone, cell) in which others vanished; times in seconds."""
+    """The quiet limit of servers, by cells (zone, cell) with unresponsive servers; times in seconds."""
 
-    _cells: dict[tuple[int, int], float] = field(default_factory=dict)  # when one vanished; the newest last
-    _zones: Counter[int] = field(default_factory=Counter)  # how many of them are in a zone
+    _cells: dict[tuple[int, int], float] = field(
+        default_factory=dict
+    )  # time of the last unresponsive server, oldest first
+    _zones: Counter[int] = field(default_factory=Counter)  # number of suspect cells by zone
 
     def mark_unresponsive(self, now: float, zone: int, cell: int) -> None:
-        """A server there gives no sign, and no connection to it comes up."""
+        """Mark a cell as suspect: a server in it is silent and accepts no connection."""
         if self._cells.pop((zone, cell), None) is None:
             self._zones[zone] += 1
         self._cells[zone, cell] = now
@@ -35,7 +36,7 @@
         self._remove_expired(now)
 
     def quiet_limit(self, now: float, zone: int, cell: int) -> float:
-        """Seconds that a server there may be quiet before it is asked for a sign of life. O(1) amortized."""
+        """Return how many seconds a server there may be quiet before a health check. O(1) amortized."""
         if not self._cells:
             return QUIET_LIMIT_S
         self._remove_expired(now)
--- a/weldhatch/platform/server_codec.py
+++ b/weldhatch/platform/server_codec.py
@@ -1,4 +1,4 @@
-"""Servers' messages: a length, a type, the task's eight bytes, and parameters by code."""
+"""Codec of the server protocol: length, type, task tag (8 bytes), and parameters by code."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from weldhatch.net.connection import MAX_MESSAGE_BYTES, MalformedMessageError
 from weldhatch.net.ring_buffer import RingBuffer
 
-# Types of messages, by the names of the wire: plain numbers, compared for each message.
+# Message types, under the names that the protocol gives them. Plain integers, for fast comparison.
 SET_UP = 1
 PROGRESS = 6
 ANSWER = 9
@@ -21,7 +21,7 @@
 TEST = 52
 TESTED = 53
 
-# Codes of parameters.
+# Parameter codes.
 CLASS = 64
 LEFT = 65
 NAME = 68
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message: its type, the tag of its task, and the raw parameters by code."""
+    """One message: its type, the tag of its task, and the encoded parameters by code."""
 
     type: int
     tag: bytes
@@ -51,19 +51,22 @@
 
     @property
     def cause(self) -> int:
-        """The cause; raises MalformedMessageError where there is none."""
+        """The cause code; raises MalformedMessageError if it is missing."""
         value = self.parameters.get(CAUSE, b"")
         if len(value) != 1:
             raise MalformedMessageError(f"a message of type {self.type} without a cause")
         return value[0]
 
     def text(self, code: int) -> str:
-        """Return a parameter as text, '' without it; raises MalformedMessageError where it is no UTF-8."""
+        """Return a parameter as text, '' if missing; raises MalformedMessageError if it is not UTF-8."""
         return self._text(code, self.parameters.get(code, b""))
 
     @property
     def description(self) -> str:
-        """Guards against what was cut short and went on with the next message: that is no text."""
+        """The description; text with control characters is rejected.
+
+        Such text results from a truncated message that runs into the next one.
+        """
         if DESCRIPTION not in self.parameters:
             raise MalformedMessageError(f"a message of type {self.type} without a description")
         text = self._text(DESCRIPTION, self.parameters[DESCRIPTION])
@@ -72,10 +75,10 @@
         return text
 
     def report(self, fields: tuple[str, ...]) -> tuple[float, ...]:
-        """Return the load report's figures in this order, or () where it has not all of them.
+        """Return the figures of the load report in the order of `fields`, or () if one is missing.
 
         Raises:
-            MalformedMessageError: a figure is no number.
+            MalformedMessageError: a figure is not a finite number.
         """
         text = self.text(REPORT)
         if not text:
@@ -94,10 +97,10 @@
 
 
 def parse(ring: RingBuffer) -> Message | None:
-    """Take the next message out of the ring; None where it is not complete yet.
+    """Take the next message from the ring; return None if it is not complete yet.
 
     Raises:
-        MalformedMessageError: the bytes follow no form of a message.
+        MalformedMessageError: the bytes are not a valid message.
     """
     if len(ring) < 2:
         return None
@@ -105,7 +108,9 @@
     if length < 9 or length > MAX_MESSAGE_BYTES:
         raise MalformedMessageError(f"a message of {length} bytes")
     if len(ring) > 2 and (kind := ring.copy(1, 2)[0]) not in TYPES:
-        raise MalformedMessageError(f"a message of unknown type {kind}")  # at once: nothing is kept of it
+        raise MalformedMessageError(
+            f"a message of unknown type {kind}"
+        )  # raised before the message is complete, to buffer nothing of it
     if len(ring) < 2 + length:
         return None
     data = ring.take(2 + length)
@@ -114,31 +119,31 @@
     position = _HEADER.size
     while position < len(data):
         if position + 3 > len(data):
-            raise MalformedMessageError("a parameter is cut short")
+            raise MalformedMessageError("parameter header is truncated")
         code, size = _PARAMETER.unpack_from(data, position)
         position += 3
         if position + size > len(data):
-            raise MalformedMessageError(f"parameter {code} is cut short")
+            raise MalformedMessageError(f"parameter {code} is truncated")
         if code in parameters or code not in CODES:
-            raise MalformedMessageError(f"parameter {code} is unknown or comes twice")
+            raise MalformedMessageError(f"parameter {code} is unknown or repeated")
         parameters[code] = data[position : position + size]
         position += size
     return Message(kind, tag, parameters)
 
 
 def finite_number(text: str) -> float:
-    """Read a figure of a note or a report; MalformedMessageError where it is none, or not finite."""
+    """Parse a figure of a note or a load report; raises MalformedMessageError unless it is finite."""
     try:
         value = float(text)
     except ValueError:
         value = math.nan
     if not math.isfinite(value):
-        raise MalformedMessageError(f"a figure that is no number: {text!r}")
+        raise MalformedMessageError(f"figure is not a finite number: {text!r}")
     return value
 
 
 def encode(kind: int, tag: bytes, parameters: dict[int, bytes] | None = None) -> bytes:
-    """Return a message as bytes; parameters keep their order."""
+    """Encode a message; the parameters keep their order."""
     parts = [b""]
     for code, value in (parameters or {}).items():
         parts += (_PARAMETER.pack(code, len(value)), value)
--- a/weldhatch/platform/server_link.py
+++ b/weldhatch/platform/server_link.py
@@ -1,4 +1,4 @@
-"""The one connection to a server: dialled when needed, again while tasks run there, settled when it ends."""
+"""The connection to a server: opened on demand, and reopened while tasks run there."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from weldhatch.platform.silence_check import CheckOwner, SilenceCheck
 from weldhatch.scheduling.types import MachineState, Outcome
 
-UNRESPONSIVE_AFTER_S = 2.0  # no connection has come up for so long: the server has vanished; one may take 1 s
-RECONNECT_DELAY_S = 0.02  # after a connection that ended
-CONNECT_RETRY_DELAY_S = 0.1  # between two connects that fail
-MIN_IDLE_S = 0.05  # a connection that was in use so lately is not closed for another
+UNRESPONSIVE_AFTER_S = 2.0  # without any connection; a single connect may take 1 s
+RECONNECT_DELAY_S = 0.02  # after the end of a connection
+CONNECT_RETRY_DELAY_S = 0.1  # after a failed connect
+MIN_IDLE_S = 0.05  # a connection used more recently is not evicted
 
 
 class LinkOwner(ReportOwner, CheckOwner, Protocol):
-    """What a link asks of those who keep all links."""
+    """What a link requires of the owner of all links."""
 
     @property
     def log(self) -> Callable[[str], None]:
@@ -34,7 +34,7 @@
 
     @property
     def connection_lost(self) -> Callable[[int], None]:
-        """Note that the connection to a machine has ended."""
+        """Report that the connection to a machine has ended."""
 
     async def connect(self, server: Server) -> Connection:
         """Open a connection within the budget; raises NoDescriptorError, OSError or TimeoutError."""
@@ -45,9 +45,9 @@
 
 
 class ServerLink:
-    """The one connection to a server, and the records of what is open there.
+    """The connection to a server, and the records of the offers, probes and tasks that are open there.
 
-    Owns the connection and the task that keeps it up.
+    Owns the connection and the asyncio task that maintains it.
     """
 
     __slots__ = (
@@ -63,22 +63,22 @@
     )
 
     def __init__(self, owner: LinkOwner, server: Server) -> None:
-        """Connect when the first message is sent, not before."""
+        """Create a link without a connection; the first message opens one."""
         self.owner = owner
         self.server = server
         self.records = ServerRecords()
         self.silence = SilenceCheck(self)
         self.connection: Connection | None = None
         self._connection_task: asyncio.Task[None] | None = None
-        self.last_used = time.monotonic()  # when something last went out
-        # The connection is closed for another: that says nothing of the server.
+        self.last_used = time.monotonic()  # monotonic time of the last sent message
+        # The connection is closed to free its descriptor; its end does not reflect the server's state.
         self._is_evicted = False
-        self.is_replaced = False  # another server has the address: nothing goes there under this uid
+        self.is_replaced = False  # another server uses the address: nothing is sent there for this uid
 
-    # ---- what goes out -------------------------------------------------------------------------------------
+    # ---- sending -------------------------------------------------------------------------------------------
 
     def send(self, name: object, data: bytes) -> None:
-        """Send a message, or keep it under this name until the connection is up."""
+        """Send a message, or hold it under this name until the connection is open."""
         self.last_used = time.monotonic()
         connection = self.connection
         if connection is not None and not connection.closed:
@@ -91,7 +91,7 @@
             self.open()
 
     def give_up(self, tag: bytes, receiver: ports.Receiver) -> None:
-        """Notify the server that nobody waits for that offer any more; its answer may be on its way."""
+        """Notify the server that an offer is withdrawn; its answer may already be in transit."""
         self.records.mark_given_up(tag, receiver)
         self.send(
             (tag, "up"),
@@ -99,40 +99,40 @@
         )
 
     def send_end_request(self, data: bytes) -> None:
-        """Ask for the end of a running task. What can't leave now is sent by the next connection."""
+        """Ask the server to end a running task. Without a connection, the next one repeats the request."""
         if self.is_connected:
             self.send(None, data)
         else:
             self.open()
 
     def check_health(self) -> None:
-        """Send a health check that nobody waits for."""
+        """Send a health check; no caller waits for its result."""
         self.owner.check_health(self)
 
     def check_alive(self) -> None:
-        """Find out by a connect or a write whether the process of a server gone from the list still runs.
+        """Check by a connect or a write whether the process of a removed server still runs.
 
-        Guards against a process that ended and whose reset never came: its connection looks open.
+        A connection looks open after its process has ended if the reset was lost on the network.
         """
         if self.is_connected:
             self.check_health()
         else:
             self.open()
 
-    # ---- the connection's life -----------------------------------------------------------------------------
+    # ---- connection lifecycle ------------------------------------------------------------------------------
 
     @property
     def is_connected(self) -> bool:
-        """Whether a connection is up."""
+        """Whether a connection is open."""
         return self.connection is not None and not self.connection.closed
 
     @property
     def is_finished(self) -> bool:
-        """Whether the machine is gone and nothing is left to come from it."""
+        """Whether the machine is removed and no message is expected from it."""
         return self.server.state == MachineState.REMOVED and self.records.is_settled
 
     def is_idle(self, now: float) -> bool:
-        """Whether the connection can be closed without harm: nothing is open on it or was just sent."""
+        """Whether the connection can be evicted: nothing is open or unsent, and it was not used just now."""
         connection = self.connection
         return (
             connection is not None
@@ -144,21 +144,21 @@
         )
 
     def evict(self) -> None:
-        """Close the idle connection for another that needs its descriptor."""
+        """Close the idle connection to free its descriptor for another."""
         self._is_evicted = True
         self.silence.close_spare_connection()
         if self.connection is not None:
             self.connection.close()
 
     def open(self) -> None:
-        """Connect, unless a connection is up or on its way."""
+        """Start to connect, unless a connection is open or being opened."""
         if self._connection_task is None and not self.is_connected:
             self._connection_task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        """Connect, read until the connection ends, and settle what was open on it.
+        """Connect, read until the connection ends, and end the offers and probes that were open on it.
 
-        A server that still holds tasks of ours is connected to again, to receive their ends.
+        While tasks run at the server, the connection is reopened to receive their ends.
         """
         failing_since = 0.0
         try:
@@ -167,7 +167,7 @@
                 try:
                     self.connection = await self._connect()
                 except NoDescriptorError:
-                    # Nothing that waited has left, and that says nothing of the server.
+                    # No waiting message was sent, and the state of the server is unknown.
                     self.records.end_all(Outcome.NOT_SENT, Outcome.FULL)
                 except (OSError, TimeoutError) as error:
                     failing_since = failing_since or time.monotonic()
@@ -189,9 +189,9 @@
                 self._connection_task = None
 
     def _lose_tasks_if_unreachable(self, error: Exception, failing_since: float) -> None:
-        """Whether connects that fail show the end of the process, and so of the tasks that ran there.
+        """End the running tasks as lost if failed connects show that the server's process has ended.
 
-        A connection that came up and was reset shows none; one that comes up late may do so the next time.
+        A connection that was accepted and then reset does not show this, nor does a single slow connect.
         """
         if not self.records.running:
             return
@@ -202,10 +202,10 @@
             self.lose_tasks("is silent")
 
     async def _connect(self) -> Connection:
-        """Connect, and first receive from those clients who may have left in the meantime.
+        """Connect, then let the event loop read pending input of clients before waiting offers are sent.
 
-        Guards against an offer that waited for the connection and goes out for a client whose close came
-        while the loop was busy, and is read only turns later.
+        Otherwise an offer could be sent for a client whose close arrived while the loop was busy and is read
+        only some iterations later.
         """
         connection = await self.dial()
         try:
@@ -217,12 +217,12 @@
         return connection
 
     async def dial(self) -> Connection:
-        """Connect to the address that the list names at the moment the connection comes up.
+        """Connect to the server's address; start over if the list changes it during the connect.
 
         Raises:
-            NoDescriptorError: the budget is spent.
-            OSError: it is refused or fails.
-            TimeoutError: it does not come up in time.
+            NoDescriptorError: the descriptor budget is used up.
+            OSError: the connect is refused or fails.
+            TimeoutError: the connect takes too long.
         """
         while True:
             endpoint = self.server.endpoint
@@ -232,7 +232,7 @@
             connection.abort()
 
     def read(self, connection: Connection) -> Coroutine[Any, Any, None]:
-        """Handle what comes on a connection until it ends."""
+        """Handle the messages of a connection until it ends."""
         return connection.pump(server_codec.parse, self._handle)
 
     def _handle(self, message: server_codec.Message) -> None:
@@ -245,30 +245,30 @@
             connection.send(data)
 
     def _connection_ended(self) -> None:
-        """Settle what was in flight on it: that may have run."""
+        """End what was in flight on the connection as reset: its tasks may have run."""
         self.connection = None
         if not self._is_evicted:
             self.owner.connection_lost(self.server.machine)
         self._is_evicted = False
         self.records.end_open(Outcome.RESET)
 
-    # ---- ends ----------------------------------------------------------------------------------------------
+    # ---- lost connections and tasks ------------------------------------------------------------------------
 
     def drop_connection(self, reason: str) -> None:
-        """End the connection. What it has not taken yet never reaches the server: offers end here."""
+        """Reset the connection. Data that the server has not received is discarded, and open offers end."""
         if self.connection is not None and not self.connection.closed:
             self.owner.log(f"server {self.server.uid}: {reason}")
             self.connection.abort()
 
     def lose_tasks(self, reason: str, before: float = float("inf")) -> None:
-        """End the running tasks as lost: those that ran before that moment (Unix time, seconds)."""
+        """End as lost the tasks that were running before this Unix time (seconds)."""
         lost = [tag for tag, record in self.records.running.items() if record.running_since < before]
         if lost:
             self.owner.log(f"server {self.server.uid}: {reason}; {len(lost)} tasks are lost")
         self.records.end_as_lost(lost)
 
     def replace(self) -> None:
-        """End all that was meant for this server: another one has the address now."""
+        """End all offers, probes and tasks of this server: another server has taken over its address."""
         self.is_replaced = True
         self.lose_tasks("has lost its address")
         self.records.end_open(Outcome.RESET)
@@ -276,7 +276,7 @@
         self.close()
 
     def close(self) -> None:
-        """Close the connections and stop their tasks; nothing is settled."""
+        """Close the connections and stop their asyncio tasks; open offers and tasks get no end."""
         self.silence.close()
         if self._connection_task is not None:
             self._connection_task.cancel()
--- a/weldhatch/platform/server_messages.py
+++ b/weldhatch/platform/server_messages.py
@@ -1,4 +1,4 @@
-"""What a server's messages do to the records of its link."""
+"""Handlers of the messages of a server, which update the records of its link."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from weldhatch.platform.server_records import ServerRecords
 from weldhatch.scheduling.types import Outcome
 
-OUTCOMES_BEFORE_ANSWER = {  # of a release by its cause; any other cause is a reset
+OUTCOMES_BEFORE_ANSWER = {  # by the cause of a release; any other cause is a reset
     34: Outcome.FULL,
     47: Outcome.ERROR,
     102: Outcome.NOT_SENT,
@@ -32,28 +32,28 @@
 
 
 class ReportOwner(Protocol):
-    """Who takes what belongs to no record of the link."""
+    """Receives load reports, and ends of tasks that are not in the link's records."""
 
     @property
     def on_load_report(self) -> Callable[[int, tuple[float, ...]], None]:
-        """Take the load report of a machine that no probe asked for."""
+        """Process a machine's load report that does not answer a probe."""
 
     def keep_unclaimed_end(self, tag: bytes, ended: Ended) -> None:
-        """Take the end of a task that no client has named yet."""
+        """Keep the end of a task that no client has reported yet."""
 
     def read_report(self, message: server_codec.Message) -> tuple[float, ...]:
-        """Return the load report of the message in the settings' order, or ()."""
+        """Return the load report of the message in the order of the settings, or ()."""
 
 
 class ReceivingLink(Protocol):
-    """The link that a message came on."""
+    """The link that a message was received on."""
 
     records: ServerRecords
     server: Server
 
     @property
     def owner(self) -> ReportOwner:
-        """Who takes what belongs to no record."""
+        """The owner of all links."""
 
     def send(self, name: object, data: bytes) -> None:
         """Send a message to the server."""
@@ -62,11 +62,11 @@
 def handle(link: ReceivingLink, message: server_codec.Message) -> None:
     """Apply a message of the server.
 
-    All of a message is read before anything is taken from it: what can't be read ends the connection, and
-    then each offer in flight on it must still be there to get its end.
+    Each handler decodes the whole message before it changes a record: a malformed message ends the
+    connection, and every offer in flight must then still be recorded to get its end.
 
     Raises:
-        MalformedMessageError: a part of it can't be read, or no server sends its type.
+        MalformedMessageError: the message is malformed, or its type is one that servers do not send.
     """
     match message.type:
         case server_codec.ANSWER:
@@ -85,7 +85,7 @@
         case server_codec.PROGRESS | server_codec.RELEASE_HEARD:
             pass
         case _:
-            raise MalformedMessageError(f"a message of type {message.type}, which no server sends")
+            raise MalformedMessageError(f"a message of type {message.type}, which servers do not send")
 
 
 def _handle_answer(link: ReceivingLink, message: server_codec.Message) -> None:
--- a/weldhatch/platform/server_records.py
+++ b/weldhatch/platform/server_records.py
@@ -1,4 +1,4 @@
-"""What is open at one server: offers in flight, running tasks, probes, and what waits for a connection."""
+"""What is open at one server: offers in flight, running tasks, probes, and unsent messages."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from weldhatch.core.policy_driver import unix_us
 from weldhatch.scheduling.types import Outcome
 
-LATE_ANSWER_WINDOW_S = 5.0  # so long after it was given up, a set-up may still be answered
+LATE_ANSWER_WINDOW_S = 5.0  # how long an abandoned offer may still be answered
 
-# Gets the outcome of a probe and the load report.
+# Called with the outcome of a probe and the load report.
 ProbeDone = Callable[[Outcome, tuple[float, ...]], None]
 
 
@@ -24,39 +24,39 @@
 
     attempt: int
     receiver: ports.Receiver
-    running_since: float  # of a running task: Unix time, seconds
-    start_by_us: int = 0  # an offer that has not left by then must not; 0 for any time
-    end_request: bytes = b""  # the release or migration of a running task: repeated until its end comes
+    running_since: float  # Unix time in seconds; 0.0 while in flight
+    start_by_us: int = 0  # latest time to send the offer, Unix microseconds; 0 for none
+    end_request: bytes = b""  # release or migration of a running task, repeated until it ends
 
 
 class ServerRecords:
-    """Everything open at one server. Each offer and each probe leaves with exactly one end."""
+    """Everything open at one server. Each offer and each probe gets exactly one end."""
 
     __slots__ = ("_given_up", "in_flight", "probes", "running", "waiting")
 
     def __init__(self) -> None:
         """Start with nothing open."""
-        self.waiting: dict[object, bytes] = {}  # messages that wait for the connection, by tag or probe
+        self.waiting: dict[object, bytes] = {}  # messages that wait for the connection, by name
         self.in_flight: dict[bytes, TaskRecord] = {}
         self.running: dict[bytes, TaskRecord] = {}
         self.probes: dict[bytes, tuple[ProbeDone, asyncio.TimerHandle]] = {}
-        # Offers that were given up and may still be answered: when, and whose; the oldest first. Most links
-        # never have one, and there is a link for each server: made when it is needed.
+        # Abandoned offers that may still be answered: time and receiver by tag, oldest first. Created on
+        # demand, since there is a link per server and most links never have such an offer.
         self._given_up: dict[bytes, tuple[float, ports.Receiver]] | None = None
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing is in flight, runs or waits there."""
+        """Whether no offer, task, probe or unsent message is recorded."""
         return not (self.in_flight or self.running or self.probes or self.waiting)
 
     def withdraw(self, name: object) -> bool:
-        """Take back what still waits for the connection; return whether it did."""
+        """Remove a message that still waits for the connection; return whether there was one."""
         return self.waiting.pop(name, None) is not None
 
-    # ---- offers that were given up -------------------------------------------------------------------------
+    # ---- abandoned offers ----------------------------------------------------------------------------------
 
     def mark_given_up(self, tag: bytes, receiver: ports.Receiver) -> None:
-        """Remember that the answer to this offer may still be on its way."""
+        """Remember that the answer to this abandoned offer may still arrive."""
         now = time.monotonic()
         if self._given_up is None:
             self._given_up = {}
@@ -67,7 +67,7 @@
         given_up[tag] = (now, receiver)
 
     def may_answer_late(self, tag: bytes, receiver: ports.Receiver) -> bool:
-        """Whether an earlier attempt of that request here was given up and is unanswered since."""
+        """Whether an earlier attempt of that request here was abandoned and may still be answered."""
         if not self._given_up:
             return False
         now = time.monotonic()
@@ -75,16 +75,16 @@
         return given_up_by is receiver and now - given_up_at <= LATE_ANSWER_WINDOW_S
 
     def mark_answered(self, tag: bytes) -> None:
-        """Forget that this offer was given up: its answer has come."""
+        """Forget an abandoned offer: its answer has arrived."""
         if self._given_up:
             self._given_up.pop(tag, None)
 
-    # ---- connections that come and go ----------------------------------------------------------------------
+    # ---- start and end of connections ----------------------------------------------------------------------
 
     def take_waiting(self) -> bytes:
-        """Return what goes out first on a new connection; offers that come too late end as not sent.
+        """Return the first bytes to send on a new connection; offers past their start time end as not sent.
 
-        Ends asked for running tasks come first, repeated; then what may still leave.
+        The pending release and migration requests are repeated first, then the waiting messages follow.
         """
         self._given_up = None
         end_requests = [record.end_request for record in self.running.values() if record.end_request]
@@ -100,9 +100,9 @@
         return b"".join((*end_requests, *waiting.values()))
 
     def end_open(self, outcome: Outcome, probe_outcome: Outcome | None = None) -> None:
-        """End all but what was asked for since the connection closed: that still waits for the next one.
+        """End the offers and probes that were sent; those made since the connection closed still wait.
 
-        Guards against an offer that is reported as ended here and goes out there all the same.
+        Ending a waiting offer here would report it as ended although the next connection sends it.
         """
         for tag in [tag for tag in self.in_flight if tag not in self.waiting]:
             record = self.in_flight.pop(tag)
@@ -113,7 +113,7 @@
             done(probe_outcome or outcome, ())
 
     def end_all(self, outcome: Outcome, probe_outcome: Outcome | None = None) -> None:
-        """End all, also what waits for a connection."""
+        """End all offers and probes, also those that wait for a connection."""
         self.waiting.clear()
         self.end_open(outcome, probe_outcome)
 
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -1,4 +1,4 @@
-"""The servers: one link each, the list of them, and the platform's side of `ports.Site`."""
+"""The links to all servers, and the platform's implementation of `ports.Site`."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from weldhatch.scheduling.types import MachineState, Outcome, Settings
 
 WATCH_INTERVAL_S = 0.1
-MAX_WATCH_DELAY_S = 0.3  # a watch that comes so late tells of us, not of the servers
-# A server that drains or is gone is checked sooner. Its tasks may end without a word some seconds before its
-# process does, and a check that is answered in between shows nothing: little is left of the 8 s until their
-# clients must have heard.
+MAX_WATCH_DELAY_S = 0.3  # a later watch means that this process was stalled, not that servers were silent
+# Draining and removed servers are checked sooner. Their tasks may end unreported some seconds before the
+# process does, and a health check answered in between does not show it. That leaves little of the 8 s within
+# which clients must be notified.
 LEAVING_QUIET_LIMIT_S = 2.5
-MAX_EVICTED_LINKS = 4  # idle links closed at a time where clients want descriptors
+MAX_EVICTED_LINKS = 4  # idle links closed at a time to free descriptors for clients
 
 
 def _ignore_machine(machine: int) -> None:
@@ -34,7 +34,7 @@
 
 
 class Servers:
-    """All links: the platform's side of `ports.Site`. Owns them and the task that watches them."""
+    """All links to servers; implements `ports.Site`. Owns the links and the task that watches them."""
 
     def __init__(
         self,
@@ -45,20 +45,20 @@
         on_load_report: Callable[[int, tuple[float, ...]], None],
         log: Callable[[str], None],
     ) -> None:
-        """Start to watch; `reported` takes a machine's load report that no probe asked for.
+        """Start the watch; `on_load_report` gets a machine's load report that does not answer a probe.
 
-        `dial_s` and `probe_s` are the seconds that a connect and a probe may take.
+        `connect_timeout_s` and `probe_timeout_s` limit a connect and a probe.
         """
         self._report_fields = settings.report_fields
         self._share = share
         self.on_load_report = on_load_report
-        # Guards against paying twice: a health check is priced as a probe is, so where probes are allowed it
-        # asks for the report that the policy would otherwise probe for.
+        # A health check is priced like a probe. If probes are allowed, it requests the load report as well,
+        # which saves the policy a probe.
         self._report_requested = int(settings.may_probe and bool(settings.report_fields))
         self._connect_timeout_s = connect_timeout_s
         self._probe_timeout_s = probe_timeout_s
         self.log = log
-        self.connection_lost: Callable[[int], None] = _ignore_machine  # called with the machine
+        self.connection_lost: Callable[[int], None] = _ignore_machine  # called with the machine number
         self._links: dict[int, ServerLink] = {}
         self._unmatched = UnmatchedTasks(log)
         self._check_count = 0
@@ -68,7 +68,7 @@
     # ---- the list ------------------------------------------------------------------------------------------
 
     def update(self, servers: list[Server]) -> None:
-        """Apply changes of the list: a new server, a new address, a new start, or the end."""
+        """Apply changes of the list: a new server, address or restart, or a removal."""
         for server in servers:
             link = self._links.get(server.machine)
             if link is not None:
@@ -94,7 +94,7 @@
             link.check_alive()
 
     def _replace_others_at(self, server: Server) -> None:
-        """Guards against a new server taken for the one that had its address: those tasks are over."""
+        """Mark other servers at this address as replaced: their tasks have ended, and this one is new."""
         if server.state == MachineState.REMOVED:
             return
         for link in self._links.values():
@@ -104,12 +104,12 @@
     # ---- connections ---------------------------------------------------------------------------------------
 
     async def connect(self, server: Server) -> Connection:
-        """Open a connection, in place of an idle one where the budget is spent.
+        """Open a connection; if the budget is used up, evict an idle link for it.
 
         Raises:
-            NoDescriptorError: the budget is spent and no link is idle.
-            OSError: it is refused or fails.
-            TimeoutError: it does not come up in time.
+            NoDescriptorError: the budget is used up and no link is idle.
+            OSError: the connect is refused or fails.
+            TimeoutError: the connect takes too long.
         """
         if not self._share.take() and not (self.evict_idle_links(1) and self._share.take()):
             raise NoDescriptorError("no descriptor is left")
@@ -118,9 +118,9 @@
         )
 
     def evict_idle_links(self, max_count: int = MAX_EVICTED_LINKS) -> int:
-        """Close idle links, the least lately used first; return how many.
+        """Close idle links, the least recently used first; return how many.
 
-        Guards against a fleet larger than the budget: the servers asked first would shut out all others.
+        In a fleet larger than the budget, the links to the first servers would otherwise lock out all others.
         """
         now = time.monotonic()
         idle = [link for link in self._links.values() if link.is_idle(now)]
@@ -134,7 +134,7 @@
             await asyncio.sleep(WATCH_INTERVAL_S)
             now = time.monotonic()
             for machine, link in list(self._links.items()):
-                if link.is_finished:  # nothing more can come from it
+                if link.is_finished:  # no message is expected from the server
                     link.close()
                     del self._links[machine]
                 elif now - last > WATCH_INTERVAL_S + MAX_WATCH_DELAY_S:
@@ -146,7 +146,7 @@
             last = now
 
     def close(self) -> None:
-        """Stop to watch, and close all connections."""
+        """Stop the watch, and close all connections."""
         self._watch_task.cancel()
         for link in self._links.values():
             link.close()
@@ -162,10 +162,10 @@
         receiver: ports.Receiver,
         start_by_us: int = 0,
     ) -> None:
-        """Send a set-up, at once or when the connection is up."""
+        """Send an offer, at once or when the connection is open."""
         link = self._links.get(machine)
         names = names_of(task)
-        # Guards against the late answer to an attempt that was given up there: it has the same tag as ours.
+        # The late answer to an abandoned attempt here has the same tag: it would be taken for this offer's.
         if link is None or link.is_replaced or link.records.may_answer_late(names.tag, receiver):
             receiver.deliver(Ended(attempt, Outcome.NOT_SENT))
             return
@@ -181,7 +181,7 @@
         link.send(names.tag, server_codec.encode(server_codec.SET_UP, names.tag, parameters))
 
     def adopt(self, machine: int, task: ports.Task, receiver: ports.Receiver) -> None:
-        """Follow a running task: its end comes on any open connection, or on the next; one is kept open."""
+        """Track a running task; a connection to its server is kept open to receive its end."""
         tag = names_of(task).tag
         link = self._links.get(machine)
         if ended := self._unmatched.claim_end(tag):
@@ -195,13 +195,13 @@
             link.open()
 
     def give_up(self, machine: int, task: ports.Task) -> GiveUpResult:
-        """Withdraw an offer that has not left; else have it ended, answered or not."""
+        """Withdraw an offer that has not been sent; otherwise ask the server to end it, answered or not."""
         link = self._links.get(machine)
         tag = names_of(task).tag
         if link is None:
             return GiveUpResult.GIVEN_UP
         records = link.records
-        # What was answered in the same moment runs there by now, and is ended as well.
+        # A task whose offer was answered just now runs at the server, and is ended as well.
         if record := records.in_flight.pop(tag, None) or records.running.pop(tag, None):
             if records.withdraw(tag):
                 return GiveUpResult.WITHDRAWN
@@ -209,20 +209,20 @@
         return GiveUpResult.GIVEN_UP
 
     def release(self, machine: int, task: ports.Task, cause: int) -> None:
-        """Ask for the end of a running task."""
+        """Ask the server to end a running task."""
         tag = names_of(task).tag
         parameters = {server_codec.CAUSE: bytes((cause & 255,))}
         self._request_end(machine, tag, server_codec.encode(server_codec.RELEASE, tag, parameters))
 
     def move(self, machine: int, task: ports.Task) -> None:
-        """Ask for the end of a running task that is to run elsewhere."""
+        """Ask the server to end a running task that is to run elsewhere."""
         tag = names_of(task).tag
         self._request_end(machine, tag, server_codec.encode(server_codec.MOVE, tag))
 
     def _request_end(self, machine: int, tag: bytes, end_request: bytes) -> None:
-        """Send how a running task is to end; where its machine has it no more, its end is under way.
+        """Send a release or migration request, unless the task has already ended on its machine.
 
-        Guards against a request that is lost with its connection: the next one repeats it.
+        The request is recorded, since it may be lost with its connection: the next one repeats it.
         """
         link = self._links.get(machine)
         if link is not None and tag in link.records.running:
@@ -250,7 +250,7 @@
     # ---- health checks -------------------------------------------------------------------------------------
 
     def check_health(self, link: ServerLink) -> None:
-        """Send a health check that nobody waits for: any answer shows life, and its report is passed on."""
+        """Send a health check: any answer shows that the server lives, and its load report is processed."""
         message = self.health_check_message()
         link.send(message, message)
 
@@ -263,25 +263,25 @@
         self._check_count += 1
         return self._check_count.to_bytes(8, "big")
 
-    # ---- what links ask for --------------------------------------------------------------------------------
+    # ---- LinkOwner -----------------------------------------------------------------------------------------
 
     def quiet_limit(self, server: Server, now: float) -> float:
-        """Return the seconds for which a server with running tasks may be quiet."""
+        """Return for how many seconds a server with running tasks may be quiet."""
         limit = self._schedule.quiet_limit(now, server.zone, server.cell)
         return limit if server.state == MachineState.READY else min(LEAVING_QUIET_LIMIT_S, limit)
 
     def mark_unresponsive(self, server: Server) -> None:
-        """Note that a server gives no sign, and no connection to it comes up."""
+        """Record that a server is silent and accepts no connection."""
         self._schedule.mark_unresponsive(time.monotonic(), server.zone, server.cell)
 
     def keep_unclaimed_end(self, tag: bytes, ended: Ended) -> None:
-        """Keep the end of a task that no client has named yet."""
+        """Keep the end of a task that no client has reported yet."""
         self._unmatched.keep_end(tag, ended)
 
     def read_report(self, message: server_codec.Message) -> tuple[float, ...]:
-        """Return the load report of a message in the settings' order, or () where it has not all fields.
+        """Return the load report of a message in the order of the settings, or () if a field is missing.
 
         Raises:
-            MalformedMessageError: a figure is no number.
+            MalformedMessageError: a figure is not a finite number.
         """
         return message.report(self._report_fields)
--- a/weldhatch/platform/silence_check.py
+++ b/weldhatch/platform/silence_check.py
@@ -1,4 +1,4 @@
-"""Notice a server that vanished: it gives no sign, so its silence on the connection must show it."""
+"""Detection of unresponsive servers by their silence: a machine that fails closes no connection."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from weldhatch.platform.health_check import SUSPECT_QUIET_LIMIT_S
 from weldhatch.platform.server_records import ServerRecords
 
-SILENCE_LIMIT_S = 0.5  # a server that leaves a message unanswered, and says nothing, for so long is tried
-INCOMPLETE_MESSAGE_TIMEOUT_S = 0.4  # one that stops within a message for so long has lost its step
-MAX_FAILED_CONNECTS = 2  # connects that never come up beside a silent connection: the server has vanished
-MAX_BUSY_EXTENSIONS = 4  # connects that do come up while the old connection stays silent: it is given up
+SILENCE_LIMIT_S = 0.5  # silence after an unanswered message that starts a reachability check
+INCOMPLETE_MESSAGE_TIMEOUT_S = 0.4  # longer pauses within a message are a framing fault
+MAX_FAILED_CONNECTS = 2  # failed connects after which a silent server is unresponsive
+MAX_BUSY_EXTENSIONS = 4  # successful checks after which a connection that stays silent is dropped
 
 
 class CheckOwner(Protocol):
-    """What the check asks of those who keep all links."""
+    """What the check requires of the owner of all links."""
 
     def quiet_limit(self, server: Server, now: float) -> float:
-        """Return the seconds for which a server with running tasks may be quiet."""
+        """Return for how many seconds a server with running tasks may be quiet."""
 
     def mark_unresponsive(self, server: Server) -> None:
-        """Note that a server gives no sign, and no connection to it comes up."""
+        """Record that a server is silent and accepts no connection."""
 
     def health_check_message(self) -> bytes:
         """Return a new health check as bytes."""
@@ -41,17 +41,17 @@
 
     @property
     def owner(self) -> CheckOwner:
-        """Who keeps all links."""
+        """The owner of all links."""
 
     @property
     def check_health(self) -> Callable[[], None]:
         """Send a health check on the connection."""
 
     def dial(self) -> Coroutine[Any, Any, Connection]:
-        """Connect to the server's present address."""
+        """Connect to the server's current address."""
 
     def read(self, connection: Connection) -> Coroutine[Any, Any, None]:
-        """Handle what comes on a connection until it ends."""
+        """Handle the messages of a connection until it ends."""
 
     def drop_connection(self, reason: str) -> None:
         """End the connection."""
@@ -61,9 +61,9 @@
 
 
 class SilenceCheck:
-    """Watches one link; a trial beside a silent connection tells a busy server from one that vanished.
+    """Watches one link; a second connection distinguishes a busy server from an unresponsive one.
 
-    Owns the task of the trial, and the spare connection that a trial has made.
+    Owns the asyncio task of the reachability check, and the spare connection that it opens.
     """
 
     __slots__ = (
@@ -76,9 +76,9 @@
     )
 
     def __init__(self, link: CheckedLink) -> None:
-        """Watch this link from the first `watch` on."""
+        """Create the check for this link; `watch` is to be called at an interval."""
         self._link = link
-        self.unanswered_since = 0.0  # when the first message since the last sign of life went out
+        self.unanswered_since = 0.0  # monotonic time of the first unanswered message; 0.0 for none
         self._reachability_check: asyncio.Task[None] | None = None
         self._spare_connection: Connection | None = None
         self._spare_reader: asyncio.Task[None] | None = None
@@ -86,11 +86,11 @@
 
     @property
     def is_checking(self) -> bool:
-        """Whether a trial is under way."""
+        """Whether a reachability check is running."""
         return self._reachability_check is not None
 
     def reset_timers(self, now: float) -> None:
-        """Guards against our own stalls: what a server said during one is not read yet."""
+        """Restart the timers after a stall of this process: input received during the stall is unread."""
         if self.unanswered_since:
             self.unanswered_since = now
         connection = self._link.connection
@@ -98,7 +98,7 @@
             connection.incomplete_since = now
 
     def watch(self, now: float) -> None:
-        """Drop, try or check the link, as its silence asks for (`now` in monotonic seconds)."""
+        """Drop or check the link, depending on how long it is silent (`now`: monotonic seconds)."""
         link = self._link
         connection = link.connection
         if connection is None or connection.closed:
@@ -122,7 +122,7 @@
             link.check_health()
 
     async def _check_reachability(self, connection: Connection) -> None:
-        """Whether a silent server is busy or has vanished: a busy one still takes a new connection."""
+        """Find out whether a silent server is busy or unresponsive: a busy one accepts a new connection."""
         link = self._link
         reason = "is silent, and no connection comes up"
         try:
@@ -148,10 +148,10 @@
             self._reachability_check = None
 
     async def _accepts_connection(self) -> bool:
-        """Whether the server takes a new connection, or answers on the spare one.
+        """Return whether the server accepts a new connection, or answers on the existing spare one.
 
-        That one is kept and read. Guards against releases that are lost with it: a server may send them on
-        any connection that is open.
+        The spare connection is kept open and read: a server may send a release on any open connection,
+        and the release would be lost with it.
         """
         link = self._link
         spare = self._spare_connection
@@ -159,7 +159,7 @@
             self._spare_connection = await link.dial()
             self._spare_reader = asyncio.get_running_loop().create_task(link.read(self._spare_connection))
             return True
-        # A server that has vanished leaves this open too: it must say something.
+        # An unresponsive server leaves the spare connection open as well, so an answer is required.
         last_received = spare.last_received
         spare.send(link.owner.health_check_message())
         await asyncio.sleep(SILENCE_LIMIT_S)
@@ -169,21 +169,21 @@
         return True
 
     def _extend_for_busy_server(self, connection: Connection) -> None:
-        """Let a busy server be silent for longer, but not on the same connection for ever."""
+        """Allow a busy server more silence, but drop a connection that stays silent too often."""
         if self._link.connection is not connection:
             return
         self._busy_extensions += 1
         if self._busy_extensions > MAX_BUSY_EXTENSIONS:
-            self._link.drop_connection("takes connections and stays silent on this one")
+            self._link.drop_connection("accepts connections but stays silent on this one")
         self.unanswered_since = time.monotonic()
 
     def close_spare_connection(self) -> None:
-        """Close the connection that a trial has made."""
+        """Close the spare connection."""
         if self._spare_connection is not None:
             self._spare_connection.close()
 
     def close(self) -> None:
-        """Stop a trial, and close what it has made."""
+        """Stop a running check, and close the spare connection."""
         if self._reachability_check is not None:
             self._reachability_check.cancel()
         self.close_spare_connection()
--- a/weldhatch/platform/task_names.py
+++ b/weldhatch/platform/task_names.py
@@ -1,4 +1,4 @@
-"""What a platform task is called on the wire."""
+"""The fields that identify a platform task on the wire."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class TaskNames:
-    """What a platform task is called on the wire, passed on as it came."""
+    """The wire fields of a platform task, forwarded to the server unchanged."""
 
     tag: bytes
     class_name: str
@@ -20,5 +20,5 @@
 
 
 def names_of(task: ports.Task) -> TaskNames:
-    """Return what the client front has passed on with the task."""
+    """Return the wire fields that the client front has attached to the task."""
     return cast(TaskNames, task.passed_on)
