--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -9,8 +9,8 @@
 from weldhatch.net import rate_limited_log
 from weldhatch.platform import client_connection, client_front
 
-SET_UP = {"class": "safe", "left": "1500", "key": "7", "extras": "cores:1;memory:2;service:9"}
-USUAL = """
+REQUEST_FIELDS = {"class": "safe", "left": "1500", "key": "7", "extras": "cores:1;memory:2;service:9"}
+PLACE = """
     usual send START {0} | v=0
     s1 expect SET_UP {0}
     s1 send ANSWER {0} | v=0 s=9
@@ -22,21 +22,21 @@
     return json.dumps({"verb": verb, "tag": tag(name).hex(), "opts": fields, "blob": blob}).encode() + b"\n"
 
 
-class BadClients(Scenario):
-    async def client(self, name, data=b""):
+class MisbehavingClients(Scenario):
+    async def connect_client(self, name, data=b""):
         self.parties[name] = party = Owner()
         await party.open(self.gateway.listener.address)
         if data:
             party.writers[0].write(data)
         return party
 
-    async def closed(self, name, data=b""):
-        await self.client(name, data)
+    async def expect_closed(self, name, data=b""):
+        await self.connect_client(name, data)
         await self.play(f"{name} wait closed")
 
-    async def test_set_ups_that_no_server_can_use_reach_none(self):
-        bad = [
-            {**SET_UP, **change}
+    async def test_requests_with_invalid_fields_reach_no_server(self):
+        malformed = [
+            {**REQUEST_FIELDS, **change}
             for change in (
                 {"class": "safe_x"},
                 {"left": "-5"},
@@ -64,95 +64,95 @@
             unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_DELAY_S", 0.01),
             unittest.mock.patch.object(rate_limited_log, "MAX_LINES_PER_S", 1000),
         ):
-            for n, fields in enumerate(bad):
-                await self.closed(f"b{n}", line(**fields))
-        await self.play(USUAL.format("a1"))  # the first that the server hears of
-        self.assertEqual(len(bad), sum("invalid field" in text for text in self.logged), self.logged)
+            for n, fields in enumerate(malformed):
+                await self.expect_closed(f"b{n}", line(**fields))
+        await self.play(PLACE.format("a1"))  # the first that the server hears of
+        self.assertEqual(len(malformed), sum("invalid field" in text for text in self.logged), self.logged)
 
-    async def test_a_task_that_stands_is_believed_whatever_its_owner_says_it_waits(self):
+    async def test_a_running_task_is_adopted_whatever_its_client_deadline(self):
         """Guards against losing all owners at a start: theirs come with the longest time there is."""
         await self.play("usual send START a1 left=4294967 extras=cores:1;memory:1;service:9;at:u-s1")
         await self.until(lambda: self.parties["s1"].writers, "a connection is opened to hear of the task")
         await self.play("s1 send RELEASE a1 cause=16\nusual expect FINISH a1 cause=16")
 
-    async def test_an_open_tag_with_another_description_ends_only_the_second_client(self):
+    async def test_reusing_an_open_tag_closes_only_the_second_client(self):
         await self.play("usual send START a1 | v=0\ns1 expect SET_UP a1")
-        await self.closed("bad", line("a1", blob="other", **SET_UP))
+        await self.expect_closed("bad", line("a1", blob="other", **REQUEST_FIELDS))
         await self.play("s1 send ANSWER a1 | v=0\nusual expect STARTED a1 | v=0")
 
-    async def test_those_who_say_nothing_or_half_a_message_are_closed(self):
+    async def test_clients_that_send_nothing_or_part_of_a_message_are_closed(self):
         with unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_TIMEOUT_S", 0.3):
             for name, data in (("silent", b""), ("half", line()[:40]), ("more", line(verb="ECHO") + b"{")):
-                await self.closed(name, data)
-            await self.play(USUAL.format("a1"))
+                await self.expect_closed(name, data)
+            await self.play(PLACE.format("a1"))
 
-    async def test_nothing_is_kept_of_a_line_that_can_be_no_message(self):
+    async def test_a_line_that_cannot_be_a_message_is_rejected_before_its_end(self):
         with unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_TIMEOUT_S", 1000.0):
-            await self.closed("noise", b"\xb3\xfc\xaf")  # closed at once, though the line has no end
+            await self.expect_closed("noise", b"\xb3\xfc\xaf")  # closed at once, though the line has no end
 
-    async def test_one_that_asked_and_stays_is_closed_once_it_has_idled_but_not_one_with_a_task(self):
-        await self.play(USUAL.format("a1"))
+    async def test_an_idle_connection_is_closed_unless_it_has_a_running_task(self):
+        await self.play(PLACE.format("a1"))
         with unittest.mock.patch.object(client_connection, "MAX_IDLE_S", 0.3):
-            await self.closed("stays", line(verb="ECHO"))
+            await self.expect_closed("stays", line(verb="ECHO"))
             self.assertFalse(self.parties["usual"].closed.is_set())
             await self.play("s1 send RELEASE a1 cause=16\nusual expect FINISH a1\nusual wait closed")
 
-    async def test_set_ups_by_hundreds_are_refused_past_a_number(self):
-        await self.play(USUAL.format("a1") + "s1 hang")
+    async def test_open_requests_beyond_the_limit_of_a_connection_are_rejected(self):
+        await self.play(PLACE.format("a1") + "s1 hang")
         count = 300
-        fields = {**SET_UP, "left": "9000"}
-        bad = await self.client("bad", b"".join(line(f"b{n}", **fields) for n in range(count)))
+        fields = {**REQUEST_FIELDS, "left": "9000"}
+        client = await self.connect_client("bad", b"".join(line(f"b{n}", **fields) for n in range(count)))
         for _ in range(count - client_front.MAX_OPEN_REQUESTS):
-            verb, _, fields, _ = await asyncio.wait_for(bad.received.get(), 20)
+            verb, _, fields, _ = await asyncio.wait_for(client.received.get(), 20)
             self.assertEqual(("FINISH", "42", "1000"), (verb, fields["cause"], fields["wait"]))
         [link] = [link for link in self.gateway.clients.connections if link.open_requests]
         self.assertEqual(client_front.MAX_OPEN_REQUESTS, len(link.open_requests))
 
-    async def test_set_ups_taken_back_at_once_reach_no_server_and_end_the_connection(self):
+    async def test_requests_cancelled_at_once_reach_no_server_and_close_the_connection(self):
         pairs = (
-            line(f"b{n}", **SET_UP) + line(f"b{n}", "FINISH")
+            line(f"b{n}", **REQUEST_FIELDS) + line(f"b{n}", "FINISH")
             for n in range(2 * client_connection.MAX_IMMEDIATE_CANCELS)
         )
-        await self.closed("bad", b"".join(pairs))
+        await self.expect_closed("bad", b"".join(pairs))
         await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
         self.assertEqual((0, {}), (self.gateway.core.unanswered, self.gateway.clients._requests))
         self.assertFalse(self.parties["s1"].connected.is_set())  # not even probed
-        await self.play(USUAL.format("a1"))
+        await self.play(PLACE.format("a1"))
 
-    async def test_nothing_is_kept_of_a_client_that_closes_with_set_ups_open(self):
+    async def test_a_client_that_closes_with_open_requests_leaves_no_state(self):
         await self.play("usual send START a1\ns1 expect SET_UP a1\nusual close\ns1 expect RELEASE a1")
         await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
         self.assertEqual({}, self.gateway.clients._requests)
 
-    async def test_a_release_goes_to_an_owner_and_not_to_who_only_asked(self):
+    async def test_a_release_is_sent_to_a_client_with_requests_not_to_one_that_only_sent_echo(self):
         for n in range(8):
-            await self.client(f"x{n}", line(verb="ECHO"))
-        await self.play(USUAL.format("a1") + USUAL.format("a2").replace("usual", "other"))
+            await self.connect_client(f"x{n}", line(verb="ECHO"))
+        await self.play(PLACE.format("a1") + PLACE.format("a2").replace("usual", "other"))
         await self.play("usual close")
         await self.until(lambda: len(self.gateway.clients.connections) == 9, "the owner's connection ended")
         await self.play("s1 send RELEASE a1 cause=16\nother expect FINISH a1 cause=16")
 
-    async def test_a_client_that_is_turned_away_is_not_closed_at_once(self):
+    async def test_a_rejected_client_is_not_closed_at_once(self):
         """Guards against one that comes again as soon as it is closed."""
         with unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_DELAY_S", 1000.0):
-            await self.client("bad", b"[]\n")
+            await self.connect_client("bad", b"[]\n")
             await self.until(
                 lambda: any(link.is_rejected for link in self.gateway.clients.connections), "turned away"
             )
-            await self.play(USUAL.format("a1"))
+            await self.play(PLACE.format("a1"))
             self.assertFalse(self.parties["bad"].closed.is_set())
 
 
-class Crowd(Scenario):
+class ManyIdleClients(Scenario):
     sockets = 48
 
-    async def test_clients_that_say_nothing_or_ask_once_keep_no_other_out(self):
+    async def test_silent_or_idle_clients_do_not_lock_out_a_new_client(self):
         share = self.gateway.clients._share
         with (
             unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_TIMEOUT_S", 1000.0),
             unittest.mock.patch.object(client_connection, "MAX_IDLE_S", 1000.0),
         ):
-            await self.play(USUAL.format("a1"))
+            await self.play(PLACE.format("a1"))
             for n in range(2 * share.limit):
                 party = Owner()
                 self.parties[f"x{n}"] = party
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,16 +18,16 @@
 
 from weldhatch.platform import client_connection, server_codec
 
-TOLD_S = 4.0  # what the bus would have told counts as told so long after it broke off
+EVENT_DELIVERY_LIMIT_S = 4.0  # what the bus would have told counts as told so long after it broke off
 DEADLINE_MS = 3000  # how long the new client's owner waits for its answer
 NO_PROBES = {**SETTINGS, "limits": {**SETTINGS["limits"], "probes": False}}
-SLOWER = 3.0  # by so much a loaded machine may be slower than the pages' times
+SLOW_MACHINE_MARGIN_S = 3.0  # by so much a loaded machine may be slower than the pages' times
 
 
-class ManyServer(Server):
+class AcceptingServer(Server):
     """A server that takes every set-up; its tasks are over at once unless they are to stand."""
 
-    stand = False
+    tasks_keep_running = False
 
     async def read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -40,7 +40,7 @@
             elif kind == server_codec.SET_UP:
                 self.used = True
                 writer.write(server_codec.encode(server_codec.ANSWER, name, {79: parameters[79]}))
-                if not self.stand:
+                if not self.tasks_keep_running:
                     writer.write(server_codec.encode(server_codec.RELEASE, name, {78: bytes((16,))}))
 
 
@@ -49,41 +49,41 @@
     return json.dumps(message).encode() + b"\n"
 
 
-def set_up(name: str, service: int) -> bytes:
+def request_line(name: str, service: int) -> bytes:
     extras = f"cores:1;memory:2;service:{service}"
     return line(name, "START", **{"class": "safe", "left": str(DEADLINE_MS), "key": "7", "extras": extras})
 
 
-class Short(Scenario):
+class FewDescriptorsScenario(Scenario):
     """Few descriptors, and a fleet larger than them."""
 
     servers = 100
     sockets = 64
-    server_class = ManyServer
+    server_class = AcceptingServer
     settings = NO_PROBES
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        self.idle: list[socket.socket] = []
-        self.asked = 0
+        self.idle_clients: list[socket.socket] = []
+        self.request_count = 0
 
     async def asyncTearDown(self) -> None:
-        for one in self.idle:
-            one.close()
+        for client in self.idle_clients:
+            client.close()
         await super().asyncTearDown()
 
-    async def fill(self, says: str, count: int = 0) -> None:
+    async def fill_with_idle_clients(self, sent: str, count: int = 0) -> None:
         """Clients open more connections than there are descriptors, say that on each, and stay."""
         for n in range(count or 2 * self.sockets):
-            one = socket.create_connection(self.gateway.listener.address)
-            self.idle.append(one)
-            match says:
+            client = socket.create_connection(self.gateway.listener.address)
+            self.idle_clients.append(client)
+            match sent:
                 case "a test":
-                    one.sendall(line(f"i{n}", "ECHO"))
+                    client.sendall(line(f"i{n}", "ECHO"))
                 case "half a message":
-                    one.sendall(line(f"i{n}", "ECHO")[:20])
+                    client.sendall(line(f"i{n}", "ECHO")[:20])
                 case "a set-up":
-                    one.sendall(set_up(f"i{n}", 1000 + n))
+                    client.sendall(request_line(f"i{n}", 1000 + n))
             if n % 16 == 0:
                 await asyncio.sleep(0)
         share = self.gateway.clients._share
@@ -92,22 +92,22 @@
             lambda: share.held >= share.limit or budget.held >= budget.limit, "the descriptors are used up"
         )
 
-    async def answered(self, count: int) -> float:
+    async def place_tasks(self, count: int) -> float:
         """Set-ups of a new client, one after the other, each answered; the longest time that one took."""
         longest = 0.0
         for _ in range(count):
-            self.asked += 1
-            name = f"n{self.asked}"
+            self.request_count += 1
+            name = f"n{self.request_count}"
             began = time.monotonic()
-            extras = f"cores:1;memory:2;service:{self.asked}"  # each service has its own homes
+            extras = f"cores:1;memory:2;service:{self.request_count}"  # each service has its own homes
             await self.play(f"new send START {name} left={DEADLINE_MS} extras={extras}")
             await self.play(f"new expect STARTED {name}")
             longest = max(longest, time.monotonic() - began)
-            if not self.server_class.stand:
+            if not self.server_class.tasks_keep_running:
                 await self.play(f"new expect FINISH {name} cause=16")
         return longest
 
-    async def discovery(self, up: bool) -> None:
+    async def set_discovery(self, up: bool) -> None:
         """The event bus refuses connections, or listens again at its address."""
         if up:
             self.bus.connected.clear()
@@ -117,64 +117,64 @@
             self.bus.reset()
             await self.until(lambda: any("no connection" in text for text in self.logged), "the bus is down")
 
-    async def comes_back(self) -> None:
+    async def assert_discovery_returns(self) -> None:
         """Discovery is back: its news, a server that only it knows and a new client get through."""
         self.bus.add([self.target(f"s{n}", "gone") for n in range(1, self.servers)], notify=False)
-        self.parties["late"] = late = self.server_class()
-        await late.listen()
+        self.parties["late"] = late_server = self.server_class()
+        await late_server.listen()
         self.bus.add([self.target("late")], notify=False)
         began = time.monotonic()
-        await self.discovery(True)
+        await self.set_discovery(True)
         await self.until(
             lambda: self.gateway.servers_list.offset == len(self.bus.events), "the events were taken"
         )
-        self.assertLess(time.monotonic() - began, TOLD_S + SLOWER, "discovery")
+        self.assertLess(time.monotonic() - began, EVENT_DELIVERY_LIMIT_S + SLOW_MACHINE_MARGIN_S, "discovery")
         self.parties.pop("new", None)
-        self.assertLess(await self.answered(1), DEADLINE_MS / 1000)
+        self.assertLess(await self.place_tasks(1), DEADLINE_MS / 1000)
         for _ in range(40):
-            if late.used:
+            if late_server.used:
                 break
-            await self.answered(1)
-        self.assertTrue(late.used, "a server that needs a connection got one")
+            await self.place_tasks(1)
+        self.assertTrue(late_server.used, "a server that needs a connection got one")
         self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
 
 
-class MoreServersThanDescriptors(Short):
-    async def test_every_server_is_reached_though_all_can_not_be_connected_at_once(self) -> None:
+class MoreServersThanDescriptors(FewDescriptorsScenario):
+    async def test_every_server_is_reached_with_fewer_descriptors_than_servers(self) -> None:
         """Guards against links that stay open when idle: the first servers would shut the others out."""
-        machines = [self.parties[f"s{n}"] for n in range(1, self.servers + 1)]
+        servers = [self.parties[f"s{n}"] for n in range(1, self.servers + 1)]
         end = time.monotonic() + 30.0
-        while not all(server.used for server in machines) and time.monotonic() < end:
-            await self.answered(1)
-        unused = sum(not server.used for server in machines)
+        while not all(server.used for server in servers) and time.monotonic() < end:
+            await self.place_tasks(1)
+        unused = sum(not server.used for server in servers)
         self.assertEqual(0, unused, "servers that were never reached")
         self.assertFalse([text for text in self.logged if "is silent" in text])
         self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
 
-    async def test_discovery_servers_and_a_new_client_get_theirs_beside_idle_clients(self) -> None:
-        for says in ("nothing", "a test", "half a message", "a set-up"):
-            with self.subTest(says):
-                await self.discovery(False)
-                await self.answered(60)
+    async def test_discovery_servers_and_a_new_client_get_descriptors_beside_idle_clients(self) -> None:
+        for sent in ("nothing", "a test", "half a message", "a set-up"):
+            with self.subTest(sent):
+                await self.set_discovery(False)
+                await self.place_tasks(60)
                 with (
                     unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_TIMEOUT_S", 1000.0),
                     unittest.mock.patch.object(client_connection, "MAX_IDLE_S", 1000.0),
                 ):
-                    await self.fill(says)
-                    await self.comes_back()
+                    await self.fill_with_idle_clients(sent)
+                    await self.assert_discovery_returns()
             await self.asyncTearDown()
             await self.asyncSetUp()
 
-    async def test_the_bus_has_a_descriptor_of_its_own(self) -> None:
-        await self.discovery(False)
+    async def test_the_bus_has_a_reserved_descriptor(self) -> None:
+        await self.set_discovery(False)
         while self.gateway.budget.take():
             pass
         self.bus.add([self.target("s1", "draining")], notify=False)
-        await self.discovery(True)
+        await self.set_discovery(True)
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
 
     async def test_servers_that_idle_give_way_to_a_client_where_no_client_can(self) -> None:
-        await self.answered(60)
+        await self.place_tasks(60)
         while self.gateway.budget.take():
             pass
         with (
@@ -184,43 +184,43 @@
             await self.play("late send ECHO t0 cause=0\nlate expect ECHOED t0")
 
 
-class StandingServer(ManyServer):
-    stand = True
+class ServerWithRunningTasks(AcceptingServer):
+    tasks_keep_running = True
 
 
-class AllStand(Short):
+class AllConnectionsHaveTasks(FewDescriptorsScenario):
     """Every client's connection, and every server's, carries tasks that stand."""
 
     servers = 20  # fewer than descriptors: a link with a task that stands is never closed for another
-    server_class = StandingServer
+    server_class = ServerWithRunningTasks
 
-    async def test_discovery_and_a_new_client_get_theirs_where_every_connection_has_a_task(self) -> None:
-        await self.discovery(False)
-        await self.answered(40)
-        await self.fill("a set-up", self.gateway.clients._share.limit)
-        await self.comes_back()
+    async def test_discovery_and_a_new_client_get_descriptors_when_every_connection_has_a_task(self) -> None:
+        await self.set_discovery(False)
+        await self.place_tasks(40)
+        await self.fill_with_idle_clients("a set-up", self.gateway.clients._share.limit)
+        await self.assert_discovery_returns()
 
 
-class TooManyStand(Short):
+class MoreTasksThanDescriptors(FewDescriptorsScenario):
     """Tasks stand on more servers than there are descriptors for."""
 
-    server_class = StandingServer
+    server_class = ServerWithRunningTasks
 
-    async def test_discovery_and_a_new_client_are_heard_and_no_task_is_told_as_lost(self) -> None:
-        await self.discovery(False)
-        refused = n = 0
-        while not refused:
+    async def test_discovery_and_a_new_client_are_served_and_no_task_is_reported_lost(self) -> None:
+        await self.set_discovery(False)
+        rejected = n = 0
+        while not rejected:
             n += 1
             extras = f"cores:1;memory:2;service:{n}"
             await self.play(f"first send START f{n} left={DEADLINE_MS} extras={extras}")
             verb, *_ = await asyncio.wait_for(self.parties["first"].received.get(), 20.0)
-            refused += verb == "FINISH"
-        await self.fill("a set-up", self.gateway.clients._share.limit)
+            rejected += verb == "FINISH"
+        await self.fill_with_idle_clients("a set-up", self.gateway.clients._share.limit)
         self.bus.add([self.target("s1", "draining")], notify=False)
         began = time.monotonic()
-        await self.discovery(True)
+        await self.set_discovery(True)
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
-        self.assertLess(time.monotonic() - began, TOLD_S + SLOWER)
+        self.assertLess(time.monotonic() - began, EVENT_DELIVERY_LIMIT_S + SLOW_MACHINE_MARGIN_S)
         began = time.monotonic()
         await self.play("new send ECHO t0 cause=0\nnew expect ECHOED t0")
         self.assertLess(time.monotonic() - began, DEADLINE_MS / 1000)
@@ -228,10 +228,10 @@
         self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
 
 
-class NoneLeft(Scenario):
+class NoDescriptorForServer(Scenario):
     """Where no descriptor is left for a server, that tells nothing of the server."""
 
-    async def test_a_server_that_finds_no_descriptor_has_not_vanished(self) -> None:
+    async def test_a_server_without_a_descriptor_does_not_count_as_unresponsive(self) -> None:
         """Guards tasks that stand against being told as lost because descriptors ran short."""
         await self.play("""
             owner send START a1
@@ -245,20 +245,20 @@
         )
         [link] = self.gateway.servers._links.values()
         await self.play("s1 close")
-        taken = self.gateway.servers._share.take
-        await self.until(lambda: taken.call_count > 4, "it was tried again")
+        take = self.gateway.servers._share.take
+        await self.until(lambda: take.call_count > 4, "it was tried again")
         self.assertTrue(link.records.running, self.logged)
         self.gateway.servers._share = share
         await self.until(lambda: self.parties["s1"].writers, "connected anew")
         await self.play("s1 send RELEASE a1 cause=16\nowner expect FINISH a1 cause=16")
 
 
-class Fewest(Scenario):
+class MinimumDescriptors(Scenario):
     """The fewest descriptors that the configuration allows."""
 
     sockets = 32
 
-    async def test_a_client_is_served_with_the_fewest_descriptors_that_may_be_set(self) -> None:
+    async def test_a_client_is_served_with_the_minimum_number_of_descriptors(self) -> None:
         await self.play("""
             owner send START a1
             s1 expect SET_UP a1
--- a/tests/test_faulty_servers.py
+++ b/tests/test_faulty_servers.py
@@ -12,22 +12,24 @@
 from weldhatch.platform.task_names import TaskNames
 from weldhatch.scheduling.types import Outcome
 
-SEND = "owner send START {0} class={1}\ns1 expect SET_UP {0}\n"
-GOOD = server_codec.encode(server_codec.ANSWER, tag("a1"), {server_codec.DESCRIPTION: b"v=0 s=9"})
+OFFER = "owner send START {0} class={1}\ns1 expect SET_UP {0}\n"
+VALID_ANSWER = server_codec.encode(server_codec.ANSWER, tag("a1"), {server_codec.DESCRIPTION: b"v=0 s=9"})
 
 
 class FaultyServers(Scenario):
     def write(self, data):
         self.parties["s1"].writers[-1].write(data)
 
-    async def test_a_spoilt_answer_is_no_answer_and_ends_all_that_was_open_on_its_connection(self):
+    async def test_a_malformed_message_ends_all_open_attempts_on_its_connection(self):
         """Guards against a set-up that is taken from its link by what can not be read."""
-        cut = GOOD[:-4] + server_codec.encode(server_codec.TEST, tag("t1"), {server_codec.CAUSE: b"\0"})
-        spoilt = [
-            b"\xff\xf3" + GOOD[2:],
-            b"\0\4" + GOOD[2:],
-            GOOD[:2] + b"\x7b" + GOOD[3:],
-            cut,
+        truncated = VALID_ANSWER[:-4] + server_codec.encode(
+            server_codec.TEST, tag("t1"), {server_codec.CAUSE: b"\0"}
+        )
+        malformed = [
+            b"\xff\xf3" + VALID_ANSWER[2:],
+            b"\0\4" + VALID_ANSWER[2:],
+            VALID_ANSWER[:2] + b"\x7b" + VALID_ANSWER[3:],
+            truncated,
             server_codec.encode(server_codec.ANSWER, tag("a1"), {}),
             server_codec.encode(server_codec.SET_UP, tag("a1"), {}),
             server_codec.encode(server_codec.ANSWER, tag("a1"), {server_codec.DESCRIPTION: b"\xb3\xfc"}),
@@ -43,47 +45,47 @@
                 server_codec.NOTE, tag("a1"), {server_codec.TOPIC: b"cores", server_codec.FIGURE: b"nan"}
             ),
         ]
-        for data in spoilt:
+        for data in malformed:
             self.logged.clear()
-            await self.play(SEND.format("a1", "unsafe") + SEND.format("a2", "unsafe"))
+            await self.play(OFFER.format("a1", "unsafe") + OFFER.format("a2", "unsafe"))
             self.write(data)
             await self.play("owner expect FINISH a1 cause=47\nowner expect FINISH a2 cause=47")
             self.assertTrue(any("closed" in text for text in self.logged), (data, self.logged))
         self.assertTrue(self.parties["owner"].received.empty())
 
-    async def test_an_answer_that_stops_short_ends_its_connection_long_before_the_deadline(self):
-        await self.play(SEND.format("a1", "unsafe"))
-        self.write(GOOD[:-4])
+    async def test_a_truncated_answer_closes_its_connection_before_the_deadline(self):
+        await self.play(OFFER.format("a1", "unsafe"))
+        self.write(VALID_ANSWER[:-4])
         await self.play("owner expect FINISH a1 cause=47")
         self.assertTrue(any("stops within a message" in text for text in self.logged), self.logged)
 
-    async def test_what_a_spoilt_answer_took_along_is_sent_again_only_where_its_class_allows(self):
-        await self.play(SEND.format("a1", "safe") + SEND.format("a2", "unsafe"))
+    async def test_attempts_ended_by_a_malformed_message_are_retried_only_in_safe_classes(self):
+        await self.play(OFFER.format("a1", "safe") + OFFER.format("a2", "unsafe"))
         self.write(b"\xff\xff\xff")
         await self.play("owner expect FINISH a2 cause=47\ns1 expect SET_UP a1\ns1 send ANSWER a1 | v=0 s=9")
         await self.play("owner expect STARTED a1 | v=0 s=9")
 
-    async def test_second_copies_and_answers_under_unknown_ids_are_ignored(self):
-        await self.play(SEND.format("a1", "unsafe"))
+    async def test_duplicate_answers_and_unknown_tags_are_ignored(self):
+        await self.play(OFFER.format("a1", "unsafe"))
         other = server_codec.encode(server_codec.ANSWER, tag("zz"), {server_codec.DESCRIPTION: b"v=0"})
         release = server_codec.encode(server_codec.RELEASE, tag("a1"), {server_codec.CAUSE: b"\x10"})
-        self.write(other + GOOD + GOOD)
+        self.write(other + VALID_ANSWER + VALID_ANSWER)
         await self.play("owner expect STARTED a1 | v=0 s=9")
-        self.write(release + GOOD + release)
-        await self.play("owner expect FINISH a1 cause=16\n" + SEND.format("a2", "unsafe"))
+        self.write(release + VALID_ANSWER + release)
+        await self.play("owner expect FINISH a1 cause=16\n" + OFFER.format("a2", "unsafe"))
         self.assertTrue(self.parties["owner"].received.empty())
         self.assertFalse(self.parties["s1"].closed.is_set())
 
-    async def test_a_release_that_nobody_claims_is_kept_for_a_while_only(self):
-        await self.play(SEND.format("a1", "unsafe"))
+    async def test_an_unclaimed_release_is_kept_for_a_limited_time(self):
+        await self.play(OFFER.format("a1", "unsafe"))
         with unittest.mock.patch.object(unmatched_tasks, "UNCLAIMED_END_TIMEOUT_S", 0.2):
             self.write(server_codec.encode(server_codec.RELEASE, tag("zz"), {server_codec.CAUSE: b"\x10"}))
             await self.until(lambda: self.gateway.servers._unmatched.has_unclaimed, "the release was kept")
             await self.until(lambda: not self.gateway.servers._unmatched.has_unclaimed, "it was dropped")
 
-    async def test_a_release_that_comes_on_the_connection_of_a_trial_is_received(self):
+    async def test_a_release_on_the_spare_connection_is_received(self):
         """Guards against trials that are closed unread: a release may come on any open connection."""
-        await self.play(SEND.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
+        await self.play(OFFER.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         server = self.parties["s1"]
         [old] = server.writers
         server.connected.clear()
@@ -95,10 +97,10 @@
         self.assertFalse(any("lost" in text for text in self.logged), self.logged)
 
 
-class ComingAndGoing(Scenario):
-    async def test_nothing_is_kept_of_servers_that_were_removed(self):
+class ChangingServers(Scenario):
+    async def test_removed_servers_leave_no_state(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
-        await self.play(SEND.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
+        await self.play(OFFER.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         target = self.target("s1")
         for n in range(5):  # one address, one server after the other
             self.bus.add([{**target, "state": "gone"}, {**target, "uid": f"u-{n}"}])
@@ -110,18 +112,18 @@
         )
         self.assertEqual({machine_number("u-4")}, set(self.gateway.servers_list.servers))
 
-        def forgotten():
+        def policy_has_only_the_last_server():
             """Once its last offer counts no more, the next word of the list makes the module forget it."""
             self.bus.add([target])
             return set(self.gateway.driver._policy._cluster.machines) == {machine_number("u-4")}
 
-        await self.until(forgotten, "one node")
-        await self.play(SEND.format("a2", "unsafe") + "s1 send ANSWER a2\nowner expect STARTED a2")
+        await self.until(policy_has_only_the_last_server, "one node")
+        await self.play(OFFER.format("a2", "unsafe") + "s1 send ANSWER a2\nowner expect STARTED a2")
 
-    async def test_a_process_that_ended_without_a_reset_is_found_out_once_the_list_says_removed(self):
+    async def test_a_process_that_ended_without_a_reset_is_detected_once_its_server_is_removed(self):
         """Its connection looks open: the test that the list's word brings about is what shows the end."""
         await self.until(lambda: self.bus.writers, "the bus is read")
-        await self.play(SEND.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
+        await self.play(OFFER.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         server = self.parties["s1"]
         server.hung = True
         server.server.close()  # no new connection comes up, and the open one says nothing
@@ -131,7 +133,7 @@
 
     async def test_a_draining_server_may_be_quiet_for_a_shorter_time(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
-        await self.play(SEND.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
+        await self.play(OFFER.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         server = self.parties["s1"]
         server.hung = True
         server.server.close()
@@ -139,13 +141,13 @@
             self.bus.add([self.target("s1", "draining")])
             await self.play("owner expect FINISH a1 cause=41")
 
-    async def test_what_waits_for_a_connection_is_not_sent_to_the_next_server_at_the_address(self):
+    async def test_a_waiting_offer_is_not_sent_to_a_new_server_at_the_address(self):
         """Guards against a set-up that goes to a server it was not offered to, under another's uid."""
         await self.until(lambda: self.bus.writers, "the bus is read")
-        gateway, told = self.gateway.servers, []
+        gateway, delivered = self.gateway.servers, []
         names = TaskNames(tag("a1"), "unsafe", "7", "", "v=0")
         task = ports.Task("a1", 2, 9, 1.0, 1.0, 0, passed_on=names)
-        receiver = unittest.mock.Mock(deliver=told.append)
+        receiver = unittest.mock.Mock(deliver=delivered.append)
         gateway.offer(machine_number("u-s1"), task, 0, 1_000_000, receiver)
         new = {**self.target("s1"), "uid": "u-new"}
         self.gateway._bus_event(
@@ -153,11 +155,12 @@
         )
         gateway.offer(machine_number("u-s1"), task, 1, 1_000_000, receiver)
         self.assertEqual(
-            [(0, Outcome.CONNECT_FAILED), (1, Outcome.NOT_SENT)], [(end.attempt, end.outcome) for end in told]
+            [(0, Outcome.CONNECT_FAILED), (1, Outcome.NOT_SENT)],
+            [(end.attempt, end.outcome) for end in delivered],
         )
         gateway.give_up(machine_number("u-never"), task)
         gateway.release(machine_number("u-never"), task, 16)
-        await self.play(SEND.format("a2", "unsafe"))  # the first that the new server hears of
+        await self.play(OFFER.format("a2", "unsafe"))  # the first that the new server hears of
 
 
 if __name__ == "__main__":
--- a/tests/test_health_check.py
+++ b/tests/test_health_check.py
@@ -20,18 +20,18 @@
     s1 send ANSWER a1 | v=0
     owner expect STARTED a1
 """
-QUIET = {**SETTINGS, "limits": {**SETTINGS["limits"], "probes": False}}
+NO_PROBES = {**SETTINGS, "limits": {**SETTINGS["limits"], "probes": False}}
 
 
 class QuietLimit(unittest.TestCase):
-    def test_what_follows_an_unanswered_test_still_ends_within_the_rules_eight_seconds(self):
-        trial = silence_check.SILENCE_LIMIT_S + silence_check.MAX_FAILED_CONNECTS * max(
+    def test_an_unresponsive_server_is_detected_within_eight_seconds(self):
+        reachability_check_s = silence_check.SILENCE_LIMIT_S + silence_check.MAX_FAILED_CONNECTS * max(
             silence_check.SILENCE_LIMIT_S, 0.25
         )
-        stalls = 3 * servers.MAX_WATCH_DELAY_S
-        self.assertLess(QUIET_LIMIT_S + 2 * servers.WATCH_INTERVAL_S + trial + stalls, 8.0)
+        stalls_s = 3 * servers.MAX_WATCH_DELAY_S
+        self.assertLess(QUIET_LIMIT_S + 2 * servers.WATCH_INTERVAL_S + reachability_check_s + stalls_s, 8.0)
 
-    def test_a_vanished_server_makes_its_cell_suspect_for_a_while_and_no_other(self):
+    def test_an_unresponsive_server_makes_only_its_cell_suspect_for_a_limited_time(self):
         schedule = HealthCheckSchedule()
         schedule.mark_unresponsive(10.0, 0, 3)
         self.assertEqual(
@@ -57,7 +57,7 @@
             [schedule.quiet_limit(16.5, 0, 9), schedule.quiet_limit(16.5, 0, 4)],
         )
 
-    def test_many_cells_are_remembered_within_a_bound(self):
+    def test_the_number_of_remembered_cells_is_bounded(self):
         schedule = HealthCheckSchedule()
         for cell in range(3 * MAX_SUSPECT_CELLS):
             schedule.mark_unresponsive(1.0, 0, cell)
@@ -68,30 +68,32 @@
         self.assertEqual((0, 0), (len(schedule._cells), schedule._zones[0]))
 
 
-class Watching(Scenario):
-    settings = QUIET
+class HealthChecks(Scenario):
+    settings = NO_PROBES
 
-    async def test_a_quiet_server_is_left_alone_until_a_neighbour_vanishes(self):
+    async def test_a_quiet_server_gets_no_health_check_until_a_neighbour_is_unresponsive(self):
         """Tests are priced as probes: a quiet server gets one only when it is due, or its cell is suspect."""
         await self.play(PLACED)
         (link,) = self.gateway.servers._links.values()
-        watched, tested = [], []
-        watch, test = type(link.silence).watch, servers.Servers.check_health
+        watch_calls, health_checks = [], []
+        watch, check_health = type(link.silence).watch, servers.Servers.check_health
         with (
             mock.patch.object(health_check, "QUIET_LIMIT_S", 1000.0),
             mock.patch.object(health_check, "SUSPECT_QUIET_LIMIT_S", 0.0),
             mock.patch.object(silence_check, "SUSPECT_QUIET_LIMIT_S", 0.0),
-            mock.patch.object(type(link.silence), "watch", lambda *a: (watched.append(a), watch(*a))),
-            mock.patch.object(servers.Servers, "check_health", lambda *a: (tested.append(a), test(*a))),
+            mock.patch.object(type(link.silence), "watch", lambda *a: (watch_calls.append(a), watch(*a))),
+            mock.patch.object(
+                servers.Servers, "check_health", lambda *a: (health_checks.append(a), check_health(*a))
+            ),
         ):
-            await self.until(lambda: len(watched) >= 3, "the server is watched")
-            self.assertEqual([], tested)
+            await self.until(lambda: len(watch_calls) >= 3, "the server is watched")
+            self.assertEqual([], health_checks)
             self.gateway.servers.mark_unresponsive(link.server)
-            await self.until(lambda: tested, "the neighbour of a vanished server is tested")
+            await self.until(lambda: health_checks, "the neighbour of a vanished server is tested")
 
 
-class Reporting(Scenario):
-    async def test_what_a_tested_server_reports_reaches_the_module_without_a_probe(self):
+class LoadReports(Scenario):
+    async def test_a_load_report_in_a_health_check_reaches_the_policy_without_a_probe(self):
         """Guards against paying for a test of life and for a probe of the same server."""
         await self.play(PLACED)
         (link,) = self.gateway.servers._links.values()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,7 +19,7 @@
 
 
 @given(STEPS)
-def test_a_ring_holds_what_plain_bytes_would(steps):
+def test_a_ring_behaves_like_plain_bytes(steps):
     ring, plain = RingBuffer(16), b""
     for step in steps:
         if isinstance(step, bytes):
@@ -37,7 +37,7 @@
             assert ring.find(b"\0", start) == plain.find(b"\0", start)
 
 
-def test_a_ring_takes_space_as_it_needs_it_and_gives_it_back():
+def test_a_ring_allocates_on_demand_and_frees_its_memory_when_empty():
     """Guards against connections by hundreds that say little and hold whole rings."""
     ring = RingBuffer(128 * 1024)
     assert len(ring.free_space()) == INITIAL_SIZE_BYTES
@@ -46,31 +46,31 @@
     assert len(ring.free_space()) == INITIAL_SIZE_BYTES
 
 
-def in_pieces(parse, data, size, capacity=4096):
-    ring, found = RingBuffer(capacity), []
+def parse_in_pieces(parse, data, size, capacity=4096):
+    ring, messages = RingBuffer(capacity), []
     ring.put(bytes(capacity - 7))  # so that the messages wrap round
     ring.drop(capacity - 7)
     for at in range(0, len(data), size):
         assert ring.put(data[at : at + size])
         while (message := parse(ring)) is not None:
-            found.append(message)
+            messages.append(message)
     assert not len(ring)
-    return found
+    return messages
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 4000])
-def test_messages_are_read_whole_however_they_come(size):
+def test_messages_are_parsed_from_pieces_of_any_size(size):
     parameters = {server_codec.CLASS: b"safe", server_codec.DESCRIPTION: b"v=0\r\n" * 9}
     one = server_codec.encode(server_codec.SET_UP, b"12345678", parameters)
     two = server_codec.encode(server_codec.TEST, b"abcdefgh", {server_codec.CAUSE: b"\1"})
-    first, second = in_pieces(server_codec.parse, one + two, size)
+    first, second = parse_in_pieces(server_codec.parse, one + two, size)
     assert (first.type, first.tag, first.text(server_codec.DESCRIPTION)) == (1, b"12345678", "v=0\r\n" * 9)
     assert second.cause == 1
     line = client_codec.encode("START", "9b1f03aa5c7e2d41", {"left": "5"}, None, "a\r\nb\u00e9")
-    [read] = in_pieces(client_codec.parse, line, size)
+    [read] = parse_in_pieces(client_codec.parse, line, size)
     assert (read.verb, read.fields, read.description) == ("START", {"left": "5"}, "a\r\nb\u00e9")
-    asked = b"POST /v1test2/tasks?x=1 HTTP/1.1\r\nContent-Length: 2\r\nX-A:  b \r\n\r\n{}"
-    [request, _] = in_pieces(http.Reader().parse, asked * 2, size)
+    http_request = b"POST /v1test2/tasks?x=1 HTTP/1.1\r\nContent-Length: 2\r\nX-A:  b \r\n\r\n{}"
+    [request, _] = parse_in_pieces(http.Reader().parse, http_request * 2, size)
     assert (request.method, request.path, request.headers["x-a"], request.body) == (
         "POST",
         "/v1test2/tasks",
@@ -81,14 +81,16 @@
 
 @pytest.mark.parametrize("size", [1, 3, 4000])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_the_bus_is_read_in_chunks_or_not(size, chunked):
+def test_bus_lines_are_parsed_with_and_without_chunked_encoding(size, chunked):
     body = b": hello\n\nid: 2\ndata: {}\n\n"
     if chunked:
         parts = [body[:5], body[5:]]
         body = b"".join(f"{len(part):x}\r\n".encode() + part + b"\r\n" for part in parts)
     head = b"HTTP/1.1 200 OK\r\n" + b"Transfer-Encoding: chunked\r\n" * chunked + b"\r\n"
     lines = [
-        line for some in in_pieces(event_stream.EventStream().read_lines, head + body, size) for line in some
+        line
+        for batch in parse_in_pieces(event_stream.EventStream().read_lines, head + body, size)
+        for line in batch
     ]
     assert lines == [": hello", "", "id: 2", "data: {}", ""]
 
@@ -107,14 +109,14 @@
         (event_stream.EventStream().read_lines, b"HTTP/1.1 503 No\r\n\r\n"),
     ],
 )
-def test_what_cannot_be_read_is_malformed(parse, data):
+def test_invalid_input_raises_malformed_message_error(parse, data):
     ring = RingBuffer(1024)
     ring.put(data)
     with pytest.raises(MalformedMessageError):
         parse(ring)
 
 
-def test_a_flood_does_not_fill_the_log():
+def test_a_flood_of_log_lines_is_suppressed():
     lines = []
     log = RateLimitedLog(lines.append)
     with unittest.mock.patch("time.monotonic", return_value=1.5):
@@ -128,7 +130,7 @@
     )
 
 
-def test_a_share_never_takes_more_than_its_part_or_the_budget_has():
+def test_a_share_stays_within_its_limit_and_the_budget():
     budget = DescriptorBudget(24 + 10)
     share, other, woken = DescriptorShare(budget, 6), DescriptorShare(budget, 9), []
     assert [share.take() for _ in range(7)] == [True] * 6 + [False]
@@ -138,7 +140,7 @@
     assert woken == ["other"] and other.take() and budget.held == budget.limit
 
 
-def after_the_end(end):
+def read_after(end):
     """What a peer that reads late gets of bytes that were under way at the connection's `end`."""
 
     async def run():
@@ -148,12 +150,12 @@
         listening.listen()
         share = DescriptorBudget(100)
         share.take()
-        one = await connect(listening.getsockname(), 5.0, share, "one", lambda text: None)
+        connection = await connect(listening.getsockname(), 5.0, share, "one", lambda text: None)
         accepted, _ = listening.accept()
-        while one.unsent < 20_000:  # the system takes no more: the rest waits here
-            assert one.send(b"x" * 10_000)
+        while connection.unsent < 20_000:  # the system takes no more: the rest waits here
+            assert connection.send(b"x" * 10_000)
             await asyncio.sleep(0)
-        end(one)
+        end(connection)
         accepted.settimeout(5.0)
         try:
             while accepted.recv(65536):
@@ -168,6 +170,6 @@
     return asyncio.run(run())
 
 
-def test_an_aborted_connection_sends_nothing_that_was_still_under_way():
-    assert after_the_end(Connection.close) == "all that was under way"
-    assert after_the_end(Connection.abort) == "a reset"
+def test_an_aborted_connection_resets_and_discards_unsent_data():
+    assert read_after(Connection.close) == "all that was under way"
+    assert read_after(Connection.abort) == "a reset"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -36,7 +36,7 @@
         )
         self.assertFalse(self.gateway.core.requests)
 
-    async def test_the_key_goes_out_with_keyed_classes_only(self):
+    async def test_the_idempotency_key_is_sent_for_keyed_classes_only(self):
         await self.play("""
             owner send START a1 class=keyed idem=5c key=a
             s1 expect SET_UP a1 key=5c name=a
@@ -44,7 +44,7 @@
             s1 expect SET_UP a2 name=b
         """)
 
-    async def test_an_owner_ends_its_task_on_another_connection_and_is_owed_no_release(self):
+    async def test_a_task_ended_on_another_connection_is_forgotten_without_a_notification(self):
         await self.play(
             PLACE
             + """
@@ -59,29 +59,29 @@
         )
         await self.until(lambda: len(self.gateway.core.requests) == 1, "the ended task was forgotten")
 
-    async def test_a_release_leaves_before_its_idle_connection_is_closed(self):
+    async def test_a_release_is_sent_before_its_idle_connection_is_closed(self):
         """The task was the last that kept the connection: the sweep may come in the same turn of the loop."""
         await self.play(PLACE)
         (link,) = self.gateway.clients.connections
         link.last_used -= 60
-        (asked,) = self.gateway.clients._requests.values()
-        asked.released(41)
+        (request,) = self.gateway.clients._requests.values()
+        request.released(41)
         self.gateway.clients.sweep(time.monotonic())
         await self.play("owner expect FINISH a1 cause=41")
 
-    async def test_an_answer_leaves_before_its_idle_connection_is_closed(self):
+    async def test_an_answer_is_sent_before_its_idle_connection_is_closed(self):
         await self.play("""
             owner send START a1 | v=0
             s1 expect SET_UP a1
         """)
         (link,) = self.gateway.clients.connections
         link.last_used -= 60
-        (asked,) = self.gateway.clients._requests.values()
-        asked.failed()
+        (request,) = self.gateway.clients._requests.values()
+        request.failed()
         self.gateway.clients.sweep(time.monotonic())
         await self.play("owner expect FINISH a1 cause=47")
 
-    async def test_a_release_goes_out_on_the_next_connection_where_none_is_open(self):
+    async def test_a_release_without_an_open_connection_is_sent_on_the_next_one(self):
         await self.play(PLACE + "owner close")
         await self.until(lambda: not self.gateway.clients.connections, "the owner's connection ended")
         await self.play("""
@@ -89,7 +89,7 @@
             owner2 expect FINISH a1 cause=16
         """)
 
-    async def test_a_set_up_that_its_owner_gives_up_is_given_up_at_the_server(self):
+    async def test_an_abandoned_request_is_released_at_the_server(self):
         for end in ("owner send FINISH a1 cause=16", "owner close"):
             await self.play(f"""
                 owner send START a1
@@ -99,7 +99,7 @@
             """)
         await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
 
-    async def test_a_deadline_gives_the_attempt_up_and_answers_once(self):
+    async def test_an_expired_deadline_ends_the_attempt_and_answers_once(self):
         for name, cause in (("safe", 42), ("unsafe", 47)):
             await self.play(f"""
                 owner send START a1 left=150 class={name}
@@ -109,11 +109,11 @@
             """)
         self.assertTrue(self.parties["owner"].received.empty())
 
-    async def test_refusals_lead_to_further_attempts_up_to_the_limit_and_then_to_a_refusal(self):
-        tries = "s1 expect SET_UP a1\ns1 send RELEASE a1 cause=34 topic=queue_full\n" * 3
-        await self.play("owner send START a1\n" + tries + "owner expect FINISH a1 cause=42")
+    async def test_rejections_are_retried_up_to_the_limit_and_then_reject_the_request(self):
+        attempts = "s1 expect SET_UP a1\ns1 send RELEASE a1 cause=34 topic=queue_full\n" * 3
+        await self.play("owner send START a1\n" + attempts + "owner expect FINISH a1 cause=42")
 
-    async def test_an_unsafe_task_whose_set_up_broke_is_never_sent_again(self):
+    async def test_an_unsafe_task_whose_attempt_failed_is_not_retried(self):
         await self.play("""
             owner send START a1 class=unsafe
             s1 expect SET_UP a1
@@ -122,7 +122,7 @@
         """)
         self.assertTrue(self.parties["s1"].received.empty())
 
-    async def test_tasks_of_a_server_that_died_are_released_at_once(self):
+    async def test_tasks_of_a_crashed_server_are_released_at_once(self):
         await self.play(
             PLACE
             + """
@@ -131,7 +131,7 @@
         """
         )
 
-    async def test_a_task_stands_on_when_only_its_connection_breaks(self):
+    async def test_a_task_survives_a_broken_connection_to_its_server(self):
         await self.play(PLACE + "s1 close")
         await self.until(lambda: self.parties["s1"].writers, "connected anew for the standing task")
         await self.play("""
@@ -139,7 +139,7 @@
             owner expect FINISH a1 cause=16
         """)
 
-    async def test_a_server_that_vanished_is_dropped_and_its_tasks_are_released(self):
+    async def test_an_unresponsive_server_is_dropped_and_its_tasks_are_released(self):
         """Guards against silence: a vanished machine gives no sign, and its tasks must not stand for ever."""
         for error in (TimeoutError, ConnectionRefusedError):
             await self.play(PLACE + "s1 hang")
@@ -148,7 +148,7 @@
             self.assertTrue(any("silent" in line for line in self.logged), self.logged)
             self.parties["s1"].hung = False
 
-    async def test_a_server_that_is_only_busy_keeps_its_connection(self):
+    async def test_a_busy_server_keeps_its_connection(self):
         """Guards against taking a long line of offers for silence: a busy machine takes connections."""
         await self.play("owner send START a1 class=unsafe\ns1 expect SET_UP a1\ns1 hang")
         server, [old] = self.parties["s1"], self.parties["s1"].writers
@@ -157,7 +157,7 @@
         server.hung, server.writers = False, [old]
         await self.play("s1 send ANSWER a1\nowner expect STARTED a1")
 
-    async def test_adopted_tasks_are_heard_of_and_may_end_before_they_are_named(self):
+    async def test_ends_of_adopted_tasks_are_relayed_also_if_received_before_the_adoption(self):
         await self.play("""
             owner send START a1
             s1 expect SET_UP a1
@@ -171,7 +171,7 @@
             owner expect FINISH b1 cause=41
         """)
 
-    async def test_a_dispatcher_that_starts_anew_takes_up_its_tasks_without_a_set_up(self):
+    async def test_a_restarted_dispatcher_adopts_running_tasks_without_a_new_offer(self):
         await self.play(PLACE)
         self.gateway.abort()
         await self.start()
@@ -186,7 +186,7 @@
             owner2 expect FINISH a1 cause=16
         """)
 
-    async def test_lines_that_cannot_be_read_close_their_connection_with_one_log_line(self):
+    async def test_malformed_lines_close_their_connection_with_one_log_line(self):
         bad = (
             b"{\n",
             b"[]\n",
@@ -204,14 +204,14 @@
             self.assertEqual(1, len(self.logged), (data[:40], self.logged))
         await self.play("owner2 send ECHO t0 cause=0\nowner2 expect ECHOED t0")
 
-    async def test_a_malformed_message_of_a_server_closes_that_link_alone(self):
+    async def test_a_malformed_message_of_a_server_closes_only_that_link(self):
         await self.play("owner send START a1 class=unsafe\ns1 expect SET_UP a1")
         self.parties["s1"].writers[-1].write(b"\xff\xff" + bytes(20))
         await self.play("owner expect FINISH a1 cause=47")
 
-    async def test_a_planned_end_answers_all_and_serves_on_for_its_span(self):
+    async def test_a_graceful_shutdown_serves_and_answers_requests_until_it_ends(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
-        ending = asyncio.create_task(self.gateway.end())
+        shutdown = asyncio.create_task(self.gateway.end())
         await self.play("""
             owner2 send START a2
             s1 expect SET_UP a2
@@ -225,15 +225,15 @@
             owner expect FINISH a1 cause=16
         """)
         await asyncio.wait_for(
-            ending, EVENT_TIMEOUT_S
+            shutdown, EVENT_TIMEOUT_S
         )  # though a2 still stands: a new dispatcher takes it over
-        self.assertIsNone(ending.result())
+        self.assertIsNone(shutdown.result())
         with self.assertRaises(OSError):
             await asyncio.open_connection(*self.gateway.listener.address)
 
-    async def test_what_comes_late_in_a_planned_end_is_refused_at_once(self):
+    async def test_late_requests_in_a_graceful_shutdown_are_rejected_at_once(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
-        ending = asyncio.create_task(self.gateway.end())
+        shutdown = asyncio.create_task(self.gateway.end())
         await self.until(lambda: self.gateway.clients.shutting_down, "its span is over")
         await self.play("""
             owner send START a2
@@ -241,20 +241,20 @@
             s1 send ANSWER a1
             owner expect STARTED a1
         """)
-        await asyncio.wait_for(ending, EVENT_TIMEOUT_S)
+        await asyncio.wait_for(shutdown, EVENT_TIMEOUT_S)
 
-    async def test_tasks_that_stand_are_looked_after_until_a_planned_end_has_to_be_over(self):
+    async def test_ends_of_running_tasks_are_relayed_during_a_graceful_shutdown(self):
         """Guards against owners that nobody tells of the end of their tasks while a dispatcher restarts."""
         await self.play(PLACE)
-        ending = asyncio.create_task(self.gateway.end())
+        shutdown = asyncio.create_task(self.gateway.end())
         await self.until(lambda: self.gateway.clients.shutting_down, "its span is over")
         await self.play("s1 send RELEASE a1 cause=16\nowner expect FINISH a1 cause=16")
-        await asyncio.wait_for(ending, EVENT_TIMEOUT_S)
+        await asyncio.wait_for(shutdown, EVENT_TIMEOUT_S)
 
-    async def test_an_offer_made_while_a_link_is_closing_goes_out_once_or_is_told_as_ended(self):
+    async def test_an_offer_made_while_a_link_closes_is_sent_once_or_ends(self):
         """Guards against a set-up that is told as ended with the old connection and sent on the new one."""
         await self.play(PLACE)
-        servers, told = self.gateway.servers, []
+        servers, delivered = self.gateway.servers, []
         [(machine, link)] = servers._links.items()
         link.drop_connection("for the test")
         names = TaskNames(tag("a2"), "unsafe", "7", "", "v=0")
@@ -263,36 +263,36 @@
             ports.Task("a2", 2, 9, 1.0, 1.0, 0, passed_on=names),
             0,
             1_000_000,
-            unittest.mock.Mock(deliver=told.append),
+            unittest.mock.Mock(deliver=delivered.append),
         )
         await self.play("s1 expect SET_UP a2\ns1 send ANSWER a2")
-        await self.until(lambda: told, "the offer was answered")
-        self.assertEqual([Answered(0, "")], told)
+        await self.until(lambda: delivered, "the offer was answered")
+        self.assertEqual([Answered(0, "")], delivered)
 
-    async def test_a_fault_in_one_request_still_gives_its_one_final_answer(self):
+    async def test_an_exception_in_one_request_still_gives_one_final_answer(self):
         """Guards against a coroutine that dies and leaves its owner without an answer."""
         with unittest.mock.patch.object(self.gateway.servers, "offer", side_effect=KeyError("boom")):
             await self.play("owner send START a1\nowner expect FINISH a1 cause=47")
         await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
         await self.play(PLACE)
 
-    async def test_a_module_that_fails_on_a_batch_or_never_decides_does_not_lose_requests(self):
+    async def test_requests_are_answered_when_the_policy_raises(self):
         with unittest.mock.patch.object(self.gateway.driver._policy, "handle", side_effect=KeyError("boom")):
             await self.play("owner send START a1 left=100\nowner expect FINISH a1 cause=47")
         self.assertTrue(any("the policy failed" in line for line in self.logged), self.logged)
         await self.play(PLACE)
 
-    async def test_a_fault_in_one_message_ends_that_connection_alone(self):
+    async def test_an_exception_in_a_handler_closes_only_that_connection(self):
         with unittest.mock.patch.object(self.gateway.clients, "finish", side_effect=KeyError("boom")):
             await self.play("owner send FINISH a1 cause=16\nowner wait closed")
         self.assertTrue(any("boom" in line for line in self.logged), self.logged)
         await self.play(PLACE.replace("owner", "owner2"))
 
 
-class Lists(Scenario):
+class EndpointLists(Scenario):
     servers = 2
 
-    async def test_a_drained_server_gets_nothing_new_though_the_module_never_subscribes(self):
+    async def test_a_draining_server_gets_no_offer_though_the_policy_never_subscribes(self):
         """Guards against a bus that is read only where the module asks: it does not where changes come."""
         self.assertEqual("automatic", SETTINGS["registryMode"])
         await self.until(lambda: self.bus.writers, "the bus is read")
@@ -302,29 +302,29 @@
             await self.play(f"owner send START a{n}\ns2 expect SET_UP a{n}")
         self.assertTrue(self.parties["s1"].received.empty())
 
-    async def test_the_bus_is_taken_up_where_it_broke_off(self):
+    async def test_the_bus_subscription_resumes_after_a_break(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
         self.bus.reset()
         self.bus.add([self.target("s1", "gone")], notify=False)
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event was taken")
 
-    async def test_an_event_that_breaks_off_is_asked_for_again_and_a_doubled_one_counts_once(self):
+    async def test_a_truncated_event_is_requested_again_and_a_duplicate_is_ignored(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
         self.bus.add([self.target("s1", "draining")], notify=False)
-        whole = self.bus.encode(self.bus.events[-1])
+        event_bytes = self.bus.encode(self.bus.events[-1])
         old = self.gateway.bus._connection
         before = old.last_received
-        self.bus.writers[-1].write(whole[:-9])
+        self.bus.writers[-1].write(event_bytes[:-9])
         await self.until(lambda: old.last_received > before, "a part of it was read")
         self.bus.reset()
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was asked for again")
         await self.until(lambda: self.bus.writers, "the bus is read again")
-        self.bus.writers[-1].write(whole + whole)
+        self.bus.writers[-1].write(event_bytes + event_bytes)
         self.bus.add([self.target("s1")])
         await self.until(lambda: self.gateway.servers_list.offset == 3, "the next event was taken")
         self.assertEqual(1, sum("event 2:" in text for text in self.logged), self.logged)
 
-    async def test_a_silent_bus_is_left_for_a_new_connection(self):
+    async def test_a_silent_bus_connection_is_replaced(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
         self.bus.hung = True
         old = list(self.bus.writers)
@@ -332,7 +332,7 @@
         await self.until(lambda: set(self.bus.writers) - set(old), "a new connection")
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event was taken")
 
-    async def test_an_address_that_passes_to_a_new_server_is_not_mixed_up(self):
+    async def test_a_reused_address_is_treated_as_a_new_server(self):
         """Guards against links by address: the old uid's tasks are gone, the new one's are its own."""
         await self.until(lambda: self.bus.writers, "the bus is read")
         await self.play("""
@@ -348,7 +348,7 @@
             s1 expect SET_UP a2
         """)
 
-    async def test_tasks_from_before_a_new_start_are_lost(self):
+    async def test_tasks_from_before_a_server_restart_are_lost(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
         await self.play("bus send s2=draining")
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the drain was taken")
@@ -360,23 +360,23 @@
 class FewDescriptors(Scenario):
     sockets = 40
 
-    async def test_connections_past_the_budget_wait_for_a_free_descriptor(self):
+    async def test_connections_beyond_the_budget_wait_for_a_free_descriptor(self):
         share = self.gateway.clients._share
-        links = []
+        connections = []
         for _ in range(share.limit + 4):
             reader, writer = await asyncio.open_connection(*self.gateway.listener.address)
             writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             writer.write(b'{"verb":"ECHO","tag":"%s","opts":{},"rc":0}\n' % tag("t").hex().encode())
-            links.append((reader, writer))
+            connections.append((reader, writer))
         await self.until(lambda: share.held == share.limit, "the budget is used up")
-        last = asyncio.create_task(links[-1][0].readline())
-        await links[0][0].readline()
+        last = asyncio.create_task(connections[-1][0].readline())
+        await connections[0][0].readline()
         self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
         self.assertFalse(last.done())
-        for _, writer in links[:5]:
+        for _, writer in connections[:5]:
             writer.close()
         self.assertIn(b"ECHOED", await asyncio.wait_for(last, 10))
-        for _, writer in links:
+        for _, writer in connections:
             writer.close()
 
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -12,7 +12,7 @@
 import unittest.mock
 
 from scenario import EVENT_TIMEOUT_S, SETTINGS, Bus, Owner, Scenario, Server, tag
-from test_clients import SET_UP, line
+from test_clients import REQUEST_FIELDS, line
 
 from weldhatch import gateway as gateway_module
 from weldhatch.core.messages import TimeUp
@@ -29,18 +29,18 @@
     s1 send ANSWER a1 | v=0 s=9
     owner expect STARTED a1
 """
-AT = "extras=cores:1;memory:1;service:9;at:u-{0}"
+RUNNING_ON = "extras=cores:1;memory:1;service:9;at:u-{0}"
 
 
 class Races(Scenario):
     def hold_connects(self, refuse=()):
         """Connects to servers wait for `gate`; `refuse` holds what the first of them fail with."""
         real, faults = self.gateway.servers.connect, list(refuse)
-        self.gate, self.dialled = asyncio.Event(), asyncio.Event()
+        self.connect_gate, self.connect_started = asyncio.Event(), asyncio.Event()
 
         async def connect(server):
-            self.dialled.set()
-            await self.gate.wait()
+            self.connect_started.set()
+            await self.connect_gate.wait()
             if faults:
                 raise faults.pop(0)
             return await real(server)
@@ -56,15 +56,15 @@
             party.writers = [writer for writer in party.writers if not writer.is_closing()]
         await super().asyncTearDown()
 
-    async def first(self, *queues):
+    async def wait_for_message(self, *queues):
         """Until the first of these queues holds a message."""
         await self.until(lambda: any(not queue.empty() for queue in queues), "a message")
 
 
-class AnswerCrosses(Races):
+class CrossingAnswers(Races):
     """An answer of a server is read in the same turn as what ends the attempt."""
 
-    async def given_up(self, *writes):
+    async def cancel_with(self, *writes):
         await self.play("owner send START a1 class=keyed idem=5c\ns1 expect SET_UP a1")
         words = {
             "answer": lambda: self.parties["s1"].send("ANSWER", "a1", {}, "v=0"),
@@ -75,40 +75,40 @@
         # One connection to the server, in order: the task must be ended there before anything newer comes.
         await self.play("owner send START a2 class=safe\ns1 expect RELEASE a1\ns1 expect SET_UP a2")
 
-    async def test_a_task_whose_answer_came_just_before_the_give_up_is_ended_at_its_server(self):
-        await self.given_up("answer", "end")
+    async def test_a_task_answered_just_before_its_cancellation_is_released(self):
+        await self.cancel_with("answer", "end")
 
-    async def test_a_task_whose_answer_came_just_after_the_give_up_is_ended_at_its_server(self):
-        await self.given_up("end", "answer")
+    async def test_a_task_answered_just_after_its_cancellation_is_released(self):
+        await self.cancel_with("end", "answer")
 
-    async def crossed(self, word):
+    async def cross_with_answer(self, word):
         """The word is told in the turn in which the answer is read, ahead of it."""
         handle = ServerLink._handle
 
         def crossing(link, message):
-            if message.tag == tag("a1") and self.lives:
-                self.lives.pop().deliver(word)
+            if message.tag == tag("a1") and self.lifecycles:
+                self.lifecycles.pop().deliver(word)
             handle(link, message)
 
-        self.lives = []
+        self.lifecycles = []
         with unittest.mock.patch.object(ServerLink, "_handle", crossing):
             await self.play("owner send START a1 class=keyed idem=5c\ns1 expect SET_UP a1")
-            self.lives = list(self.gateway.core.requests)
+            self.lifecycles = list(self.gateway.core.requests)
             await self.play("s1 send ANSWER a1 | v=0 s=9")
             server, owner = self.parties["s1"], self.parties["owner"]
-            await self.first(server.received, owner.received)
+            await self.wait_for_message(server.received, owner.received)
         if server.received.empty():  # the answer went before what crossed it
             self.assertEqual("STARTED", owner.received.get_nowait()[0])
         else:  # or the task was ended where it stood, before anything else went out
             self.assertEqual(("RELEASE", tag("a1")), server.received.get_nowait()[:2])
 
-    async def test_an_attempt_that_is_cancelled_as_its_answer_comes_is_not_made_twice(self):
-        await self.crossed(Cancel(1, 0))
+    async def test_an_attempt_cancelled_as_its_answer_arrives_is_not_repeated(self):
+        await self.cross_with_answer(Cancel(1, 0))
 
-    async def test_an_attempt_whose_time_is_up_as_its_answer_comes_is_not_made_twice(self):
-        await self.crossed(TimeUp(0))
+    async def test_an_attempt_timed_out_as_its_answer_arrives_is_not_repeated(self):
+        await self.cross_with_answer(TimeUp(0))
 
-    async def test_an_answer_and_its_release_in_one_read_are_told_in_order(self):
+    async def test_an_answer_and_its_release_in_one_read_are_relayed_in_order(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
         server = self.parties["s1"]
         server.send("ANSWER", "a1", {}, "v=0")
@@ -116,14 +116,14 @@
         await self.play("owner expect STARTED a1\nowner expect FINISH a1 cause=16")
         await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
 
-    async def test_a_late_answer_of_a_cancelled_attempt_is_not_that_of_the_next_one_there(self):
+    async def test_a_late_answer_of_a_cancelled_attempt_is_not_taken_for_the_next_attempt(self):
         """Attempts of one request at one server have the same id on the wire."""
         await self.play("owner send START a1\ns1 expect SET_UP a1")
-        [life] = self.gateway.core.requests
-        life.deliver(Cancel(life.id, 0))
+        [lifecycle] = self.gateway.core.requests
+        lifecycle.deliver(Cancel(lifecycle.id, 0))
         await self.play("s1 expect RELEASE a1 cause=16")
         server, owner = self.parties["s1"], self.parties["owner"]
-        await self.first(server.received, owner.received)
+        await self.wait_for_message(server.received, owner.received)
         if server.received.empty():
             return  # no further attempt is made there
         await self.play("""
@@ -141,32 +141,32 @@
         """)
 
 
-class SlowDials(Races):
-    async def test_a_client_that_goes_during_a_dial_has_no_attempt_made(self):
+class SlowConnects(Races):
+    async def test_a_client_that_leaves_during_a_connect_gets_no_attempt(self):
         self.hold_connects()
         await self.play("owner send START a1")
-        await self.until(self.dialled.is_set, "a connect to the server")
+        await self.until(self.connect_started.is_set, "a connect to the server")
         await self.until(lambda: self.link().records.probes, "the probe of the first draw")
         await self.until(lambda: self.link().records.in_flight, "an offer that waits for the connection")
         await self.play("owner close")
         await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
-        self.gate.set()
+        self.connect_gate.set()
         await self.play("owner2 send START a2\ns1 expect SET_UP a2")
 
-    async def test_a_release_by_an_owner_outlives_a_dial_that_fails(self):
+    async def test_a_release_request_survives_a_failed_connect(self):
         await self.play(PLACE)
         self.hold_connects(refuse=[TimeoutError()])
         await self.play("s1 close")
-        await self.until(self.dialled.is_set, "connected anew for the standing task")
+        await self.until(self.connect_started.is_set, "connected anew for the standing task")
         await self.play("owner send FINISH a1 cause=16")
         await self.until(
             lambda: self.link().records.running[tag("a1")].end_request, "the release waits for the connection"
         )
-        self.gate.set()
+        self.connect_gate.set()
         await self.until(lambda: self.parties["s1"].writers, "the second dial came up")
         await self.play("owner send START a2\ns1 expect RELEASE a1\ns1 expect SET_UP a2")
 
-    async def test_a_release_by_an_owner_that_broke_on_its_way_is_sent_again(self):
+    async def test_a_release_request_lost_with_its_connection_is_repeated(self):
         """What a connection that is reset has brought may or may not have been read; the task stands on."""
         await self.play(PLACE + "owner send FINISH a1 cause=16\ns1 expect RELEASE a1")
         server = self.parties["s1"]
@@ -175,7 +175,7 @@
         await self.until(server.connected.is_set, "connected anew for the standing task")
         await self.play("owner send START a2\ns1 expect RELEASE a1\ns1 expect SET_UP a2")
 
-    async def stands_on(self, name="a1"):
+    async def assert_task_survives(self, name="a1"):
         """The server is connected to again, and its own word is the first that the owner hears of an end."""
         server, owner = self.parties["s1"], self.parties["owner"]
         await self.until(
@@ -184,7 +184,7 @@
         self.assertTrue(owner.received.empty(), f"told as cut: {self.logged[-1]}")
         await self.play(f"s1 send RELEASE {name} cause=16\nowner expect FINISH {name} cause=16")
 
-    async def test_a_task_stands_on_where_a_new_connection_is_reset_before_it_is_used(self):
+    async def test_a_task_survives_the_reset_of_a_new_connection(self):
         """A reset of a connection that came up is no refusal: the server lives."""
         await self.play(PLACE)
         real, resets = connection.IOStream.connect, []
@@ -203,45 +203,45 @@
         with unittest.mock.patch.object(connection.IOStream, "connect", connect):
             await self.play("s1 close")
             await self.until(lambda: resets, "a connection that was reset")
-            await self.stands_on()
+            await self.assert_task_survives()
 
-    async def test_a_task_stands_on_where_two_dials_in_a_row_come_up_late(self):
+    async def test_a_task_survives_two_slow_connects_in_a_row(self):
         """Connections may come up as late as after 1 s, and an end may be told as late as after 8 s."""
         await self.play(PLACE)
         self.hold_connects(refuse=[TimeoutError(), TimeoutError()])
-        self.gate.set()
+        self.connect_gate.set()
         await self.play("s1 close")
-        await self.stands_on()
+        await self.assert_task_survives()
 
-    async def test_set_ups_that_wait_for_a_dial_do_not_go_to_an_address_that_is_left_meanwhile(self):
+    async def test_a_waiting_offer_is_not_sent_to_an_outdated_address(self):
         self.hold_connects()
         await self.play("owner send START a1")
-        await self.until(self.dialled.is_set, "a connect to the server")
+        await self.until(self.connect_started.is_set, "a connect to the server")
         old, new = self.parties["s1"], Server()
         await new.listen()
         self.parties["new"] = new
         host, port = new.endpoint
         self.bus.add([{**self.target("s1"), "endpoint": f"{host}:{port}"}])
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the new address was told")
-        self.gate.set()
-        await self.first(old.received, new.received)
+        self.connect_gate.set()
+        await self.wait_for_message(old.received, new.received)
         self.assertTrue(old.received.empty(), "a set-up went to the address that it has left")
 
 
-class Trials(Races):
-    async def test_a_trial_of_a_silent_connection_leaves_the_one_that_came_after_it_alone(self):
+class ReachabilityChecks(Races):
+    async def test_a_reachability_check_leaves_a_newer_connection_open(self):
         await self.play("owner send START a1 class=unsafe\ns1 expect SET_UP a1\ns1 hang")
         link, server = self.link(), self.parties["s1"]
         link.silence._busy_extensions = (
             MAX_BUSY_EXTENSIONS  # this trial is the last that the silent connection is excused for
         )
-        real, dials, gate = self.gateway.servers.connect, [], asyncio.Event()
+        real, dials, connect_gate = self.gateway.servers.connect, [], asyncio.Event()
 
-        async def connect(told):
-            dials.append(told)
+        async def connect(server_arg):
+            dials.append(server_arg)
             if len(dials) == 1:  # that of the trial
-                await gate.wait()
-            return await real(told)
+                await connect_gate.wait()
+            return await real(server_arg)
 
         self.gateway.servers.connect = connect
         await self.until(lambda: dials, "the trial's connect")
@@ -250,17 +250,17 @@
         await self.play(
             "owner expect FINISH a1 cause=47\nowner send START a2 class=unsafe\ns1 expect SET_UP a2"
         )
-        gate.set()
+        connect_gate.set()
         await self.until(lambda: not link.silence.is_checking, "the end of the trial")
         await self.play("s1 send ANSWER a2\nowner expect STARTED a2")
 
 
-class Gone(Races):
-    async def test_a_client_that_went_before_it_was_accepted_has_no_attempt_made(self):
+class DepartedClients(Races):
+    async def test_a_client_that_closed_before_it_was_accepted_gets_no_attempt(self):
         """Its request and its close wait in the system together."""
         for n, linger in enumerate((None, connection.NO_LINGER)):
             client = socket.create_connection(self.gateway.listener.address)
-            client.sendall(line(f"a{n}", **SET_UP))
+            client.sendall(line(f"a{n}", **REQUEST_FIELDS))
             if linger:
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             client.close()
@@ -268,19 +268,19 @@
         await self.until(lambda: len(self.gateway.core.requests) == 1, "the others were forgotten")
         self.assertTrue(self.parties["s1"].received.empty())
 
-    async def test_a_request_and_its_end_in_one_read_make_no_attempt(self):
+    async def test_a_request_and_its_cancellation_in_one_read_make_no_attempt(self):
         self.parties["owner"] = owner = Owner()
         await owner.open(self.gateway.listener.address)
-        owner.writers[0].write(line("a1", **SET_UP) + line("a1", "FINISH"))
+        owner.writers[0].write(line("a1", **REQUEST_FIELDS) + line("a1", "FINISH"))
         await self.play("owner send START b1\ns1 expect SET_UP b1")
         await self.until(lambda: len(self.gateway.core.requests) == 1, "the other was forgotten")
 
 
-WINDOW_S = 0.2
-SHORT = {
+DEDUP_WINDOW_S = 0.2
+SHORT_WINDOW = {
     **SETTINGS,
     "classes": [
-        {**cls, "dedupWindowUs": int(1e6 * WINDOW_S)} if cls["name"] == "keyed" else cls
+        {**cls, "dedupWindowUs": int(1e6 * DEDUP_WINDOW_S)} if cls["name"] == "keyed" else cls
         for cls in SETTINGS["classes"]
     ],
 }
@@ -288,15 +288,15 @@
 
 class ShortWindow(Races):
     servers = 2
-    settings = SHORT
+    settings = SHORT_WINDOW
 
-    async def test_a_repeat_that_waits_for_a_dial_does_not_leave_after_the_window(self):
+    async def test_a_retry_that_waits_for_a_connect_is_not_sent_after_the_window(self):
         """The time limits are 50 ms longer on sockets; this dial comes up 60 ms after the window, and within
         the time that a dial has."""
         await self.play("owner send START a1 left=900 class=keyed idem=5c")
         servers = [self.parties["s1"], self.parties["s2"]]
-        await self.first(*(server.received for server in servers))
-        over = time.monotonic() + WINDOW_S + 0.06
+        await self.wait_for_message(*(server.received for server in servers))
+        over = time.monotonic() + DEDUP_WINDOW_S + 0.06
         for server in servers:
             while not server.received.empty():
                 server.received.get_nowait()
@@ -305,66 +305,66 @@
             server.reset()
         owner = self.parties["owner"]
         await self.until(
-            lambda: self.dialled.is_set() or not owner.received.empty(),
+            lambda: self.connect_started.is_set() or not owner.received.empty(),
             "a connect for the further attempt, or the answer where none is made",
         )
         await asyncio.sleep(max(0.0, over - time.monotonic()))
-        self.gate.set()
-        await self.first(owner.received, *(server.received for server in servers))
+        self.connect_gate.set()
+        await self.wait_for_message(owner.received, *(server.received for server in servers))
         late = [server.received.get_nowait()[0] for server in servers if not server.received.empty()]
         self.assertEqual([], late, "a further attempt after the window")
         self.assertEqual("FINISH", owner.received.get_nowait()[0])
 
 
 class Discovery(Races):
-    async def test_a_whole_list_of_a_large_fleet_is_taken(self):
+    async def test_a_full_list_of_a_large_fleet_is_applied(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
-        first = {**self.target("s1"), "boot_ms": 0}
+        first_target = {**self.target("s1"), "boot_ms": 0}
         fleet = [
             {
-                **first,
+                **first_target,
                 "uid": f"s-{n:08x}",
                 "endpoint": f"127.0.{n // 200 + 1}.{n % 200 + 1}:5080",
                 "state": "draining",
             }
             for n in range(600)
         ]
-        self.bus.add([first, *fleet], is_full=True)
+        self.bus.add([first_target, *fleet], is_full=True)
         await self.until(
             lambda: self.gateway.servers_list.offset == 2 or any("closed" in text for text in self.logged),
             "the list was taken, or the connection closed",
         )
         self.assertEqual(2, self.gateway.servers_list.offset, [text[:200] for text in self.logged])
 
-    async def test_an_event_that_tells_of_one_server_twice_is_taken(self):
+    async def test_an_event_with_a_duplicate_server_is_applied(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
         gone = self.target("s1", "gone")
         self.bus.add([gone, gone])
         nodes = self.gateway.driver._policy._cluster.machines
         await self.until(lambda: not nodes, "the module heard that the server has gone")
 
-    async def test_a_move_of_the_bus_during_a_dial_leaves_one_connection_and_no_slot_behind(self):
+    async def test_a_new_bus_address_during_a_connect_leaks_no_connection_and_no_slot(self):
         await self.until(lambda: self.bus.writers, "the bus is read")
         share, new = self.gateway.bus._share, Bus()
         await new.listen()
         self.parties["new"] = new
         new.events = self.bus.events
         new.add([self.target("s1", "draining")])
-        real, dialled = connection.IOStream.connect, asyncio.Event()
+        real, connect_started = connection.IOStream.connect, asyncio.Event()
 
         async def never(stream, address):
-            dialled.set()
+            connect_started.set()
             await asyncio.Event().wait()
 
         with unittest.mock.patch.object(connection.IOStream, "connect", never):
             self.bus.reset()
-            await self.until(dialled.is_set, "a dial to the old address")
+            await self.until(connect_started.is_set, "a dial to the old address")
             connection.IOStream.connect = real
             self.gateway.bus.change_endpoint(new.endpoint)
         await self.until(lambda: self.gateway.servers_list.offset == 2, "the event of the new bus was taken")
         self.assertEqual(1, share.held)
 
-    async def test_a_socket_that_cannot_be_made_gives_its_slot_back(self):
+    async def test_a_socket_that_cannot_be_created_returns_its_slot(self):
         """A slot of the bus that is lost twice leaves the bus without any."""
         share = DescriptorShare(DescriptorBudget(64), 2)
         self.assertTrue(share.take())
@@ -376,12 +376,12 @@
             await connection.connect(("127.0.0.1", 9), 0.1, share, "event bus", self.logged.append)
         self.assertEqual(0, share.held)
 
-    async def test_a_task_on_a_server_that_the_list_names_later_is_not_told_as_cut(self):
+    async def test_a_task_on_a_server_listed_later_is_not_reported_lost(self):
         """A dispatcher that starts anew hears of its tasks at its first test, maybe before its list."""
         self.parties["s2"] = server = Server()
         await server.listen()
         await self.play(f"""
-            owner send START b1 {AT.format("s2")}
+            owner send START b1 {RUNNING_ON.format("s2")}
             owner send ECHO t0 cause=0
             owner expect ECHOED t0
             bus send s2=ready
@@ -396,28 +396,28 @@
 
     servers = 11
     sockets = 46
-    more = 12  # clients beside the owner: more than there are descriptors for
+    client_count = 12  # clients beside the owner: more than there are descriptors for
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         await self.until(lambda: self.bus.writers, "the bus is read")
         names = [f"s{n}" for n in range(1, self.servers + 1)]
         for name in names:
-            await self.play(f"owner send START b-{name} {AT.format(name)}")
+            await self.play(f"owner send START b-{name} {RUNNING_ON.format(name)}")
         await self.until(lambda: all(self.parties[name].writers for name in names), "all links are up")
 
-    async def clients(self, text):
+    async def connect_clients(self, text):
         """Four clients at once, which is more than there are descriptors for."""
-        for n in range(self.more):
+        for n in range(self.client_count):
             await self.play(text.format(n))
         await self.play("owner send ECHO t9\nowner expect ECHOED t9")  # the listener had its turns
 
-    async def test_a_bus_that_comes_back_gets_a_descriptor_whatever_clients_and_servers_hold(self):
+    async def test_a_returning_bus_gets_a_descriptor_whatever_clients_and_servers_hold(self):
         """What it would have told counts as told after 4 s."""
         self.bus.server.close()
         self.bus.reset()
         await self.until(lambda: not self.gateway.bus._share.held, "the bus gave its descriptor back")
-        await self.clients("idle{0} send ECHO t0")
+        await self.connect_clients("idle{0} send ECHO t0")
         self.bus.connected.clear()
         await self.bus.listen(self.bus.endpoint)
         try:
@@ -425,7 +425,7 @@
         except TimeoutError:
             self.fail(f"the bus got no connection within 4 s; log: {self.logged[-1]}")
 
-    async def test_tasks_on_a_server_that_no_descriptor_is_left_for_are_not_told_as_cut(self):
+    async def test_tasks_on_a_server_without_a_descriptor_are_not_reported_lost(self):
         server, owner, refused = self.parties["s1"], self.parties["owner"], []
         real = self.gateway.servers.connect
 
@@ -439,25 +439,25 @@
         self.gateway.servers.connect = connect
         # The last of them wait in the system: they get the descriptor that the link gives back. Each has a
         # task, so none of them is closed to make room.
-        await self.clients(f"next{{0}} send START c{{0}} {AT.format('s2')}")
+        await self.connect_clients(f"next{{0}} send START c{{0}} {RUNNING_ON.format('s2')}")
         await self.play("s1 close")
         await self.until(
             lambda: len(refused) > 3 or not owner.received.empty() or server.writers,
             "connected anew, or out of descriptors several times, or told as cut",
         )
         self.assertTrue(owner.received.empty(), f"told as cut: {self.logged[-1]}")
-        for n in range(self.more):
+        for n in range(self.client_count):
             await self.play(f"next{n} close")
         await self.until(lambda: server.writers, "connected anew for the standing task")
         await self.play("s1 send RELEASE b-s1 cause=16\nowner expect FINISH b-s1 cause=16")
 
 
-class Pieces(Races):
-    async def half(self):
+class PartialRequests(Races):
+    async def send_half_a_request(self):
         """A client that has been connected for a while, and has just sent a half of its first request."""
         self.parties["owner"] = owner = Owner()
         await owner.open(self.gateway.listener.address)
-        data = line("a1", **SET_UP)
+        data = line("a1", **REQUEST_FIELDS)
         owner.writers[0].write(data[:40])
         await self.until(
             lambda: any(link.connection.incomplete_since for link in self.gateway.clients.connections),
@@ -466,28 +466,28 @@
         [link] = self.gateway.clients.connections
         return owner, link, data[40:]
 
-    async def goes_on(self, owner, link, rest):
+    async def assert_request_completes(self, owner, link, rest):
         self.assertFalse(link.connection.closed, "closed within a message that began just now")
         owner.writers[0].write(rest)
         await self.play("s1 expect SET_UP a1")
 
-    async def test_a_request_that_is_coming_in_pieces_is_not_taken_for_silence(self):
-        owner, link, rest = await self.half()
+    async def test_a_partial_request_is_not_closed_as_silent(self):
+        owner, link, rest = await self.send_half_a_request()
         link.last_used -= (
             client_connection.COMPLETE_MESSAGE_TIMEOUT_S + 0.1
         )  # as if it had connected that long ago
         self.gateway.clients.sweep(time.monotonic())
-        await self.goes_on(owner, link, rest)
+        await self.assert_request_completes(owner, link, rest)
 
-    async def test_a_request_that_is_coming_in_pieces_is_not_closed_to_make_room(self):
-        owner, link, rest = await self.half()
+    async def test_a_partial_request_is_not_evicted(self):
+        owner, link, rest = await self.send_half_a_request()
         link.last_used -= 2 * client_connection.SWEEP_INTERVAL_S
         self.gateway.clients.free_descriptors()
-        await self.goes_on(owner, link, rest)
+        await self.assert_request_completes(owner, link, rest)
 
 
 class Releases(Races):
-    async def test_a_release_waits_for_an_owner_and_does_not_go_to_a_client_that_never_asked(self):
+    async def test_a_release_waits_for_its_client_and_is_not_sent_to_one_without_requests(self):
         await self.play(PLACE)
         self.parties["silent"] = silent = Owner()
         reader, writer = await asyncio.open_connection(
@@ -505,8 +505,8 @@
         self.assertTrue(silent.received.empty())
 
 
-class TakenBack(Races):
-    async def test_set_ups_taken_back_now_and_then_do_not_end_their_connection(self):
+class Cancellations(Races):
+    async def test_occasional_cancellations_do_not_close_the_connection(self):
         """Only many at a time do: a connection that lives for long takes some back in its whole life."""
         with unittest.mock.patch.object(
             client_connection, "IMMEDIATE_CANCEL_WINDOW_S", 0.0
@@ -516,21 +516,21 @@
             await self.play("owner send START a1\nowner send ECHO t0\nowner expect ECHOED t0")
             self.assertFalse([text for text in self.logged if "requests cancelled" in text], self.logged)
 
-    async def test_a_refusal_that_crosses_the_end_of_its_owners_interest_is_not_sent(self):
+    async def test_a_rejection_that_crosses_a_cancellation_is_not_sent(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
-        [asked] = self.gateway.clients._requests.values()
-        asked.abandon()
-        asked.refused(0)
+        [request] = self.gateway.clients._requests.values()
+        request.abandon()
+        request.refused(0)
         await self.play("owner send ECHO t0\nowner expect ECHOED t0")
 
 
-class PlannedEnd(Races):
-    async def test_connections_that_wait_to_be_accepted_when_listening_ends_are_answered(self):
+class GracefulShutdown(Races):
+    async def test_pending_connections_are_answered_when_listening_ends(self):
         """More than the listener accepts in one turn, each with a request written before listening ends."""
         loop, sockets = asyncio.get_running_loop(), []
-        fields = {**SET_UP, "left": "300"}
+        fields = {**REQUEST_FIELDS, "left": "300"}
         with unittest.mock.patch.object(gateway_module, "LISTEN_ON_S", 0):
-            ending = asyncio.create_task(self.gateway.end())
+            shutdown = asyncio.create_task(self.gateway.end())
             for n in range(40):
                 client = socket.create_connection(self.gateway.listener.address)
                 self.addCleanup(client.close)
@@ -543,18 +543,18 @@
                     answers.append(await asyncio.wait_for(loop.sock_recv(client, 4096), EVENT_TIMEOUT_S))
                 except ConnectionResetError:
                     answers.append(b"")
-        await asyncio.wait_for(ending, EVENT_TIMEOUT_S)
+        await asyncio.wait_for(shutdown, EVENT_TIMEOUT_S)
         self.assertEqual(40, sum(b"FINISH" in answer for answer in answers), "requests with an answer")
 
-    async def test_a_request_that_came_before_the_connections_are_closed_is_answered(self):
+    async def test_a_request_received_before_the_connections_close_is_answered(self):
         await self.play("owner send ECHO t0\nowner expect ECHOED t0")
         owner, finish_all = self.parties["owner"], self.gateway.clients.finish_all
 
-        async def asked_before(within):
+        async def send_request_first(within):
             owner.send("START", "a1", {}, "v=0")  # in our socket, and not read yet
             await finish_all(within)
 
-        self.gateway.clients.finish_all = asked_before
+        self.gateway.clients.finish_all = send_request_first
         with unittest.mock.patch.object(gateway_module, "LISTEN_ON_S", 0):
             await asyncio.wait_for(self.gateway.end(), EVENT_TIMEOUT_S)
         await asyncio.wait_for(owner.closed.wait(), EVENT_TIMEOUT_S)
