--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,15 +1,16 @@
-"""A small language for scenarios on loopback sockets: who, then send, expect, close or wait.
-
-    owner send START a1 class=safe          an owner's line; a tag is made of the short name a1
-    s1 expect SET_UP a1 class=safe          the next message of server s1 that is no test
-    s1 send ANSWER a1 | v=0                 what follows the bar is the description
-    s1 close                                reset its connections; `s1 stop`: and refuse new ones
-    s1 hang                                 read no more and say nothing, as a machine that vanished
-    bus send s1=gone                        one event of the bus
-    owner wait closed                       until the gateway has closed that connection
+"""A small scenario language for tests on loopback sockets. Each line names a stand-in and an action.
+
+    owner send START a1 class=safe          a message of a client; the tag is derived from the name a1
+    s1 expect SET_UP a1 class=safe          the next message to server s1 other than a health check or probe
+    s1 send ANSWER a1 | v=0                 the description follows the bar
+    s1 close                                reset its connections; `s1 stop` also refuses new ones
+    s1 hang                                 handle and send no more messages, as an unresponsive machine
+    bus send s1=gone                        an event of the bus
+    owner wait closed                       wait until the gateway has closed the connection
     p1 send POST tasks | {"class": ...}     a request to the pull queue; `expect 200 a.0.b=x` its answer
 
-Every `expect` and `wait` waits for its event, and fails after LONG seconds: no scenario guesses at a sleep.
+Every `expect` and `wait` waits for its event and fails after EVENT_TIMEOUT_S, so that scenarios need no fixed
+sleeps.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 from weldhatch.gateway import Gateway
 from weldhatch.platform import server_codec
 
-EVENT_TIMEOUT_S = 40.0  # seconds until a state that is waited for counts as never
+EVENT_TIMEOUT_S = 40.0  # how long an expected event may take
 TYPES = {
     name: getattr(server_codec, name)
     for name in ("SET_UP", "PROGRESS", "ANSWER", "RELEASE", "RELEASE_HEARD", "NOTE", "MOVE", "TEST", "TESTED")
@@ -80,7 +81,7 @@
 
 
 def split_message(data):
-    """A server's message without its length: its type, its task, its parameters by code."""
+    """Split a server message, given without its length, into type, tag and parameters by code."""
     parameters, at = {}, 9
     while at < len(data):
         code, size = struct.unpack_from(">BH", data, at)
@@ -90,7 +91,7 @@
 
 
 class StandIn:
-    """One stand-in: what it has received, and the connections it speaks on."""
+    """A stand-in for one peer of the gateway: its connections, and the messages it has received."""
 
     def __init__(self):
         self.received = asyncio.Queue()
@@ -116,14 +117,14 @@
     def reset(self):
         for writer in self.writers:
             linger = struct.pack("ii", 1, 0)
-            with contextlib.suppress(OSError):  # of one that the gateway has just closed
+            with contextlib.suppress(OSError):  # the gateway has just closed the connection
                 writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             writer.transport.abort()
         self.writers.clear()
 
 
 class Server(StandIn):
-    """A server on binary messages; tests are answered by themselves with `report`."""
+    """A stand-in server; it answers health checks and probes with the load report `report`."""
 
     report = "x0:40;x1:90"
 
@@ -215,7 +216,7 @@
 
 
 class Client(StandIn):
-    """A client of the pull queue. It remembers the last session, lease and task for $session and so on."""
+    """A client of the pull queue. $session, $lease and $task stand for the last names it has received."""
 
     def __init__(self):
         super().__init__()
@@ -243,7 +244,7 @@
 
 
 class Scenario(unittest.IsolatedAsyncioTestCase):
-    """Starts a gateway with stand-ins round it; `play` runs the lines of a scenario."""
+    """Starts a gateway with stand-ins for its peers; `play` runs the lines of a scenario."""
 
     servers = 1
     server_class = Server
@@ -262,7 +263,7 @@
         await self.start()
 
     async def start(self):
-        """A gateway that starts from nothing, as after a crash."""
+        """Start a gateway without any state, as after a crash."""
         self.gateway = Gateway(
             config.PlatformConfig(
                 "n0",
@@ -303,9 +304,9 @@
             try:
                 await asyncio.wait_for(self.line(line), EVENT_TIMEOUT_S)
             except (TimeoutError, AssertionError) as fault:
-                raise AssertionError(f"{line}: {fault or 'nothing came'}; log: {self.logged}") from None
+                raise AssertionError(f"{line}: {fault or 'no message arrived'}; log: {self.logged}") from None
 
-    new_party_class = Owner  # what a party is that is named for the first time
+    new_party_class = Owner  # class of the stand-in for a name used for the first time
 
     async def line(self, line):
         words, _, description = line.partition(" | ")
@@ -348,8 +349,8 @@
                 raise ValueError(line)
 
     async def until(self, condition, what):
-        """Wait for a state of the gateway that no message shows."""
+        """Wait for a state of the gateway that no message reveals."""
         end = time.monotonic() + EVENT_TIMEOUT_S
         while not condition():
-            self.assertLess(time.monotonic(), end, f"never: {what}; log: {self.logged}")
+            self.assertLess(time.monotonic(), end, f"timed out waiting for: {what}; log: {self.logged}")
             await asyncio.sleep(0.01)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Scenarios of clients that break the rules: each is turned away, and the others do not notice."""
+"""Scenarios of misbehaving clients: they are rejected, and other clients are served as before."""
 
 import asyncio
 import json
@@ -66,13 +66,15 @@
         ):
             for n, fields in enumerate(malformed):
                 await self.expect_closed(f"b{n}", line(**fields))
-        await self.play(PLACE.format("a1"))  # the first that the server hears of
+        await self.play(PLACE.format("a1"))  # the first request that reaches the server
         self.assertEqual(len(malformed), sum("invalid field" in text for text in self.logged), self.logged)
 
     async def test_a_running_task_is_adopted_whatever_its_client_deadline(self):
-        """Guards against losing all owners at a start: theirs come with the longest time there is."""
+        """Guards against rejecting clients after a start: they report tasks with the longest deadline."""
         await self.play("usual send START a1 left=4294967 extras=cores:1;memory:1;service:9;at:u-s1")
-        await self.until(lambda: self.parties["s1"].writers, "a connection is opened to hear of the task")
+        await self.until(
+            lambda: self.parties["s1"].writers, "a connection is opened to receive the end of the task"
+        )
         await self.play("s1 send RELEASE a1 cause=16\nusual expect FINISH a1 cause=16")
 
     async def test_reusing_an_open_tag_closes_only_the_second_client(self):
@@ -88,7 +90,7 @@
 
     async def test_a_line_that_cannot_be_a_message_is_rejected_before_its_end(self):
         with unittest.mock.patch.object(client_connection, "COMPLETE_MESSAGE_TIMEOUT_S", 1000.0):
-            await self.expect_closed("noise", b"\xb3\xfc\xaf")  # closed at once, though the line has no end
+            await self.expect_closed("noise", b"\xb3\xfc\xaf")  # closed at once, before the end of the line
 
     async def test_an_idle_connection_is_closed_unless_it_has_a_running_task(self):
         await self.play(PLACE.format("a1"))
@@ -114,14 +116,14 @@
             for n in range(2 * client_connection.MAX_IMMEDIATE_CANCELS)
         )
         await self.expect_closed("bad", b"".join(pairs))
-        await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the requests are removed")
         self.assertEqual((0, {}), (self.gateway.core.unanswered, self.gateway.clients._requests))
-        self.assertFalse(self.parties["s1"].connected.is_set())  # not even probed
+        self.assertFalse(self.parties["s1"].connected.is_set())  # not probed either
         await self.play(PLACE.format("a1"))
 
     async def test_a_client_that_closes_with_open_requests_leaves_no_state(self):
         await self.play("usual send START a1\ns1 expect SET_UP a1\nusual close\ns1 expect RELEASE a1")
-        await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request is removed")
         self.assertEqual({}, self.gateway.clients._requests)
 
     async def test_a_release_is_sent_to_a_client_with_requests_not_to_one_that_only_sent_echo(self):
@@ -129,15 +131,18 @@
             await self.connect_client(f"x{n}", line(verb="ECHO"))
         await self.play(PLACE.format("a1") + PLACE.format("a2").replace("usual", "other"))
         await self.play("usual close")
-        await self.until(lambda: len(self.gateway.clients.connections) == 9, "the owner's connection ended")
+        await self.until(
+            lambda: len(self.gateway.clients.connections) == 9, "the end of the client's connection"
+        )
         await self.play("s1 send RELEASE a1 cause=16\nother expect FINISH a1 cause=16")
 
     async def test_a_rejected_client_is_not_closed_at_once(self):
-        """Guards against one that comes again as soon as it is closed."""
+        """Guards against clients that reconnect as soon as they are closed."""
         with unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_DELAY_S", 1000.0):
             await self.connect_client("bad", b"[]\n")
             await self.until(
-                lambda: any(link.is_rejected for link in self.gateway.clients.connections), "turned away"
+                lambda: any(link.is_rejected for link in self.gateway.clients.connections),
+                "the client is rejected",
             )
             await self.play(PLACE.format("a1"))
             self.assertFalse(self.parties["bad"].closed.is_set())
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -1,8 +1,8 @@
-"""Clients that leave: nothing starts for one that has closed its connection or taken its request back.
+"""Departed clients: no attempt starts for a client that has closed its connection or cancelled its request.
 
-The term: an attempt, first or further, that begins more than 0.1 s after its client has gone is a break. Each
-test forces one bad order by events. Clients are plain sockets, so that they can leave while the event loop
-of the dispatcher is held up; the stand-in servers note when each set-up arrives.
+The requirement: no attempt, first or further, begins more than 0.1 s after its client has left. Each test
+forces one harmful order by events. Clients are plain sockets, so that they can leave while the event loop of
+the dispatcher is stalled; the stand-in servers record when each offer arrives.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from weldhatch.scheduling.actions import Action
 from weldhatch.scheduling.events import AttemptEnded, Event, RequestArrived
 
-MAX_ATTEMPT_DELAY_S = 0.1  # the term: what begins later after its client has gone is a break
-LOOP_STALL_S = 0.2  # how long the event loop is held up where a close has to be read late
+MAX_ATTEMPT_DELAY_S = 0.1  # an attempt that begins later after its client has left is a violation
+LOOP_STALL_S = 0.2  # length of a stall of the event loop, which delays the reading of a close
 NO_PROBES = {**SETTINGS, "limits": {**SETTINGS["limits"], "probes": False}}
 
 
 class RecordingServer(Server):
-    """A server that notes when each set-up arrives, and can keep the answers to tests back."""
+    """A server that records when each offer arrives, and can withhold the answers to probes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -53,7 +53,7 @@
                 continue
             if kind == server_codec.SET_UP:
                 self.arrivals.append((time.monotonic(), name))
-                if name.startswith(b"z"):  # the judge's: it stands, and is over
+                if name.startswith(b"z"):  # a control task: it starts and ends at once
                     writer.write(server_codec.encode(server_codec.ANSWER, name, {79: b""}))
                     writer.write(server_codec.encode(server_codec.RELEASE, name, {78: bytes((16,))}))
                     continue
@@ -68,12 +68,12 @@
 
 
 class Client:
-    """A client on a plain socket: what it does takes effect at once, whatever the event loop does."""
+    """A client on a plain socket: its actions take effect at once, even while the event loop is stalled."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.socket = socket.create_connection(address)
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.left_at: dict[bytes, float] = {}  # when it left, by the set-up that it left behind
+        self.left_at: dict[bytes, float] = {}  # time of departure by the tag of each request
         self.requested: list[str] = []
 
     @staticmethod
@@ -85,7 +85,7 @@
 
     @classmethod
     def request_line(cls, name: str, **fields: str) -> bytes:
-        """The line of a set-up whose owner waits for long enough to see any attempt that follows."""
+        """Encode a request whose deadline is long enough for any attempt that might follow to be seen."""
         usual = {"class": "safe", "left": "2500", "key": "7", "extras": "cores:1;memory:2;service:9"}
         return cls.line(name, "START", **{**usual, **fields})
 
@@ -94,7 +94,7 @@
         self.socket.sendall(before + self.request_line(name, **fields) + after)
 
     def leave(self, how: str) -> None:
-        """Close, reset or half-close the connection, or take back each set-up that was asked for."""
+        """Close, reset or half-close the connection, or cancel all requests."""
         match how:
             case "close":
                 self.socket.close()
@@ -113,7 +113,7 @@
 
 
 class DepartureScenario(Scenario):
-    """The shared steps: clients that leave, a loop that is held up, and the verdict."""
+    """The shared steps: clients that leave, a stalled loop, and the check for late offers."""
 
     server_class = RecordingServer
 
@@ -135,19 +135,17 @@
         return [party for party in self.parties.values() if isinstance(party, RecordingServer)]
 
     async def wait_until_requests_are_forgotten(self) -> None:
-        await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the requests are removed")
 
     async def wait_past_the_limit(self) -> None:
-        """What begins from here on begins later than the term allows for those who have left."""
+        """Wait until any attempt that begins now would be a violation for all departed clients."""
         last_departure = max(max(client.left_at.values(), default=0.0) for client in self.clients)
         await asyncio.sleep(max(0.0, last_departure + MAX_ATTEMPT_DELAY_S + 0.02 - time.monotonic()))
 
     async def assert_no_late_offers(self) -> None:
-        """Once nothing more can come: no set-up has arrived too late after its client left."""
+        """Check, once no offer can be in transit, that none arrived too late after its client left."""
         await self.wait_until_requests_are_forgotten()
-        await (
-            self.place_tasks_on_all_servers()
-        )  # behind these, on each link, nothing of what was asked before is under way
+        await self.place_tasks_on_all_servers()  # on each link, all earlier offers have arrived before these
         left_at = {name: when for client in self.clients for name, when in client.left_at.items()}
         late = [
             (name, round(when - left_at[name], 3))
@@ -155,11 +153,11 @@
             for when, name in server.arrivals
             if name in left_at and when > left_at[name] + MAX_ATTEMPT_DELAY_S
         ]
-        self.assertEqual([], late, "set-ups that arrived so long after their clients had gone")
+        self.assertEqual([], late, "offers that arrived so many seconds after their clients had left")
 
     @contextlib.contextmanager
     def stalled_loop(self, kind: type[Event], during: Callable[[], None]) -> Iterator[None]:
-        """Hold the loop up in the first batch with such an event; `during` comes right after its decision."""
+        """Stall the loop in the first batch with such an event, after the decision and a call of `during`."""
         policy, handle, stalls = self.gateway.driver._policy, self.gateway.driver._policy.handle, []
 
         def slow(now: int, events: list[Event]) -> list[Action]:
@@ -172,10 +170,10 @@
 
         with unittest.mock.patch.object(policy, "handle", slow):
             yield
-        self.assertTrue(stalls, "the loop was held up")
+        self.assertTrue(stalls, "the loop was stalled")
 
     async def place_tasks_on_all_servers(self) -> None:
-        """Tasks that stand and are over at once, as many as it takes for each server to have had one."""
+        """Place tasks that end at once, enough for each server to have received one."""
         for _ in range(4):
             self.rounds += 1
             name = f"z{self.rounds}"
@@ -191,7 +189,7 @@
 
     @contextlib.contextmanager
     def delayed_connects(self, on_connect: Callable[[], None] = lambda: None) -> Iterator[asyncio.Event]:
-        """Connections to servers come up once the event is set; `last` comes in the turn in which they do."""
+        """Delay connects until the event is set; `on_connect` is called in the iteration of their end."""
         may_connect, connect = asyncio.Event(), self.gateway.servers.connect
 
         async def slow(server: object) -> Connection:
@@ -204,14 +202,17 @@
             yield may_connect
 
     async def link_with_waiting_offer(self, name: str) -> object:
-        """The link on which the set-up waits for the connection; its probe has been given up by then."""
+        """Return the link on which the offer waits for the connection, its probe having timed out."""
         links = self.gateway.servers._links.values()
-        await self.until(lambda: any(tag(name) in link.records.waiting for link in links), "the set-up waits")
+        await self.until(
+            lambda: any(tag(name) in link.records.waiting for link in links),
+            "an offer that waits for the connection",
+        )
         return next(link for link in links if tag(name) in link.records.waiting)
 
 
 class WhileWaiting(DepartureScenario):
-    """The client leaves while its request waits, and the dispatcher has the time to hear of it."""
+    """The client leaves while its request waits, and the dispatcher has time to read the departure."""
 
     async def test_a_client_that_leaves_during_a_probe_gets_no_attempt(self) -> None:
         [server] = self.recorders()
@@ -224,12 +225,14 @@
                 server.probed.clear()
                 client = self.client()
                 client.send_request(f"a{n}")
-                await self.until(server.probed.is_set, "the server was probed")
+                await self.until(server.probed.is_set, "a probe of the server")
                 client.leave(how)
                 await self.wait_past_the_limit()
                 server.answer_probes()
                 await self.assert_no_late_offers()
-                await asyncio.sleep(1.6)  # until what the server told is too old: the next one probes again
+                await asyncio.sleep(
+                    1.6
+                )  # until the load report expires, so that the next request probes again
 
     async def test_a_client_that_leaves_during_a_backoff_gets_no_further_attempt(self) -> None:
         for n, how in enumerate(DEPARTURES):
@@ -239,7 +242,8 @@
                 await self.play(f"s1 expect SET_UP a{n}\ns1 send RELEASE a{n} cause=34 topic=queue_full")
                 requests = self.gateway.driver._policy._cluster.requests
                 await self.until(
-                    lambda requests=requests: any(r.backoffs for r in requests.values()), "the request waits"
+                    lambda requests=requests: any(r.backoffs for r in requests.values()),
+                    "the backoff of the request",
                 )
                 client.leave(how)
                 await self.assert_no_late_offers()
@@ -268,16 +272,16 @@
                 client.send_request(f"a{n}")
                 link = await self.link_with_waiting_offer(f"a{n}")
                 client.leave(how)
-                await self.until(lambda link=link: not link.records.in_flight, "the set-up was taken back")
+                await self.until(lambda link=link: not link.records.in_flight, "the offer is withdrawn")
                 await self.wait_past_the_limit()
                 may_connect.set()
                 await self.assert_no_late_offers()
                 await self.discard_received()
                 await self.play("s1 close")
-                await self.until(lambda link=link: link.connection is None, "the connection ended")
+                await self.until(lambda link=link: link.connection is None, "the end of the connection")
 
     async def test_a_rejected_client_gets_no_further_attempts(self) -> None:
-        """It isn't read any more until it is closed, and it leaves meanwhile."""
+        """A rejected client is not read until it is closed; it leaves in the meantime."""
         with unittest.mock.patch.object(client_connection, "REJECTED_CLOSE_DELAY_S", 1000.0):
             client = self.client()
             client.send_request("a1")
@@ -285,7 +289,8 @@
             client.requested.append("a2")
             client.socket.sendall(b"[]\n" + client.request_line("a2"))
             await self.until(
-                lambda: any(link.is_rejected for link in self.gateway.clients.connections), "turned away"
+                lambda: any(link.is_rejected for link in self.gateway.clients.connections),
+                "the client is rejected",
             )
             client.leave("close")
             await self.wait_past_the_limit()
@@ -295,23 +300,23 @@
 
 
 class WhileLoopIsStalled(DepartureScenario):
-    """The client leaves while the dispatcher's loop is held up: the close is read late."""
+    """The client leaves while the dispatcher's event loop is stalled, so that the close is read late."""
 
     settings = NO_PROBES
 
     async def test_a_client_that_leaves_during_the_first_decision_gets_no_attempt(self) -> None:
-        await self.place_tasks_on_all_servers()  # a connection is there before anything is timed
+        await self.place_tasks_on_all_servers()  # opens the connection before the timed part
         for n, how in enumerate(DEPARTURES):
             with self.subTest(how):
                 client = self.client()
                 with self.stalled_loop(RequestArrived, lambda client=client, how=how: client.leave(how)):
                     client.send_request(f"a{n}")
-                    await self.until(lambda client=client: client.left_at, "it left")
+                    await self.until(lambda client=client: client.left_at, "the client left")
                     await self.assert_no_late_offers()
                 await self.discard_received()
 
     async def test_a_client_that_leaves_during_a_retry_decision_gets_no_further_attempt(self) -> None:
-        await self.place_tasks_on_all_servers()  # a connection is there before anything is timed
+        await self.place_tasks_on_all_servers()  # opens the connection before the timed part
         for n, how in enumerate(DEPARTURES):
             with self.subTest(how):
                 client = self.client()
@@ -319,13 +324,13 @@
                 await self.play(f"s1 expect SET_UP a{n}")
                 with self.stalled_loop(AttemptEnded, lambda client=client, how=how: client.leave(how)):
                     await self.play(f"s1 send RELEASE a{n} cause=41")
-                    await self.until(lambda client=client: client.left_at, "it left")
+                    await self.until(lambda client=client: client.left_at, "the client left")
                     await self.assert_no_late_offers()
                 await self.discard_received()
 
     async def test_a_client_that_leaves_as_its_backoff_ends_gets_no_further_attempt(self) -> None:
-        """The timer that ends the wait, and the close, are found in the same turn of the loop."""
-        await self.place_tasks_on_all_servers()  # a connection is there before anything is timed
+        """The end of the backoff and the close are processed in the same loop iteration."""
+        await self.place_tasks_on_all_servers()  # opens the connection before the timed part
         for n, how in enumerate(DEPARTURES):
             with self.subTest(how):
                 client = self.client()
@@ -333,17 +338,18 @@
                 await self.play(f"s1 expect SET_UP a{n}\ns1 send RELEASE a{n} cause=34 topic=no_cores")
                 requests = self.gateway.driver._policy._cluster.requests
                 await self.until(
-                    lambda requests=requests: any(r.backoffs for r in requests.values()), "the request waits"
+                    lambda requests=requests: any(r.backoffs for r in requests.values()),
+                    "the backoff of the request",
                 )
                 for node in self.gateway.driver._policy._cluster.machines.values():
-                    node.decline(0, 0.0, 0.0)  # the machine may be drawn again at once
+                    node.decline(0, 0.0, 0.0)  # the machine may be selected again at once
                 client.leave(how)
-                time.sleep(0.5)  # the loop is held up past the end of the wait
+                time.sleep(0.5)  # stalls the loop beyond the end of the backoff
                 await self.assert_no_late_offers()
                 await self.discard_received()
 
     async def test_an_attempt_end_read_together_with_the_departure_is_not_retried(self) -> None:
-        await self.place_tasks_on_all_servers()  # a connection is there before anything is timed
+        await self.place_tasks_on_all_servers()  # opens the connection before the timed part
         for n, how in enumerate(DEPARTURES):
             with self.subTest(how):
                 client = self.client()
@@ -356,7 +362,7 @@
                 await self.discard_received()
 
     async def test_a_client_that_leaves_as_the_connection_opens_gets_no_attempt(self) -> None:
-        """The connection is there in the turn in which the close is still unread."""
+        """The connection opens in a loop iteration in which the close is still unread."""
         for n, how in enumerate(DEPARTURES):
             client = self.client()
 
@@ -369,18 +375,18 @@
                 client.send_request(f"a{n}")
                 link = await self.link_with_waiting_offer(f"a{n}")
                 may_connect.set()
-                await self.until(lambda client=client: client.left_at, "it left")
+                await self.until(lambda client=client: client.left_at, "the client left")
                 await self.assert_no_late_offers()
                 await self.discard_received()
             await self.play("s1 close")
-            await self.until(lambda link=link: link.connection is None, "the connection ended")
+            await self.until(lambda link=link: link.connection is None, "the end of the connection")
 
     async def test_a_request_and_its_departure_in_one_read_reach_no_server(self) -> None:
-        """With hundreds of lines in between too: the end of a pipeline is read late."""
+        """Also with 2000 lines before and after the request: the end of a pipeline is read late."""
         for n, (how, lines) in enumerate((how, lines) for how in DEPARTURES for lines in (0, 2000)):
             with self.subTest(how, lines=lines):
                 client = self.client()
-                await self.until(lambda: len(self.gateway.clients.connections) > 0, "it is connected")
+                await self.until(lambda: len(self.gateway.clients.connections) > 0, "a client connection")
                 pipeline = client.line("p1", "NOTICE") * lines
                 client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 << 20)
                 client.send_request(f"a{n}", pipeline, pipeline)
@@ -392,8 +398,8 @@
         self.assertFalse(names & {tag(f"a{n}") for n in range(2 * len(DEPARTURES))})
 
     async def test_a_client_that_stays_gets_its_attempt_after_a_loop_stall(self) -> None:
-        """Guards the guard: what a client says meanwhile that ends nothing stops no attempt."""
-        await self.place_tasks_on_all_servers()  # a connection is there before anything is timed
+        """Messages that a client sends during the stall and that end nothing must not stop its attempt."""
+        await self.place_tasks_on_all_servers()  # opens the connection before the timed part
         client = self.client()
         chatter = client.line("p1", "NOTICE")
         with self.stalled_loop(RequestArrived, lambda: client.socket.sendall(chatter)):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,7 +1,7 @@
-"""Descriptors that run short: discovery, servers and new clients still get theirs.
+"""Descriptor shortage: discovery, servers and new clients still get descriptors.
 
-The term: idle clients may fill the descriptors while discovery is down. Here they do, beside more servers
-than there are descriptors; what is judged is what a server, the event bus and a new client see.
+The requirement: idle clients may use up the descriptors while discovery is down. The tests do this with more
+servers than there are descriptors, and check that a server, the event bus and a new client are served.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 from weldhatch.platform import client_connection, server_codec
 
-EVENT_DELIVERY_LIMIT_S = 4.0  # what the bus would have told counts as told so long after it broke off
-DEADLINE_MS = 3000  # how long the new client's owner waits for its answer
+EVENT_DELIVERY_LIMIT_S = 4.0  # missed events count as delivered this long after the break
+DEADLINE_MS = 3000  # deadline of the new client's requests
 NO_PROBES = {**SETTINGS, "limits": {**SETTINGS["limits"], "probes": False}}
-SLOW_MACHINE_MARGIN_S = 3.0  # by so much a loaded machine may be slower than the pages' times
+SLOW_MACHINE_MARGIN_S = 3.0  # added to the documented times, for loaded machines
 
 
 class AcceptingServer(Server):
-    """A server that takes every set-up; its tasks are over at once unless they are to stand."""
+    """A server that accepts every offer; its tasks end at once unless `tasks_keep_running`."""
 
     tasks_keep_running = False
 
@@ -55,7 +55,7 @@
 
 
 class FewDescriptorsScenario(Scenario):
-    """Few descriptors, and a fleet larger than them."""
+    """Fewer descriptors than servers."""
 
     servers = 100
     sockets = 64
@@ -73,16 +73,16 @@
         await super().asyncTearDown()
 
     async def fill_with_idle_clients(self, sent: str, count: int = 0) -> None:
-        """Clients open more connections than there are descriptors, say that on each, and stay."""
+        """Open more client connections than there are descriptors, send this on each, and keep them open."""
         for n in range(count or 2 * self.sockets):
             client = socket.create_connection(self.gateway.listener.address)
             self.idle_clients.append(client)
             match sent:
-                case "a test":
+                case "an echo":
                     client.sendall(line(f"i{n}", "ECHO"))
                 case "half a message":
                     client.sendall(line(f"i{n}", "ECHO")[:20])
-                case "a set-up":
+                case "a request":
                     client.sendall(request_line(f"i{n}", 1000 + n))
             if n % 16 == 0:
                 await asyncio.sleep(0)
@@ -93,13 +93,15 @@
         )
 
     async def place_tasks(self, count: int) -> float:
-        """Set-ups of a new client, one after the other, each answered; the longest time that one took."""
+        """Place tasks of a new client one after another; return the longest time that one took."""
         longest = 0.0
         for _ in range(count):
             self.request_count += 1
             name = f"n{self.request_count}"
             began = time.monotonic()
-            extras = f"cores:1;memory:2;service:{self.request_count}"  # each service has its own homes
+            extras = (
+                f"cores:1;memory:2;service:{self.request_count}"  # each service has its own home machines
+            )
             await self.play(f"new send START {name} left={DEADLINE_MS} extras={extras}")
             await self.play(f"new expect STARTED {name}")
             longest = max(longest, time.monotonic() - began)
@@ -108,7 +110,7 @@
         return longest
 
     async def set_discovery(self, up: bool) -> None:
-        """The event bus refuses connections, or listens again at its address."""
+        """Let the event bus listen at its address, or refuse connections."""
         if up:
             self.bus.connected.clear()
             await self.bus.listen(self.bus.endpoint)
@@ -118,7 +120,7 @@
             await self.until(lambda: any("no connection" in text for text in self.logged), "the bus is down")
 
     async def assert_discovery_returns(self) -> None:
-        """Discovery is back: its news, a server that only it knows and a new client get through."""
+        """Check that missed events, a newly listed server and a new client are served after its return."""
         self.bus.add([self.target(f"s{n}", "gone") for n in range(1, self.servers)], notify=False)
         self.parties["late"] = late_server = self.server_class()
         await late_server.listen()
@@ -126,7 +128,7 @@
         began = time.monotonic()
         await self.set_discovery(True)
         await self.until(
-            lambda: self.gateway.servers_list.offset == len(self.bus.events), "the events were taken"
+            lambda: self.gateway.servers_list.offset == len(self.bus.events), "the events are applied"
         )
         self.assertLess(time.monotonic() - began, EVENT_DELIVERY_LIMIT_S + SLOW_MACHINE_MARGIN_S, "discovery")
         self.parties.pop("new", None)
@@ -135,13 +137,13 @@
             if late_server.used:
                 break
             await self.place_tasks(1)
-        self.assertTrue(late_server.used, "a server that needs a connection got one")
+        self.assertTrue(late_server.used, "the new server received an offer")
         self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
 
 
 class MoreServersThanDescriptors(FewDescriptorsScenario):
     async def test_every_server_is_reached_with_fewer_descriptors_than_servers(self) -> None:
-        """Guards against links that stay open when idle: the first servers would shut the others out."""
+        """Guards against idle links that stay open: links to the first servers would lock out the others."""
         servers = [self.parties[f"s{n}"] for n in range(1, self.servers + 1)]
         end = time.monotonic() + 30.0
         while not all(server.used for server in servers) and time.monotonic() < end:
@@ -152,7 +154,7 @@
         self.assertLessEqual(self.gateway.budget.held, self.gateway.budget.limit)
 
     async def test_discovery_servers_and_a_new_client_get_descriptors_beside_idle_clients(self) -> None:
-        for sent in ("nothing", "a test", "half a message", "a set-up"):
+        for sent in ("nothing", "an echo", "half a message", "a request"):
             with self.subTest(sent):
                 await self.set_discovery(False)
                 await self.place_tasks(60)
@@ -171,7 +173,7 @@
             pass
         self.bus.add([self.target("s1", "draining")], notify=False)
         await self.set_discovery(True)
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event is applied")
 
     async def test_servers_that_idle_give_way_to_a_client_where_no_client_can(self) -> None:
         await self.place_tasks(60)
@@ -189,20 +191,20 @@
 
 
 class AllConnectionsHaveTasks(FewDescriptorsScenario):
-    """Every client's connection, and every server's, carries tasks that stand."""
+    """Every connection to a client or server has running tasks."""
 
-    servers = 20  # fewer than descriptors: a link with a task that stands is never closed for another
+    servers = 20  # fewer than descriptors, since a link with a running task is never evicted
     server_class = ServerWithRunningTasks
 
     async def test_discovery_and_a_new_client_get_descriptors_when_every_connection_has_a_task(self) -> None:
         await self.set_discovery(False)
         await self.place_tasks(40)
-        await self.fill_with_idle_clients("a set-up", self.gateway.clients._share.limit)
+        await self.fill_with_idle_clients("a request", self.gateway.clients._share.limit)
         await self.assert_discovery_returns()
 
 
 class MoreTasksThanDescriptors(FewDescriptorsScenario):
-    """Tasks stand on more servers than there are descriptors for."""
+    """Tasks run on more servers than there are descriptors for."""
 
     server_class = ServerWithRunningTasks
 
@@ -215,11 +217,11 @@
             await self.play(f"first send START f{n} left={DEADLINE_MS} extras={extras}")
             verb, *_ = await asyncio.wait_for(self.parties["first"].received.get(), 20.0)
             rejected += verb == "FINISH"
-        await self.fill_with_idle_clients("a set-up", self.gateway.clients._share.limit)
+        await self.fill_with_idle_clients("a request", self.gateway.clients._share.limit)
         self.bus.add([self.target("s1", "draining")], notify=False)
         began = time.monotonic()
         await self.set_discovery(True)
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event is applied")
         self.assertLess(time.monotonic() - began, EVENT_DELIVERY_LIMIT_S + SLOW_MACHINE_MARGIN_S)
         began = time.monotonic()
         await self.play("new send ECHO t0 cause=0\nnew expect ECHOED t0")
@@ -229,10 +231,10 @@
 
 
 class NoDescriptorForServer(Scenario):
-    """Where no descriptor is left for a server, that tells nothing of the server."""
+    """The lack of a descriptor for a server does not reflect the state of the server."""
 
     async def test_a_server_without_a_descriptor_does_not_count_as_unresponsive(self) -> None:
-        """Guards tasks that stand against being told as lost because descriptors ran short."""
+        """Guards against running tasks reported as lost because of a descriptor shortage."""
         await self.play("""
             owner send START a1
             s1 expect SET_UP a1
@@ -245,16 +247,16 @@
         )
         [link] = self.gateway.servers._links.values()
         await self.play("s1 close")
-        take = self.gateway.servers._share.take
-        await self.until(lambda: take.call_count > 4, "it was tried again")
+        take_mock = self.gateway.servers._share.take
+        await self.until(lambda: take_mock.call_count > 4, "several attempts to connect")
         self.assertTrue(link.records.running, self.logged)
         self.gateway.servers._share = share
-        await self.until(lambda: self.parties["s1"].writers, "connected anew")
+        await self.until(lambda: self.parties["s1"].writers, "the reconnect")
         await self.play("s1 send RELEASE a1 cause=16\nowner expect FINISH a1 cause=16")
 
 
 class MinimumDescriptors(Scenario):
-    """The fewest descriptors that the configuration allows."""
+    """The minimum number of descriptors that the configuration allows."""
 
     sockets = 32
 
@@ -265,7 +267,7 @@
             s1 send ANSWER a1
             owner expect STARTED a1
         """)
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
 
 
 if __name__ == "__main__":
--- a/tests/test_faulty_servers.py
+++ b/tests/test_faulty_servers.py
@@ -1,4 +1,4 @@
-"""Scenarios of servers that spoil their answers, and of servers that come and go."""
+"""Scenarios of servers with malformed messages, and of servers that are added, replaced and removed."""
 
 import asyncio
 import unittest
@@ -21,7 +21,7 @@
         self.parties["s1"].writers[-1].write(data)
 
     async def test_a_malformed_message_ends_all_open_attempts_on_its_connection(self):
-        """Guards against a set-up that is taken from its link by what can not be read."""
+        """Guards against an attempt whose record is lost through a malformed message, without an end."""
         truncated = VALID_ANSWER[:-4] + server_codec.encode(
             server_codec.TEST, tag("t1"), {server_codec.CAUSE: b"\0"}
         )
@@ -80,11 +80,13 @@
         await self.play(OFFER.format("a1", "unsafe"))
         with unittest.mock.patch.object(unmatched_tasks, "UNCLAIMED_END_TIMEOUT_S", 0.2):
             self.write(server_codec.encode(server_codec.RELEASE, tag("zz"), {server_codec.CAUSE: b"\x10"}))
-            await self.until(lambda: self.gateway.servers._unmatched.has_unclaimed, "the release was kept")
-            await self.until(lambda: not self.gateway.servers._unmatched.has_unclaimed, "it was dropped")
+            await self.until(lambda: self.gateway.servers._unmatched.has_unclaimed, "the release is kept")
+            await self.until(
+                lambda: not self.gateway.servers._unmatched.has_unclaimed, "the release is dropped"
+            )
 
     async def test_a_release_on_the_spare_connection_is_received(self):
-        """Guards against trials that are closed unread: a release may come on any open connection."""
+        """Guards against spare connections closed unread: a release may arrive on any open connection."""
         await self.play(OFFER.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         server = self.parties["s1"]
         [old] = server.writers
@@ -99,40 +101,38 @@
 
 class ChangingServers(Scenario):
     async def test_removed_servers_leave_no_state(self):
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         await self.play(OFFER.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         target = self.target("s1")
-        for n in range(5):  # one address, one server after the other
+        for n in range(5):  # five servers, one after another, at the same address
             self.bus.add([{**target, "state": "gone"}, {**target, "uid": f"u-{n}"}])
             target = {**target, "uid": f"u-{n}"}
-        await self.until(lambda: self.gateway.servers_list.offset == 6, "the events were taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 6, "the events are applied")
         await self.play("owner expect FINISH a1 cause=41")
-        await self.until(
-            lambda: set(self.gateway.servers._links) == {machine_number("u-4")}, "one link is left"
-        )
+        await self.until(lambda: set(self.gateway.servers._links) == {machine_number("u-4")}, "a single link")
         self.assertEqual({machine_number("u-4")}, set(self.gateway.servers_list.servers))
 
         def policy_has_only_the_last_server():
-            """Once its last offer counts no more, the next word of the list makes the module forget it."""
+            """Send a list event, on which the policy drops settled machines; whether one is left."""
             self.bus.add([target])
             return set(self.gateway.driver._policy._cluster.machines) == {machine_number("u-4")}
 
-        await self.until(policy_has_only_the_last_server, "one node")
+        await self.until(policy_has_only_the_last_server, "a single machine in the policy")
         await self.play(OFFER.format("a2", "unsafe") + "s1 send ANSWER a2\nowner expect STARTED a2")
 
     async def test_a_process_that_ended_without_a_reset_is_detected_once_its_server_is_removed(self):
-        """Its connection looks open: the test that the list's word brings about is what shows the end."""
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        """The connection looks open: only the health check sent on the removal shows the end."""
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         await self.play(OFFER.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         server = self.parties["s1"]
         server.hung = True
-        server.server.close()  # no new connection comes up, and the open one says nothing
+        server.server.close()  # new connections are refused, and the open one is silent
         with unittest.mock.patch.object(self.gateway.servers, "quiet_limit", lambda server, now: 1e9):
             self.bus.add([self.target("s1", "gone")])
             await self.play("owner expect FINISH a1 cause=41")
 
     async def test_a_draining_server_may_be_quiet_for_a_shorter_time(self):
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         await self.play(OFFER.format("a1", "unsafe") + "s1 send ANSWER a1\nowner expect STARTED a1")
         server = self.parties["s1"]
         server.hung = True
@@ -142,8 +142,8 @@
             await self.play("owner expect FINISH a1 cause=41")
 
     async def test_a_waiting_offer_is_not_sent_to_a_new_server_at_the_address(self):
-        """Guards against a set-up that goes to a server it was not offered to, under another's uid."""
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        """Guards against an offer that is sent to another server than the one it was made for."""
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         gateway, delivered = self.gateway.servers, []
         names = TaskNames(tag("a1"), "unsafe", "7", "", "v=0")
         task = ports.Task("a1", 2, 9, 1.0, 1.0, 0, passed_on=names)
@@ -160,7 +160,7 @@
         )
         gateway.give_up(machine_number("u-never"), task)
         gateway.release(machine_number("u-never"), task, 16)
-        await self.play(OFFER.format("a2", "unsafe"))  # the first that the new server hears of
+        await self.play(OFFER.format("a2", "unsafe"))  # the first request that reaches the new server
 
 
 if __name__ == "__main__":
--- a/tests/test_health_check.py
+++ b/tests/test_health_check.py
@@ -1,4 +1,4 @@
-"""When quiet servers are tested: the rule on a clock of the test's, and beside a real server."""
+"""When quiet servers get a health check: the schedule with simulated times, and with a stand-in server."""
 
 import unittest
 from unittest import mock
@@ -61,7 +61,7 @@
         schedule = HealthCheckSchedule()
         for cell in range(3 * MAX_SUSPECT_CELLS):
             schedule.mark_unresponsive(1.0, 0, cell)
-            schedule.mark_unresponsive(1.0, 0, cell)  # a second server of the cell adds nothing
+            schedule.mark_unresponsive(1.0, 0, cell)  # a second server of the same cell changes nothing
         self.assertEqual(MAX_SUSPECT_CELLS, len(schedule._cells))
         self.assertEqual(MAX_SUSPECT_CELLS, schedule._zones[0])
         self.assertEqual(QUIET_LIMIT_S, schedule.quiet_limit(99.0, 0, 1))
@@ -72,7 +72,7 @@
     settings = NO_PROBES
 
     async def test_a_quiet_server_gets_no_health_check_until_a_neighbour_is_unresponsive(self):
-        """Tests are priced as probes: a quiet server gets one only when it is due, or its cell is suspect."""
+        """Health checks are priced like probes: they are sent only when due, or when the cell is suspect."""
         await self.play(PLACED)
         (link,) = self.gateway.servers._links.values()
         watch_calls, health_checks = [], []
@@ -86,15 +86,17 @@
                 servers.Servers, "check_health", lambda *a: (health_checks.append(a), check_health(*a))
             ),
         ):
-            await self.until(lambda: len(watch_calls) >= 3, "the server is watched")
+            await self.until(lambda: len(watch_calls) >= 3, "three watch intervals")
             self.assertEqual([], health_checks)
             self.gateway.servers.mark_unresponsive(link.server)
-            await self.until(lambda: health_checks, "the neighbour of a vanished server is tested")
+            await self.until(
+                lambda: health_checks, "a health check of the neighbour of an unresponsive server"
+            )
 
 
 class LoadReports(Scenario):
     async def test_a_load_report_in_a_health_check_reaches_the_policy_without_a_probe(self):
-        """Guards against paying for a test of life and for a probe of the same server."""
+        """Guards against paying for a health check and for a probe of the same server."""
         await self.play(PLACED)
         (link,) = self.gateway.servers._links.values()
         (node,) = self.gateway.driver._policy._cluster.machines.values()
@@ -102,5 +104,5 @@
         self.gateway.servers.check_health(link)
         await self.until(
             lambda: (node.unreserved.reported_cores, node.unreserved.reported_memory) == (31.0, 77.0),
-            "the module hears the report",
+            "the policy received the load report",
         )
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The ring buffer against plain bytes, and every parser on input that comes in pieces."""
+"""The ring buffer compared with plain bytes, parsers on input in pieces, the log limit and the budget."""
 
 import asyncio
 import socket
@@ -38,7 +38,7 @@
 
 
 def test_a_ring_allocates_on_demand_and_frees_its_memory_when_empty():
-    """Guards against connections by hundreds that say little and hold whole rings."""
+    """Guards against hundreds of nearly silent connections that each hold a ring at full capacity."""
     ring = RingBuffer(128 * 1024)
     assert len(ring.free_space()) == INITIAL_SIZE_BYTES
     assert ring.put(b"x" * 100_000) and len(ring) == 100_000
@@ -48,7 +48,7 @@
 
 def parse_in_pieces(parse, data, size, capacity=4096):
     ring, messages = RingBuffer(capacity), []
-    ring.put(bytes(capacity - 7))  # so that the messages wrap round
+    ring.put(bytes(capacity - 7))  # so that the messages wrap around the end of the ring
     ring.drop(capacity - 7)
     for at in range(0, len(data), size):
         assert ring.put(data[at : at + size])
@@ -141,7 +141,7 @@
 
 
 def read_after(end):
-    """What a peer that reads late gets of bytes that were under way at the connection's `end`."""
+    """Return what a peer that reads late gets after `end` was called on a connection with unsent bytes."""
 
     async def run():
         listening = socket.socket()
@@ -152,7 +152,7 @@
         share.take()
         connection = await connect(listening.getsockname(), 5.0, share, "one", lambda text: None)
         accepted, _ = listening.accept()
-        while connection.unsent < 20_000:  # the system takes no more: the rest waits here
+        while connection.unsent < 20_000:  # the kernel accepts no more; the rest is in the send buffer
             assert connection.send(b"x" * 10_000)
             await asyncio.sleep(0)
         end(connection)
@@ -160,7 +160,7 @@
         try:
             while accepted.recv(65536):
                 pass
-            return "all that was under way"
+            return "all bytes sent"
         except ConnectionResetError:
             return "a reset"
         finally:
@@ -171,5 +171,5 @@
 
 
 def test_an_aborted_connection_resets_and_discards_unsent_data():
-    assert read_after(Connection.close) == "all that was under way"
+    assert read_after(Connection.close) == "all bytes sent"
     assert read_after(Connection.abort) == "a reset"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Scenarios of the platform's protocol, with stand-in owners, servers and bus."""
+"""Scenarios of the platform's protocol, with stand-ins for clients, servers and the event bus."""
 
 import asyncio
 import socket
@@ -57,10 +57,10 @@
             owner expect STARTED a2
         """
         )
-        await self.until(lambda: len(self.gateway.core.requests) == 1, "the ended task was forgotten")
+        await self.until(lambda: len(self.gateway.core.requests) == 1, "the ended task is removed")
 
     async def test_a_release_is_sent_before_its_idle_connection_is_closed(self):
-        """The task was the last that kept the connection: the sweep may come in the same turn of the loop."""
+        """Without its last task the connection is idle, and the sweep may run in the same loop iteration."""
         await self.play(PLACE)
         (link,) = self.gateway.clients.connections
         link.last_used -= 60
@@ -83,7 +83,7 @@
 
     async def test_a_release_without_an_open_connection_is_sent_on_the_next_one(self):
         await self.play(PLACE + "owner close")
-        await self.until(lambda: not self.gateway.clients.connections, "the owner's connection ended")
+        await self.until(lambda: not self.gateway.clients.connections, "the end of the client's connection")
         await self.play("""
             s1 send RELEASE a1 cause=16
             owner2 expect FINISH a1 cause=16
@@ -97,7 +97,7 @@
                 {end}
                 s1 expect RELEASE a1 cause=16
             """)
-        await self.until(lambda: not self.gateway.core.requests, "the requests were forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the requests are removed")
 
     async def test_an_expired_deadline_ends_the_attempt_and_answers_once(self):
         for name, cause in (("safe", 42), ("unsafe", 47)):
@@ -133,14 +133,14 @@
 
     async def test_a_task_survives_a_broken_connection_to_its_server(self):
         await self.play(PLACE + "s1 close")
-        await self.until(lambda: self.parties["s1"].writers, "connected anew for the standing task")
+        await self.until(lambda: self.parties["s1"].writers, "the reconnect for the running task")
         await self.play("""
             s1 send RELEASE a1 cause=16
             owner expect FINISH a1 cause=16
         """)
 
     async def test_an_unresponsive_server_is_dropped_and_its_tasks_are_released(self):
-        """Guards against silence: a vanished machine gives no sign, and its tasks must not stand for ever."""
+        """Guards against tasks that count as running for ever: a failed machine closes no connection."""
         for error in (TimeoutError, ConnectionRefusedError):
             await self.play(PLACE + "s1 hang")
             with unittest.mock.patch.object(self.gateway.servers, "connect", side_effect=error):
@@ -149,7 +149,7 @@
             self.parties["s1"].hung = False
 
     async def test_a_busy_server_keeps_its_connection(self):
-        """Guards against taking a long line of offers for silence: a busy machine takes connections."""
+        """Guards against taking a long queue of offers for silence: a busy machine accepts connections."""
         await self.play("owner send START a1 class=unsafe\ns1 expect SET_UP a1\ns1 hang")
         server, [old] = self.parties["s1"], self.parties["s1"].writers
         server.connected.clear()
@@ -180,7 +180,9 @@
             owner2 expect ECHOED t0
             owner2 send START a1 extras=cores:1;memory:1;service:9;at:u-s1
         """)
-        await self.until(lambda: self.parties["s1"].writers, "a connection is opened to hear of the task")
+        await self.until(
+            lambda: self.parties["s1"].writers, "a connection is opened to receive the end of the task"
+        )
         await self.play("""
             s1 send RELEASE a1 cause=16
             owner2 expect FINISH a1 cause=16
@@ -224,9 +226,7 @@
             s1 send RELEASE a1 cause=16
             owner expect FINISH a1 cause=16
         """)
-        await asyncio.wait_for(
-            shutdown, EVENT_TIMEOUT_S
-        )  # though a2 still stands: a new dispatcher takes it over
+        await asyncio.wait_for(shutdown, EVENT_TIMEOUT_S)  # a2 still runs: a new dispatcher adopts it
         self.assertIsNone(shutdown.result())
         with self.assertRaises(OSError):
             await asyncio.open_connection(*self.gateway.listener.address)
@@ -234,7 +234,7 @@
     async def test_late_requests_in_a_graceful_shutdown_are_rejected_at_once(self):
         await self.play("owner send START a1\ns1 expect SET_UP a1")
         shutdown = asyncio.create_task(self.gateway.end())
-        await self.until(lambda: self.gateway.clients.shutting_down, "its span is over")
+        await self.until(lambda: self.gateway.clients.shutting_down, "the serving phase has ended")
         await self.play("""
             owner send START a2
             owner expect FINISH a2 cause=42 wait=1000
@@ -244,15 +244,15 @@
         await asyncio.wait_for(shutdown, EVENT_TIMEOUT_S)
 
     async def test_ends_of_running_tasks_are_relayed_during_a_graceful_shutdown(self):
-        """Guards against owners that nobody tells of the end of their tasks while a dispatcher restarts."""
+        """Guards against clients that are not notified of the end of their tasks during a restart."""
         await self.play(PLACE)
         shutdown = asyncio.create_task(self.gateway.end())
-        await self.until(lambda: self.gateway.clients.shutting_down, "its span is over")
+        await self.until(lambda: self.gateway.clients.shutting_down, "the serving phase has ended")
         await self.play("s1 send RELEASE a1 cause=16\nowner expect FINISH a1 cause=16")
         await asyncio.wait_for(shutdown, EVENT_TIMEOUT_S)
 
     async def test_an_offer_made_while_a_link_closes_is_sent_once_or_ends(self):
-        """Guards against a set-up that is told as ended with the old connection and sent on the new one."""
+        """Guards against an offer that ends with the old connection and is still sent on the new one."""
         await self.play(PLACE)
         servers, delivered = self.gateway.servers, []
         [(machine, link)] = servers._links.items()
@@ -266,14 +266,14 @@
             unittest.mock.Mock(deliver=delivered.append),
         )
         await self.play("s1 expect SET_UP a2\ns1 send ANSWER a2")
-        await self.until(lambda: delivered, "the offer was answered")
+        await self.until(lambda: delivered, "the answer to the offer")
         self.assertEqual([Answered(0, "")], delivered)
 
     async def test_an_exception_in_one_request_still_gives_one_final_answer(self):
-        """Guards against a coroutine that dies and leaves its owner without an answer."""
+        """Guards against a failed coroutine that leaves its client without an answer."""
         with unittest.mock.patch.object(self.gateway.servers, "offer", side_effect=KeyError("boom")):
             await self.play("owner send START a1\nowner expect FINISH a1 cause=47")
-        await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request is removed")
         await self.play(PLACE)
 
     async def test_requests_are_answered_when_the_policy_raises(self):
@@ -293,52 +293,52 @@
     servers = 2
 
     async def test_a_draining_server_gets_no_offer_though_the_policy_never_subscribes(self):
-        """Guards against a bus that is read only where the module asks: it does not where changes come."""
+        """Guards against reading the bus only if the policy subscribes: in automatic mode it does not."""
         self.assertEqual("automatic", SETTINGS["registryMode"])
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         await self.play("bus send s1=draining")
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event is applied")
         for n in range(8):
             await self.play(f"owner send START a{n}\ns2 expect SET_UP a{n}")
         self.assertTrue(self.parties["s1"].received.empty())
 
     async def test_the_bus_subscription_resumes_after_a_break(self):
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         self.bus.reset()
         self.bus.add([self.target("s1", "gone")], notify=False)
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event is applied")
 
     async def test_a_truncated_event_is_requested_again_and_a_duplicate_is_ignored(self):
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         self.bus.add([self.target("s1", "draining")], notify=False)
         event_bytes = self.bus.encode(self.bus.events[-1])
         old = self.gateway.bus._connection
         before = old.last_received
         self.bus.writers[-1].write(event_bytes[:-9])
-        await self.until(lambda: old.last_received > before, "a part of it was read")
+        await self.until(lambda: old.last_received > before, "a part of the event is read")
         self.bus.reset()
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event was asked for again")
-        await self.until(lambda: self.bus.writers, "the bus is read again")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event is received again")
+        await self.until(lambda: self.bus.writers, "the bus is connected again")
         self.bus.writers[-1].write(event_bytes + event_bytes)
         self.bus.add([self.target("s1")])
-        await self.until(lambda: self.gateway.servers_list.offset == 3, "the next event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 3, "the next event is applied")
         self.assertEqual(1, sum("event 2:" in text for text in self.logged), self.logged)
 
     async def test_a_silent_bus_connection_is_replaced(self):
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         self.bus.hung = True
         old = list(self.bus.writers)
         self.bus.add([self.target("s1", "gone")], notify=False)
         await self.until(lambda: set(self.bus.writers) - set(old), "a new connection")
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the missed event is applied")
 
     async def test_a_reused_address_is_treated_as_a_new_server(self):
-        """Guards against links by address: the old uid's tasks are gone, the new one's are its own."""
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        """Guards against links kept by address: tasks of the old uid are lost, the new uid has none."""
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         await self.play("""
             bus send s2=draining
         """)
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the drain was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the drain is applied")
         await self.play(PLACE)
         new = {**self.target("s1"), "uid": "u-new"}
         self.bus.add([self.target("s1", "gone"), new])
@@ -349,9 +349,9 @@
         """)
 
     async def test_tasks_from_before_a_server_restart_are_lost(self):
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         await self.play("bus send s2=draining")
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the drain was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the drain is applied")
         await self.play(PLACE)
         self.boot_times_ms["s1"] = 99_999_999_999_999
         await self.play("bus send s1=ready\nowner expect FINISH a1 cause=41")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,8 +1,8 @@
-"""Two events that come between two lines of the platform's front, in the order that does harm.
+"""Races between two events in the platform's front, forced into the harmful order.
 
-Each test brings its order about by events: bytes that are written in one turn of the loop are read in the
-next one together, and a connect is held back until what has to come first has come. The list of all orders
-that were looked at is in docs/races.md.
+Each test enforces its order by events: bytes written in one iteration of the event loop are read together in
+the next one, and a connect is delayed until the event that has to precede it. docs/races.md lists all orders
+that were examined.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 class Races(Scenario):
     def hold_connects(self, refuse=()):
-        """Connects to servers wait for `gate`; `refuse` holds what the first of them fail with."""
+        """Delay connects to servers until `connect_gate` is set; the first raise the errors in `refuse`."""
         real, faults = self.gateway.servers.connect, list(refuse)
         self.connect_gate, self.connect_started = asyncio.Event(), asyncio.Event()
 
@@ -48,21 +48,21 @@
         self.gateway.servers.connect = connect
 
     def link(self, name="s1"):
-        """What the gateway holds on one server."""
+        """Return the gateway's link to a server."""
         return next(link for link in self.gateway.servers._links.values() if link.server.uid == f"u-{name}")
 
     async def asyncTearDown(self):
-        for party in self.parties.values():  # those that the gateway has closed need no reset
+        for party in self.parties.values():  # connections closed by the gateway need no reset
             party.writers = [writer for writer in party.writers if not writer.is_closing()]
         await super().asyncTearDown()
 
     async def wait_for_message(self, *queues):
-        """Until the first of these queues holds a message."""
+        """Wait until one of these queues holds a message."""
         await self.until(lambda: any(not queue.empty() for queue in queues), "a message")
 
 
 class CrossingAnswers(Races):
-    """An answer of a server is read in the same turn as what ends the attempt."""
+    """A server's answer is read in the same loop iteration as the event that ends the attempt."""
 
     async def cancel_with(self, *writes):
         await self.play("owner send START a1 class=keyed idem=5c\ns1 expect SET_UP a1")
@@ -70,9 +70,9 @@
             "answer": lambda: self.parties["s1"].send("ANSWER", "a1", {}, "v=0"),
             "end": lambda: self.parties["owner"].send("FINISH", "a1", {"cause": "16"}, ""),
         }
-        for word in writes:  # no turn of the loop in between
+        for word in writes:  # within one loop iteration
             words[word]()
-        # One connection to the server, in order: the task must be ended there before anything newer comes.
+        # Messages on the connection are in order: the release of a1 must precede the offer of a2.
         await self.play("owner send START a2 class=safe\ns1 expect RELEASE a1\ns1 expect SET_UP a2")
 
     async def test_a_task_answered_just_before_its_cancellation_is_released(self):
@@ -82,7 +82,7 @@
         await self.cancel_with("end", "answer")
 
     async def cross_with_answer(self, word):
-        """The word is told in the turn in which the answer is read, ahead of it."""
+        """Deliver a message to the request just before the server's answer, in the same loop iteration."""
         handle = ServerLink._handle
 
         def crossing(link, message):
@@ -97,9 +97,9 @@
             await self.play("s1 send ANSWER a1 | v=0 s=9")
             server, owner = self.parties["s1"], self.parties["owner"]
             await self.wait_for_message(server.received, owner.received)
-        if server.received.empty():  # the answer went before what crossed it
+        if server.received.empty():  # the answer took precedence
             self.assertEqual("STARTED", owner.received.get_nowait()[0])
-        else:  # or the task was ended where it stood, before anything else went out
+        else:  # the task was released at its server before any other message
             self.assertEqual(("RELEASE", tag("a1")), server.received.get_nowait()[:2])
 
     async def test_an_attempt_cancelled_as_its_answer_arrives_is_not_repeated(self):
@@ -114,10 +114,10 @@
         server.send("ANSWER", "a1", {}, "v=0")
         server.send("RELEASE", "a1", {"cause": "16"}, "")
         await self.play("owner expect STARTED a1\nowner expect FINISH a1 cause=16")
-        await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request is removed")
 
     async def test_a_late_answer_of_a_cancelled_attempt_is_not_taken_for_the_next_attempt(self):
-        """Attempts of one request at one server have the same id on the wire."""
+        """Attempts of one request at one server have the same tag on the wire."""
         await self.play("owner send START a1\ns1 expect SET_UP a1")
         [lifecycle] = self.gateway.core.requests
         lifecycle.deliver(Cancel(lifecycle.id, 0))
@@ -125,7 +125,7 @@
         server, owner = self.parties["s1"], self.parties["owner"]
         await self.wait_for_message(server.received, owner.received)
         if server.received.empty():
-            return  # no further attempt is made there
+            return  # no further attempt was made at this server
         await self.play("""
             s1 expect SET_UP a1
             s1 send ANSWER a1 | v=first
@@ -146,10 +146,10 @@
         self.hold_connects()
         await self.play("owner send START a1")
         await self.until(self.connect_started.is_set, "a connect to the server")
-        await self.until(lambda: self.link().records.probes, "the probe of the first draw")
+        await self.until(lambda: self.link().records.probes, "a waiting probe")
         await self.until(lambda: self.link().records.in_flight, "an offer that waits for the connection")
         await self.play("owner close")
-        await self.until(lambda: not self.gateway.core.requests, "the request was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request is removed")
         self.connect_gate.set()
         await self.play("owner2 send START a2\ns1 expect SET_UP a2")
 
@@ -157,41 +157,41 @@
         await self.play(PLACE)
         self.hold_connects(refuse=[TimeoutError()])
         await self.play("s1 close")
-        await self.until(self.connect_started.is_set, "connected anew for the standing task")
+        await self.until(self.connect_started.is_set, "the reconnect for the running task")
         await self.play("owner send FINISH a1 cause=16")
         await self.until(
             lambda: self.link().records.running[tag("a1")].end_request, "the release waits for the connection"
         )
         self.connect_gate.set()
-        await self.until(lambda: self.parties["s1"].writers, "the second dial came up")
+        await self.until(lambda: self.parties["s1"].writers, "the second connect succeeds")
         await self.play("owner send START a2\ns1 expect RELEASE a1\ns1 expect SET_UP a2")
 
     async def test_a_release_request_lost_with_its_connection_is_repeated(self):
-        """What a connection that is reset has brought may or may not have been read; the task stands on."""
+        """The server may not have read the release request before the reset, so its task may still run."""
         await self.play(PLACE + "owner send FINISH a1 cause=16\ns1 expect RELEASE a1")
         server = self.parties["s1"]
         server.connected.clear()
         server.reset()
-        await self.until(server.connected.is_set, "connected anew for the standing task")
+        await self.until(server.connected.is_set, "the reconnect for the running task")
         await self.play("owner send START a2\ns1 expect RELEASE a1\ns1 expect SET_UP a2")
 
     async def assert_task_survives(self, name="a1"):
-        """The server is connected to again, and its own word is the first that the owner hears of an end."""
+        """The link reconnects, and the client is notified of an end only when the server sends one."""
         server, owner = self.parties["s1"], self.parties["owner"]
         await self.until(
-            lambda: server.writers or not owner.received.empty(), "connected anew, or told as cut"
+            lambda: server.writers or not owner.received.empty(), "a reconnect, or a notification of loss"
         )
-        self.assertTrue(owner.received.empty(), f"told as cut: {self.logged[-1]}")
+        self.assertTrue(owner.received.empty(), f"reported as lost: {self.logged[-1]}")
         await self.play(f"s1 send RELEASE {name} cause=16\nowner expect FINISH {name} cause=16")
 
     async def test_a_task_survives_the_reset_of_a_new_connection(self):
-        """A reset of a connection that came up is no refusal: the server lives."""
+        """The reset of an accepted connection is not a refused connect: the server is alive."""
         await self.play(PLACE)
         real, resets = connection.IOStream.connect, []
         accepting = self.parties["s1"].server.sockets[0]._sock
 
         def connect(stream, address):
-            """Up, and reset before the loop has had a turn."""
+            """Connect; the first connection is reset before the next loop iteration."""
             up = real(stream, address)
             if not resets:
                 accepted, _ = accepting.accept()
@@ -202,11 +202,11 @@
 
         with unittest.mock.patch.object(connection.IOStream, "connect", connect):
             await self.play("s1 close")
-            await self.until(lambda: resets, "a connection that was reset")
+            await self.until(lambda: resets, "the reset of a new connection")
             await self.assert_task_survives()
 
     async def test_a_task_survives_two_slow_connects_in_a_row(self):
-        """Connections may come up as late as after 1 s, and an end may be told as late as after 8 s."""
+        """A connect may take up to 1 s, and an end may be reported up to 8 s late."""
         await self.play(PLACE)
         self.hold_connects(refuse=[TimeoutError(), TimeoutError()])
         self.connect_gate.set()
@@ -222,42 +222,40 @@
         self.parties["new"] = new
         host, port = new.endpoint
         self.bus.add([{**self.target("s1"), "endpoint": f"{host}:{port}"}])
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the new address was told")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the new address is applied")
         self.connect_gate.set()
         await self.wait_for_message(old.received, new.received)
-        self.assertTrue(old.received.empty(), "a set-up went to the address that it has left")
+        self.assertTrue(old.received.empty(), "an offer was sent to the old address")
 
 
 class ReachabilityChecks(Races):
     async def test_a_reachability_check_leaves_a_newer_connection_open(self):
         await self.play("owner send START a1 class=unsafe\ns1 expect SET_UP a1\ns1 hang")
         link, server = self.link(), self.parties["s1"]
-        link.silence._busy_extensions = (
-            MAX_BUSY_EXTENSIONS  # this trial is the last that the silent connection is excused for
-        )
+        link.silence._busy_extensions = MAX_BUSY_EXTENSIONS  # the next extension drops the silent connection
         real, dials, connect_gate = self.gateway.servers.connect, [], asyncio.Event()
 
         async def connect(server_arg):
             dials.append(server_arg)
-            if len(dials) == 1:  # that of the trial
+            if len(dials) == 1:  # the connect of the reachability check
                 await connect_gate.wait()
             return await real(server_arg)
 
         self.gateway.servers.connect = connect
-        await self.until(lambda: dials, "the trial's connect")
+        await self.until(lambda: dials, "the connect of the reachability check")
         server.reset()
         server.hung = False
         await self.play(
             "owner expect FINISH a1 cause=47\nowner send START a2 class=unsafe\ns1 expect SET_UP a2"
         )
         connect_gate.set()
-        await self.until(lambda: not link.silence.is_checking, "the end of the trial")
+        await self.until(lambda: not link.silence.is_checking, "the end of the reachability check")
         await self.play("s1 send ANSWER a2\nowner expect STARTED a2")
 
 
 class DepartedClients(Races):
     async def test_a_client_that_closed_before_it_was_accepted_gets_no_attempt(self):
-        """Its request and its close wait in the system together."""
+        """The request and the close are both pending in the kernel when the connection is accepted."""
         for n, linger in enumerate((None, connection.NO_LINGER)):
             client = socket.create_connection(self.gateway.listener.address)
             client.sendall(line(f"a{n}", **REQUEST_FIELDS))
@@ -265,7 +263,7 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             client.close()
         await self.play("owner send START b1\ns1 expect SET_UP b1")
-        await self.until(lambda: len(self.gateway.core.requests) == 1, "the others were forgotten")
+        await self.until(lambda: len(self.gateway.core.requests) == 1, "the other requests are removed")
         self.assertTrue(self.parties["s1"].received.empty())
 
     async def test_a_request_and_its_cancellation_in_one_read_make_no_attempt(self):
@@ -273,7 +271,7 @@
         await owner.open(self.gateway.listener.address)
         owner.writers[0].write(line("a1", **REQUEST_FIELDS) + line("a1", "FINISH"))
         await self.play("owner send START b1\ns1 expect SET_UP b1")
-        await self.until(lambda: len(self.gateway.core.requests) == 1, "the other was forgotten")
+        await self.until(lambda: len(self.gateway.core.requests) == 1, "the cancelled request is removed")
 
 
 DEDUP_WINDOW_S = 0.2
@@ -291,8 +289,7 @@
     settings = SHORT_WINDOW
 
     async def test_a_retry_that_waits_for_a_connect_is_not_sent_after_the_window(self):
-        """The time limits are 50 ms longer on sockets; this dial comes up 60 ms after the window, and within
-        the time that a dial has."""
+        """Time limits are 50 ms longer on sockets: this connect succeeds 60 ms after the window, in time."""
         await self.play("owner send START a1 left=900 class=keyed idem=5c")
         servers = [self.parties["s1"], self.parties["s2"]]
         await self.wait_for_message(*(server.received for server in servers))
@@ -306,19 +303,19 @@
         owner = self.parties["owner"]
         await self.until(
             lambda: self.connect_started.is_set() or not owner.received.empty(),
-            "a connect for the further attempt, or the answer where none is made",
+            "a connect for the retry, or the final answer",
         )
         await asyncio.sleep(max(0.0, over - time.monotonic()))
         self.connect_gate.set()
         await self.wait_for_message(owner.received, *(server.received for server in servers))
         late = [server.received.get_nowait()[0] for server in servers if not server.received.empty()]
-        self.assertEqual([], late, "a further attempt after the window")
+        self.assertEqual([], late, "an attempt after the deduplication window")
         self.assertEqual("FINISH", owner.received.get_nowait()[0])
 
 
 class Discovery(Races):
     async def test_a_full_list_of_a_large_fleet_is_applied(self):
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         first_target = {**self.target("s1"), "boot_ms": 0}
         fleet = [
             {
@@ -332,19 +329,19 @@
         self.bus.add([first_target, *fleet], is_full=True)
         await self.until(
             lambda: self.gateway.servers_list.offset == 2 or any("closed" in text for text in self.logged),
-            "the list was taken, or the connection closed",
+            "the list is applied, or the connection is closed",
         )
         self.assertEqual(2, self.gateway.servers_list.offset, [text[:200] for text in self.logged])
 
     async def test_an_event_with_a_duplicate_server_is_applied(self):
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         gone = self.target("s1", "gone")
         self.bus.add([gone, gone])
         nodes = self.gateway.driver._policy._cluster.machines
-        await self.until(lambda: not nodes, "the module heard that the server has gone")
+        await self.until(lambda: not nodes, "the policy has removed the server")
 
     async def test_a_new_bus_address_during_a_connect_leaks_no_connection_and_no_slot(self):
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         share, new = self.gateway.bus._share, Bus()
         await new.listen()
         self.parties["new"] = new
@@ -358,14 +355,14 @@
 
         with unittest.mock.patch.object(connection.IOStream, "connect", never):
             self.bus.reset()
-            await self.until(connect_started.is_set, "a dial to the old address")
+            await self.until(connect_started.is_set, "a connect to the old address")
             connection.IOStream.connect = real
             self.gateway.bus.change_endpoint(new.endpoint)
-        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event of the new bus was taken")
+        await self.until(lambda: self.gateway.servers_list.offset == 2, "the event of the new bus is applied")
         self.assertEqual(1, share.held)
 
     async def test_a_socket_that_cannot_be_created_returns_its_slot(self):
-        """A slot of the bus that is lost twice leaves the bus without any."""
+        """The bus has two slots: two leaked ones would leave it without any."""
         share = DescriptorShare(DescriptorBudget(64), 2)
         self.assertTrue(share.take())
         fault = OSError(errno.EMFILE, "too many open files")
@@ -377,7 +374,7 @@
         self.assertEqual(0, share.held)
 
     async def test_a_task_on_a_server_listed_later_is_not_reported_lost(self):
-        """A dispatcher that starts anew hears of its tasks at its first test, maybe before its list."""
+        """After a restart, clients may report their tasks before the list of machines is current."""
         self.parties["s2"] = server = Server()
         await server.listen()
         await self.play(f"""
@@ -387,36 +384,40 @@
             bus send s2=ready
         """)
         owner = self.parties["owner"]
-        await self.until(lambda: server.writers or not owner.received.empty(), "connected, or told as cut")
+        await self.until(
+            lambda: server.writers or not owner.received.empty(), "a connection, or a notification of loss"
+        )
         await self.play("s2 send RELEASE b1 cause=16\nowner expect FINISH b1 cause=16")
 
 
 class FewDescriptors(Races):
-    """Twenty descriptors beside the bus's own: twelve at most for links to servers, twelve for clients."""
+    """20 descriptors beside those of the bus: at most 12 for links to servers and 12 for clients."""
 
     servers = 11
     sockets = 46
-    client_count = 12  # clients beside the owner: more than there are descriptors for
+    client_count = 12  # beside the owner; more than there are descriptors for
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        await self.until(lambda: self.bus.writers, "the bus is read")
+        await self.until(lambda: self.bus.writers, "the bus is connected")
         names = [f"s{n}" for n in range(1, self.servers + 1)]
         for name in names:
             await self.play(f"owner send START b-{name} {RUNNING_ON.format(name)}")
-        await self.until(lambda: all(self.parties[name].writers for name in names), "all links are up")
+        await self.until(
+            lambda: all(self.parties[name].writers for name in names), "connections to all servers"
+        )
 
     async def connect_clients(self, text):
-        """Four clients at once, which is more than there are descriptors for."""
+        """Connect `client_count` clients at once, for which there are not enough descriptors."""
         for n in range(self.client_count):
             await self.play(text.format(n))
-        await self.play("owner send ECHO t9\nowner expect ECHOED t9")  # the listener had its turns
+        await self.play("owner send ECHO t9\nowner expect ECHOED t9")  # the listener has accepted what it can
 
     async def test_a_returning_bus_gets_a_descriptor_whatever_clients_and_servers_hold(self):
-        """What it would have told counts as told after 4 s."""
+        """Events missed while the bus is down count as delivered 4 s after its return."""
         self.bus.server.close()
         self.bus.reset()
-        await self.until(lambda: not self.gateway.bus._share.held, "the bus gave its descriptor back")
+        await self.until(lambda: not self.gateway.bus._share.held, "the bus returned its descriptor")
         await self.connect_clients("idle{0} send ECHO t0")
         self.bus.connected.clear()
         await self.bus.listen(self.bus.endpoint)
@@ -437,37 +438,37 @@
                 raise
 
         self.gateway.servers.connect = connect
-        # The last of them wait in the system: they get the descriptor that the link gives back. Each has a
-        # task, so none of them is closed to make room.
+        # The last clients wait in the backlog and get the descriptor that the link returns. Each client has a
+        # task, so that none is evicted.
         await self.connect_clients(f"next{{0}} send START c{{0}} {RUNNING_ON.format('s2')}")
         await self.play("s1 close")
         await self.until(
             lambda: len(refused) > 3 or not owner.received.empty() or server.writers,
-            "connected anew, or out of descriptors several times, or told as cut",
+            "a reconnect, several failures for lack of a descriptor, or a notification of loss",
         )
-        self.assertTrue(owner.received.empty(), f"told as cut: {self.logged[-1]}")
+        self.assertTrue(owner.received.empty(), f"reported as lost: {self.logged[-1]}")
         for n in range(self.client_count):
             await self.play(f"next{n} close")
-        await self.until(lambda: server.writers, "connected anew for the standing task")
+        await self.until(lambda: server.writers, "the reconnect for the running task")
         await self.play("s1 send RELEASE b-s1 cause=16\nowner expect FINISH b-s1 cause=16")
 
 
 class PartialRequests(Races):
     async def send_half_a_request(self):
-        """A client that has been connected for a while, and has just sent a half of its first request."""
+        """Connect a client that sends half of its first request; return it, its link and the other half."""
         self.parties["owner"] = owner = Owner()
         await owner.open(self.gateway.listener.address)
         data = line("a1", **REQUEST_FIELDS)
         owner.writers[0].write(data[:40])
         await self.until(
             lambda: any(link.connection.incomplete_since for link in self.gateway.clients.connections),
-            "a half was read",
+            "the first half is read",
         )
         [link] = self.gateway.clients.connections
         return owner, link, data[40:]
 
     async def assert_request_completes(self, owner, link, rest):
-        self.assertFalse(link.connection.closed, "closed within a message that began just now")
+        self.assertFalse(link.connection.closed, "closed although a message has just begun")
         owner.writers[0].write(rest)
         await self.play("s1 expect SET_UP a1")
 
@@ -475,7 +476,7 @@
         owner, link, rest = await self.send_half_a_request()
         link.last_used -= (
             client_connection.COMPLETE_MESSAGE_TIMEOUT_S + 0.1
-        )  # as if it had connected that long ago
+        )  # simulates a connection that is older than the limit
         self.gateway.clients.sweep(time.monotonic())
         await self.assert_request_completes(owner, link, rest)
 
@@ -497,20 +498,20 @@
         await self.until(lambda: len(self.gateway.clients.connections) == 2, "the silent client is connected")
         await self.play("owner close")
         await self.until(
-            lambda: len(self.gateway.clients.connections) == 1, "the owner's connection has ended"
+            lambda: len(self.gateway.clients.connections) == 1, "the end of the owner's connection"
         )
         await self.play("s1 send RELEASE a1 cause=16")
-        await self.until(lambda: not self.gateway.core.requests, "the end was heard")
+        await self.until(lambda: not self.gateway.core.requests, "the end of the task is received")
         await self.play("owner2 send ECHO t0\nowner2 expect FINISH a1 cause=16")
         self.assertTrue(silent.received.empty())
 
 
 class Cancellations(Races):
     async def test_occasional_cancellations_do_not_close_the_connection(self):
-        """Only many at a time do: a connection that lives for long takes some back in its whole life."""
+        """Only frequent cancellations count: a long-lived connection may cancel many requests in total."""
         with unittest.mock.patch.object(
             client_connection, "IMMEDIATE_CANCEL_WINDOW_S", 0.0
-        ):  # each is long after the last
+        ):  # no two cancellations fall within the window
             for n in range(2 * client_connection.MAX_IMMEDIATE_CANCELS):
                 await self.play(f"owner send START b{n}\nowner send FINISH b{n} cause=16")
             await self.play("owner send START a1\nowner send ECHO t0\nowner expect ECHOED t0")
@@ -526,7 +527,7 @@
 
 class GracefulShutdown(Races):
     async def test_pending_connections_are_answered_when_listening_ends(self):
-        """More than the listener accepts in one turn, each with a request written before listening ends."""
+        """More clients than one accept batch, each with a request written before listening ends."""
         loop, sockets = asyncio.get_running_loop(), []
         fields = {**REQUEST_FIELDS, "left": "300"}
         with unittest.mock.patch.object(gateway_module, "LISTEN_ON_S", 0):
@@ -544,14 +545,14 @@
                 except ConnectionResetError:
                     answers.append(b"")
         await asyncio.wait_for(shutdown, EVENT_TIMEOUT_S)
-        self.assertEqual(40, sum(b"FINISH" in answer for answer in answers), "requests with an answer")
+        self.assertEqual(40, sum(b"FINISH" in answer for answer in answers), "answered requests")
 
     async def test_a_request_received_before_the_connections_close_is_answered(self):
         await self.play("owner send ECHO t0\nowner expect ECHOED t0")
         owner, finish_all = self.parties["owner"], self.gateway.clients.finish_all
 
         async def send_request_first(within):
-            owner.send("START", "a1", {}, "v=0")  # in our socket, and not read yet
+            owner.send("START", "a1", {}, "v=0")  # received by the kernel, not read yet
             await finish_all(within)
 
         self.gateway.clients.finish_all = send_request_first
