--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -230,9 +230,8 @@
                 await self.wait_past_the_limit()
                 server.answer_probes()
                 await self.assert_no_late_offers()
-                await asyncio.sleep(
-                    1.6
-                )  # until the load report expires, so that the next request probes again
+                # Until the load report expires, so that the next request probes again.
+                await asyncio.sleep(1.6)
 
     async def test_a_client_that_leaves_during_a_backoff_gets_no_further_attempt(self) -> None:
         for n, how in enumerate(DEPARTURES):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -99,9 +99,8 @@
             self.request_count += 1
             name = f"n{self.request_count}"
             began = time.monotonic()
-            extras = (
-                f"cores:1;memory:2;service:{self.request_count}"  # each service has its own home machines
-            )
+            # Each service has its own home machines.
+            extras = f"cores:1;memory:2;service:{self.request_count}"
             await self.play(f"new send START {name} left={DEADLINE_MS} extras={extras}")
             await self.play(f"new expect STARTED {name}")
             longest = max(longest, time.monotonic() - began)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -66,12 +66,12 @@
 
     async def cancel_with(self, *writes):
         await self.play("owner send START a1 class=keyed idem=5c\ns1 expect SET_UP a1")
-        words = {
+        actions = {
             "answer": lambda: self.parties["s1"].send("ANSWER", "a1", {}, "v=0"),
             "end": lambda: self.parties["owner"].send("FINISH", "a1", {"cause": "16"}, ""),
         }
-        for word in writes:  # within one loop iteration
-            words[word]()
+        for action in writes:  # within one loop iteration
+            actions[action]()
         # Messages on the connection are in order: the release of a1 must precede the offer of a2.
         await self.play("owner send START a2 class=safe\ns1 expect RELEASE a1\ns1 expect SET_UP a2")
 
@@ -81,13 +81,13 @@
     async def test_a_task_answered_just_after_its_cancellation_is_released(self):
         await self.cancel_with("end", "answer")
 
-    async def cross_with_answer(self, word):
+    async def cross_with_answer(self, crossing_message):
         """Deliver a message to the request just before the server's answer, in the same loop iteration."""
         handle = ServerLink._handle
 
         def crossing(link, message):
             if message.tag == tag("a1") and self.lifecycles:
-                self.lifecycles.pop().deliver(word)
+                self.lifecycles.pop().deliver(crossing_message)
             handle(link, message)
 
         self.lifecycles = []
@@ -233,16 +233,16 @@
         await self.play("owner send START a1 class=unsafe\ns1 expect SET_UP a1\ns1 hang")
         link, server = self.link(), self.parties["s1"]
         link.silence._busy_extensions = MAX_BUSY_EXTENSIONS  # the next extension drops the silent connection
-        real, dials, connect_gate = self.gateway.servers.connect, [], asyncio.Event()
+        real, connects, connect_gate = self.gateway.servers.connect, [], asyncio.Event()
 
-        async def connect(server_arg):
-            dials.append(server_arg)
-            if len(dials) == 1:  # the connect of the reachability check
+        async def connect(target):
+            connects.append(target)
+            if len(connects) == 1:  # the connect of the reachability check
                 await connect_gate.wait()
-            return await real(server_arg)
+            return await real(target)
 
         self.gateway.servers.connect = connect
-        await self.until(lambda: dials, "the connect of the reachability check")
+        await self.until(lambda: connects, "the connect of the reachability check")
         server.reset()
         server.hung = False
         await self.play(
@@ -335,8 +335,8 @@
 
     async def test_an_event_with_a_duplicate_server_is_applied(self):
         await self.until(lambda: self.bus.writers, "the bus is connected")
-        gone = self.target("s1", "gone")
-        self.bus.add([gone, gone])
+        removed = self.target("s1", "gone")
+        self.bus.add([removed, removed])
         nodes = self.gateway.driver._policy._cluster.machines
         await self.until(lambda: not nodes, "the policy has removed the server")
 
@@ -414,7 +414,7 @@
         await self.play("owner send ECHO t9\nowner expect ECHOED t9")  # the listener has accepted what it can
 
     async def test_a_returning_bus_gets_a_descriptor_whatever_clients_and_servers_hold(self):
-        """Events missed while the bus is down count as delivered 4 s after its return."""
+        """Events missed while the bus is down count as delivered after 4 s."""
         self.bus.server.close()
         self.bus.reset()
         await self.until(lambda: not self.gateway.bus._share.held, "the bus returned its descriptor")
--- a/weldhatch/net/connection.py
+++ b/weldhatch/net/connection.py
@@ -116,10 +116,8 @@
             return False
         if self._reading.done() or self.closed or self._stream.closed():
             return True
-        if (
-            descriptor := self._stream.socket.fileno()
-        ) < 0:  # a simulated socket, which delivers all input at once
-            return False
+        if (descriptor := self._stream.socket.fileno()) < 0:
+            return False  # a simulated socket, which delivers all input at once
         poll = select.poll()
         poll.register(descriptor, select.POLLIN)
         return bool(poll.poll(0))
@@ -128,9 +126,8 @@
         """Queue the bytes; return False if the connection is closed, or closes as its buffer is full."""
         if not self.queue(data):
             return False
-        if (
-            self._flushing is None and not self._is_flush_scheduled
-        ):  # bytes sent in one loop iteration are written together
+        if self._flushing is None and not self._is_flush_scheduled:
+            # Bytes sent in one loop iteration are written together.
             self._is_flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush_scheduled_data)
         return True
--- a/weldhatch/platform/client_connection.py
+++ b/weldhatch/platform/client_connection.py
@@ -13,8 +13,8 @@
 MAX_IDLE_S = 6.0  # clients close their idle connections after 4 s
 # Idle connections with running tasks may be evicted after this time: tasks are not bound to a connection.
 MAX_IDLE_WITH_TASKS_S = 1.0
-COMPLETE_MESSAGE_TIMEOUT_S = 2.0  # limit for receiving the rest of a message, or a first one
-FIRST_MESSAGE_TIMEOUT_S = 2.8  # limit for the first message where it began within COMPLETE_MESSAGE_TIMEOUT_S
+COMPLETE_MESSAGE_TIMEOUT_S = 2.0  # limit for completing a message, and for the first bytes on a connection
+FIRST_MESSAGE_TIMEOUT_S = 2.8  # total limit for a first message that began within COMPLETE_MESSAGE_TIMEOUT_S
 INCOMPLETE_GRACE_S = 0.5  # an incomplete message younger than this protects its connection from eviction
 SWEEP_INTERVAL_S = 0.2
 REJECTED_CLOSE_DELAY_S = 0.4  # slows down rejected clients that reconnect as soon as they are closed
@@ -88,8 +88,8 @@
     def send(self, data: bytes) -> bool:
         """Send an answer or the end of a task; return False if the connection has ended.
 
-        Sending counts as use. Otherwise the sweep could close a connection that is idle since its last task
-        ended before the data is written.
+        Sending counts as use. Otherwise the sweep could close a long idle connection, once its last task has
+        ended, before the data is written.
         """
         self.last_used = time.monotonic()
         return self.connection.send(data)
--- a/weldhatch/platform/health_check.py
+++ b/weldhatch/platform/health_check.py
@@ -21,9 +21,8 @@
 class HealthCheckSchedule:
     """The quiet limit of servers, by cells (zone, cell) with unresponsive servers; times in seconds."""
 
-    _cells: dict[tuple[int, int], float] = field(
-        default_factory=dict
-    )  # time of the last unresponsive server, oldest first
+    # Time of the last unresponsive server by cell, oldest first.
+    _cells: dict[tuple[int, int], float] = field(default_factory=dict)
     _zones: Counter[int] = field(default_factory=Counter)  # number of suspect cells by zone
 
     def mark_unresponsive(self, now: float, zone: int, cell: int) -> None:
--- a/weldhatch/platform/server_codec.py
+++ b/weldhatch/platform/server_codec.py
@@ -108,9 +108,8 @@
     if length < 9 or length > MAX_MESSAGE_BYTES:
         raise MalformedMessageError(f"a message of {length} bytes")
     if len(ring) > 2 and (kind := ring.copy(1, 2)[0]) not in TYPES:
-        raise MalformedMessageError(
-            f"a message of unknown type {kind}"
-        )  # raised before the message is complete, to buffer nothing of it
+        # Raised before the message is complete, so that the rest of it is not buffered.
+        raise MalformedMessageError(f"a message of unknown type {kind}")
     if len(ring) < 2 + length:
         return None
     data = ring.take(2 + length)
