--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -30,7 +30,7 @@
     name: getattr(server_codec, name)
     for name in ("SET_UP", "PROGRESS", "ANSWER", "RELEASE", "RELEASE_HEARD", "NOTE", "MOVE", "TEST", "TESTED")
 }
-NAMES = {number: name for name, number in TYPES.items()}
+TYPE_NAMES = {number: name for name, number in TYPES.items()}
 CODES = {"class": 64, "left": 65, "name": 68, "topic": 71, "report": 73, "figure": 76, "key": 77, "cause": 78}
 SETTINGS = {
     "classes": [
@@ -148,7 +148,7 @@
                 }
                 if 78 in parameters:
                     fields["cause"] = str(parameters[78][0])
-                self.received.put_nowait((NAMES[kind], name, fields, parameters.get(79, b"").decode()))
+                self.received.put_nowait((TYPE_NAMES[kind], name, fields, parameters.get(79, b"").decode()))
 
     def send(self, kind, name, fields, description):
         parameters = {
@@ -168,9 +168,11 @@
 
     async def read(self, reader, writer):
         while line := await reader.readline():
-            m = json.loads(line)
-            fields = {**m["opts"], **({"cause": str(m["rc"])} if "rc" in m else {})}
-            self.received.put_nowait((m["verb"], bytes.fromhex(m["tag"]), fields, m.get("blob", "")))
+            message = json.loads(line)
+            fields = {**message["opts"], **({"cause": str(message["rc"])} if "rc" in message else {})}
+            self.received.put_nowait(
+                (message["verb"], bytes.fromhex(message["tag"]), fields, message.get("blob", ""))
+            )
 
     def send(self, kind, name, fields, description):
         message = {"verb": kind, "tag": tag(name).hex(), "opts": {}}
@@ -302,23 +304,23 @@
     async def play(self, text):
         for line in filter(None, map(str.strip, text.splitlines())):
             try:
-                await asyncio.wait_for(self.line(line), EVENT_TIMEOUT_S)
+                await asyncio.wait_for(self.run_line(line), EVENT_TIMEOUT_S)
             except (TimeoutError, AssertionError) as fault:
                 raise AssertionError(f"{line}: {fault or 'no message arrived'}; log: {self.logged}") from None
 
     new_party_class = Owner  # class of the stand-in for a name used for the first time
 
-    async def line(self, line):
+    async def run_line(self, line):
         words, _, description = line.partition(" | ")
-        who, verb, *rest = words.split()
-        if who not in self.parties:
-            self.parties[who] = self.new_party_class()
-            await self.parties[who].open(self.gateway.listener.address)
-        party = self.parties[who]
+        party_name, verb, *rest = words.split()
+        if party_name not in self.parties:
+            self.parties[party_name] = self.new_party_class()
+            await self.parties[party_name].open(self.gateway.listener.address)
+        party = self.parties[party_name]
         fields = dict(word.split("=", 1) for word in rest if "=" in word)
         rest = [word for word in rest if "=" not in word]
         match verb:
-            case "send" if who == "bus":
+            case "send" if party_name == "bus":
                 party.add([self.target(name, state) for name, state in fields.items()])
             case "send":
                 party.send(rest[0], rest[1], fields, description)
@@ -331,9 +333,9 @@
                         found = found[int(step)] if step.isdigit() else found.get(step)
                     self.assertEqual(value, str(found), body)
             case "expect":
-                kind, name, got, blob = await party.received.get()
+                kind, name, received_fields, blob = await party.received.get()
                 self.assertEqual((rest[0], tag(rest[1])), (kind, name))
-                self.assertEqual(fields, {word: got.get(word) for word in fields})
+                self.assertEqual(fields, {key: received_fields.get(key) for key in fields})
                 if " | " in line:
                     self.assertEqual(description, blob)
             case "close":
--- a/weldhatch/platform/servers.py
+++ b/weldhatch/platform/servers.py
@@ -250,7 +250,7 @@
     # ---- health checks -------------------------------------------------------------------------------------
 
     def check_health(self, link: ServerLink) -> None:
-        """Send a health check: any answer shows that the server lives, and its load report is processed."""
+        """Send a health check: any answer shows that the server responds; its load report is processed."""
         message = self.health_check_message()
         link.send(message, message)
 
