--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,15 +1,16 @@
-"""A small language for scenarios on loopback sockets: who, then send, expect, close or wait.
-
-    owner send START a1 class=safe          an owner's line; a tag is made of the short name a1
-    s1 expect SET_UP a1 class=safe          the next message of server s1 that is no test
-    s1 send ANSWER a1 | v=0                 what follows the bar is the description
-    s1 close                                reset its connections; `s1 stop`: and refuse new ones
-    s1 hang                                 read no more and say nothing, as a machine that vanished
-    bus send s1=gone                        one event of the bus
-    owner wait closed                       until the gateway has closed that connection
+"""A small scenario language for tests on loopback sockets. Each line names a stand-in and an action.
+
+    owner send START a1 class=safe          a message of a client; the tag is derived from the name a1
+    s1 expect SET_UP a1 class=safe          the next message to server s1 other than a health check or probe
+    s1 send ANSWER a1 | v=0                 the description follows the bar
+    s1 close                                reset its connections; `s1 stop` also refuses new ones
+    s1 hang                                 handle and send no more messages, as an unresponsive machine
+    bus send s1=gone                        an event of the bus
+    owner wait closed                       wait until the gateway has closed the connection
     p1 send POST tasks | {"class": ...}     a request to the pull queue; `expect 200 a.0.b=x` its answer
 
-Every `expect` and `wait` waits for its event, and fails after LONG seconds: no scenario guesses at a sleep.
+Every `expect` and `wait` waits for its event and fails after EVENT_TIMEOUT_S, so that scenarios need no fixed
+sleeps.
 """
 
 import asyncio
@@ -24,12 +25,12 @@
 from weldhatch.gateway import Gateway
 from weldhatch.platform import server_codec
 
-LONG = 40.0  # seconds until a state that is waited for counts as never
+EVENT_TIMEOUT_S = 40.0  # how long an expected event may take
 TYPES = {
     name: getattr(server_codec, name)
     for name in ("SET_UP", "PROGRESS", "ANSWER", "RELEASE", "RELEASE_HEARD", "NOTE", "MOVE", "TEST", "TESTED")
 }
-NAMES = {number: name for name, number in TYPES.items()}
+TYPE_NAMES = {number: name for name, number in TYPES.items()}
 CODES = {"class": 64, "left": 65, "name": 68, "topic": 71, "report": 73, "figure": 76, "key": 77, "cause": 78}
 SETTINGS = {
     "classes": [
@@ -79,8 +80,8 @@
     return name.encode().ljust(8, b"\0")
 
 
-def parts_of(data):
-    """A server's message without its length: its type, its task, its parameters by code."""
+def split_message(data):
+    """Split a server message, given without its length, into type, tag and parameters by code."""
     parameters, at = {}, 9
     while at < len(data):
         code, size = struct.unpack_from(">BH", data, at)
@@ -89,11 +90,11 @@
     return data[0], data[1:9], parameters
 
 
-class Party:
-    """One stand-in: what it has received, and the connections it speaks on."""
+class StandIn:
+    """A stand-in for one peer of the gateway: its connections, and the messages it has received."""
 
     def __init__(self):
-        self.heard = asyncio.Queue()
+        self.received = asyncio.Queue()
         self.writers = []
         self.server = None
         self.closed, self.connected = asyncio.Event(), asyncio.Event()
@@ -116,14 +117,14 @@
     def reset(self):
         for writer in self.writers:
             linger = struct.pack("ii", 1, 0)
-            with contextlib.suppress(OSError):  # of one that the gateway has just closed
+            with contextlib.suppress(OSError):  # the gateway has just closed the connection
                 writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             writer.transport.abort()
         self.writers.clear()
 
 
-class Server(Party):
-    """A server on binary messages; tests are answered by themselves with `report`."""
+class Server(StandIn):
+    """A stand-in server; it answers health checks and probes with the load report `report`."""
 
     report = "x0:40;x1:90"
 
@@ -134,7 +135,7 @@
             if self.hung:
                 continue
             self.used = True
-            kind, name, parameters = parts_of(data)
+            kind, name, parameters = split_message(data)
             if kind == server_codec.TEST:
                 writer.write(
                     server_codec.encode(server_codec.TESTED, name, {78: b"\1", 73: self.report.encode()})
@@ -147,7 +148,7 @@
                 }
                 if 78 in parameters:
                     fields["cause"] = str(parameters[78][0])
-                self.heard.put_nowait((NAMES[kind], name, fields, parameters.get(79, b"").decode()))
+                self.received.put_nowait((TYPE_NAMES[kind], name, fields, parameters.get(79, b"").decode()))
 
     def send(self, kind, name, fields, description):
         parameters = {
@@ -159,7 +160,7 @@
         self.writers[-1].write(server_codec.encode(TYPES[kind], tag(name), parameters))
 
 
-class Owner(Party):
+class Owner(StandIn):
     async def open(self, address):
         reader, writer = await asyncio.open_connection(*address)
         self.task = asyncio.create_task(self.serve(reader, writer))
@@ -167,9 +168,11 @@
 
     async def read(self, reader, writer):
         while line := await reader.readline():
-            m = json.loads(line)
-            fields = {**m["opts"], **({"cause": str(m["rc"])} if "rc" in m else {})}
-            self.heard.put_nowait((m["verb"], bytes.fromhex(m["tag"]), fields, m.get("blob", "")))
+            message = json.loads(line)
+            fields = {**message["opts"], **({"cause": str(message["rc"])} if "rc" in message else {})}
+            self.received.put_nowait(
+                (message["verb"], bytes.fromhex(message["tag"]), fields, message.get("blob", ""))
+            )
 
     def send(self, kind, name, fields, description):
         message = {"verb": kind, "tag": tag(name).hex(), "opts": {}}
@@ -188,34 +191,34 @@
         self.writers[-1].write(json.dumps(message).encode() + b"\n")
 
 
-class Bus(Party):
+class Bus(StandIn):
     async def read(self, reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
         after = int(head.lower().split(b"last-event-id:")[1].split()[0])
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n")
         for event in self.events[after:]:
-            writer.write(self.form(event))
+            writer.write(self.encode(event))
         while not self.hung:
             await asyncio.sleep(0.5)
             writer.write(b":\n\n")
             await writer.drain()
-        await asyncio.sleep(LONG)
+        await asyncio.sleep(EVENT_TIMEOUT_S)
 
     events = ()
 
     @staticmethod
-    def form(event):
+    def encode(event):
         return f"id: {event['offset']}\ndata: {json.dumps(event)}\n\n".encode()
 
-    def add(self, targets, whole=False, tell=True, rev=1):
-        event = {"offset": len(self.events) + 1, "topology": {"rev": rev, "all": whole, "targets": targets}}
+    def add(self, targets, is_full=False, notify=True, rev=1):
+        event = {"offset": len(self.events) + 1, "topology": {"rev": rev, "all": is_full, "targets": targets}}
         self.events = [*self.events, event]
-        for writer in self.writers if tell and not self.hung else ():
-            writer.write(self.form(event))
+        for writer in self.writers if notify and not self.hung else ():
+            writer.write(self.encode(event))
 
 
-class Client(Party):
-    """A client of the pull queue. It remembers the last session, lease and task for $session and so on."""
+class Client(StandIn):
+    """A client of the pull queue. $session, $lease and $task stand for the last names it has received."""
 
     def __init__(self):
         super().__init__()
@@ -230,7 +233,7 @@
             for name in [body.get("name", ""), *(lease["id"] for lease in body.get("leases", ()))]:
                 kind = {"botSessions": "session", "tasks": "task", "leases": "lease"}.get(name.split("/")[0])
                 self.seen[kind] = name
-            self.heard.put_nowait((int(head.split()[1]), body))
+            self.received.put_nowait((int(head.split()[1]), body))
 
     def send(self, method, path, fields, body):
         for name, value in self.seen.items():
@@ -243,7 +246,7 @@
 
 
 class Scenario(unittest.IsolatedAsyncioTestCase):
-    """Starts a gateway with stand-ins round it; `play` runs the lines of a scenario."""
+    """Starts a gateway with stand-ins for its peers; `play` runs the lines of a scenario."""
 
     servers = 1
     server_class = Server
@@ -252,17 +255,17 @@
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
-        self.parties, self.logged, self.boots = {}, [], {}
+        self.parties, self.logged, self.boot_times_ms = {}, [], {}
         self.bus = self.parties["bus"] = Bus()
         await self.bus.listen()
         for n in range(1, self.servers + 1):
             self.parties[f"s{n}"] = server = self.server_class()
             await server.listen()
-        self.bus.add([self.target(f"s{n}") for n in range(1, self.servers + 1)], whole=True)
+        self.bus.add([self.target(f"s{n}") for n in range(1, self.servers + 1)], is_full=True)
         await self.start()
 
     async def start(self):
-        """A gateway that starts from nothing, as after a crash."""
+        """Start a gateway without any state, as after a crash."""
         self.gateway = Gateway(
             config.PlatformConfig(
                 "n0",
@@ -288,7 +291,7 @@
             "pod_group": 1,
             "state": state,
             "capacity_hint": 1,
-            "boot_ms": self.boots.get(name, 0),
+            "boot_ms": self.boot_times_ms.get(name, 0),
         }
 
     async def asyncTearDown(self):
@@ -301,28 +304,28 @@
     async def play(self, text):
         for line in filter(None, map(str.strip, text.splitlines())):
             try:
-                await asyncio.wait_for(self.line(line), LONG)
+                await asyncio.wait_for(self.run_line(line), EVENT_TIMEOUT_S)
             except (TimeoutError, AssertionError) as fault:
-                raise AssertionError(f"{line}: {fault or 'nothing came'}; log: {self.logged}") from None
+                raise AssertionError(f"{line}: {fault or 'no message arrived'}; log: {self.logged}") from None
 
-    newcomer = Owner  # what a party is that is named for the first time
+    new_party_class = Owner  # class of the stand-in for a name used for the first time
 
-    async def line(self, line):
+    async def run_line(self, line):
         words, _, description = line.partition(" | ")
-        who, verb, *rest = words.split()
-        if who not in self.parties:
-            self.parties[who] = self.newcomer()
-            await self.parties[who].open(self.gateway.listener.address)
-        party = self.parties[who]
+        party_name, verb, *rest = words.split()
+        if party_name not in self.parties:
+            self.parties[party_name] = self.new_party_class()
+            await self.parties[party_name].open(self.gateway.listener.address)
+        party = self.parties[party_name]
         fields = dict(word.split("=", 1) for word in rest if "=" in word)
         rest = [word for word in rest if "=" not in word]
         match verb:
-            case "send" if who == "bus":
+            case "send" if party_name == "bus":
                 party.add([self.target(name, state) for name, state in fields.items()])
             case "send":
                 party.send(rest[0], rest[1], fields, description)
             case "expect" if isinstance(party, Client):
-                code, body = await party.heard.get()
+                code, body = await party.received.get()
                 self.assertEqual(int(rest[0]), code, body)
                 for path, value in fields.items():
                     found = body
@@ -330,9 +333,9 @@
                         found = found[int(step)] if step.isdigit() else found.get(step)
                     self.assertEqual(value, str(found), body)
             case "expect":
-                kind, name, got, blob = await party.heard.get()
+                kind, name, received_fields, blob = await party.received.get()
                 self.assertEqual((rest[0], tag(rest[1])), (kind, name))
-                self.assertEqual(fields, {word: got.get(word) for word in fields})
+                self.assertEqual(fields, {key: received_fields.get(key) for key in fields})
                 if " | " in line:
                     self.assertEqual(description, blob)
             case "close":
@@ -348,8 +351,8 @@
                 raise ValueError(line)
 
     async def until(self, condition, what):
-        """Wait for a state of the gateway that no message shows."""
-        end = time.monotonic() + LONG
+        """Wait for a state of the gateway that no message reveals."""
+        end = time.monotonic() + EVENT_TIMEOUT_S
         while not condition():
-            self.assertLess(time.monotonic(), end, f"never: {what}; log: {self.logged}")
+            self.assertLess(time.monotonic(), end, f"timed out waiting for: {what}; log: {self.logged}")
             await asyncio.sleep(0.01)
--- a/tests/test_health_check.py
+++ b/tests/test_health_check.py
@@ -1,4 +1,4 @@
-"""When quiet servers are tested: the rule on a clock of the test's, and beside a real server."""
+"""When quiet servers get a health check: the schedule with simulated times, and with a stand-in server."""
 
 import unittest
 from unittest import mock
@@ -7,10 +7,10 @@
 
 from weldhatch.platform import health_check, servers, silence_check
 from weldhatch.platform.health_check import (
-    CELLS_MOST,
-    QUIET_S,
-    SUSPECT_QUIET_S,
-    SUSPECT_SPAN_S,
+    MAX_SUSPECT_CELLS,
+    QUIET_LIMIT_S,
+    SUSPECT_DURATION_S,
+    SUSPECT_QUIET_LIMIT_S,
     HealthCheckSchedule,
 )
 
@@ -20,75 +20,83 @@
     s1 send ANSWER a1 | v=0
     owner expect STARTED a1
 """
-QUIET = {**SETTINGS, "limits": {**SETTINGS["limits"], "probes": False}}
+NO_PROBES = {**SETTINGS, "limits": {**SETTINGS["limits"], "probes": False}}
 
 
 class QuietLimit(unittest.TestCase):
-    def test_what_follows_an_unanswered_test_still_ends_within_the_rules_eight_seconds(self):
-        trial = silence_check.SILENT_S + silence_check.LOST_TRIES * max(silence_check.SILENT_S, 0.25)
-        stalls = 3 * servers.STALL_S
-        self.assertLess(QUIET_S + 2 * servers.WATCH_S + trial + stalls, 8.0)
+    def test_an_unresponsive_server_is_detected_within_eight_seconds(self):
+        reachability_check_s = silence_check.SILENCE_LIMIT_S + silence_check.MAX_FAILED_CONNECTS * max(
+            silence_check.SILENCE_LIMIT_S, 0.25
+        )
+        stalls_s = 3 * servers.MAX_WATCH_DELAY_S
+        self.assertLess(QUIET_LIMIT_S + 2 * servers.WATCH_INTERVAL_S + reachability_check_s + stalls_s, 8.0)
 
-    def test_a_vanished_server_makes_its_cell_suspect_for_a_while_and_no_other(self):
+    def test_an_unresponsive_server_makes_only_its_cell_suspect_for_a_limited_time(self):
         schedule = HealthCheckSchedule()
-        schedule.vanished(10.0, 0, 3)
+        schedule.mark_unresponsive(10.0, 0, 3)
         self.assertEqual(
-            [SUSPECT_QUIET_S, QUIET_S, QUIET_S],
+            [SUSPECT_QUIET_LIMIT_S, QUIET_LIMIT_S, QUIET_LIMIT_S],
             [
                 schedule.quiet_limit(10.1, 0, 3),
                 schedule.quiet_limit(10.1, 0, 4),
                 schedule.quiet_limit(10.1, 1, 3),
             ],
         )
-        self.assertEqual(QUIET_S, schedule.quiet_limit(10.1 + SUSPECT_SPAN_S, 0, 3))
+        self.assertEqual(QUIET_LIMIT_S, schedule.quiet_limit(10.1 + SUSPECT_DURATION_S, 0, 3))
 
     def test_two_suspect_cells_make_their_zone_suspect_and_one_does_not(self):
         schedule = HealthCheckSchedule()
-        schedule.vanished(10.0, 0, 3)
-        schedule.vanished(12.0, 0, 4)
+        schedule.mark_unresponsive(10.0, 0, 3)
+        schedule.mark_unresponsive(12.0, 0, 4)
         self.assertEqual(
-            [SUSPECT_QUIET_S, QUIET_S], [schedule.quiet_limit(12.5, 0, 9), schedule.quiet_limit(12.5, 1, 9)]
+            [SUSPECT_QUIET_LIMIT_S, QUIET_LIMIT_S],
+            [schedule.quiet_limit(12.5, 0, 9), schedule.quiet_limit(12.5, 1, 9)],
         )
         self.assertEqual(
-            [QUIET_S, SUSPECT_QUIET_S], [schedule.quiet_limit(16.5, 0, 9), schedule.quiet_limit(16.5, 0, 4)]
+            [QUIET_LIMIT_S, SUSPECT_QUIET_LIMIT_S],
+            [schedule.quiet_limit(16.5, 0, 9), schedule.quiet_limit(16.5, 0, 4)],
         )
 
-    def test_many_cells_are_remembered_within_a_bound(self):
+    def test_the_number_of_remembered_cells_is_bounded(self):
         schedule = HealthCheckSchedule()
-        for cell in range(3 * CELLS_MOST):
-            schedule.vanished(1.0, 0, cell)
-            schedule.vanished(1.0, 0, cell)  # a second server of the cell adds nothing
-        self.assertEqual(CELLS_MOST, len(schedule._cells))
-        self.assertEqual(CELLS_MOST, schedule._zones[0])
-        self.assertEqual(QUIET_S, schedule.quiet_limit(99.0, 0, 1))
+        for cell in range(3 * MAX_SUSPECT_CELLS):
+            schedule.mark_unresponsive(1.0, 0, cell)
+            schedule.mark_unresponsive(1.0, 0, cell)  # a second server of the same cell changes nothing
+        self.assertEqual(MAX_SUSPECT_CELLS, len(schedule._cells))
+        self.assertEqual(MAX_SUSPECT_CELLS, schedule._zones[0])
+        self.assertEqual(QUIET_LIMIT_S, schedule.quiet_limit(99.0, 0, 1))
         self.assertEqual((0, 0), (len(schedule._cells), schedule._zones[0]))
 
 
-class Watching(Scenario):
-    settings = QUIET
+class HealthChecks(Scenario):
+    settings = NO_PROBES
 
-    async def test_a_quiet_server_is_left_alone_until_a_neighbour_vanishes(self):
-        """Tests are priced as probes: a quiet server gets one only when it is due, or its cell is suspect."""
+    async def test_a_quiet_server_gets_no_health_check_until_a_neighbour_is_unresponsive(self):
+        """Health checks are priced like probes: they are sent only when due, or when the cell is suspect."""
         await self.play(PLACED)
         (link,) = self.gateway.servers._links.values()
-        watched, tested = [], []
-        watch, test = type(link.silence).watch, servers.Servers.check_health
+        watch_calls, health_checks = [], []
+        watch, check_health = type(link.silence).watch, servers.Servers.check_health
         with (
-            mock.patch.object(health_check, "QUIET_S", 1000.0),
-            mock.patch.object(health_check, "SUSPECT_QUIET_S", 0.0),
-            mock.patch.object(silence_check, "SUSPECT_QUIET_S", 0.0),
-            mock.patch.object(type(link.silence), "watch", lambda *a: (watched.append(a), watch(*a))),
-            mock.patch.object(servers.Servers, "check_health", lambda *a: (tested.append(a), test(*a))),
+            mock.patch.object(health_check, "QUIET_LIMIT_S", 1000.0),
+            mock.patch.object(health_check, "SUSPECT_QUIET_LIMIT_S", 0.0),
+            mock.patch.object(silence_check, "SUSPECT_QUIET_LIMIT_S", 0.0),
+            mock.patch.object(type(link.silence), "watch", lambda *a: (watch_calls.append(a), watch(*a))),
+            mock.patch.object(
+                servers.Servers, "check_health", lambda *a: (health_checks.append(a), check_health(*a))
+            ),
         ):
-            await self.until(lambda: len(watched) >= 3, "the server is watched")
-            self.assertEqual([], tested)
-            self.gateway.servers.mark_vanished(link.server)
-            await self.until(lambda: tested, "the neighbour of a vanished server is tested")
+            await self.until(lambda: len(watch_calls) >= 3, "three watch intervals")
+            self.assertEqual([], health_checks)
+            self.gateway.servers.mark_unresponsive(link.server)
+            await self.until(
+                lambda: health_checks, "a health check of the neighbour of an unresponsive server"
+            )
 
 
-class Reporting(Scenario):
-    async def test_what_a_tested_server_reports_reaches_the_module_without_a_probe(self):
-        """Guards against paying for a test of life and for a probe of the same server."""
+class LoadReports(Scenario):
+    async def test_a_load_report_in_a_health_check_reaches_the_policy_without_a_probe(self):
+        """Guards against paying for a health check and for a probe of the same server."""
         await self.play(PLACED)
         (link,) = self.gateway.servers._links.values()
         (node,) = self.gateway.driver._policy._cluster.machines.values()
@@ -96,5 +104,5 @@
         self.gateway.servers.check_health(link)
         await self.until(
             lambda: (node.unreserved.reported_cores, node.unreserved.reported_memory) == (31.0, 77.0),
-            "the module hears the report",
+            "the policy received the load report",
         )
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 import pytest
-from scenario import LONG, SETTINGS, Bus, tag
+from scenario import EVENT_TIMEOUT_S, SETTINGS, Bus, tag
 
 ROOT = Path(__file__).parent.parent
 READY_TIMEOUT_S = 10.0
@@ -108,7 +108,7 @@
     async def end(self, signal_number: signal.Signals) -> None:
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal_number)
-            await asyncio.wait_for(self.process.wait(), LONG)
+            await asyncio.wait_for(self.process.wait(), EVENT_TIMEOUT_S)
 
     async def retry_until_cancelled(self, number: int) -> None:
         """Run a client that waits for the answer to a START, and retries once it is answered or cut off."""
--- a/tests/test_standalone_zones.py
+++ b/tests/test_standalone_zones.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from random import Random
 
-from scenario import LONG, SETTINGS, Owner, Scenario
+from scenario import EVENT_TIMEOUT_S, SETTINGS, Owner, Scenario
 
 from weldhatch import config
 from weldhatch.gateway import Gateway
@@ -120,20 +120,26 @@
                 party = self.parties[name]
                 party.server.close()
                 party.reset()
-            await until(lambda: any("west is leaving" in text for text in self.logged), LONG, "west is left")
+            await until(
+                lambda: any("west is leaving" in text for text in self.logged),
+                EVENT_TIMEOUT_S,
+                "west is left",
+            )
             await until(
                 lambda: all(
                     node.entry.state is not MachineState.READY  # with the next batch of events to the policy
                     for node in self.gateway.driver._policy._cluster.machines.values()
                     if node.entry.zone == 1
                 ),
-                LONG,
+                EVENT_TIMEOUT_S,
                 "the policy avoids west",
             )
             for name in ("s4", "s5", "s6"):
                 await self.parties[name].listen(self.parties[name].endpoint)
             await until(
-                lambda: any("west is returning" in text for text in self.logged), LONG, "west returns"
+                lambda: any("west is returning" in text for text in self.logged),
+                EVENT_TIMEOUT_S,
+                "west returns",
             )
         finally:
             task.cancel()
--- a/weldhatch/platform/event_bus.py
+++ b/weldhatch/platform/event_bus.py
@@ -1,4 +1,4 @@
-"""The event bus: server-sent events over one HTTP connection, taken up again where they broke off."""
+"""The event bus: server-sent events over HTTP, resumed from the last event after a broken connection."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 from weldhatch.net.descriptor_budget import DescriptorShare
 from weldhatch.platform.event_stream import EventStream
 
-QUIET_S = 1.7  # a comment comes each second: no byte for so long means a broken connection
-BACKOFF_S = 0.05  # the first wait between connects; what broke off counts as reported after 2 s
-BACKOFF_MOST_S = 0.4
-CONNECT_S = 1.0
+SILENCE_TIMEOUT_S = 1.7  # the bus sends a comment each second; a longer silence is a broken connection
+MIN_BACKOFF_S = 0.05  # well under 2 s, after which missed events count as delivered
+MAX_BACKOFF_S = 0.4
+CONNECT_TIMEOUT_S = 1.0
 
 
 class EventBus:
-    """Keeps one subscription; every break is followed by a new connection from the last event on."""
+    """One subscription: after each break a new connection resumes from the last event."""
 
     def __init__(
         self,
         endpoint: tuple[str, int],
         share: DescriptorShare,
         offset: Callable[[], int],
-        take: Callable[[dict[str, Any]], None],
+        on_event: Callable[[dict[str, Any]], None],
         log: Callable[[str], None],
     ) -> None:
-        """Subscribe later, by `subscribe`.
+        """Create without a connection; `subscribe` opens one.
 
-        `offset` returns the number of the last event taken; `take` gets each event, and raises ValueError
-        where it can't be read.
+        `offset` returns the number of the last processed event; `on_event` processes an event, and raises
+        ValueError if it is invalid.
         """
         self._endpoint = endpoint
         self._share = share
         self._offset = offset
-        self._take = take
+        self._on_event = on_event
         self._log = log
         self._task: asyncio.Task[None] | None = None
         self._connection: Connection | None = None
@@ -49,10 +49,10 @@
         elif not on:
             self.close()
 
-    def move(self, endpoint: tuple[str, int]) -> None:
-        """Follow the bus to a new address: the old one tells nothing more, so it is left at once.
+    def change_endpoint(self, endpoint: tuple[str, int]) -> None:
+        """Reconnect to the bus at a new address at once: the old address delivers no more events.
 
-        The new one is asked from the last event on, so what came between is told and the numbers go on.
+        The new connection resumes from the last event, so that no event is missed; the numbering continues.
         """
         if endpoint == self._endpoint:
             return
@@ -70,28 +70,28 @@
             self._connection.close()
 
     async def _run(self) -> None:
-        backoff = BACKOFF_S
+        backoff = MIN_BACKOFF_S
         while True:
             began = time.monotonic()
             try:
-                await self._follow()
+                await self._read_events()
             except (OSError, TimeoutError) as error:
                 self._log(f"event bus: no connection: {error or type(error).__name__}")
             else:
-                self._log("event bus: the connection ended, connecting anew")
+                self._log("event bus: the connection ended, reconnecting")
             if time.monotonic() - began > 1:
-                backoff = BACKOFF_S
+                backoff = MIN_BACKOFF_S
             await asyncio.sleep(backoff)
-            backoff = min(2 * backoff, BACKOFF_MOST_S)
+            backoff = min(2 * backoff, MAX_BACKOFF_S)
 
-    async def _follow(self) -> None:
-        """One connection from its request to its end, which comes as an end, a reset or silence."""
+    async def _read_events(self) -> None:
+        """Connect, and read events until the connection is closed, reset or silent for too long."""
         if not self._share.take():
             raise OSError("no descriptor is left")
-        link = await connect(self._endpoint, CONNECT_S, self._share, "event bus", self._log)
-        self._connection = link
+        connection = await connect(self._endpoint, CONNECT_TIMEOUT_S, self._share, "event bus", self._log)
+        self._connection = connection
         host, port = self._endpoint
-        link.send(
+        connection.send(
             f"GET /bus/read HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: text/event-stream\r\n"
             f"Last-Event-ID: {self._offset()}\r\n\r\n".encode()
         )
@@ -105,28 +105,28 @@
                 elif not line and data:
                     text = "\n".join(data)
                     data.clear()
-                    self._event(text)
+                    self._handle_event(text)
 
-        watch = asyncio.get_running_loop().create_task(self._watch(link))
+        watch = asyncio.get_running_loop().create_task(self._watch_for_silence(connection))
         try:
-            await link.pump(stream.lines, handle)
+            await connection.pump(stream.read_lines, handle)
         finally:
             watch.cancel()
 
-    async def _watch(self, link: Connection) -> None:
-        while not link.closed:
-            quiet = time.monotonic() - link.last_received
-            if quiet >= QUIET_S:
-                self._log("event bus: silent, connecting anew")
-                link.close()
+    async def _watch_for_silence(self, connection: Connection) -> None:
+        while not connection.closed:
+            silent_s = time.monotonic() - connection.last_received
+            if silent_s >= SILENCE_TIMEOUT_S:
+                self._log("event bus: silent, reconnecting")
+                connection.close()
                 return
-            await asyncio.sleep(QUIET_S - quiet + 0.01)
+            await asyncio.sleep(SILENCE_TIMEOUT_S - silent_s + 0.01)
 
-    def _event(self, text: str) -> None:
+    def _handle_event(self, text: str) -> None:
         try:
             event = json.loads(text)
             if not isinstance(event, dict):
-                raise ValueError("event bus: an event that is no object")
-            self._take(event)
-        except ValueError as fault:
-            raise MalformedMessageError(str(fault)) from None
+                raise ValueError("event bus: event is not a JSON object")
+            self._on_event(event)
+        except ValueError as error:
+            raise MalformedMessageError(str(error)) from None
--- a/weldhatch/platform/server_messages.py
+++ b/weldhatch/platform/server_messages.py
@@ -1,4 +1,4 @@
-"""What a server's messages do to the records of its link."""
+"""Handlers of the messages of a server, which update the records of its link."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from weldhatch.platform.server_records import ServerRecords
 from weldhatch.scheduling.types import Outcome
 
-OUTCOMES_BEFORE_ANSWER = {  # of a release by its cause; any other cause is a reset
+OUTCOMES_BEFORE_ANSWER = {  # by the cause of a release; any other cause is a reset
     34: Outcome.FULL,
     47: Outcome.ERROR,
     102: Outcome.NOT_SENT,
@@ -32,28 +32,28 @@
 
 
 class ReportOwner(Protocol):
-    """Who takes what belongs to no record of the link."""
+    """Receives load reports, and ends of tasks that are not in the link's records."""
 
     @property
-    def reported(self) -> Callable[[int, tuple[float, ...]], None]:
-        """Take the load report of a machine that no probe asked for."""
+    def on_load_report(self) -> Callable[[int, tuple[float, ...]], None]:
+        """Process a machine's load report that does not answer a probe."""
 
-    def unclaimed(self, tag: bytes, ended: Ended) -> None:
-        """Take the end of a task that no client has named yet."""
+    def keep_unclaimed_end(self, tag: bytes, ended: Ended) -> None:
+        """Keep the end of a task that no client has reported yet."""
 
-    def report(self, message: server_codec.Message) -> tuple[float, ...]:
-        """Return the load report of the message in the settings' order, or ()."""
+    def read_report(self, message: server_codec.Message) -> tuple[float, ...]:
+        """Return the load report of the message in the order of the settings, or ()."""
 
 
 class ReceivingLink(Protocol):
-    """The link that a message came on."""
+    """The link that a message was received on."""
 
     records: ServerRecords
     server: Server
 
     @property
     def owner(self) -> ReportOwner:
-        """Who takes what belongs to no record."""
+        """The owner of all links."""
 
     def send(self, name: object, data: bytes) -> None:
         """Send a message to the server."""
@@ -62,21 +62,21 @@
 def handle(link: ReceivingLink, message: server_codec.Message) -> None:
     """Apply a message of the server.
 
-    All of a message is read before anything is taken from it: what can't be read ends the connection, and
-    then each offer in flight on it must still be there to get its end.
+    Each handler decodes the whole message before it changes a record: a malformed message ends the
+    connection, and every offer in flight must then still be recorded to get its end.
 
     Raises:
-        MalformedMessageError: a part of it can't be read, or no server sends its type.
+        MalformedMessageError: the message is malformed, or its type is one that servers do not send.
     """
     match message.type:
         case server_codec.ANSWER:
-            _answered(link, message)
+            _handle_answer(link, message)
         case server_codec.RELEASE:
-            _released(link, message)
+            _handle_release(link, message)
         case server_codec.NOTE:
-            _noted(link, message)
+            _handle_note(link, message)
         case server_codec.TESTED:
-            _tested(link, message)
+            _handle_test_answer(link, message)
         case server_codec.TEST:
             link.send(
                 message.tag,
@@ -85,43 +85,43 @@
         case server_codec.PROGRESS | server_codec.RELEASE_HEARD:
             pass
         case _:
-            raise MalformedMessageError(f"a message of type {message.type}, which no server sends")
+            raise MalformedMessageError(f"a message of type {message.type}, which servers do not send")
 
 
-def _answered(link: ReceivingLink, message: server_codec.Message) -> None:
+def _handle_answer(link: ReceivingLink, message: server_codec.Message) -> None:
     description = message.description
     records = link.records
     records.mark_answered(message.tag)
     if record := records.in_flight.pop(message.tag, None):
         records.running[message.tag] = record
-        record.since = time.time()
+        record.running_since = time.time()
         record.receiver.deliver(Answered(record.attempt, description))
 
 
-def _noted(link: ReceivingLink, message: server_codec.Message) -> None:
+def _handle_note(link: ReceivingLink, message: server_codec.Message) -> None:
     records = link.records
     record = records.running.get(message.tag) or records.in_flight.get(message.tag)
     topic = TOPICS.get(message.text(server_codec.TOPIC))
     if record is not None and topic is not None:
-        figure = server_codec.number(message.text(server_codec.FIGURE))
+        figure = server_codec.finite_number(message.text(server_codec.FIGURE))
         record.receiver.deliver(Noted(record.attempt, topic, figure))
 
 
-def _tested(link: ReceivingLink, message: server_codec.Message) -> None:
-    report = link.owner.report(message)
+def _handle_test_answer(link: ReceivingLink, message: server_codec.Message) -> None:
+    report = link.owner.read_report(message)
     passed = message.cause == 1
     if probe := link.records.probes.pop(message.tag, None):
         done, timer = probe
         timer.cancel()
         done(Outcome.OK if passed else Outcome.FULL, report)
     elif passed and report:
-        link.owner.reported(link.server.machine, report)
+        link.owner.on_load_report(link.server.machine, report)
 
 
-def _released(link: ReceivingLink, message: server_codec.Message) -> None:
+def _handle_release(link: ReceivingLink, message: server_codec.Message) -> None:
     cause = message.cause
     reason = REASONS.get(message.text(server_codec.TOPIC), 0)
-    report = link.owner.report(message)
+    report = link.owner.read_report(message)
     records = link.records
     records.mark_answered(message.tag)
     if record := records.in_flight.pop(message.tag, None):
@@ -132,4 +132,4 @@
     if record := records.running.pop(message.tag, None):
         record.receiver.deliver(Ended(record.attempt, outcome, reason, report, cause))
     else:
-        link.owner.unclaimed(message.tag, Ended(0, outcome, reason, report, cause))
+        link.owner.keep_unclaimed_end(message.tag, Ended(0, outcome, reason, report, cause))
