--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -85,7 +85,7 @@
 
 
 def planned(text: str, fleet: Fleet) -> Change:
-    return read_change(reader.read_whole("bench", lambda _: text), fleet)
+    return read_change(reader.read_with_includes("bench", lambda _: text), fleet)
 
 
 def planning(sizes: tuple[int, ...], seeds: int) -> dict:
--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -11,7 +11,7 @@
 def faults(text):
     with pytest.raises(reader.FormError) as caught:
         reader.read(text, "f")
-    return [(fault.place.line, fault.place.column, fault.expected) for fault in caught.value.faults]
+    return [(fault.position.line, fault.position.column, fault.expected) for fault in caught.value.faults]
 
 
 def test_values_have_units():
@@ -46,12 +46,12 @@
             raise FileNotFoundError(2, "No such file")
         return files[path]
 
-    assert [form.head for form in reader.read_whole("d/a", load)] == ["y", "x"]
+    assert [form.head for form in reader.read_with_includes("d/a", load)] == ["y", "x"]
     with pytest.raises(reader.FormError, match="includes itself: l -> l"):
-        reader.read_whole("l", load)
+        reader.read_with_includes("l", load)
     with pytest.raises(reader.FormError) as caught:
-        reader.read_whole("m", load)
-    assert [fault.place.line for fault in caught.value.faults] == [1, 2]
+        reader.read_with_includes("m", load)
+    assert [fault.position.line for fault in caught.value.faults] == [1, 2]
 
 
 atoms = st.one_of(
@@ -66,7 +66,9 @@
 
 
 def shape(items):
-    return [shape(item.all) if isinstance(item, reader.Form) else item.text.strip("; ") for item in items]
+    return [
+        shape(item.children) if isinstance(item, reader.Form) else item.text.strip("; ") for item in items
+    ]
 
 
 @given(st.lists(forms, max_size=5).map("\n".join))
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -22,7 +22,7 @@
 
 
 def read(text, fleet=None):
-    return read_change(reader.read_whole("f", lambda _: text), fleet or small_fleet())
+    return read_change(reader.read_with_includes("f", lambda _: text), fleet or small_fleet())
 
 
 def faults(text):
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -102,7 +102,7 @@
 
 
 def read_forms(path: str) -> list:
-    return reader.read_whole(path, lambda name: Path(name).read_text(encoding="utf-8"))
+    return reader.read_with_includes(path, lambda name: Path(name).read_text(encoding="utf-8"))
 
 
 def is_settings(path: str) -> bool:
--- a/weldhatch/planning/change.py
+++ b/weldhatch/planning/change.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from weldhatch.planning.fleet import Fleet
-from weldhatch.sexpr.reader import Atom, Fault, Form, FormError, Place, describe
+from weldhatch.sexpr.reader import Atom, Fault, Form, FormError, Position, describe
 
 
 class Line(msgspec.Struct, frozen=True):
@@ -111,7 +111,7 @@
 
 
 def read_change(items: list[Form | Atom], fleet: Fleet) -> Change:
-    """The change of a file's items (`sexpr.reader.read_whole`). Raises FormError with all its faults."""
+    """The change of a file's items (`sexpr.reader.read_with_includes`). Raises FormError with all faults."""
     return _Reader(items, fleet).change
 
 
@@ -125,7 +125,7 @@
             name: [] for name in ("goals", "floors", "limits", "spreads", "orders", "withins")
         }
         self._survive: bool | None = None
-        self._wanted: dict[str, tuple[Want, Place]] = {}
+        self._wanted: dict[str, tuple[Want, Position]] = {}
         name, body = self._body(items)
         heads: dict[str, Callable[[Form], None]] = {
             "on": self._goal,
@@ -166,7 +166,7 @@
         for extra in changes[1:]:
             self._fault(extra, "a second change in one file", "one (change ...)")
         if not changes:
-            place = items[0].place if items else Place("the change file", 1, 1)
+            place = items[0].position if items else Position("the change file", 1, 1)
             raise FormError(
                 [*self._faults, Fault(place, "no change stands in this file", '(change "NAME" ...)')]
             )
@@ -206,7 +206,7 @@
                     "one of the two",
                 )
             elif before is None:
-                self._wanted[node] = (want, form.place)
+                self._wanted[node] = (want, form.position)
                 fresh.append(node)
         if fresh:
             self._found["goals"].append(Goal(self._line(form), want, tuple(fresh)))
@@ -403,11 +403,11 @@
         self._fault(item, f"{describe(item)} is not known here", "one of " + " ".join(heads))
 
     def _fault(self, item: Form | Atom, message: str, expected: str) -> None:
-        self._faults.append(Fault(item.place, message, expected))
+        self._faults.append(Fault(item.position, message, expected))
 
     @staticmethod
     def _line(form: Form) -> Line:
-        return Line(str(form.place), form.shown)
+        return Line(str(form.position), form.one_line)
 
     def _plausible(self) -> None:
         """Guards against floors that the whole of their nodes could not hold, whatever is done."""
@@ -419,7 +419,7 @@
                     file, line, column = floor.line.place.rsplit(":", 2)
                     self._faults.append(
                         Fault(
-                            Place(file, int(line), int(column)),
+                            Position(file, int(line), int(column)),
                             f"{floor.line.text} asks {asked:g} of {what}, and all {len(nodes)} nodes "
                             f"hold {there:g}",
                             f"at most {there:g}",
--- a/weldhatch/sexpr/printer.py
+++ b/weldhatch/sexpr/printer.py
@@ -11,12 +11,12 @@
 
 
 def _last_line(item: Form | Atom | Comment) -> int:
-    return item.end_line if isinstance(item, Form) else item.place.line
+    return item.end_line if isinstance(item, Form) else item.position.line
 
 
 def _has_comment(form: Form) -> bool:
     return any(
-        isinstance(item, Comment) or (isinstance(item, Form) and _has_comment(item)) for item in form.all
+        isinstance(item, Comment) or (isinstance(item, Form) and _has_comment(item)) for item in form.children
     )
 
 
@@ -26,17 +26,17 @@
         return [_comment(item)]
     if isinstance(item, Atom):
         return [item.text]
-    if not _has_comment(item) and len(item.shown) <= room:
-        return [item.shown]
+    if not _has_comment(item) and len(item.one_line) <= room:
+        return [item.one_line]
     # The leading atoms stay with the bracket; from the first form or comment on, each item has its line.
     first, lead = _leading_atoms(item, room)
-    rest = item.all[lead:]
-    before = item.all[lead - 1] if lead else None
+    rest = item.children[lead:]
+    before = item.children[lead - 1] if lead else None
     block = _block(rest, room - len(INDENT), before, opened=bool(lead))
     if block.trailing_comment:
         first = f"{first}  {block.trailing_comment}"
     lines = [first, *(INDENT + line if line else "" for line in block.lines)]
-    if item.all and isinstance(item.all[-1], Comment):
+    if item.children and isinstance(item.children[-1], Comment):
         return [*lines, ")"]
     return [*lines[:-1], lines[-1] + ")"]
 
@@ -44,14 +44,14 @@
 def _leading_atoms(form: Form, room: int) -> tuple[str, int]:
     """Return the bracket with the atoms that stay on its line, and how many they are."""
     first = "("
-    for count, item in enumerate(form.all):
+    for count, item in enumerate(form.children):
         if not isinstance(item, Atom):
             return first, count
         longer = first + (" " if count else "") + item.text
         if count and len(longer) > room:
             return first, count
         first = longer
-    return first, len(form.all)
+    return first, len(form.children)
 
 
 def _comment(comment: Comment) -> str:
@@ -70,7 +70,7 @@
     """Return whether `item` is a comment behind another item on the same line."""
     if not isinstance(item, Comment) or before is None or isinstance(before, Comment):
         return False
-    return item.place.line == _last_line(before)
+    return item.position.line == _last_line(before)
 
 
 def _block(
@@ -92,7 +92,7 @@
             before = item
             continue
         packing = isinstance(item, Atom)
-        gap = before is not None and item.place.line > _last_line(before) + 1
+        gap = before is not None and item.position.line > _last_line(before) + 1
         trails = _trails(item, before)
         if isinstance(item, Comment) and trails and lines:
             lines[-1] = f"{lines[-1]}  {_comment(item)}"
--- a/weldhatch/sexpr/reader.py
+++ b/weldhatch/sexpr/reader.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class Place:
+class Position:
     """Where something stands: file, line and column, both counted from 1."""
 
     file: str
@@ -38,13 +38,13 @@
 class Fault:
     """One thing that can't be read: where, what was found, and the word that was expected there."""
 
-    place: Place
+    position: Position
     message: str
     expected: str = ""
 
     def __str__(self) -> str:
         """Return the fault on one line, as users see it."""
-        return f"{self.place}: {self.message}" + (f" (expected {self.expected})" if self.expected else "")
+        return f"{self.position}: {self.message}" + (f" (expected {self.expected})" if self.expected else "")
 
 
 class FormError(ValueError):
@@ -52,7 +52,7 @@
 
     def __init__(self, faults: list[Fault]) -> None:
         """Keep the faults, each once, in the order of their places."""
-        self.faults = sorted(set(faults), key=lambda fault: fault.place)
+        self.faults = sorted(set(faults), key=lambda fault: fault.position)
         super().__init__("\n".join(map(str, self.faults)))
 
 
@@ -63,10 +63,10 @@
     kind: str  # SYMBOL, STRING, NUMBER, DURATION, SIZE
     value: str | float
     text: str
-    place: Place
+    position: Position
 
     @property
-    def shown(self) -> str:
+    def one_line(self) -> str:
         """Its text as in the file."""
         return self.text
 
@@ -76,21 +76,21 @@
     """A comment with its semicolons, without trailing space."""
 
     text: str
-    place: Place
+    position: Position
 
 
 @dataclass(slots=True)
 class Form:
     """One pair of brackets. `all` has the comments too, `items` has what means something."""
 
-    place: Place
+    position: Position
     end_line: int
-    all: list[Form | Atom | Comment] = field(default_factory=list)
+    children: list[Form | Atom | Comment] = field(default_factory=list)
 
     @property
     def items(self) -> list[Form | Atom]:
         """What it holds, without comments."""
-        return [item for item in self.all if not isinstance(item, Comment)]
+        return [item for item in self.children if not isinstance(item, Comment)]
 
     @property
     def head(self) -> str:
@@ -99,9 +99,9 @@
         return str(first.value) if isinstance(first, Atom) and first.kind == "SYMBOL" else ""
 
     @property
-    def shown(self) -> str:
+    def one_line(self) -> str:
         """The form on one line, without comments."""
-        return "(" + " ".join(item.shown for item in self.items) + ")"
+        return "(" + " ".join(item.one_line for item in self.items) + ")"
 
 
 @cache
@@ -117,7 +117,7 @@
     person mends a file in one go.
     """
     if len(text) > TEXT_MOST:
-        raise FormError([Fault(Place(file, 1, 1), f"a file of over {TEXT_MOST >> 20} MiB")])
+        raise FormError([Fault(Position(file, 1, 1), f"a file of over {TEXT_MOST >> 20} MiB")])
     handler = _ParseErrors(text, file)
     faults = handler.faults
     try:
@@ -125,10 +125,10 @@
     except lark.UnexpectedInput:  # only the end of the file can't be stepped over: a bracket is open
         if not faults:  # else the brackets that were left out with a fault would be reported again
             line, column = _unclosed(text)
-            faults.append(Fault(Place(file, line, column), "this '(' is never closed", "')'"))
+            faults.append(Fault(Position(file, line, column), "this '(' is never closed", "')'"))
         raise FormError(faults) from None
     except RecursionError:
-        raise FormError([Fault(Place(file, 1, 1), "brackets nested too deeply")]) from None
+        raise FormError([Fault(Position(file, 1, 1), "brackets nested too deeply")]) from None
     items = [_item(child, file, 0, faults) for child in _trees(tree)]
     if faults:
         raise FormError(faults)
@@ -168,7 +168,7 @@
         _skip(error, unreadable)
 
     def _add(self, line: int, column: int, message: str, expected: str) -> None:
-        self.faults.append(Fault(Place(self._file, line, column), message, expected))
+        self.faults.append(Fault(Position(self._file, line, column), message, expected))
 
 
 def _skip(error: lark.UnexpectedCharacters, unreadable: str) -> None:
@@ -218,18 +218,18 @@
 
 def _item(tree: _Tree, file: str, depth: int, faults: list[Fault]) -> Form | Atom | Comment:
     if tree.data == "form":
-        place = Place(file, tree.meta.line, tree.meta.column)
+        position = Position(file, tree.meta.line, tree.meta.column)
         if depth > DEPTH_MOST:
-            faults.append(Fault(place, "brackets nested too deeply", f"at most {DEPTH_MOST}"))
-            return Form(place, tree.meta.end_line)
+            faults.append(Fault(position, "brackets nested too deeply", f"at most {DEPTH_MOST}"))
+            return Form(position, tree.meta.end_line)
         return Form(
-            place, tree.meta.end_line, [_item(child, file, depth + 1, faults) for child in _trees(tree)]
+            position, tree.meta.end_line, [_item(child, file, depth + 1, faults) for child in _trees(tree)]
         )
     token = cast(lark.Token, tree.children[0])
-    place = Place(file, token.line or 1, token.column or 1)
+    position = Position(file, token.line or 1, token.column or 1)
     if tree.data == "comment":
-        return Comment(str(token).rstrip(), place)
-    return Atom(token.type, _value(token), str(token), place)
+        return Comment(str(token).rstrip(), position)
+    return Atom(token.type, _value(token), str(token), position)
 
 
 def _value(token: lark.Token) -> str | float:
@@ -258,20 +258,20 @@
 
 
 def _read_file(
-    path: str, load: Callable[[str], str], at: Place | None, faults: list[Fault]
+    path: str, load: Callable[[str], str], at: Position | None, faults: list[Fault]
 ) -> list[Form | Atom | Comment]:
     """Read one file that is included `at` a place; where it can't be read, add to `faults`."""
     try:
         return read(load(path), path)
     except (OSError, UnicodeDecodeError) as error:
         reason = getattr(error, "strerror", None) or str(error)
-        faults.append(Fault(at or Place(path, 1, 1), f"{path}: {reason}"))
+        faults.append(Fault(at or Position(path, 1, 1), f"{path}: {reason}"))
     except FormError as error:
         faults.extend(error.faults)
     return []
 
 
-def read_whole(path: str, load: Callable[[str], str]) -> list[Form | Atom]:
+def read_with_includes(path: str, load: Callable[[str], str]) -> list[Form | Atom]:
     """Return the items of a file and of all that it includes, in order. Raises FormError with all faults.
 
     load: gives the text of a path, or raises OSError.
@@ -281,21 +281,21 @@
     faults: list[Fault] = []
     count = 0
 
-    def one(path: str, way: tuple[str, ...], at: Place | None) -> list[Form | Atom]:
+    def one(path: str, way: tuple[str, ...], at: Position | None) -> list[Form | Atom]:
         nonlocal count
         out: list[Form | Atom] = []
         count += 1
         if path in way or count > INCLUDES_MOST:
             why = "includes itself" if path in way else f"is one of over {INCLUDES_MOST} includes"
-            faults.append(Fault(at or Place(path, 1, 1), f"{path} {why}: {' -> '.join((*way, path))}"))
+            faults.append(Fault(at or Position(path, 1, 1), f"{path} {why}: {' -> '.join((*way, path))}"))
             return out
         for item in _read_file(path, load, at, faults):
             if isinstance(item, Form) and item.head == "include":
                 name = _included_name(item)
                 if name is not None:
-                    out += one(str(Path(path).parent / name), (*way, path), item.place)
+                    out += one(str(Path(path).parent / name), (*way, path), item.position)
                 else:
-                    faults.append(Fault(item.place, f"{item.shown} names no file", '(include "FILE")'))
+                    faults.append(Fault(item.position, f"{item.one_line} names no file", '(include "FILE")'))
             elif not isinstance(item, Comment):
                 out.append(item)
         return out
@@ -311,5 +311,5 @@
     if item is None:
         return "nothing more"
     if isinstance(item, Form):
-        return item.shown if len(item.shown) <= 60 else f"({item.head} ...)"
+        return item.one_line if len(item.one_line) <= 60 else f"({item.head} ...)"
     return item.text if item.kind == "STRING" else repr(item.text)
--- a/weldhatch/testbed/crash_points.py
+++ b/weldhatch/testbed/crash_points.py
@@ -124,7 +124,7 @@
 
 
 def make_plan(text: str, fleet: Fleet, now: float, way: str = "greedy") -> Plan:
-    change = read_change(reader.read_whole("change", lambda _: text), fleet)
+    change = read_change(reader.read_with_includes("change", lambda _: text), fleet)
     return plans.make(change, fleet, search(change, fleet, way), name="stand-ins", now=now)
 
 
