--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from random import Random
 
-from weldhatch.applying.journal import Journal, story
+from weldhatch.applying.journal import Journal, read_history
 from weldhatch.applying.runner import Exit
 from weldhatch.planning.actions import Unplannable, actions
 from weldhatch.planning.change import Change, read_change
@@ -272,7 +272,7 @@
         log.append(made)
         log.close()
         start = time.perf_counter()
-        story(folder)
+        read_history(folder)
         out["story_recovery_s"] = time.perf_counter() - start
     return out
 
--- a/tests/test_applies.py
+++ b/tests/test_applies.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from weldhatch.applying.journal import Journal, story
+from weldhatch.applying.journal import Journal, read_history
 from weldhatch.applying.runner import Exit, Runner, observe
 from weldhatch.nodes.protocol import NodeOrder
 from weldhatch.planning.engine import Patience, Why
@@ -304,7 +304,7 @@
             stage.plan, stage.fleet, stage.world, held, Patience(), clock=stage.loop.clock, by="old"
         )
         fleet = await observe(stage.fleet, stage.world)
-        out = await runner._loop(held.story.applies[stage.plan.id], fleet)  # it never looked for fences
+        out = await runner._loop(held.history.applies[stage.plan.id], fleet)  # it never looked for fences
         held.close()
         return out
 
@@ -339,7 +339,7 @@
         stage.world.parties["gateway-1"].up = False
         results = [await stage.apply()]
         stage.world.parties["gateway-1"].up = True
-        results += [await stage.apply(other), await stage.apply(other, over=True)]
+        results += [await stage.apply(other), await stage.apply(other, ignore_unfinished=True)]
         return results
 
     first, second, third = stage.run(main())
@@ -371,7 +371,7 @@
         return await stage.apply()
 
     assert stage.run(main()).exit is Exit.STOPPED
-    progress = story(tmp_path).last
+    progress = read_history(tmp_path).last
     assert progress.half_nodes == ["n1"]
     assert {state.step.kind: state.stand for state in progress.steps.values()} == {
         Kind.ANNOUNCE: Stand.UNKNOWN,
@@ -384,9 +384,9 @@
 
     async def main():
         await stage.apply()
-        before = drift(story(tmp_path).last, await observe(stage.fleet, stage.world))
+        before = drift(read_history(tmp_path).last, await observe(stage.fleet, stage.world))
         node(stage.world, "n1").state = State.READY
-        return before, drift(story(tmp_path).last, await observe(stage.fleet, stage.world))
+        return before, drift(read_history(tmp_path).last, await observe(stage.fleet, stage.world))
 
     before, after = stage.run(main())
     assert before == []
@@ -402,7 +402,7 @@
             text = f'(change "c{n}" ({"on" if n % 2 else "drain"} n1))'
             seen = await observe(stage.fleet, stage.world)
             assert (await stage.apply(make_plan(text, seen, stage.loop.clock()))).exit is Exit.DONE
-        return story(tmp_path)
+        return read_history(tmp_path)
 
     told = stage.run(main())
     assert len(told.applies) == 8 and told.fence == 8
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -22,7 +22,7 @@
 from test_pullqueue import lease, task
 from test_recovery import Kept
 
-from weldhatch.applying.journal import Journal, story
+from weldhatch.applying.journal import Journal, read_history
 from weldhatch.cli.sites import sites as sites_command
 from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.planning import records as apply_records
@@ -416,10 +416,10 @@
 
 
 def go_on_with_applies(folder):
-    report = shown(story(folder))
+    report = shown(read_history(folder))
     journal = Journal(folder, "a second apply", 2000.0)
-    last = journal.story.last.plan
-    report["begun"] = shown(journal.story)
+    last = journal.history.last.plan
+    report["begun"] = shown(journal.history)
     report["held by"] = lock_owner(folder / "apply.lock").replace(str(os.getpid()), "PID")
     r = apply_records
     step = last.steps[1]
@@ -431,7 +431,7 @@
         ]
     )
     journal.close()
-    return {**report, "after": shown(story(folder)), "log": logged(folder / "applies.log")}
+    return {**report, "after": shown(read_history(folder)), "log": logged(folder / "applies.log")}
 
 
 def shown(report):
--- a/weldhatch/applying/journal.py
+++ b/weldhatch/applying/journal.py
@@ -33,7 +33,7 @@
     return out
 
 
-def story(folder: str | Path) -> Story:
+def read_history(folder: str | Path) -> Story:
     """Return all applies of a folder, without holding it."""
     path = Path(folder) / LOG
     return Story(_records(read_records(path), path))
@@ -59,7 +59,7 @@
             self._log = Log(self.folder / LOG, disk)
             self.torn_tail = self._log.torn_tail
             records = _records(self._log.recovered_records(), self.folder / LOG)
-            self.story = Story(records)
+            self.history = Story(records)
             if len(records) > COMPACTION_RECORDS:
                 self._compact(records)
         except BaseException:
@@ -67,10 +67,10 @@
             raise
 
     def _compact(self, records: list[AnyRecord]) -> None:
-        kept = list(self.story.applies)[-KEPT_COMPLETE:]
+        kept = list(self.history.applies)[-KEPT_COMPLETE:]
         short = {
             name
-            for name, progress in self.story.applies.items()
+            for name, progress in self.history.applies.items()
             if name not in kept and (progress.ended or progress.stopped)
         }
         left = [
@@ -85,7 +85,7 @@
         records = list(records)
         self._log.append(map(encode, records))
         for record in records:
-            self.story.take(record)
+            self.history.take(record)
 
     def close(self) -> None:
         """Give the log and the folder back."""
--- a/weldhatch/applying/runner.py
+++ b/weldhatch/applying/runner.py
@@ -116,11 +116,11 @@
         self._overtaken = ""
         self.stop_requested = False
 
-    async def run(self, over: bool = False) -> Result:
-        """To the end, or to where it stops. `over`: leave another apply that is half done as it is."""
+    async def run(self, ignore_unfinished: bool = False) -> Result:
+        """Run to the end or to a stop. `ignore_unfinished`: leave another, half done apply as it is."""
         plan = self._plan
-        story = self._journal.story
-        known = story.applies.get(plan.id)
+        history = self._journal.history
+        known = history.applies.get(plan.id)
         if known is not None and known.ended:
             return Result(Exit.DONE, "this plan has been applied already: nothing was done")
         missing = sorted({node.id for node in plan.world} - self._fleet.nodes.keys())
@@ -130,7 +130,7 @@
                 "the fleet's file no longer names nodes of the plan",
                 tuple(Moved(name, "a step", "in the fleet", "not in the fleet") for name in missing),
             )
-        if refusal := self._other(over):
+        if refusal := self._other(ignore_unfinished):
             return refusal
         fleet = await observe(self._fleet, self._world, self._names)
         if known is None or not known.begun:
@@ -140,19 +140,24 @@
                 return Result(
                     Exit.MOVED, "the world has moved since the plan was made; nothing was done", tuple(moved)
                 )
-        fence = 1 + max([story.fence, *(node.fence for node in fleet.nodes.values())])
+        fence = 1 + max([history.fence, *(node.fence for node in fleet.nodes.values())])
         begin = Begin(apply=plan.id, at=self._clock(), plan=None if known else plan, fence=fence, by=self._by)
         self._journal.append([begin])
-        progress = story.applies[plan.id]
+        progress = history.applies[plan.id]
         self._report_event(
             "apply.resumed" if known else "apply.begun", apply=plan.id, fence=fence, by=self._by
         )
         return await self._loop(progress, fleet)
 
-    def _other(self, over: bool) -> Result | None:
+    def _other(self, ignore_unfinished: bool) -> Result | None:
         """Return why this apply may not begin: another one that is half done is finished or undone first."""
-        last = self._journal.story.open
-        if last is None or last.plan.id in (self._plan.id, self._plan.undoes) or over or not last.half_nodes:
+        last = self._journal.history.open
+        if (
+            last is None
+            or last.plan.id in (self._plan.id, self._plan.undoes)
+            or ignore_unfinished
+            or not last.half_nodes
+        ):
             return None
         return Result(
             Exit.FAULT,
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -20,7 +20,7 @@
 from rich.progress import Progress as Bar
 
 from weldhatch import config
-from weldhatch.applying.journal import Journal, current_applier, story
+from weldhatch.applying.journal import Journal, current_applier, read_history
 from weldhatch.applying.runner import Exit, Result, Runner, observe
 from weldhatch.cli import logs, output, render, settings
 from weldhatch.config import fleet_file
@@ -289,7 +289,7 @@
 
             def tell(event: str, **figures: object) -> None:
                 log.info(event, **figures)
-                progress = journal.story.applies.get(plan.id)
+                progress = journal.history.applies.get(plan.id)
                 if progress is not None:
                     bar.update(
                         task, completed=sum(state.stand == "done" for state in progress.steps.values())
@@ -301,8 +301,8 @@
             loop = asyncio.get_running_loop()
             for number in (signal.SIGINT, signal.SIGTERM):
                 loop.add_signal_handler(number, lambda: setattr(runner, "stop_requested", True))
-            result = await runner.run(over=over)
-        progress = journal.story.applies.get(plan.id)
+            result = await runner.run(ignore_unfinished=over)
+        progress = journal.history.applies.get(plan.id)
         return result, progress.half_nodes if progress is not None and result.exit is Exit.STOPPED else []
     finally:
         journal.close()
@@ -335,7 +335,7 @@
 
 def find(told: fleet_file.FleetConfig, apply_id: str | None) -> Progress | None:
     """An apply of the journal by its id or the beginning of it; the last one without."""
-    known = story(told.journal)
+    known = read_history(told.journal)
     if apply_id is None:
         return known.last
     matching = [progress for name, progress in known.applies.items() if name.startswith(apply_id)]
@@ -408,7 +408,7 @@
 def history(fleet_path: str, as_json: bool) -> None:
     """All applies of the journal, oldest first."""
     told = fleet_file.fleet_config(fleet_path)
-    known, holder = story(told.journal), current_applier(told.journal)
+    known, holder = read_history(told.journal), current_applier(told.journal)
     entries = [
         output.HistoryEntry(
             apply=name,
@@ -432,7 +432,7 @@
 def drift(fleet_path: str, as_json: bool) -> None:
     """What is no longer as the last apply left it; 2 where something is."""
     told = fleet_file.fleet_config(fleet_path)
-    last = story(told.journal).last
+    last = read_history(told.journal).last
     if last is None:
         say(output.DriftShown(apply="", drift=[]), as_json, render.drift)
         return
--- a/weldhatch/testbed/crash_points.py
+++ b/weldhatch/testbed/crash_points.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from weldhatch.applying.journal import Journal, story
+from weldhatch.applying.journal import Journal, read_history
 from weldhatch.applying.runner import Exit, Result, Runner, observe
 from weldhatch.nodes.protocol import Answer
 from weldhatch.planning import plan as plans
@@ -188,7 +188,7 @@
         world.end()
 
     async def _undo(folder: str) -> None:
-        progress = story(folder).applies.get(plan.id)
+        progress = read_history(folder).applies.get(plan.id)
         if progress is None:
             return
         seen = await observe(fleet, world)
@@ -211,7 +211,7 @@
 
 def reported(folder: str, plan: Plan) -> set[str]:
     """The nodes of which the journal says that something was, or may have been, done."""
-    progress = story(folder).applies.get(plan.id)
+    progress = read_history(folder).applies.get(plan.id)
     return set() if progress is None else {progress.steps[name].step.node for name in progress.begun}
 
 
