--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -20,7 +20,7 @@
 from weldhatch.client.api import Backoff
 from weldhatch.keys import tokens
 from weldhatch.keys.errors import KeysError
-from weldhatch.keys.folder import Folder
+from weldhatch.keys.folder import KeyFolder
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.scheduling.policy import Policy
 
@@ -239,7 +239,7 @@
         self.security = {"keys": self.keys, "tls": "mutual", "tokens": True}
 
     def token(self, name, role, tenant="", seconds=60.0):
-        return Folder(self.keys).token(name, role, tenant, time.time(), seconds)
+        return KeyFolder(self.keys).issue_token(name, role, tenant, time.time(), seconds)
 
     def shown(self, name, **more):
         return self.api(
@@ -291,7 +291,7 @@
         good, claims = self.token("ci", tokens.Role.SUBMITTER, "north")
         api = self.shown("ci", token=good)
         self.assertEqual([], (await api.call("GET", "operations"))["operations"])
-        Folder(self.keys).revoke(claims.id, time.time())
+        KeyFolder(self.keys).revoke(claims.id, time.time())
         self.gateway.reload()
         with self.assertRaises(ApiError) as caught:
             await api.call("GET", "operations")
@@ -320,8 +320,8 @@
     async def test_certificates_and_keys_are_rotated_with_open_connections_kept(self):
         self.machine("b1", well, self.shown("b1"))
         earlier, _ = self.token("ci", tokens.Role.SUBMITTER, "north")
-        Folder(self.keys).rotate(time.time(), 3600.0)
-        Folder(self.keys).certify("gateway", ["127.0.0.1"], True, NOW, 30)
+        KeyFolder(self.keys).rotate(time.time(), 3600.0)
+        KeyFolder(self.keys).issue_certificate("gateway", ["127.0.0.1"], True, NOW, 30)
         self.gateway.reload()
         later, _ = self.token("ci", tokens.Role.SUBMITTER, "north")
         for token in (earlier, later):
@@ -342,10 +342,10 @@
 
 
 def test_tokens_end_with_their_key_and_their_time(tmp_path):
-    folder = Folder(tmp_path / "keys")
-    folder.begin("x", NOW)
+    folder = KeyFolder(tmp_path / "keys")
+    folder.initialize("x", NOW)
     now = NOW.timestamp()
-    token, claims = folder.token("ci", tokens.Role.SUBMITTER, "north", now, 100.0)
+    token, claims = folder.issue_token("ci", tokens.Role.SUBMITTER, "north", now, 100.0)
     assert folder.keyring().verify(token, now) == tokens.Claims(
         "ci", tokens.Role.SUBMITTER, "north", claims.id, int(claims.expires)
     )
@@ -356,8 +356,8 @@
     assert folder.keyring().verify(token, now + 49).name == "ci"
     with pytest.raises(tokens.TokenError, match="no longer good"):
         folder.keyring().verify(token, now + 51)
-    other = Folder(tmp_path / "other")
-    other.begin("x", NOW)
+    other = KeyFolder(tmp_path / "other")
+    other.initialize("x", NOW)
     with pytest.raises(tokens.TokenError, match="not known here"):
         other.keyring().verify(token, now)
     head, body, signature = token.split(".")
@@ -368,13 +368,13 @@
 
 def test_a_folder_that_can_not_be_used_is_named(tmp_path, capsys):
     with pytest.raises(KeysError, match=r"tokens.json"):
-        Folder(tmp_path).keyring()
-    folder = Folder(tmp_path / "keys")
-    folder.begin("x", NOW)
+        KeyFolder(tmp_path).keyring()
+    folder = KeyFolder(tmp_path / "keys")
+    folder.initialize("x", NOW)
     with pytest.raises(KeysError, match=r"ca.pem: there is an authority already"):
-        folder.begin("x", NOW)
+        folder.initialize("x", NOW)
     with pytest.raises(KeysError, match="can't be a certificate's name"):
-        folder.certify("../x", [], False, NOW, 1)
+        folder.issue_certificate("../x", [], False, NOW, 1)
     (tmp_path / "keys" / "tokens.json").write_text("{")
     with pytest.raises(KeysError, match=r"tokens.json"):
         folder.keyring()
--- a/tests/test_remote_sites.py
+++ b/tests/test_remote_sites.py
@@ -18,7 +18,7 @@
 from weldhatch import config
 from weldhatch.cli.sites import sites
 from weldhatch.config import ConfigError
-from weldhatch.keys.folder import Folder
+from weldhatch.keys.folder import KeyFolder
 from weldhatch.net.descriptor_budget import DescriptorBudget, DescriptorShare
 from weldhatch.pullqueue import remote_sites
 from weldhatch.pullqueue.control import Control
@@ -197,18 +197,18 @@
 
     async def asyncSetUp(self):
         self.keys = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        folder, now = Folder(self.keys), datetime.datetime.now(datetime.UTC)
-        folder.begin("sites", now)
-        folder.certify("gateway", ["127.0.0.1"], True, now, 10)
+        folder, now = KeyFolder(self.keys), datetime.datetime.now(datetime.UTC)
+        folder.initialize("sites", now)
+        folder.issue_certificate("gateway", ["127.0.0.1"], True, now, 10)
         for name in ("a", "b", "c"):
-            folder.certify(name, [], False, now, 10)
+            folder.issue_certificate(name, [], False, now, 10)
         await super().asyncSetUp()
 
     def begin(self, name, peers, **more):
         return super().begin(name, peers, keys=str(self.keys), **more)
 
     async def test_a_site_that_shows_the_certificate_of_another_is_rejected(self):
-        folder = Folder(self.keys)
+        folder = KeyFolder(self.keys)
         link = self.a.sites.links["b"]
         link.close()
         share = DescriptorShare(DescriptorBudget(64), 8)
--- a/weldhatch/cli/keys.py
+++ b/weldhatch/cli/keys.py
@@ -8,7 +8,7 @@
 import click
 
 from weldhatch.keys.certificates import LEAF_DAYS, describe
-from weldhatch.keys.folder import Folder
+from weldhatch.keys.folder import KeyFolder
 from weldhatch.keys.tokens import Role
 
 
@@ -30,7 +30,7 @@
 @click.option("--name", default="weldhatch", show_default=True, help="What the authority is called.")
 def init(folder: str, name: str) -> None:
     """Make FOLDER with a new authority and a first key for tokens."""
-    Folder(folder).begin(name, now())
+    KeyFolder(folder).initialize(name, now())
     click.echo(f"{folder} holds an authority and a key for tokens; keep ca.key and signing/ to yourself")
 
 
@@ -48,7 +48,9 @@
 @click.option("--days", default=LEAF_DAYS, show_default=True, type=click.IntRange(1, 3650))
 def server(folder: str, name: str, hosts: tuple[str, ...], days: int) -> None:
     """Make, or make anew, the gateway's certificate."""
-    click.echo(f"{Folder(folder).certify(name, list(hosts), True, now(), days)}: good for {days} days")
+    click.echo(
+        f"{KeyFolder(folder).issue_certificate(name, list(hosts), True, now(), days)}: good for {days} days"
+    )
 
 
 @keys.command()
@@ -57,7 +59,7 @@
 @click.option("--days", default=LEAF_DAYS, show_default=True, type=click.IntRange(1, 3650))
 def client(folder: str, name: str, days: int) -> None:
     """Make, or make anew, the certificate of a client; a build machine's NAME is its bot id."""
-    click.echo(f"{Folder(folder).certify(name, [], False, now(), days)}: good for {days} days")
+    click.echo(f"{KeyFolder(folder).issue_certificate(name, [], False, now(), days)}: good for {days} days")
 
 
 @keys.command()
@@ -70,7 +72,7 @@
     """Print a token for NAME; its id, for `revoke`, goes to standard error."""
     if role == Role.SUBMITTER and not tenant:
         raise click.UsageError("--tenant: a submitter's token names its tenant")
-    text, claims = Folder(folder).token(name, Role(role), tenant, time.time(), hours * 3600)
+    text, claims = KeyFolder(folder).issue_token(name, Role(role), tenant, time.time(), hours * 3600)
     click.echo(text)
     click.echo(f"token {claims.id}", err=True)
 
@@ -86,7 +88,7 @@
 )
 def rotate(folder: str, overlap_hours: float) -> None:
     """A new key signs tokens from now on."""
-    click.echo(f"{Folder(folder).rotate(time.time(), overlap_hours * 3600)} signs from now on")
+    click.echo(f"{KeyFolder(folder).rotate(time.time(), overlap_hours * 3600)} signs from now on")
 
 
 @keys.command()
@@ -94,7 +96,7 @@
 @click.argument("token_id")
 def revoke(folder: str, token_id: str) -> None:
     """A token is no longer good, by its id."""
-    Folder(folder).revoke(token_id, time.time())
+    KeyFolder(folder).revoke(token_id, time.time())
     click.echo(f"{token_id} is revoked; gateways know on SIGHUP")
 
 
@@ -102,7 +104,7 @@
 @click.argument("folder")
 def show(folder: str) -> None:
     """The certificates of FOLDER and when they end."""
-    for path in sorted(Folder(folder).path.rglob("*.pem")):
+    for path in sorted(KeyFolder(folder).path.rglob("*.pem")):
         if "signing" not in path.parts:
             name, until = describe(path.read_bytes())
             click.echo(f"{path}: {name}, until {until:%Y-%m-%d %H:%M} UTC")
--- a/weldhatch/keys/folder.py
+++ b/weldhatch/keys/folder.py
@@ -23,7 +23,7 @@
 ROTATE_OVERLAP_S = 7 * 86400.0
 
 
-class Folder:
+class KeyFolder:
     """One folder of keys.
 
     Every file is replaced atomically; private ones are readable by their owner only.
@@ -53,7 +53,7 @@
 
     # ---- certificates --------------------------------------------------------------------------------------
 
-    def begin(self, common: str, now: datetime.datetime) -> None:
+    def initialize(self, common: str, now: datetime.datetime) -> None:
         """Make a new authority and a first token key. Raises KeysError if there is one already."""
         if (self.path / "ca.pem").exists():
             raise KeysError(f"{self.path / 'ca.pem'}: there is an authority already")
@@ -63,7 +63,9 @@
         self._write_tokens({"keys": {}, "revoked": {}})
         self.rotate(now.timestamp())
 
-    def certify(self, common: str, names: list[str], server: bool, now: datetime.datetime, days: int) -> Path:
+    def issue_certificate(
+        self, common: str, names: list[str], server: bool, now: datetime.datetime, days: int
+    ) -> Path:
         """Make a certificate for the gateway or for a client, and return its path.
 
         Raises KeysError for a name that can't be a file's, and where the authority can't be read.
@@ -143,7 +145,7 @@
         self._write_tokens(tree)
         return key_id
 
-    def token(
+    def issue_token(
         self, name: str, role: tokens.Role, tenant: str, now: float, seconds: float
     ) -> tuple[str, tokens.Claims]:
         """Return a new token, signed by the newest key and valid for `seconds`, and its claims."""
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -96,9 +96,9 @@
     if not keys:
         return None, None
     from weldhatch.keys.errors import KeysError
-    from weldhatch.keys.folder import Folder
+    from weldhatch.keys.folder import KeyFolder
 
-    folder = Folder(keys)
+    folder = KeyFolder(keys)
     try:
         return folder.server_context(mutual=True), folder.client_context(name)
     except KeysError as error:
--- a/weldhatch/pullqueue/security.py
+++ b/weldhatch/pullqueue/security.py
@@ -33,9 +33,9 @@
         """Raises ConfigError naming the file that can't be used; what was loaded before stays then."""
         if not self._told.tls and not self._told.tokens:
             return
-        from weldhatch.keys.folder import Folder, KeysError  # cryptography: only where it is asked for
+        from weldhatch.keys.folder import KeyFolder, KeysError  # cryptography: only where it is asked for
 
-        folder = Folder(self._told.keys)
+        folder = KeyFolder(self._told.keys)
         try:
             context = folder.server_context(self._told.tls == "mutual") if self._told.tls else None
             keyring = folder.keyring() if self._told.tokens else None
