--- a/tests/test_forms.py
+++ b/tests/test_forms.py
@@ -1,5 +1,5 @@
-"""The S-expression files: all faults at once with their places, and a canonical form that keeps
-everything."""
+"""S-expression files: all faults are reported at once with positions, and the canonical layout keeps all
+items."""
 
 import pytest
 from hypothesis import given
@@ -8,32 +8,32 @@
 from weldhatch.sexpr import printer, reader
 
 
-def faults(text):
-    with pytest.raises(reader.FormError) as caught:
+def read_faults(text):
+    with pytest.raises(reader.FormError) as raised:
         reader.read(text, "f")
-    return [(fault.position.line, fault.position.column, fault.expected) for fault in caught.value.faults]
+    return [(fault.position.line, fault.position.column, fault.expected) for fault in raised.value.faults]
 
 
-def test_values_have_units():
+def test_atoms_are_converted_by_unit_and_escape():
     [form] = reader.read('(x 1.5m 250ms 300GB 512MB 7 "a\\"b" std-48 n1)', "f")
     assert [atom.value for atom in form.items[1:]] == [90.0, 0.25, 300.0, 0.512, 7.0, 'a"b', "std-48", "n1"]
 
 
-def test_all_faults_of_a_text_are_told_at_once_with_their_places():
-    found = faults('(a 12q\n  (b 5zz)) )\n(c "no end\n')
+def test_all_faults_of_a_text_are_reported_at_once_with_positions():
+    found = read_faults('(a 12q\n  (b 5zz)) )\n(c "no end\n')
     assert [(line, column) for line, column, _ in found] == [(1, 4), (2, 6), (2, 12), (3, 4)]
 
 
 @pytest.mark.parametrize(("text", "line", "column"), [("(a (b)", 1, 1), ('(a\n (b (c) "(" ; (\n', 2, 2)])
-def test_an_open_bracket_is_named_where_it_opens(text, line, column):
-    assert faults(text) == [(line, column, "')'")]
+def test_an_unclosed_bracket_is_reported_at_its_position(text, line, column):
+    assert read_faults(text) == [(line, column, "')'")]
 
 
-def test_brackets_nested_too_deeply_are_a_fault_and_no_crash():
-    assert faults("(" * 500 + ")" * 500)
+def test_brackets_nested_too_deeply_raise_a_form_error():
+    assert read_faults("(" * 500 + ")" * 500)
 
 
-def test_includes_are_read_beside_their_file_and_name_themselves():
+def test_includes_are_relative_to_their_file_and_faults_name_the_include():
     files = {
         "d/a": '(include "b") (x)',
         "d/b": "(y)",
@@ -49,9 +49,9 @@
     assert [form.head for form in reader.read_with_includes("d/a", load)] == ["y", "x"]
     with pytest.raises(reader.FormError, match="includes itself: l -> l"):
         reader.read_with_includes("l", load)
-    with pytest.raises(reader.FormError) as caught:
+    with pytest.raises(reader.FormError) as raised:
         reader.read_with_includes("m", load)
-    assert [fault.position.line for fault in caught.value.faults] == [1, 2]
+    assert [fault.position.line for fault in raised.value.faults] == [1, 2]
 
 
 atoms = st.one_of(
@@ -65,17 +65,17 @@
 )
 
 
-def shape(items):
+def structure(items):
     return [
-        shape(item.children) if isinstance(item, reader.Form) else item.text.strip("; ") for item in items
+        structure(item.children) if isinstance(item, reader.Form) else item.text.strip("; ") for item in items
     ]
 
 
 @given(st.lists(forms, max_size=5).map("\n".join))
-def test_the_canonical_form_means_the_same_and_is_its_own(text):
+def test_canonical_layout_keeps_all_items_and_is_stable(text):
     items = reader.read(text, "f")
-    once = printer.canonical(items)
-    again = reader.read(once, "f")
-    assert shape(again) == shape(items)
-    assert printer.canonical(again) == once
-    assert all(len(line) <= 110 or " " not in line.strip() for line in once.split("\n"))
+    printed = printer.canonical(items)
+    reparsed = reader.read(printed, "f")
+    assert structure(reparsed) == structure(items)
+    assert printer.canonical(reparsed) == printed
+    assert all(len(line) <= 110 or " " not in line.strip() for line in printed.split("\n"))
--- a/weldhatch/sexpr/__init__.py
+++ b/weldhatch/sexpr/__init__.py
@@ -1,1 +1,1 @@
-"""Files of S-expressions: one grammar for all of them, their faults, and their canonical form."""
+"""S-expression files: the grammar, the reader that reports all faults at once, and the canonical format."""
--- a/weldhatch/sexpr/printer.py
+++ b/weldhatch/sexpr/printer.py
@@ -1,4 +1,4 @@
-"""The canonical form of an S-expression file: the same items, comments included, laid out one way."""
+"""Prints S-expression files in a canonical layout that keeps all items and comments."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from weldhatch.sexpr.reader import Atom, Comment, Form
 
-WIDTH = 100
+LINE_WIDTH = 100
 INDENT = "  "
 
 
@@ -20,41 +20,41 @@
     )
 
 
-def _lines(item: Form | Atom | Comment, room: int) -> list[str]:
-    """Return the lines of one item, without indent. A form that fits stands on one line."""
+def _item_lines(item: Form | Atom | Comment, width: int) -> list[str]:
+    """Return the lines of one item, without indent. A form without comments that fits takes one line."""
     if isinstance(item, Comment):
-        return [_comment(item)]
+        return [_format_comment(item)]
     if isinstance(item, Atom):
         return [item.text]
-    if not _has_comment(item) and len(item.one_line) <= room:
+    if not _has_comment(item) and len(item.one_line) <= width:
         return [item.one_line]
-    # The leading atoms stay with the bracket; from the first form or comment on, each item has its line.
-    first, lead = _leading_atoms(item, room)
-    rest = item.children[lead:]
-    before = item.children[lead - 1] if lead else None
-    block = _block(rest, room - len(INDENT), before, opened=bool(lead))
+    # The leading atoms stay on the line of the bracket; the items after them go into an indented block.
+    first_line, atom_count = _leading_atoms(item, width)
+    remaining = item.children[atom_count:]
+    before = item.children[atom_count - 1] if atom_count else None
+    block = _format_block(remaining, width - len(INDENT), before, opened=bool(atom_count))
     if block.trailing_comment:
-        first = f"{first}  {block.trailing_comment}"
-    lines = [first, *(INDENT + line if line else "" for line in block.lines)]
+        first_line = f"{first_line}  {block.trailing_comment}"
+    lines = [first_line, *(INDENT + line if line else "" for line in block.lines)]
     if item.children and isinstance(item.children[-1], Comment):
         return [*lines, ")"]
     return [*lines[:-1], lines[-1] + ")"]
 
 
-def _leading_atoms(form: Form, room: int) -> tuple[str, int]:
-    """Return the bracket with the atoms that stay on its line, and how many they are."""
-    first = "("
+def _leading_atoms(form: Form, width: int) -> tuple[str, int]:
+    """Return the opening bracket with the atoms that fit on its line, and the number of these atoms."""
+    first_line = "("
     for count, item in enumerate(form.children):
         if not isinstance(item, Atom):
-            return first, count
-        longer = first + (" " if count else "") + item.text
-        if count and len(longer) > room:
-            return first, count
-        first = longer
-    return first, len(form.children)
+            return first_line, count
+        longer = first_line + (" " if count else "") + item.text
+        if count and len(longer) > width:
+            return first_line, count
+        first_line = longer
+    return first_line, len(form.children)
 
 
-def _comment(comment: Comment) -> str:
+def _format_comment(comment: Comment) -> str:
     text = comment.text.lstrip(";")
     marks = comment.text[: len(comment.text) - len(text)]
     return f"{marks} {text.strip()}" if text.strip() else marks
@@ -63,50 +63,50 @@
 @dataclass(slots=True)
 class _Block:
     lines: list[str] = field(default_factory=list)
-    trailing_comment: str = ""  # of the line in front of the block
+    trailing_comment: str = ""  # belongs to the line before the block
 
 
-def _trails(item: Form | Atom | Comment, before: Form | Atom | Comment | None) -> bool:
-    """Return whether `item` is a comment behind another item on the same line."""
+def _is_trailing_comment(item: Form | Atom | Comment, before: Form | Atom | Comment | None) -> bool:
+    """Return whether `item` is a comment that follows another item on the same line."""
     if not isinstance(item, Comment) or before is None or isinstance(before, Comment):
         return False
     return item.position.line == _last_line(before)
 
 
-def _block(
-    items: list[Form | Atom | Comment], room: int, before: Form | Atom | Comment | None, opened: bool
+def _format_block(
+    items: list[Form | Atom | Comment], width: int, before: Form | Atom | Comment | None, opened: bool
 ) -> _Block:
-    """Lay items out under one another.
+    """Lay out items on consecutive lines.
 
-    One blank line stays where there was one; a comment behind an item stays there.
+    Runs of blank lines become one; a comment that follows an item on the same line stays on that line.
 
-    before: the item in front of the first one, on a line that is not part of the block.
-    opened: that line begins with a bracket and atoms.
+    before: the item before the first one, on a line that is not part of the block.
+    opened: whether that line holds the opening bracket and at least one atom.
     """
     block = _Block()
     lines = block.lines
-    packing = False  # atoms that follow one another share a line as far as it reaches
-    for n, item in enumerate(items):
-        if isinstance(item, Atom) and packing and len(f"{lines[-1]} {item.text}") <= room:
+    packing = False  # consecutive atoms share a line up to its width
+    for index, item in enumerate(items):
+        if isinstance(item, Atom) and packing and len(f"{lines[-1]} {item.text}") <= width:
             lines[-1] += f" {item.text}"
             before = item
             continue
         packing = isinstance(item, Atom)
-        gap = before is not None and item.position.line > _last_line(before) + 1
-        trails = _trails(item, before)
-        if isinstance(item, Comment) and trails and lines:
-            lines[-1] = f"{lines[-1]}  {_comment(item)}"
-        elif isinstance(item, Comment) and trails and opened and not n:
-            block.trailing_comment = _comment(item)
+        blank_before = before is not None and item.position.line > _last_line(before) + 1
+        trailing = _is_trailing_comment(item, before)
+        if isinstance(item, Comment) and trailing and lines:
+            lines[-1] = f"{lines[-1]}  {_format_comment(item)}"
+        elif isinstance(item, Comment) and trailing and opened and not index:
+            block.trailing_comment = _format_comment(item)
         else:
-            if gap and (lines or opened):
+            if blank_before and (lines or opened):
                 lines.append("")
-            lines += _lines(item, room)
+            lines += _item_lines(item, width)
         before = item
     return block
 
 
 def canonical(items: list[Form | Atom | Comment]) -> str:
-    """Return the text of a file's items, as `reader.read` gives them; ends with a line feed unless empty."""
-    text = "\n".join(_block(items, WIDTH, None, opened=False).lines)
+    """Return the canonical text of items from `reader.read`; it ends with a line feed unless it is empty."""
+    text = "\n".join(_format_block(items, LINE_WIDTH, None, opened=False).lines)
     return f"{text}\n" if text else ""
--- a/weldhatch/sexpr/reader.py
+++ b/weldhatch/sexpr/reader.py
@@ -1,4 +1,4 @@
-"""Reads S-expressions by `grammar.lark`: forms and atoms with places, and all faults of a text at once."""
+"""Parses S-expressions with `grammar.lark` into forms and atoms with positions; reports all faults."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 if TYPE_CHECKING:
     _Tree = lark.Tree[lark.Token]
 
-DURATIONS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
-SIZES = {"MB": 0.001, "GB": 1.0, "TB": 1000.0}
-DEPTH_MOST = 60
-TEXT_MOST = 4 << 20
-INCLUDES_MOST = 64
+DURATION_UNITS_S = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
+SIZE_UNITS_GB = {"MB": 0.001, "GB": 1.0, "TB": 1000.0}
+MAX_DEPTH = 60
+MAX_TEXT_CHARS = 4 << 20
+MAX_FILES = 64  # the top file and all includes
 _ESCAPES = {'\\"': '"', "\\\\": "\\", "\\n": "\n", "\\t": "\t"}
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Position:
-    """Where something stands: file, line and column, both counted from 1."""
+    """A position in a file; line and column are counted from 1."""
 
     file: str
     line: int
@@ -36,29 +36,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One thing that can't be read: where, what was found, and the word that was expected there."""
+    """One error in a text: its position, what is wrong, and what was expected instead."""
 
     position: Position
     message: str
     expected: str = ""
 
     def __str__(self) -> str:
-        """Return the fault on one line, as users see it."""
+        """Return the fault as one line for the user."""
         return f"{self.position}: {self.message}" + (f" (expected {self.expected})" if self.expected else "")
 
 
 class FormError(ValueError):
-    """A text with faults: all of them, in the order of their places."""
+    """A text with faults; `faults` holds all of them, ordered by position."""
 
     def __init__(self, faults: list[Fault]) -> None:
-        """Keep the faults, each once, in the order of their places."""
+        """Sort the faults by position, without duplicates."""
         self.faults = sorted(set(faults), key=lambda fault: fault.position)
         super().__init__("\n".join(map(str, self.faults)))
 
 
 @dataclass(slots=True, frozen=True)
 class Atom:
-    """A word, a text, a number, a duration (seconds) or a size (GB)."""
+    """A symbol, string, number, duration or size; `value` is in seconds for durations, in GB for sizes."""
 
     kind: str  # SYMBOL, STRING, NUMBER, DURATION, SIZE
     value: str | float
@@ -67,13 +67,13 @@
 
     @property
     def one_line(self) -> str:
-        """Its text as in the file."""
+        """The atom as written in the file."""
         return self.text
 
 
 @dataclass(slots=True, frozen=True)
 class Comment:
-    """A comment with its semicolons, without trailing space."""
+    """A comment, with its semicolons and without trailing white space."""
 
     text: str
     position: Position
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class Form:
-    """One pair of brackets. `all` has the comments too, `items` has what means something."""
+    """A parenthesized form. `children` includes comments; `items` leaves them out."""
 
     position: Position
     end_line: int
@@ -89,12 +89,12 @@
 
     @property
     def items(self) -> list[Form | Atom]:
-        """What it holds, without comments."""
+        """The forms and atoms directly in the form, without comments."""
         return [item for item in self.children if not isinstance(item, Comment)]
 
     @property
     def head(self) -> str:
-        """Its first word, or '' where it begins with something else."""
+        """The symbol that begins the form, or '' if the form does not begin with a symbol."""
         first = next(iter(self.items), None)
         return str(first.value) if isinstance(first, Atom) and first.kind == "SYMBOL" else ""
 
@@ -111,32 +111,34 @@
 
 
 def read(text: str, file: str) -> list[Form | Atom | Comment]:
-    """Return the items of a text. Raises FormError with every fault of the text.
+    """Return the items of a text. Raises FormError with all faults of the text.
 
-    Errors do not end the reading: what can't be read is left out, and reading goes on behind it, so that a
-    person mends a file in one go.
+    The parser skips text that it cannot parse and continues after it, so that users can correct all faults
+    of a file in one pass.
     """
-    if len(text) > TEXT_MOST:
-        raise FormError([Fault(Position(file, 1, 1), f"a file of over {TEXT_MOST >> 20} MiB")])
+    if len(text) > MAX_TEXT_CHARS:
+        raise FormError([Fault(Position(file, 1, 1), f"file is larger than {MAX_TEXT_CHARS >> 20} MiB")])
     handler = _ParseErrors(text, file)
     faults = handler.faults
     try:
         tree = _parser().parse(text, on_error=handler.handle)
-    except lark.UnexpectedInput:  # only the end of the file can't be stepped over: a bracket is open
-        if not faults:  # else the brackets that were left out with a fault would be reported again
-            line, column = _unclosed(text)
+    except lark.UnexpectedInput:
+        # The handler recovers from all errors but the end of the file within a form. That error is reported
+        # only alone, since text skipped for another fault may have contained the closing bracket.
+        if not faults:
+            line, column = _unclosed_bracket(text)
             faults.append(Fault(Position(file, line, column), "this '(' is never closed", "')'"))
         raise FormError(faults) from None
     except RecursionError:
         raise FormError([Fault(Position(file, 1, 1), "brackets nested too deeply")]) from None
-    items = [_item(child, file, 0, faults) for child in _trees(tree)]
+    items = [_convert(child, file, 0, faults) for child in _subtrees(tree)]
     if faults:
         raise FormError(faults)
     return items
 
 
 class _ParseErrors:
-    """Collects the faults of one text while the parser goes on behind each."""
+    """Collects the faults of one text and lets the parser continue after each."""
 
     def __init__(self, text: str, file: str) -> None:
         self._text = text
@@ -144,12 +146,12 @@
         self.faults: list[Fault] = []
 
     def handle(self, error: lark.UnexpectedInput) -> bool:
-        """Note an error of the parser; return whether it can go on."""
+        """Record a parser error; return whether the parser can continue."""
         if isinstance(error, lark.UnexpectedCharacters):
             self._handle_characters(error)
             return True
         if isinstance(error, lark.UnexpectedToken) and error.token.type != "$END":
-            self._add(error.token.line or 1, error.token.column or 1, "a ')' that closes nothing", "'('")
+            self._add(error.token.line or 1, error.token.column or 1, "unmatched ')'", "'('")
             return True
         return False
 
@@ -157,12 +159,12 @@
         rest = self._text[error.pos_in_stream or 0 :]
         unreadable = rest.split(None, 1)[0] if rest.split() else rest[:1]
         if unreadable[0] == '"':
-            message = "a text in quotes that does not end on its line, or has an unknown escape"
+            message = "string does not end on its line, or has an unknown escape"
         else:
-            message = f"{unreadable[:40]!r} can't be read"
+            message = f"{unreadable[:40]!r} cannot be parsed"
         expected = "a word, a number with a known unit, a text or a bracket"
         if len(unreadable) > 1 and unreadable[0] != '"':
-            units = " ".join([*DURATIONS, *SIZES])
+            units = " ".join([*DURATION_UNITS_S, *SIZE_UNITS_GB])
             expected = f"a word that begins with a letter, or a number with one of {units}"
         self._add(error.line, error.column, message, expected)
         _skip(error, unreadable)
@@ -172,77 +174,79 @@
 
 
 def _skip(error: lark.UnexpectedCharacters, unreadable: str) -> None:
-    """Let the lexer go on behind a bad word, which would be reported once for each of its letters."""
+    """Advance the lexer past an invalid word, which would otherwise give one fault for each character."""
     lexer_state = error.interactive_parser.lexer_thread.state if error.interactive_parser else None
     if lexer_state is None:
         return
-    bare = unreadable.split("(")[0].split(")")[0] or unreadable[0]
-    # The handler of lark steps over one character itself.
-    for character in bare[:-1]:
+    word = unreadable.split("(")[0].split(")")[0] or unreadable[0]
+    # Lark itself skips one character after the error handler returns.
+    for character in word[:-1]:
         lexer_state.line_ctr.feed(lark.lexer.Token("SKIPPED", character), False)
 
 
-def _unclosed(text: str) -> tuple[int, int]:
-    """Line and column of the innermost bracket that stays open at the end."""
-    open_at: list[tuple[int, int]] = []
+def _unclosed_bracket(text: str) -> tuple[int, int]:
+    """Return the line and column of the innermost bracket that is still open at the end of the text."""
+    open_brackets: list[tuple[int, int]] = []
     line = column = 1
-    quoted = comment = False
+    in_string = in_comment = False
     previous = ""
     for character in text:
         if character == "\n":
             line += 1
             column = 1
-            quoted = comment = False
+            in_string = in_comment = False
             previous = ""
             continue
-        if comment:
+        if in_comment:
             pass
-        elif character == '"' and not (quoted and previous == "\\"):
-            quoted = not quoted
-        elif not quoted:
+        elif character == '"' and not (in_string and previous == "\\"):
+            in_string = not in_string
+        elif not in_string:
             if character == ";":
-                comment = True
+                in_comment = True
             elif character == "(":
-                open_at.append((line, column))
-            elif character == ")" and open_at:
-                open_at.pop()
+                open_brackets.append((line, column))
+            elif character == ")" and open_brackets:
+                open_brackets.pop()
         previous = "" if previous == "\\" else character
         column += 1
-    return open_at[-1] if open_at else (line, column)
+    return open_brackets[-1] if open_brackets else (line, column)
 
 
-def _trees(tree: _Tree) -> list[_Tree]:
-    """Return the children of a rule that, by the grammar, has no bare tokens."""
+def _subtrees(tree: _Tree) -> list[_Tree]:
+    """Return the children of a rule whose children are all rules in the grammar, never tokens."""
     return cast("list[_Tree]", tree.children)
 
 
-def _item(tree: _Tree, file: str, depth: int, faults: list[Fault]) -> Form | Atom | Comment:
+def _convert(tree: _Tree, file: str, depth: int, faults: list[Fault]) -> Form | Atom | Comment:
     if tree.data == "form":
         position = Position(file, tree.meta.line, tree.meta.column)
-        if depth > DEPTH_MOST:
-            faults.append(Fault(position, "brackets nested too deeply", f"at most {DEPTH_MOST}"))
+        if depth > MAX_DEPTH:
+            faults.append(Fault(position, "brackets nested too deeply", f"at most {MAX_DEPTH}"))
             return Form(position, tree.meta.end_line)
         return Form(
-            position, tree.meta.end_line, [_item(child, file, depth + 1, faults) for child in _trees(tree)]
+            position,
+            tree.meta.end_line,
+            [_convert(child, file, depth + 1, faults) for child in _subtrees(tree)],
         )
     token = cast(lark.Token, tree.children[0])
     position = Position(file, token.line or 1, token.column or 1)
     if tree.data == "comment":
         return Comment(str(token).rstrip(), position)
-    return Atom(token.type, _value(token), str(token), position)
+    return Atom(token.type, _atom_value(token), str(token), position)
 
 
-def _value(token: lark.Token) -> str | float:
+def _atom_value(token: lark.Token) -> str | float:
     text = str(token)
     if token.type == "STRING":
-        out = []
-        at = 1
-        while at < len(text) - 1:
-            step = 2 if text[at] == "\\" else 1
-            out.append(_ESCAPES.get(text[at : at + step], text[at : at + step]))
-            at += step
-        return "".join(out)
-    for kind, units in (("DURATION", DURATIONS), ("SIZE", SIZES)):
+        characters = []
+        offset = 1
+        while offset < len(text) - 1:
+            length = 2 if text[offset] == "\\" else 1
+            characters.append(_ESCAPES.get(text[offset : offset + length], text[offset : offset + length]))
+            offset += length
+        return "".join(characters)
+    for kind, units in (("DURATION", DURATION_UNITS_S), ("SIZE", SIZE_UNITS_GB)):
         if token.type == kind:
             unit = next(unit for unit in sorted(units, key=len, reverse=True) if text.endswith(unit))
             return float(text.removesuffix(unit)) * units[unit]
@@ -250,7 +254,7 @@
 
 
 def _included_name(include: Form) -> str | None:
-    """Return the one file name of an `(include "FILE")`; None if it is anything else."""
+    """Return the file name of an `(include "FILE")` form; None if the form has any other content."""
     names = include.items[1:]
     if len(names) != 1 or not isinstance(names[0], Atom) or names[0].kind != "STRING":
         return None
@@ -258,56 +262,66 @@
 
 
 def _read_file(
-    path: str, load: Callable[[str], str], at: Position | None, faults: list[Fault]
+    path: str, load: Callable[[str], str], included_at: Position | None, faults: list[Fault]
 ) -> list[Form | Atom | Comment]:
-    """Read one file that is included `at` a place; where it can't be read, add to `faults`."""
+    """Return the items of one file; on errors, add them to `faults` and return an empty list.
+
+    included_at: the position of the include form; None for the top file.
+    """
     try:
         return read(load(path), path)
     except (OSError, UnicodeDecodeError) as error:
         reason = getattr(error, "strerror", None) or str(error)
-        faults.append(Fault(at or Position(path, 1, 1), f"{path}: {reason}"))
+        faults.append(Fault(included_at or Position(path, 1, 1), f"{path}: {reason}"))
     except FormError as error:
         faults.extend(error.faults)
     return []
 
 
 def read_with_includes(path: str, load: Callable[[str], str]) -> list[Form | Atom]:
-    """Return the items of a file and of all that it includes, in order. Raises FormError with all faults.
+    """Return the items of a file and of all files that it includes, in order.
 
-    load: gives the text of a path, or raises OSError.
+    `(include "other.sets")` at the top level names a file relative to the folder of the including file.
 
-    `(include "other.sets")` at the top level names a file beside the one that holds it.
+    load: returns the text of a path, or raises OSError.
+
+    Raises:
+        FormError: has all faults of all files.
     """
     faults: list[Fault] = []
     count = 0
 
-    def one(path: str, way: tuple[str, ...], at: Position | None) -> list[Form | Atom]:
+    def read_one(path: str, parents: tuple[str, ...], included_at: Position | None) -> list[Form | Atom]:
         nonlocal count
-        out: list[Form | Atom] = []
+        items: list[Form | Atom] = []
         count += 1
-        if path in way or count > INCLUDES_MOST:
-            why = "includes itself" if path in way else f"is one of over {INCLUDES_MOST} includes"
-            faults.append(Fault(at or Position(path, 1, 1), f"{path} {why}: {' -> '.join((*way, path))}"))
-            return out
-        for item in _read_file(path, load, at, faults):
+        if path in parents or count > MAX_FILES:
+            problem = "includes itself" if path in parents else f"exceeds the limit of {MAX_FILES} files"
+            faults.append(
+                Fault(
+                    included_at or Position(path, 1, 1), f"{path} {problem}: {' -> '.join((*parents, path))}"
+                )
+            )
+            return items
+        for item in _read_file(path, load, included_at, faults):
             if isinstance(item, Form) and item.head == "include":
                 name = _included_name(item)
                 if name is not None:
-                    out += one(str(Path(path).parent / name), (*way, path), item.position)
+                    items += read_one(str(Path(path).parent / name), (*parents, path), item.position)
                 else:
                     faults.append(Fault(item.position, f"{item.one_line} names no file", '(include "FILE")'))
             elif not isinstance(item, Comment):
-                out.append(item)
-        return out
+                items.append(item)
+        return items
 
-    items = one(path, (), None)
+    all_items = read_one(path, (), None)
     if faults:
         raise FormError(faults)
-    return items
+    return all_items
 
 
 def describe(item: Form | Atom | None) -> str:
-    """Return an item as a fault names it."""
+    """Return an item as shown in fault messages; long forms are abbreviated."""
     if item is None:
         return "nothing more"
     if isinstance(item, Form):
