--- a/tests/test_applies.py
+++ b/tests/test_applies.py
@@ -1,5 +1,5 @@
-"""Applies against stand-in nodes on a virtual clock: killed at every point, lied to, overtaken, and
-undone."""
+"""Applies against stand-in nodes on a virtual clock: killed at each point, with failing nodes and lost
+messages, overtaken, and undone."""
 
 import asyncio
 import functools
@@ -19,18 +19,18 @@
 from weldhatch.testbed.fleet import Faults, StandInWorld, small_fleet
 from weldhatch.testbed.virtual import VirtualLoop, run
 
-NONE = {"second_drains": 0, "unreported_half_done": 0, "floors_broken": 0, "late_starts": 0}
+NO_FAULTS = {"second_drains": 0, "unreported_half_done": 0, "floors_broken": 0, "late_starts": 0}
 
 
 @functools.cache
-def undisturbed():
+def uninterrupted_trial():
     return trial()
 
 
-def test_an_apply_brings_the_fleet_where_its_change_says():
-    out = undisturbed()
-    assert out.result.exit is Exit.DONE and out.faults == NONE
-    assert out.world.states() == {
+def test_an_apply_brings_the_fleet_to_the_planned_state():
+    outcome = uninterrupted_trial()
+    assert outcome.result.exit is Exit.DONE and outcome.faults == NO_FAULTS
+    assert outcome.world.states() == {
         "n1": "off",
         "n2": "draining",
         "n3": "draining",
@@ -40,12 +40,12 @@
         "n7": "ready",
         "n8": "ready",
     }
-    assert len(out.plan.waves) == 2
+    assert len(outcome.plan.waves) == 2
 
 
-def test_killed_at_every_point_and_run_again_it_ends_as_if_undisturbed():
-    """Every write, every order, every answer: enumerated, not sampled."""
-    plain = undisturbed()
+def test_an_apply_killed_at_any_point_and_resumed_ends_like_an_uninterrupted_one():
+    """Enumerates the points around every write, order and answer, instead of sampling them."""
+    reference = uninterrupted_trial()
     assert {
         "write: before",
         "write: half",
@@ -54,90 +54,94 @@
         "order: before",
         "order: heard",
         "look",
-    } == set(plain.names)
-    for point in range(plain.points):
-        out = trial(crashes=(point,))
-        where = f"point {point}, {plain.names[point]}"
-        assert out.runs == 2, where
-        assert out.result.exit is Exit.DONE, (where, out.result)
-        assert out.faults == NONE, where
-        assert out.world.states() == plain.world.states(), where
+    } == set(reference.names)
+    for point in range(reference.points):
+        outcome = trial(crashes=(point,))
+        context = f"point {point}, {reference.names[point]}"
+        assert outcome.runs == 2, context
+        assert outcome.result.exit is Exit.DONE, (context, outcome.result)
+        assert outcome.faults == NO_FAULTS, context
+        assert outcome.world.states() == reference.world.states(), context
 
 
 @pytest.mark.parametrize("first", range(0, 90, 18))
-def test_killed_again_while_it_goes_on(first):
+def test_an_apply_killed_again_while_resuming_ends_like_an_uninterrupted_one(first):
     for second in range(3, 60, 6):
-        out = trial(crashes=(first, second))
-        assert out.result.exit is Exit.DONE and out.faults == NONE, (first, second, out.result)
-        assert out.world.states() == undisturbed().world.states()
+        outcome = trial(crashes=(first, second))
+        assert outcome.result.exit is Exit.DONE and outcome.faults == NO_FAULTS, (
+            first,
+            second,
+            outcome.result,
+        )
+        assert outcome.world.states() == uninterrupted_trial().world.states()
 
 
-def test_nodes_that_fall_lie_dead_and_return_break_nothing():
-    """The short form of `python -m benchmarks.fleet`."""
-    ends = set()
+def test_failing_and_returning_nodes_violate_no_invariant():
+    """A short run of the trials of `python -m benchmarks.fleet`."""
+    exits = set()
     for seed in range(60):
-        out = trial(
+        outcome = trial(
             seed,
             undo=True,
             runs_most=4,
             crashes=(seed % 70,),
             faults=Faults(0.05, 0.05, 0.05, 0.03, 0.05, 0.02, 0.05, falls=2, span_s=25),
         )
-        assert out.faults == NONE, seed
-        ends.add(out.result.exit)
-        ends.add(out.undone and out.undone.exit)
-    assert {Exit.DONE, Exit.STOPPED, Exit.MOVED} <= ends
+        assert outcome.faults == NO_FAULTS, seed
+        exits.add(outcome.result.exit)
+        exits.add(outcome.undone and outcome.undone.exit)
+    assert {Exit.DONE, Exit.STOPPED, Exit.MOVED} <= exits
 
 
 def node(world, name):
     return world.nodes[name]
 
 
-# ---- each fault has its stated outcome
-# -----------------------------------------------------------------------
+# ---- the result of each fault ------------------------------------------------------------------------------
 
 
-def stopped(why, text="", **options):
-    out = trial(runs_most=1, **options)
-    assert out.result.exit is Exit.STOPPED, out.result
-    assert out.result.stopped.reason == why, out.result
-    assert text in out.result.text
-    assert out.faults == NONE
-    return out
+def stopped_trial(why, text="", **options):
+    """Run one trial that must stop for the given reason, and return its outcome."""
+    outcome = trial(runs_most=1, **options)
+    assert outcome.result.exit is Exit.STOPPED, outcome.result
+    assert outcome.result.stopped.reason == why, outcome.result
+    assert text in outcome.result.text
+    assert outcome.faults == NO_FAULTS
+    return outcome
 
 
-def test_a_node_that_falls_between_plan_and_apply_is_told_three_ways_and_nothing_is_done():
-    out = trial(runs_most=1, script=lambda world, _: node(world, "n1").fall())
-    assert out.result.exit is Exit.MOVED
-    [moved] = out.result.moved
+def test_a_node_lost_between_plan_and_apply_is_reported_and_nothing_is_done():
+    outcome = trial(runs_most=1, script=lambda world, _: node(world, "n1").fall())
+    assert outcome.result.exit is Exit.MOVED
+    [moved] = outcome.result.moved
     assert (moved.what, moved.planned, moved.then, moved.now) == (
         "n1",
         "drain and stop in wave 1",
         "ready, generation 1, 6 tasks",
         "no answer",
     )
-    assert not any(one.effects for one in out.world.nodes.values())
+    assert not any(stand_in.effects for stand_in in outcome.world.nodes.values())
 
 
-def test_a_world_that_moved_elsewhere_is_no_reason_to_refuse():
+def test_a_changed_node_outside_the_plan_does_not_reject_the_apply():
     def script(world, _):
         node(world, "n4").fall()
-        node(world, "n4").come_back(0.0, on=True)  # another generation, and the floor holds without it
+        node(world, "n4").come_back(0.0, on=True)  # a new generation; the floor holds without the node
 
     assert trial(runs_most=1, script=script).result.exit is Exit.DONE
 
 
-def test_a_floor_that_others_took_away_is_a_reason_to_refuse():
+def test_a_floor_broken_outside_the_plan_rejects_the_apply():
     def script(world, _):
         for name in ("n4", "n5"):
             node(world, name).fall()
 
-    out = trial(runs_most=1, script=script)
-    assert out.result.exit is Exit.MOVED and "(keep (cores 120))" in out.result.moved[0].what
+    outcome = trial(runs_most=1, script=script)
+    assert outcome.result.exit is Exit.MOVED and "(keep (cores 120))" in outcome.result.moved[0].what
 
 
-def later(seconds, act):
-    """A script that does something to the world a while after the apply began."""
+def run_later(seconds, act):
+    """Return a script that calls `act` on the world some seconds after the first run began."""
 
     def script(world, run):
         if not run:
@@ -146,231 +150,246 @@
     return script
 
 
-def test_a_node_that_falls_while_it_drains_is_drained_by_that():
+def test_a_node_that_goes_off_while_draining_counts_as_drained():
     def act(world):
         node(world, "n1").fall()
         node(world, "n1").come_back(0.0, on=False)
 
-    out = trial(runs_most=1, script=later(1.0, act))
-    assert out.result.exit is Exit.DONE and out.faults == NONE
-    assert [effect.order for effect in node(out.world, "n1").effects] == ["drain"]
+    outcome = trial(runs_most=1, script=run_later(1.0, act))
+    assert outcome.result.exit is Exit.DONE and outcome.faults == NO_FAULTS
+    assert [effect.order for effect in node(outcome.world, "n1").effects] == ["drain"]
 
 
-def test_a_node_that_goes_silent_stops_the_apply_and_it_goes_on_when_it_answers():
-    out = stopped(Why.LOST, "n1 has not answered", script=later(1.0, lambda world: node(world, "n1").fall()))
+def test_a_silent_node_stops_the_apply_which_resumes_once_it_answers():
+    outcome = stopped_trial(
+        Why.LOST, "n1 has not answered", script=run_later(1.0, lambda world: node(world, "n1").fall())
+    )
 
     def script(world, run):
         if not run:
-            later(1.0, lambda world: setattr(node(world, "n1"), "up", False))(world, run)
+            run_later(1.0, lambda world: setattr(node(world, "n1"), "up", False))(world, run)
         else:
             node(world, "n1").up = True
 
-    out = trial(script=script)
-    assert out.runs == 2 and out.result.exit is Exit.DONE and out.faults == NONE
+    outcome = trial(script=script)
+    assert outcome.runs == 2 and outcome.result.exit is Exit.DONE and outcome.faults == NO_FAULTS
 
 
-def test_a_node_that_comes_back_as_another_generation_is_not_drained_again():
+def test_a_node_that_returns_as_a_new_generation_is_not_drained_again():
     def act(world):
         node(world, "n1").fall()
         node(world, "n1").come_back(world.clock(), on=True)
 
-    out = stopped(Why.RETURNED, "n1 came back as generation 2", script=later(1.0, act))
-    assert len(node(out.world, "n1").effects) == 1
+    outcome = stopped_trial(Why.RETURNED, "n1 came back as generation 2", script=run_later(1.0, act))
+    assert len(node(outcome.world, "n1").effects) == 1
 
 
-def test_a_node_that_someone_made_ready_again_is_not_drained_again():
+def test_a_draining_node_that_others_set_ready_is_not_drained_again():
     def act(world):
         node(world, "n1").state = State.READY
 
-    stopped(Why.REVERTED, "not drained again", script=later(1.0, act))
+    stopped_trial(Why.REVERTED, "not drained again", script=run_later(1.0, act))
 
 
-def test_a_node_that_refuses_for_good_stops_it_and_is_asked_again_under_the_same_operation():
+def test_a_permanent_refusal_stops_the_apply_and_resuming_retries_the_order():
     def script(world, run):
         node(world, "n1").refusing, node(world, "n1").refusals_left = "REFUSED last copy here", int(not run)
 
-    stopped(Why.REFUSED, "last copy here", script=script)
-    out = trial(script=script)
-    assert out.runs == 2 and out.result.exit is Exit.DONE and out.faults == NONE
+    stopped_trial(Why.REFUSED, "last copy here", script=script)
+    outcome = trial(script=script)
+    assert outcome.runs == 2 and outcome.result.exit is Exit.DONE and outcome.faults == NO_FAULTS
 
 
-def test_a_node_that_is_busy_is_asked_again_after_waits_that_double():
+def test_a_busy_node_is_retried_until_it_takes_its_order():
     def script(world, _):
         node(world, "n1").refusing, node(world, "n1").refusals_left = "BUSY", 3
 
-    out = trial(runs_most=1, script=script)
-    assert out.result.exit is Exit.DONE and out.faults == NONE
+    outcome = trial(runs_most=1, script=script)
+    assert outcome.result.exit is Exit.DONE and outcome.faults == NO_FAULTS
 
 
-def test_lost_answers_and_late_ones_are_no_second_drain():
+def test_lost_orders_and_lost_or_late_answers_cause_no_second_drain():
     for faults in (Faults(lose_answer=0.4), Faults(late_answer=0.4), Faults(lose_order=0.4)):
-        out = trial(7, faults=faults)
-        assert out.result.exit is Exit.DONE and out.faults == NONE
+        outcome = trial(7, faults=faults)
+        assert outcome.result.exit is Exit.DONE and outcome.faults == NO_FAULTS
 
 
-def test_a_node_that_forgets_its_operations_is_seen_to_be_so_already():
+def test_resuming_relies_on_the_state_of_a_node_that_forgot_its_operations():
     def script(world, run):
         if run:
             node(world, "n1").forget()
 
-    plain = undisturbed()
-    heard = [n for n, name in enumerate(plain.names) if name == "order: heard"]
-    for point in heard[:12]:
-        out = trial(crashes=(point,), script=script)
-        assert out.result.exit is Exit.DONE and out.faults == NONE, point
+    reference = uninterrupted_trial()
+    after_answer = [index for index, name in enumerate(reference.names) if name == "order: heard"]
+    for point in after_answer[:12]:
+        outcome = trial(crashes=(point,), script=script)
+        assert outcome.result.exit is Exit.DONE and outcome.faults == NO_FAULTS, point
 
 
-def test_a_switched_on_node_that_goes_off_again_stops_it():
+def test_a_switched_on_node_that_goes_off_again_stops_the_apply():
     def act(world):
         node(world, "n7").fall()
         node(world, "n7").come_back(0.0, on=False)
 
-    stopped(Why.FELL, "n7 was switched on and went off again", script=later(1.0, act))
+    stopped_trial(Why.FELL, "n7 was switched on and went off again", script=run_later(1.0, act))
 
 
-def test_a_drain_that_does_not_end_stops_it_as_late():
-    stopped(
+def test_a_drain_over_its_time_limit_stops_the_apply_as_late():
+    stopped_trial(
         Why.LATE,
         "n1: drain was taken",
-        script=later(0.5, lambda world: setattr(node(world, "n1"), "drain_s", 1e6)),
+        script=run_later(0.5, lambda world: setattr(node(world, "n1"), "drain_s", 1e6)),
     )
 
 
-def test_a_floor_that_would_break_half_way_holds_the_drains_back_and_stops():
+def test_a_floor_broken_during_the_apply_blocks_further_drains_and_stops_it():
     def act(world):
         for name in ("n4", "n5"):
             node(world, name).fall()
 
-    out = stopped(Why.FLOOR, "(keep (cores 120))", script=later(1.0, act))
-    assert not node(out.world, "n3").effects  # the second wave's drain
+    outcome = stopped_trial(Why.FLOOR, "(keep (cores 120))", script=run_later(1.0, act))
+    assert not node(outcome.world, "n3").effects  # the second wave's drain
 
 
-def test_a_gateway_that_does_not_take_the_drain_stops_it_before_the_node_is_told():
+def test_an_unreachable_gateway_stops_the_apply_before_the_node_gets_its_order():
     def script(world, _):
         world.parties["gateway-1"].up = False
 
-    out = stopped(Why.GATEWAY, "gateway-1 did not take announce", script=script)
-    assert not node(out.world, "n1").effects
-    assert out.world.parties["gateway-0"].words["n1"][0] is State.DRAINING  # half done, and reported
+    outcome = stopped_trial(Why.GATEWAY, "gateway-1 did not take announce", script=script)
+    assert not node(outcome.world, "n1").effects
+    # The change is half done: the other gateway has the announced drain, and the journal records that.
+    assert outcome.world.parties["gateway-0"].words["n1"][0] is State.DRAINING
 
 
-# ---- two of them, old ones, and the way back
-# -----------------------------------------------------------------
+# ---- several applies, older applies, and undo --------------------------------------------------------------
 
 
-class Stage:
-    """A world and a journal folder for tests that need more than one apply."""
+class ApplyFixture:
+    """A stand-in fleet and a journal folder for tests that need several applies."""
 
     def __init__(self, folder):
         self.loop, self.fleet, self.folder = VirtualLoop(), small_fleet(), folder
         self.world = StandInWorld(self.fleet, self.loop)
         self.plan = make_plan('(change "one" (drain n1))', self.fleet, self.loop.clock())
 
-    def journal(self, who="me"):
-        return Journal(self.folder, who, self.loop.clock())
+    def journal(self, owner="me"):
+        return Journal(self.folder, owner, self.loop.clock())
 
     async def apply(self, plan=None, journal=None, **options):
-        own = journal or self.journal()
+        used_journal = journal or self.journal()
         try:
             return await Runner(
-                plan or self.plan, self.fleet, self.world, own, Patience(), clock=self.loop.clock, by="me"
+                plan or self.plan,
+                self.fleet,
+                self.world,
+                used_journal,
+                Patience(),
+                clock=self.loop.clock,
+                by="me",
             ).run(**options)
         finally:
             if journal is None:
-                own.close()
+                used_journal.close()
 
     def run(self, main):
         return run(main, self.loop)
 
 
-def test_a_second_apply_at_once_is_refused_and_told_who_holds_the_lock(tmp_path):
-    stage = Stage(tmp_path)
-    journal = stage.journal("the apply of spring")
+def test_a_concurrent_apply_is_rejected_with_the_lock_holder_in_the_error(tmp_path):
+    fixture = ApplyFixture(tmp_path)
+    journal = fixture.journal("the apply of spring")
     with pytest.raises(LockHeldError, match="the apply of spring"):
-        stage.journal("another")
+        fixture.journal("another")
     journal.close()
-    stage.loop.close()
+    fixture.loop.close()
 
 
-def test_an_older_apply_that_wakes_up_late_can_not_act(tmp_path):
-    stage = Stage(tmp_path)
+def test_an_older_apply_that_resumes_after_a_newer_one_is_stopped(tmp_path):
+    fixture = ApplyFixture(tmp_path)
 
     async def main():
-        held = stage.journal("old")
-        held.append([Begin(apply=stage.plan.id, at=1.0, plan=stage.plan, fence=1, by="old")])
-        # A newer one, from another folder, has been heard by the node meanwhile.
-        stage.world.nodes["n1"].take(NodeOrder(op="x/y", order=Kind.STOP, generation=9, fence=7), 0.0)
+        journal = fixture.journal("old")
+        journal.append([Begin(apply=fixture.plan.id, at=1.0, plan=fixture.plan, fence=1, by="old")])
+        # Meanwhile, the node has received an order of a newer apply with another journal.
+        fixture.world.nodes["n1"].take(NodeOrder(op="x/y", order=Kind.STOP, generation=9, fence=7), 0.0)
         runner = Runner(
-            stage.plan, stage.fleet, stage.world, held, Patience(), clock=stage.loop.clock, by="old"
+            fixture.plan,
+            fixture.fleet,
+            fixture.world,
+            journal,
+            Patience(),
+            clock=fixture.loop.clock,
+            by="old",
         )
-        fleet = await observe(stage.fleet, stage.world)
-        out = await runner._loop(held.history.applies[stage.plan.id], fleet)  # it never looked for fences
-        held.close()
-        return out
+        fleet = await observe(fixture.fleet, fixture.world)
+        # Enters the loop directly, since `run` would choose a fence above those of the nodes.
+        result = await runner._loop(journal.history.applies[fixture.plan.id], fleet)
+        journal.close()
+        return result
 
-    out = stage.run(main())
-    assert out.exit is Exit.STOPPED and out.stopped.reason == Why.OVERTAKEN
-    assert not stage.world.nodes["n1"].effects
+    result = fixture.run(main())
+    assert result.exit is Exit.STOPPED and result.stopped.reason == Why.OVERTAKEN
+    assert not fixture.world.nodes["n1"].effects
 
 
-def test_a_new_fence_is_above_all_that_nodes_have_heard(tmp_path):
-    stage = Stage(tmp_path)
-    stage.world.nodes["n1"].fence = 41
-    assert stage.run(stage.apply()).exit is Exit.DONE
-    assert stage.world.nodes["n1"].fence == 42
+def test_a_new_fence_exceeds_the_fences_of_all_nodes(tmp_path):
+    fixture = ApplyFixture(tmp_path)
+    fixture.world.nodes["n1"].fence = 41
+    assert fixture.run(fixture.apply()).exit is Exit.DONE
+    assert fixture.world.nodes["n1"].fence == 42
 
 
-def test_a_plan_that_was_applied_is_not_applied_again(tmp_path):
-    stage = Stage(tmp_path)
+def test_a_completed_plan_is_not_applied_again(tmp_path):
+    fixture = ApplyFixture(tmp_path)
 
     async def main():
-        return [await stage.apply(), await stage.apply()]
+        return [await fixture.apply(), await fixture.apply()]
 
-    first, second = stage.run(main())
+    first, second = fixture.run(main())
     assert first.exit is second.exit is Exit.DONE and "already" in second.text
-    assert len(stage.world.nodes["n1"].effects) == 1
+    assert len(fixture.world.nodes["n1"].effects) == 1
 
 
-def test_another_plan_is_refused_while_one_stands_half_done(tmp_path):
-    stage = Stage(tmp_path)
-    other = make_plan('(change "two" (drain n2))', stage.fleet, stage.loop.clock())
+def test_another_plan_is_rejected_while_an_apply_is_half_done(tmp_path):
+    fixture = ApplyFixture(tmp_path)
+    other = make_plan('(change "two" (drain n2))', fixture.fleet, fixture.loop.clock())
 
     async def main():
-        stage.world.parties["gateway-1"].up = False
-        results = [await stage.apply()]
-        stage.world.parties["gateway-1"].up = True
-        results += [await stage.apply(other), await stage.apply(other, ignore_unfinished=True)]
+        fixture.world.parties["gateway-1"].up = False
+        results = [await fixture.apply()]
+        fixture.world.parties["gateway-1"].up = True
+        results += [await fixture.apply(other), await fixture.apply(other, ignore_unfinished=True)]
         return results
 
-    first, second, third = stage.run(main())
+    first, second, third = fixture.run(main())
     assert first.exit is Exit.STOPPED
     assert second.exit is Exit.FAULT and "stands half done at n1" in second.text
     assert third.exit is Exit.DONE
 
 
 @pytest.mark.parametrize("point", range(0, 120, 9))
-def test_undo_brings_back_what_was_from_wherever_it_stopped(point):
-    out = trial(crashes=(point,), runs_most=1, undo=True)
-    if out.undone is not None:
-        assert out.undone.exit is Exit.DONE, out.undone
-        states = out.world.states()
+def test_undo_restores_the_initial_states_from_any_stop(point):
+    outcome = trial(crashes=(point,), runs_most=1, undo=True)
+    if outcome.undone is not None:
+        assert outcome.undone.exit is Exit.DONE, outcome.undone
+        states = outcome.world.states()
         assert states == {name: "off" if name in ("n7", "n8") else "ready" for name in states}
         assert not any(
             state is State.DRAINING
-            for party in out.world.parties.values()
+            for party in outcome.world.parties.values()
             for name, (state, _) in party.words.items()
             if name not in ("n7", "n8")
         )
 
 
-def test_status_tells_each_step_of_an_apply_that_was_cut_off(tmp_path):
-    stage = Stage(tmp_path)
+def test_the_history_shows_each_step_of_an_interrupted_apply(tmp_path):
+    fixture = ApplyFixture(tmp_path)
 
     async def main():
-        stage.world.faults = Faults(lose_order=1.0)
-        return await stage.apply()
+        fixture.world.faults = Faults(lose_order=1.0)
+        return await fixture.apply()
 
-    assert stage.run(main()).exit is Exit.STOPPED
+    assert fixture.run(main()).exit is Exit.STOPPED
     progress = read_history(tmp_path).last
     assert progress.half_nodes == ["n1"]
     assert {state.step.kind: state.stand for state in progress.steps.values()} == {
@@ -379,37 +398,37 @@
     }
 
 
-def test_drift_names_what_is_no_longer_as_it_was_left(tmp_path):
-    stage = Stage(tmp_path)
+def test_drift_lists_nodes_that_left_their_applied_state(tmp_path):
+    fixture = ApplyFixture(tmp_path)
 
     async def main():
-        await stage.apply()
-        before = drift(read_history(tmp_path).last, await observe(stage.fleet, stage.world))
-        node(stage.world, "n1").state = State.READY
-        return before, drift(read_history(tmp_path).last, await observe(stage.fleet, stage.world))
+        await fixture.apply()
+        before = drift(read_history(tmp_path).last, await observe(fixture.fleet, fixture.world))
+        node(fixture.world, "n1").state = State.READY
+        return before, drift(read_history(tmp_path).last, await observe(fixture.fleet, fixture.world))
 
-    before, after = stage.run(main())
+    before, after = fixture.run(main())
     assert before == []
-    assert [(one.node, one.wanted) for one in after] == [("n1", "drain")]
+    assert [(drifted.node, drifted.wanted) for drifted in after] == [("n1", "drain")]
 
 
-def test_a_journal_of_many_applies_is_cut_down_and_keeps_its_fence(tmp_path, monkeypatch):
+def test_a_long_journal_is_compacted_and_keeps_its_fence(tmp_path, monkeypatch):
     monkeypatch.setattr("weldhatch.applying.journal.COMPACTION_RECORDS", 30)
-    stage = Stage(tmp_path)
+    fixture = ApplyFixture(tmp_path)
 
     async def main():
-        for n in range(8):
-            text = f'(change "c{n}" ({"on" if n % 2 else "drain"} n1))'
-            seen = await observe(stage.fleet, stage.world)
-            assert (await stage.apply(make_plan(text, seen, stage.loop.clock()))).exit is Exit.DONE
+        for number in range(8):
+            text = f'(change "c{number}" ({"on" if number % 2 else "drain"} n1))'
+            observed = await observe(fixture.fleet, fixture.world)
+            assert (await fixture.apply(make_plan(text, observed, fixture.loop.clock()))).exit is Exit.DONE
         return read_history(tmp_path)
 
-    told = stage.run(main())
-    assert len(told.applies) == 8 and told.fence == 8
-    assert all(progress.ended for progress in told.applies.values())
+    history = fixture.run(main())
+    assert len(history.applies) == 8 and history.fence == 8
+    assert all(progress.ended for progress in history.applies.values())
     assert Journal(tmp_path, "x", 0.0)._log.count < 60
 
 
-def test_points_are_counted_from_nought():
+def test_crash_points_are_counted_from_zero():
     points = Points(1)
     assert [points.here("a"), points.here("b"), points.here("c")] == [False, True, False]
--- a/weldhatch/applying/__init__.py
+++ b/weldhatch/applying/__init__.py
@@ -1,1 +1,1 @@
-"""Carrying a plan out: the journal of it, and the runner between the engine and the wire."""
+"""Execution of a fleet plan: the journal of applies, and the runner that connects the engine to the fleet."""
--- a/weldhatch/applying/journal.py
+++ b/weldhatch/applying/journal.py
@@ -1,4 +1,4 @@
-"""The journal of a fleet's applies: each record is on the disk before it takes effect."""
+"""The journal of a fleet's applies: each record is on disk before it takes effect."""
 
 from __future__ import annotations
 
@@ -12,53 +12,58 @@
 from weldhatch.store.lock import Lock, lock_owner
 from weldhatch.store.log import Disk, Log, LogCorruptError, read_records
 
-LOG = "applies.log"
-LOCK = "apply.lock"
-COMPACTION_RECORDS = 50_000  # beyond, ended applies are cut down to their beginning and their end
-KEPT_COMPLETE = 2  # the last applies stay as they are
+LOG_FILE = "applies.log"
+LOCK_FILE = "apply.lock"
+COMPACTION_RECORDS = 50_000  # a longer journal is compacted when it is opened
+UNCOMPACTED_APPLIES = 2  # the most recent applies keep all their records
 
 
 def format_time(at: float) -> str:
-    """Return Unix seconds as a person reads them."""
+    """Return a time in Unix seconds as readable UTC text."""
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
-def _records(payloads: Iterable[bytes], path: Path) -> list[AnyRecord]:
-    out = []
+def _decode_records(payloads: Iterable[bytes], path: Path) -> list[AnyRecord]:
+    records = []
     for number, payload in enumerate(payloads, 1):
         try:
-            out.append(decode(payload))
+            records.append(decode(payload))
         except msgspec.MsgspecError as error:
             raise LogCorruptError(f"{path}: record {number}: {error}") from None
-    return out
+    return records
 
 
 def read_history(folder: str | Path) -> Story:
-    """Return all applies of a folder, without holding it."""
-    path = Path(folder) / LOG
-    return Story(_records(read_records(path), path))
+    """Return all applies in a journal folder, without taking its lock."""
+    path = Path(folder) / LOG_FILE
+    return Story(_decode_records(read_records(path), path))
 
 
 def current_applier(folder: str | Path) -> str:
-    """Return who is applying just now; '' where nobody is."""
-    return lock_owner(Path(folder) / LOCK)
+    """Return the description of the process that holds the journal's lock; '' if no process holds it."""
+    return lock_owner(Path(folder) / LOCK_FILE)
 
 
 class Journal:
-    """The one writer of a folder, from its making to `close`."""
+    """The only writer of a journal folder, from construction until `close`."""
 
-    def __init__(self, folder: str | Path, who: str, now: float, disk: Disk | None = None) -> None:
-        """Take the folder and read its applies. `who`: is told to a second writer; `now`: Unix seconds.
+    def __init__(self, folder: str | Path, owner: str, now: float, disk: Disk | None = None) -> None:
+        """Lock the folder and read its applies.
 
-        Raises LockHeldError for a second writer, LogError for what can't be read.
+        owner: describes this process in the error that a second writer gets.
+        now: the current time (Unix seconds).
+
+        Raises:
+            LockHeldError: another process is writing the journal.
+            LogError: the log cannot be read.
         """
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
-        self._lock = Lock(self.folder / LOCK, who, format_time(now))
+        self._lock = Lock(self.folder / LOCK_FILE, owner, format_time(now))
         try:
-            self._log = Log(self.folder / LOG, disk)
+            self._log = Log(self.folder / LOG_FILE, disk)
             self.torn_tail = self._log.torn_tail
-            records = _records(self._log.recovered_records(), self.folder / LOG)
+            records = _decode_records(self._log.recovered_records(), self.folder / LOG_FILE)
             self.history = Story(records)
             if len(records) > COMPACTION_RECORDS:
                 self._compact(records)
@@ -67,27 +72,31 @@
             raise
 
     def _compact(self, records: list[AnyRecord]) -> None:
-        kept = list(self.history.applies)[-KEPT_COMPLETE:]
-        short = {
-            name
-            for name, progress in self.history.applies.items()
-            if name not in kept and (progress.ended or progress.stopped)
+        """Reduce older applies that ended or stopped to their Begin, Ended and Stopped records."""
+        recent = list(self.history.applies)[-UNCOMPACTED_APPLIES:]
+        compacted = {
+            apply_id
+            for apply_id, progress in self.history.applies.items()
+            if apply_id not in recent and (progress.ended or progress.stopped)
         }
-        left = [
+        remaining = [
             record
             for record in records
-            if record.apply not in short or isinstance(record, Begin | Ended | Stopped)
+            if record.apply not in compacted or isinstance(record, Begin | Ended | Stopped)
         ]
-        self._log.rewrite(map(encode, left))
+        self._log.rewrite(map(encode, remaining))
 
     def append(self, records: Iterable[AnyRecord]) -> None:
-        """Write, wait for the disk, and only then apply the records. Raises LogError: none counts then."""
+        """Write and sync the records, then apply them to the history.
+
+        Raises LogError if the write fails; in that case, none of the records is applied.
+        """
         records = list(records)
         self._log.append(map(encode, records))
         for record in records:
             self.history.take(record)
 
     def close(self) -> None:
-        """Give the log and the folder back."""
+        """Close the log and release the lock."""
         self._log.close()
         self._lock.close()
--- a/weldhatch/applying/runner.py
+++ b/weldhatch/applying/runner.py
@@ -1,4 +1,4 @@
-"""Carries one plan out: looks at the world, asks the engine, writes down, sends, and so on to the end."""
+"""Executes one plan: observes the fleet, asks the engine, journals its decisions and sends orders."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 from weldhatch.planning.records import AnyRecord, Begin, Done, Heard, Progress, Stopped
 
 
-class World(Protocol):
-    """Nodes and gateways, over whatever wire."""
+class FleetClient(Protocol):
+    """Access to the nodes and gateways of a fleet, independent of the transport."""
 
     gateways: tuple[str, ...]
 
     async def fetch_nodes(self, names: Iterable[str]) -> dict[str, Node | None]:
-        """Return nodes as they say they are; None for one that does not answer."""
+        """Return each node's reported state; None for a node that does not answer."""
 
     async def draining_machines(self) -> dict[str, frozenset[str]]:
-        """Return the machines that each gateway holds as draining, but for gateways that do not answer."""
+        """Return the machines that each gateway marks as draining, without gateways that do not answer."""
 
     async def send(self, order: Order) -> Answer:
-        """Send one order to its node or gateway; return what came of it."""
+        """Send one order to its node or gateway, and return the answer."""
 
 
 class Exit(IntEnum):
-    """What the command line ends with."""
+    """Exit codes of the commands."""
 
     DONE = 0
     FAULT = 1
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """How an apply ended. `moved` is filled for Exit.MOVED, `stopped` for Exit.STOPPED."""
+    """The result of an apply. `moved` is set for Exit.MOVED, `stopped` for Exit.STOPPED."""
 
     exit: Exit
     text: str
@@ -55,43 +55,48 @@
     stopped: Stopped | None = None
 
 
-async def observe(fleet: Fleet, world: World, names: Iterable[str] | None = None) -> Fleet:
-    """Return the fleet as it is now: a node that does not answer is LOST, its place and size are as filed.
+async def observe(fleet: Fleet, client: FleetClient, names: Iterable[str] | None = None) -> Fleet:
+    """Return the fleet in its current state.
 
-    `fleet` has the nodes as its file names them; `names` picks some of them, for a large fleet.
+    A node that does not answer is LOST, with the location and size that the fleet file gives.
+
+    fleet: the nodes as the fleet file describes them.
+    names: the nodes to query, to limit the work on a large fleet; None for all.
     """
     chosen = list(fleet.nodes if names is None else names)
-    seen, held = await asyncio.gather(world.fetch_nodes(chosen), world.draining_machines())
-    every = frozenset().union(*held.values()) if held else frozenset()
+    reported, draining_by_gateway = await asyncio.gather(
+        client.fetch_nodes(chosen), client.draining_machines()
+    )
+    draining = frozenset().union(*draining_by_gateway.values()) if draining_by_gateway else frozenset()
     nodes = {}
     for name in chosen:
-        node = seen.get(name)
+        node = reported.get(name)
         if node is None:
             node = msgspec.structs.replace(fleet.nodes[name], state=State.LOST, generation=0, tasks=0)
-        nodes[name] = msgspec.structs.replace(node, held=name in every)
+        nodes[name] = msgspec.structs.replace(node, held=name in draining)
     return fleet.with_nodes(nodes)
 
 
 def nodes_to_observe(plan: Plan, fleet: Fleet) -> list[str]:
-    """Return the nodes that a plan has to see: those it acts on, and those that count for what it keeps."""
-    acted = {node.id for node in plan.world}
+    """Return the nodes that a plan acts on, and those that its floors, limits and spreads depend on."""
+    plan_nodes = {node.id for node in plan.world}
     if plan.change.limits or plan.change.spreads:
         return list(fleet.nodes)
     return [
         node.id
         for node in fleet.nodes.values()
-        if node.id in acted or any(counts(floor, node, fleet) for floor in plan.change.floors)
+        if node.id in plan_nodes or any(counts(floor, node, fleet) for floor in plan.change.floors)
     ]
 
 
 class Runner:
-    """One apply of one plan, by the one who holds the journal."""
+    """One apply of one plan, run by the process that holds the journal's lock."""
 
     def __init__(
         self,
         plan: Plan,
         fleet: Fleet,
-        world: World,
+        client: FleetClient,
         journal: Journal,
         patience: Patience,
         *,
@@ -99,14 +104,15 @@
         by: str,
         report_event: Callable[..., None] = lambda *_, **__: None,
     ) -> None:
-        """Prepare an apply; nothing is sent yet.
+        """Prepare an apply without sending anything.
 
-        `clock` gives Unix seconds; waiting is by asyncio, so both may be virtual. `by`: who applies;
-        `report_event` gets an event's name and its figures.
+        clock: returns Unix seconds. Waits use asyncio, so tests can run both on virtual time.
+        by: who applies the plan, for the journal.
+        report_event: called with the name of each event and its fields as keywords.
         """
         self._plan = plan
         self._fleet = fleet
-        self._world = world
+        self._client = client
         self._journal = journal
         self._patience = patience
         self._clock = clock
@@ -117,11 +123,14 @@
         self.stop_requested = False
 
     async def run(self, ignore_unfinished: bool = False) -> Result:
-        """Run to the end or to a stop. `ignore_unfinished`: leave another, half done apply as it is."""
+        """Begin or resume the apply, and run it until it is done or stops.
+
+        ignore_unfinished: begin even though another apply is half done, and leave that one as it is.
+        """
         plan = self._plan
         history = self._journal.history
-        known = history.applies.get(plan.id)
-        if known is not None and known.ended:
+        previous = history.applies.get(plan.id)
+        if previous is not None and previous.ended:
             return Result(Exit.DONE, "this plan has been applied already: nothing was done")
         missing = sorted({node.id for node in plan.world} - self._fleet.nodes.keys())
         if missing:
@@ -130,27 +139,29 @@
                 "the fleet's file no longer names nodes of the plan",
                 tuple(Moved(name, "a step", "in the fleet", "not in the fleet") for name in missing),
             )
-        if refusal := self._other(ignore_unfinished):
+        if refusal := self._check_unfinished(ignore_unfinished):
             return refusal
-        fleet = await observe(self._fleet, self._world, self._names)
-        if known is None or not known.begun:
-            every = [node.id for node in plan.world]
-            moved = nodes_moved(plan, fleet, every) or floors_moved(plan, fleet, every)
+        fleet = await observe(self._fleet, self._client, self._names)
+        if previous is None or not previous.begun:
+            plan_nodes = [node.id for node in plan.world]
+            moved = nodes_moved(plan, fleet, plan_nodes) or floors_moved(plan, fleet, plan_nodes)
             if moved:
                 return Result(
                     Exit.MOVED, "the world has moved since the plan was made; nothing was done", tuple(moved)
                 )
         fence = 1 + max([history.fence, *(node.fence for node in fleet.nodes.values())])
-        begin = Begin(apply=plan.id, at=self._clock(), plan=None if known else plan, fence=fence, by=self._by)
+        begin = Begin(
+            apply=plan.id, at=self._clock(), plan=None if previous else plan, fence=fence, by=self._by
+        )
         self._journal.append([begin])
         progress = history.applies[plan.id]
         self._report_event(
-            "apply.resumed" if known else "apply.begun", apply=plan.id, fence=fence, by=self._by
+            "apply.resumed" if previous else "apply.begun", apply=plan.id, fence=fence, by=self._by
         )
         return await self._loop(progress, fleet)
 
-    def _other(self, ignore_unfinished: bool) -> Result | None:
-        """Return why this apply may not begin: another one that is half done is finished or undone first."""
+    def _check_unfinished(self, ignore_unfinished: bool) -> Result | None:
+        """Return a refusal if another apply is half done, which must first be finished or undone."""
         last = self._journal.history.open
         if (
             last is None
@@ -166,7 +177,7 @@
         )
 
     async def _loop(self, progress: Progress, fleet: Fleet) -> Result:
-        engine = Engine(progress, self._world.gateways, self._patience)
+        engine = Engine(progress, self._client.gateways, self._patience)
         while True:
             decision = engine.decide(self._clock(), fleet)
             if self.stop_requested and not decision.ended and decision.stop is None:
@@ -190,10 +201,11 @@
                 return result
             if decision.idle:
                 await asyncio.sleep(self._patience.poll_s)
-            fleet = await observe(self._fleet, self._world, self._names)
+            fleet = await observe(self._fleet, self._client, self._names)
 
     async def _send(self, orders: list[Order]) -> Result | None:
-        answers = await asyncio.gather(*(self._world.send(order) for order in orders))
+        """Send the orders and journal their answers; return a result if a later apply has overtaken this."""
+        answers = await asyncio.gather(*(self._client.send(order) for order in orders))
         now = self._clock()
         received: list[AnyRecord] = [
             Heard(
@@ -207,14 +219,14 @@
             )
             for order, answer in zip(orders, answers, strict=True)
         ]
-        late = next((answer for answer in answers if answer.overtaken), None)
-        if late is not None:
-            # Guards against an older apply that wakes up late: it writes nothing more that others would read
-            # as the newer one's, beside its own end.
-            stop = Stopped(apply=self._plan.id, at=now, reason=Why.OVERTAKEN, text=late.reason)
+        overtaken = next((answer for answer in answers if answer.overtaken), None)
+        if overtaken is not None:
+            # Guards against an older apply that resumes late: after these answers and its own stop, it writes
+            # no further records that readers could attribute to the newer apply.
+            stop = Stopped(apply=self._plan.id, at=now, reason=Why.OVERTAKEN, text=overtaken.reason)
             self._journal.append([*received, stop])
             return Result(
-                Exit.STOPPED, f"{Why.OVERTAKEN}: a later apply has the say: {late.reason}", stopped=stop
+                Exit.STOPPED, f"{Why.OVERTAKEN}: a later apply has the say: {overtaken.reason}", stopped=stop
             )
         self._journal.append(received)
         for order, answer in zip(orders, answers, strict=True):
