--- a/weldhatch/keys/__init__.py
+++ b/weldhatch/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Who may call the pull queue: certificates for TLS, and signed bearer tokens."""
+"""Authentication of pull queue clients: TLS certificates and signed bearer tokens."""
--- a/weldhatch/keys/certificates.py
+++ b/weldhatch/keys/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of a site's own: an authority, and leaves for gateways, machines and submitters. No I/O."""
+"""Issues certificates with a private authority, for gateways, machines and submitters. No I/O."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 
 AUTHORITY_DAYS = 3650
 LEAF_DAYS = 90
-BACK = datetime.timedelta(minutes=5)  # clocks differ
+BACKDATE = datetime.timedelta(minutes=5)  # the peers' clocks may be behind
 
-Pair = tuple[bytes, bytes]  # certificate and private key, PEM
+CertificateAndKey = tuple[bytes, bytes]  # both PEM; the key is private
 
 
-def _name(common: str) -> x509.Name:
-    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common)])
+def _subject(common_name: str) -> x509.Name:
+    return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common_name)])
 
 
 def _key_bytes(key: ec.EllipticCurvePrivateKey) -> bytes:
     return key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
 
 
-def authority(common: str, now: datetime.datetime, days: int = AUTHORITY_DAYS) -> Pair:
-    """Make a self-signed certificate authority that is valid for `days`."""
+def make_authority(common_name: str, now: datetime.datetime, days: int = AUTHORITY_DAYS) -> CertificateAndKey:
+    """Make the self-signed certificate of an authority, valid for `days`, and its key."""
     key = ec.generate_private_key(ec.SECP256R1())
-    made = (
+    certificate = (
         x509.CertificateBuilder()
-        .subject_name(_name(common))
-        .issuer_name(_name(common))
+        .subject_name(_subject(common_name))
+        .issuer_name(_subject(common_name))
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - BACK)
+        .not_valid_before(now - BACKDATE)
         .not_valid_after(now + datetime.timedelta(days=days))
         .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
         .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
         .add_extension(_usage(sign_certificates=True), critical=True)
         .sign(key, hashes.SHA256())
     )
-    return made.public_bytes(Encoding.PEM), _key_bytes(key)
+    return certificate.public_bytes(Encoding.PEM), _key_bytes(key)
 
 
 def _usage(sign_certificates: bool) -> x509.KeyUsage:
@@ -65,26 +65,35 @@
     )
 
 
-def leaf(
-    signer: Pair, common: str, names: list[str], server: bool, now: datetime.datetime, days: int = LEAF_DAYS
-) -> Pair:
-    """Make a certificate signed by the authority, for a gateway (`server`) or a client called `common`.
-
-    names: host names and addresses that a server answers to.
+def make_leaf(
+    signer: CertificateAndKey,
+    common_name: str,
+    names: list[str],
+    server: bool,
+    now: datetime.datetime,
+    days: int = LEAF_DAYS,
+) -> CertificateAndKey:
+    """Make a certificate signed by the authority, and its key.
+
+    signer: the certificate and key of the authority.
+    common_name: the common name of the subject.
+    names: host names and IP addresses of a gateway.
+    server: whether the certificate is for a gateway rather than a client.
+    days: the validity from `now` on.
     """
     ca = x509.load_pem_x509_certificate(signer[0])
-    # What `authority` makes is EC; the wider types of the library hold keys that can't sign.
+    # `make_authority` makes EC keys; the types that the library returns also cover keys that cannot sign.
     ca_public = cast(ec.EllipticCurvePublicKey, ca.public_key())
     ca_key = cast(ec.EllipticCurvePrivateKey, load_pem_private_key(signer[1], None))
     key = ec.generate_private_key(ec.SECP256R1())
     usage = ExtendedKeyUsageOID.SERVER_AUTH if server else ExtendedKeyUsageOID.CLIENT_AUTH
     builder = (
         x509.CertificateBuilder()
-        .subject_name(_name(common))
+        .subject_name(_subject(common_name))
         .issuer_name(ca.subject)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - BACK)
+        .not_valid_before(now - BACKDATE)
         .not_valid_after(now + datetime.timedelta(days=days))
         .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
         .add_extension(x509.ExtendedKeyUsage([usage]), critical=False)
@@ -93,12 +102,12 @@
     )
     if names:
         builder = builder.add_extension(
-            x509.SubjectAlternativeName([_general(one) for one in names]), critical=False
+            x509.SubjectAlternativeName([_general_name(name) for name in names]), critical=False
         )
     return builder.sign(ca_key, hashes.SHA256()).public_bytes(Encoding.PEM), _key_bytes(key)
 
 
-def _general(name: str) -> x509.GeneralName:
+def _general_name(name: str) -> x509.GeneralName:
     try:
         return x509.IPAddress(ipaddress.ip_address(name))
     except ValueError:
@@ -108,5 +117,5 @@
 def describe(pem: bytes) -> tuple[str, datetime.datetime]:
     """Return the common name of a PEM certificate and the time at which it expires (UTC)."""
     certificate = x509.load_pem_x509_certificate(pem)
-    common = certificate.subject.get_attributes_for_oid(NameOID.COMMON_NAME)[0].value
-    return cast(str, common), certificate.not_valid_after_utc
+    common_name = certificate.subject.get_attributes_for_oid(NameOID.COMMON_NAME)[0].value
+    return cast(str, common_name), certificate.not_valid_after_utc
--- a/weldhatch/keys/errors.py
+++ b/weldhatch/keys/errors.py
@@ -2,4 +2,4 @@
 
 
 class KeysError(ValueError):
-    """A folder of keys that can't be used; the text names the file."""
+    """A folder of keys cannot be used; the text names the file."""
--- a/weldhatch/keys/tokens.py
+++ b/weldhatch/keys/tokens.py
@@ -1,7 +1,7 @@
-"""Bearer tokens: signed (Ed25519, as JSON Web Tokens), with a name, a role, a tenant and an expiry. No I/O.
+"""Bearer tokens: JSON Web Tokens signed with Ed25519, with a name, a role, a tenant and an expiry. No I/O.
 
-Several keys are good at a time, so that one can follow another without a gap; a token names the key that
-signed it. A revoked token is named by its id until it would have expired anyway.
+Several signing keys can be valid at the same time, so that a rotation rejects no valid token; the header of
+a token names its key. A revoked token is rejected by its id.
 """
 
 from __future__ import annotations
@@ -24,24 +24,24 @@
 
 ALGORITHM = "EdDSA"
 AUDIENCE = "weldhatch"
-LEEWAY_S = 5.0  # clocks differ
+LEEWAY_S = 5.0  # the clocks of issuer and verifier may differ
 
 
 class TokenError(ValueError):
-    """A token that is not good; the text says why, and never holds the token."""
+    """A token is invalid; the text gives the reason and never contains the token."""
 
 
 class Role(StrEnum):
-    """What the bearer may call; the values stand in tokens."""
+    """The permissions of the bearer; the values are written in tokens."""
 
-    MACHINE = "machine"  # a build machine: its own sessions and leases, under its name
-    SUBMITTER = "submitter"  # its tenant's tasks
-    OPERATOR = "operator"  # everybody's tasks
+    MACHINE = "machine"  # a build machine, for the sessions and leases under its name
+    SUBMITTER = "submitter"  # a submitter, for the tasks of its tenant
+    OPERATOR = "operator"  # an operator, for the tasks of all tenants
 
 
 @dataclass(slots=True, frozen=True)
 class Claims:
-    """The identity in a token. `tenant` is '' for all; `expires` is in Unix seconds."""
+    """The identity in a token. `tenant` is '' for all tenants; `expires` is in Unix seconds."""
 
     name: str
     role: Role
@@ -51,7 +51,7 @@
 
 
 def new_key() -> tuple[bytes, bytes]:
-    """Make a key pair and return the private and the public key, both PEM."""
+    """Make a key pair; return the private and the public key, both PEM."""
     private = Ed25519PrivateKey.generate()
     return (
         private.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption()),
@@ -60,7 +60,7 @@
 
 
 def sign(claims: Claims, private: bytes, key_id: str, now: float) -> str:
-    """Return the token of these claims, valid from `now` until `claims.expires` (Unix seconds)."""
+    """Return a signed token with these claims, valid from `now` until `claims.expires` (Unix seconds)."""
     body = {
         "sub": claims.name,
         "role": claims.role.value,
@@ -75,13 +75,13 @@
 
 
 class Keyring:
-    """The public keys that are valid, and the ids of revoked tokens."""
+    """The public keys that verify tokens, and the ids of revoked tokens."""
 
     def __init__(self, keys: Mapping[str, tuple[bytes, float]], revoked: Mapping[str, float]) -> None:
         """Load the keys.
 
-        keys: by id, the PEM and the time at which each ends (Unix seconds; 0: never).
-        revoked: by token id, the time of the revocation (Unix seconds).
+        keys: by key id, the PEM and the time of expiry (Unix seconds; 0: never).
+        revoked: by token id, the time of revocation (Unix seconds).
         """
         self._keys = {
             name: (cast(Ed25519PublicKey, load_pem_public_key(pem)), until)
@@ -101,7 +101,7 @@
         if until and now > until:
             raise TokenError("signed by a key that is no longer good")
         try:
-            # The expiry is checked against the time that was given: this module reads no clock.
+            # The times are checked below against `now`, since this module reads no clock.
             body = jwt.decode(
                 token,
                 key,
@@ -109,10 +109,11 @@
                 audience=AUDIENCE,
                 options={"verify_exp": False, "verify_iat": False, "require": ["sub", "exp", "jti"]},
             )
-        except jwt.PyJWTError as fault:
-            raise TokenError(f"not good: {type(fault).__name__}") from None
+        except jwt.PyJWTError as error:
+            raise TokenError(f"not good: {type(error).__name__}") from None
         if now > body["exp"] + LEEWAY_S:
             raise TokenError("it has expired")
+        # Beyond the leeway, the issuer's clock may be up to 60 s ahead.
         if now < body.get("iat", 0) - 60 - LEEWAY_S:
             raise TokenError("it is from the future: clocks differ")
         if body["jti"] in self._revoked:
@@ -125,11 +126,11 @@
             raise TokenError("it has no role that is known here") from None
 
 
-def may_call(who: Claims, collection: str) -> bool:
-    """Return whether this caller may use a collection of calls at all.
+def may_call(caller: Claims, collection: str) -> bool:
+    """Return whether the caller's role permits calls of a collection.
 
-    Which of its items are the caller's own is checked by the callee.
+    The handler of a call checks whether the item belongs to the caller.
     """
     if collection == "botSessions":
-        return who.role is Role.MACHINE
-    return who.role in (Role.SUBMITTER, Role.OPERATOR)
+        return caller.role is Role.MACHINE
+    return caller.role in (Role.SUBMITTER, Role.OPERATOR)
