--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from random import Random
 
-from weldhatch.applying.journal import Journal, story
+from weldhatch.applying.journal import Journal, read_history
 from weldhatch.applying.runner import Exit
 from weldhatch.planning.actions import Unplannable, actions
 from weldhatch.planning.change import Change, read_change
@@ -85,7 +85,7 @@
 
 
 def planned(text: str, fleet: Fleet) -> Change:
-    return read_change(reader.read_whole("bench", lambda _: text), fleet)
+    return read_change(reader.read_with_includes("bench", lambda _: text), fleet)
 
 
 def planning(sizes: tuple[int, ...], seeds: int) -> dict:
@@ -272,7 +272,7 @@
         log.append(made)
         log.close()
         start = time.perf_counter()
-        story(folder)
+        read_history(folder)
         out["story_recovery_s"] = time.perf_counter() - start
     return out
 
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -23,7 +23,7 @@
 from test_pullqueue import lease, task
 from test_recovery import Kept
 
-from weldhatch.applying.journal import Journal, story
+from weldhatch.applying.journal import Journal, read_history
 from weldhatch.cli.sites import sites as sites_command
 from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.planning import records as apply_records
@@ -421,10 +421,10 @@
 
 
 def continue_apply_journal(folder):
-    report = apply_report(story(folder))
+    report = apply_report(read_history(folder))
     journal = Journal(folder, "a second apply", 2000.0)
-    last = journal.story.last.plan
-    report["begun"] = apply_report(journal.story)
+    last = journal.history.last.plan
+    report["begun"] = apply_report(journal.history)
     report["held by"] = lock_owner(folder / "apply.lock").replace(str(os.getpid()), "PID")
     r = apply_records
     step = last.steps[1]
@@ -436,7 +436,7 @@
         ]
     )
     journal.close()
-    return {**report, "after": apply_report(story(folder)), "log": read_log(folder / "applies.log")}
+    return {**report, "after": apply_report(read_history(folder)), "log": read_log(folder / "applies.log")}
 
 
 def apply_report(report):
