--- a/weldhatch/client/__init__.py
+++ b/weldhatch/client/__init__.py
@@ -1,4 +1,4 @@
-"""A client library for the pull queue: submitters and build machines, on asyncio.
+"""A client library for the pull queue, for submitters and build machines, based on asyncio.
 
 async with Api("https://127.0.0.1:5090", token=..., authority="keys/ca.pem") as api:
     answer = await Submitter(api).submit(Task("import-job", key="7f3a", cores=1, memory=2))
--- a/weldhatch/client/api.py
+++ b/weldhatch/client/api.py
@@ -1,4 +1,4 @@
-"""Calls to a pull queue: JSON in and out, faults as exceptions, waits that heed what the gateway says."""
+"""HTTP calls to a pull queue: JSON bodies, errors as exceptions, and backoff that honours Retry-After."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
 PREFIX = "/v1test2/"
-BACKOFF_S = 0.2
-BACKOFF_MOST_S = 10.0
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 10.0
 
 
 class ApiError(Exception):
     """A call that was not answered with 200.
 
-    code: the HTTP status; 0 where nobody answered: the call may have had its effect all the same.
-    status, message: as in google.rpc.Status. field: the request's field at fault, if the gateway names one.
+    code: the HTTP status; 0 if no response was received. Such a call may still have taken effect.
+    status, message: as in google.rpc.Status. field: the invalid field, if the gateway names one.
     retry_s: how long the gateway asks to wait before the next attempt, in seconds.
     """
 
     def __init__(self, code: int, status: str, message: str, field: str = "", retry_s: float = 0.0) -> None:
-        """Keep what the gateway answered."""
+        """Store the error as the gateway reported it."""
         super().__init__(f"{code or 'no answer'} {status}: {message}".strip())
         self.code = code
         self.status = status
@@ -40,33 +40,40 @@
 
 
 class Backoff:
-    """Exponential backoff with jitter, never shorter than what the gateway asks for (Retry-After)."""
+    """Exponential backoff with jitter, never shorter than the wait that the gateway advises (Retry-After)."""
 
     def __init__(
         self,
         uniform: Callable[[], float] = random.random,
-        first_s: float = BACKOFF_S,
-        most_s: float = BACKOFF_MOST_S,
+        initial_s: float = INITIAL_BACKOFF_S,
+        max_s: float = MAX_BACKOFF_S,
     ) -> None:
-        """uniform: a random number in [0, 1). first_s, most_s: first and longest span, in seconds."""
+        """Start with no attempt counted.
+
+        uniform: returns a random number in [0, 1). initial_s, max_s: first and longest backoff, in seconds.
+        """
         self._uniform = uniform
-        self._first = first_s
-        self._most = most_s
-        self.tries = 0
+        self._initial_s = initial_s
+        self._max_s = max_s
+        self.attempts = 0
 
     def next(self, advised_s: float = 0.0) -> float:
-        """Return how long to wait now, in seconds, and count the attempt.
+        """Return how long to wait before the next attempt, in seconds, and count that attempt.
 
-        advised_s: what the gateway asked for, in seconds.
+        advised_s: the wait that the gateway asked for, in seconds.
         """
-        span: float = min(self._most, self._first * 2**self.tries)
-        self.tries += 1
-        # What was advised is kept in full; the spread comes on top, so that those rejected together part.
-        return advised_s + span * (0.5 + 0.5 * self._uniform())
+        backoff_s: float = min(self._max_s, self._initial_s * 2**self.attempts)
+        self.attempts += 1
+        # The advised wait is kept in full and the jittered backoff is added to it, so that clients which were
+        # rejected at the same time do not retry at the same time.
+        return advised_s + backoff_s * (0.5 + 0.5 * self._uniform())
 
 
 class Api:
-    """One gateway. Owns its HTTP client; use it as an async context manager, or `close` it."""
+    """One gateway, called over an HTTP client of its own.
+
+    An async context manager; without `async with`, call `close` at the end.
+    """
 
     def __init__(
         self,
@@ -78,11 +85,12 @@
         key: str = "",
         at_once: int = 100,
     ) -> None:
-        """Open no connection yet.
+        """Configure the HTTP client without opening a connection.
 
         address: http(s)://host:port. token: the bearer token, if any.
-        authority: a PEM file to trust. certificate, key: PEM files to show.
-        at_once: calls in flight at a time; more of them queue.
+        authority: a PEM file with the certificate authority to trust.
+        certificate, key: PEM files of the client certificate and its private key.
+        at_once: the most calls in flight at a time; further calls are queued.
         """
         self.address = address.rstrip("/")
         self._token = token
@@ -95,7 +103,7 @@
         self._client = AsyncHTTPClient(force_instance=True, max_clients=at_once, max_buffer_size=4 << 20)
 
     async def __aenter__(self) -> Api:
-        """Return the gateway itself."""
+        """Return this object."""
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -116,10 +124,10 @@
         headers: dict[str, str] | None = None,
         on_data: Callable[[bytes], None] | None = None,
     ) -> Any:
-        """Make one call and return its JSON (None if `on_data` took it). Raises ApiError.
+        """Make one call and return the decoded JSON, or None if `on_data` received the body. Raises ApiError.
 
         wait_s: how long the gateway may take to answer, in seconds.
-        on_data: takes the body part by part, as it comes.
+        on_data: receives the body chunk by chunk as it arrives.
         """
         request = HTTPRequest(
             f"{self.address}{PREFIX}{path}",
@@ -134,14 +142,14 @@
             streaming_callback=on_data,
         )
         try:
-            answer = await self._client.fetch(request, raise_error=False)
-        except (OSError, HTTPClientError) as fault:
-            raise ApiError(0, "", str(fault)) from None
-        if answer.code == 599:
-            raise ApiError(0, "", str(answer.error))
-        if on_data is not None and answer.code == 200:
+            response = await self._client.fetch(request, raise_error=False)
+        except (OSError, HTTPClientError) as error:
+            raise ApiError(0, "", str(error)) from None
+        if response.code == 599:
+            raise ApiError(0, "", str(response.error))
+        if on_data is not None and response.code == 200:
             return None
-        return _decode(answer.code, answer.body)
+        return _decode(response.code, response.body)
 
     def _headers(self, wait_s: float, extra: dict[str, str]) -> dict[str, str]:
         headers = {}
@@ -154,16 +162,16 @@
 
 def _decode(code: int, body: bytes) -> Any:
     try:
-        tree = json.loads(body or b"{}")
+        document = json.loads(body or b"{}")
     except ValueError:
-        raise ApiError(code, "", "an answer that is no JSON") from None
+        raise ApiError(code, "", "the response body is not valid JSON") from None
     if code != 200:
-        raise _error(code, tree)
-    return tree
+        raise _error(code, document)
+    return document
 
 
-def _error(code: int, tree: Any) -> ApiError:
-    error = tree.get("error", {}) if isinstance(tree, dict) else {}
+def _error(code: int, document: Any) -> ApiError:
+    error = document.get("error", {}) if isinstance(document, dict) else {}
     field = ""
     retry_s = 0.0
     for detail in error.get("details", ()):
--- a/weldhatch/client/submitter.py
+++ b/weldhatch/client/submitter.py
@@ -1,4 +1,4 @@
-"""Submitting tasks: one final answer for each, also where an answer was lost on its way."""
+"""Submitting tasks: each gets one final answer, even if a response is lost on the network."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Task:
-    """What is asked for. `left_s`: how long its submitter waits for the answer, in seconds."""
+    """A task to submit.
+
+    class_name: the class as the gateway's settings name it. key: the job key.
+    left_s: how long the submitter waits for the answer, in seconds. idem: the idempotency key.
+    """
 
     class_name: str
     key: str = ""
@@ -30,7 +34,7 @@
     requirements: dict[str, Any] = field(default_factory=dict)
 
     def body(self, request_id: str, again: bool, left_s: float) -> dict[str, Any]:
-        """Return the JSON of one call; `again` marks a retry of a task that was rejected."""
+        """Return the JSON of one call; `again` marks the retry of a rejected task."""
         tree: dict[str, Any] = {
             "class": self.class_name,
             "key": self.key,
@@ -51,12 +55,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The one final answer."""
+    """The final answer to a submission."""
 
-    answer: str  # placed, refused, failed
+    answer: str  # placed, refused or failed
     name: str = ""
     bot_id: str = ""
-    wait_s: float = 0.0  # for a refusal: when to come again
+    wait_s: float = 0.0  # if refused: how long to wait before a retry
     reason: str = ""
 
     @property
@@ -78,109 +82,116 @@
 
     @staticmethod
     def read(tree: dict[str, Any]) -> Operation:
-        """Decode the gateway's JSON."""
+        """Build an operation from `tree`, the decoded JSON of the gateway."""
         answer = tree["metadata"].get("answer")
         return Operation(
             tree["name"],
             tree["metadata"]["state"],
             tree.get("done", False),
-            _answer(answer) if answer else None,
+            _parse_answer(answer) if answer else None,
             tree.get("response", {}).get("result"),
             tree.get("error", {}).get("message", ""),
         )
 
 
-def _answer(tree: dict[str, Any]) -> Answer:
+def _parse_answer(document: dict[str, Any]) -> Answer:
     return Answer(
-        tree["answer"],
-        tree.get("name", ""),
-        tree.get("botId") or "",
-        tree.get("waitMs", 0) / 1000,
-        tree.get("reason", ""),
+        document["answer"],
+        document.get("name", ""),
+        document.get("botId") or "",
+        document.get("waitMs", 0) / 1000,
+        document.get("reason", ""),
     )
 
 
 class Submitter:
-    """Submits under request ids of its own, so that a call that got no answer can be made again."""
+    """Submits tasks and queries their operations.
+
+    Each submission carries a new request id, so that a call without a response can be repeated safely.
+    """
 
     def __init__(self, api: Api) -> None:
-        """Submit to the gateway of `api`, which the caller closes."""
+        """Use the gateway of `api`, which the caller closes."""
         self._api = api
 
     async def submit(self, task: Task, *, again_s: float = 0.0) -> Answer:
-        """Submit and return the final answer.
+        """Submit a task and return the final answer.
 
-        again_s: for so many seconds, rejections are retried as the gateway advises.
+        again_s: how long a rejected task is retried, in seconds, at the intervals that the gateway advises.
 
-        Raises ApiError where nobody answers within the task's time, or the task can't be taken.
+        Raises ApiError if the gateway does not answer within `task.left_s`, or does not accept the task.
         """
-        end = time.monotonic() + max(again_s, task.left_s)
+        deadline = time.monotonic() + max(again_s, task.left_s)
         backoff = Backoff()
-        again = False
+        is_retry = False
         while True:
-            answer = await self._once(task, min(task.left_s, end - time.monotonic()), again)
-            wait = backoff.next(answer.wait_s) if answer.answer == "refused" else 0.0
-            if not again_s or answer.answer != "refused" or time.monotonic() + wait >= end:
+            answer = await self._submit_once(task, min(task.left_s, deadline - time.monotonic()), is_retry)
+            wait_s = backoff.next(answer.wait_s) if answer.answer == "refused" else 0.0
+            if not again_s or answer.answer != "refused" or time.monotonic() + wait_s >= deadline:
                 return answer
-            await asyncio.sleep(wait)
-            again = True
+            await asyncio.sleep(wait_s)
+            is_retry = True
 
-    async def _once(self, task: Task, left_s: float, again: bool) -> Answer:
-        """One submission under one request id, whatever happens to its calls."""
+    async def _submit_once(self, task: Task, left_s: float, is_retry: bool) -> Answer:
+        """Make one submission; after a transient error the call is repeated under the same request id."""
         request_id = uuid.uuid4().hex
-        end = time.monotonic() + left_s
+        deadline = time.monotonic() + left_s
         backoff = Backoff()
         while True:
             try:
-                body = task.body(request_id, again, max(0.001, end - time.monotonic()))
-                return _answer(await self._api.call("POST", "tasks", body, wait_s=left_s))
-            except ApiError as fault:
-                wait = backoff.next(fault.retry_s)
-                if not fault.transient or time.monotonic() + wait >= end:
+                body = task.body(request_id, is_retry, max(0.001, deadline - time.monotonic()))
+                return _parse_answer(await self._api.call("POST", "tasks", body, wait_s=left_s))
+            except ApiError as error:
+                wait_s = backoff.next(error.retry_s)
+                if not error.transient or time.monotonic() + wait_s >= deadline:
                     raise
-                await asyncio.sleep(wait)
+                await asyncio.sleep(wait_s)
 
     async def begin(self, task: Task, request_id: str = "") -> Operation:
-        """Submit without waiting; the operation's name is valid also after a restart of the gateway."""
+        """Submit without waiting for the answer; the operation's name stays valid after a gateway restart."""
         body = task.body(request_id or uuid.uuid4().hex, False, task.left_s)
         return Operation.read(await self._api.call("POST", "operations", body))
 
     async def batch(self, tasks: list[Task]) -> list[Operation | ApiError]:
-        """Submit several tasks in one call; return for each its operation or its error, in order."""
+        """Submit several tasks in one call; return the operation or the error of each, in the same order."""
         body = {"requests": [task.body(uuid.uuid4().hex, False, task.left_s) for task in tasks]}
         batch = await self._api.call("POST", "operations:batchSubmit", body)
         return [
-            Operation.read(one["operation"])
-            if "operation" in one
-            else ApiError(one["error"]["code"], one["error"]["status"], one["error"]["message"])
-            for one in batch["responses"]
+            Operation.read(response["operation"])
+            if "operation" in response
+            else ApiError(
+                response["error"]["code"], response["error"]["status"], response["error"]["message"]
+            )
+            for response in batch["responses"]
         ]
 
     async def get(self, name: str) -> Operation:
-        """Return the operation as it is now. Raises ApiError, with code 404 for an unknown name."""
+        """Return the current state of the operation. Raises ApiError, with code 404 for an unknown name."""
         return Operation.read(await self._api.call("GET", name))
 
     async def wait(self, name: str, within_s: float) -> Operation:
-        """Return the operation once it is over, or as it is after `within_s` seconds."""
-        end = time.monotonic() + within_s
+        """Return the operation once it is done, or its state after `within_s` seconds."""
+        deadline = time.monotonic() + within_s
         while True:
-            left = max(0.0, min(30.0, end - time.monotonic()))
+            timeout_s = max(0.0, min(30.0, deadline - time.monotonic()))
             operation = Operation.read(
-                await self._api.call("POST", f"{name}:wait", {"timeout": f"{left:.3f}s"}, wait_s=left)
+                await self._api.call(
+                    "POST", f"{name}:wait", {"timeout": f"{timeout_s:.3f}s"}, wait_s=timeout_s
+                )
             )
-            if operation.done or time.monotonic() >= end:
+            if operation.done or time.monotonic() >= deadline:
                 return operation
 
     async def cancel(self, name: str) -> Operation:
-        """Ask for the operation's end, and return it as it is then."""
+        """Cancel the operation and return its state afterwards."""
         return Operation.read(await self._api.call("POST", f"{name}:cancel", {}))
 
     async def delete(self, name: str) -> None:
-        """Let the gateway forget the operation."""
+        """Delete the record of the operation on the gateway."""
         await self._api.call("DELETE", name)
 
     async def list(self, filter: str = "", page_size: int = 100) -> AsyncIterator[Operation]:
-        """Yield all operations that the filter lets through, page by page."""
+        """Yield all operations that match the filter, fetched page by page."""
         token = ""
         while True:
             query = urlencode({"filter": filter, "pageSize": page_size, "pageToken": token})
@@ -192,20 +203,22 @@
                 return
 
     async def watch(self, name: str) -> AsyncIterator[Operation]:
-        """Yield each state from now to the end, as the gateway sends them."""
+        """Yield the operation in each of its states, from the current to the last, as they are streamed."""
         events: asyncio.Queue[Operation | None] = asyncio.Queue()
-        rest = b""
+        buffer = b""
 
-        def data(part: bytes) -> None:
-            nonlocal rest
-            rest += part
-            while b"\n\n" in rest:
-                event, rest = rest.split(b"\n\n", 1)
+        def decode_events(chunk: bytes) -> None:
+            nonlocal buffer
+            buffer += chunk
+            while b"\n\n" in buffer:
+                event, buffer = buffer.split(b"\n\n", 1)
                 for line in event.split(b"\n"):
                     if line.startswith(b"data:"):
                         events.put_nowait(Operation.read(json.loads(line[5:])))
 
-        call = asyncio.ensure_future(self._api.call("GET", f"{name}:watch", wait_s=3600.0, on_data=data))
+        call = asyncio.ensure_future(
+            self._api.call("GET", f"{name}:watch", wait_s=3600.0, on_data=decode_events)
+        )
         call.add_done_callback(lambda _: events.put_nowait(None))
         try:
             while (event := await events.get()) is not None:
