--- a/weldhatch/conform/__init__.py
+++ b/weldhatch/conform/__init__.py
@@ -1,1 +1,1 @@
-"""A conformance suite for the pull queue: a black box that plays build machine and submitter."""
+"""A black-box conformance suite for the pull queue, which acts as a build machine and as a submitter."""
--- a/weldhatch/conform/runner.py
+++ b/weldhatch/conform/runner.py
@@ -1,4 +1,4 @@
-"""Runs the checks and reports which sentences hold."""
+"""Runs the conformance checks and reports which sentences of docs/pullqueue.md hold."""
 
 from __future__ import annotations
 
@@ -7,65 +7,78 @@
 import traceback
 from dataclasses import dataclass
 
-import weldhatch.conform.session_checks  # it fills CHECKS
-import weldhatch.conform.task_checks  # noqa: F401 - it fills CHECKS
-from weldhatch.conform.suite import CHECKS, LONG_S, Bench, Check, Target
+import weldhatch.conform.session_checks  # registers its checks in CHECKS
+import weldhatch.conform.task_checks  # noqa: F401 - registers its checks in CHECKS
+from weldhatch.conform.suite import ANSWER_TIMEOUT_S, CHECKS, Bench, Check, Target
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """Whether one numbered sentence holds, the check's name, and what was received where it does not."""
+    """Whether one numbered sentence holds.
+
+    name: the name of its check. failure: what the check received instead of what it expects; empty if the
+    sentence holds.
+    """
 
     number: str
     name: str
     holds: bool
-    said: str = ""
+    failure: str = ""
 
 
 async def run(target: Target, only: str = "") -> list[Verdict]:
-    """Run all checks in the order of their numbers, one after the other.
+    """Run the checks one after the other, in the order of their numbers.
+
+    only: run only the checks whose number begins with this text.
 
-    only: run those whose number begins so.
+    A check of several sentences runs once, and its verdict counts for each of them.
     """
-    out: dict[Check, Verdict] = {}
+    verdict_by_check: dict[Check, Verdict] = {}
     verdicts = []
-    for number in sorted(CHECKS, key=lambda one: [int(part) for part in one.split(".")]):
+    for number in sorted(CHECKS, key=lambda text: [int(part) for part in text.split(".")]):
         check = CHECKS[number]
         if not number.startswith(only):
             continue
-        if check not in out:
+        if check not in verdict_by_check:
             bench = Bench(target)
             try:
-                await asyncio.wait_for(check(bench), 3 * LONG_S)
-                out[check] = Verdict(number, check.__name__, True)
-            except Exception as fault:
-                place = traceback.extract_tb(fault.__traceback__)[-1]
-                said = f"{type(fault).__name__}: {fault} ({place.name}, line {place.lineno})"
-                out[check] = Verdict(number, check.__name__, False, said)
+                await asyncio.wait_for(check(bench), 3 * ANSWER_TIMEOUT_S)
+                verdict_by_check[check] = Verdict(number, check.__name__, True)
+            except Exception as error:
+                frame = traceback.extract_tb(error.__traceback__)[-1]
+                failure = f"{type(error).__name__}: {error} ({frame.name}, line {frame.lineno})"
+                verdict_by_check[check] = Verdict(number, check.__name__, False, failure)
             finally:
                 await bench.close()
-        known = out[check]
-        verdicts.append(Verdict(number, known.name, known.holds, known.said))
+        known = verdict_by_check[check]
+        verdicts.append(Verdict(number, known.name, known.holds, known.failure))
     return verdicts
 
 
 def report(verdicts: list[Verdict], as_json: bool) -> str:
-    """Return the verdicts as JSON (schema weldhatch.conform/1) or as lines for people."""
+    """Return the verdicts as JSON (schema weldhatch.conform/1) or as lines of text."""
     if as_json:
         return json.dumps(
             {
                 "schema": "weldhatch.conform/1",
-                "holds": sum(one.holds for one in verdicts),
+                "holds": sum(verdict.holds for verdict in verdicts),
                 "checked": len(verdicts),
                 "verdicts": [
-                    {"number": one.number, "check": one.name, "holds": one.holds, "said": one.said}
-                    for one in verdicts
+                    {
+                        "number": verdict.number,
+                        "check": verdict.name,
+                        "holds": verdict.holds,
+                        "said": verdict.failure,
+                    }
+                    for verdict in verdicts
                 ],
             }
         )
     lines = [
-        f"{'holds' if one.holds else 'BROKEN':7} {one.number:5} {one.name.replace('_', ' ')}"
-        + (f": {one.said}" if one.said else "")
-        for one in verdicts
+        f"{'holds' if verdict.holds else 'BROKEN':7} {verdict.number:5} {verdict.name.replace('_', ' ')}"
+        + (f": {verdict.failure}" if verdict.failure else "")
+        for verdict in verdicts
     ]
-    return "\n".join([*lines, f"{sum(one.holds for one in verdicts)} of {len(verdicts)} sentences hold"])
+    return "\n".join(
+        [*lines, f"{sum(verdict.holds for verdict in verdicts)} of {len(verdicts)} sentences hold"]
+    )
--- a/weldhatch/conform/suite.py
+++ b/weldhatch/conform/suite.py
@@ -1,4 +1,4 @@
-"""The checks: each plays build machine and submitter against an address, and holds one numbered sentence."""
+"""The registry of checks, and the bench that a check uses to act as build machine and submitter."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from weldhatch.client import Api, ApiError
 from weldhatch.client.api import PREFIX
 
-LONG_S = 20.0
+ANSWER_TIMEOUT_S = 20.0
 
 Json = dict[str, Any]
 _Result = TypeVar("_Result")
@@ -21,7 +21,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """What is checked: an address without TLS, and the names that its settings give classes and halls."""
+    """The address under test, without TLS, and the names of a zone and of classes in its settings.
+
+    safe: a class whose tasks may be repeated. keyed: a class with job keys. unsafe: a class whose tasks must
+    not start twice.
+    """
 
     url: str
     hall: str = "hall-a"
@@ -34,93 +38,93 @@
 CHECKS: dict[str, Check] = {}
 
 
-def holds(*numbers: str) -> Callable[[Check], Check]:
-    """Register a check as the one of these sentences of docs/pullqueue.md."""
+def verifies(*numbers: str) -> Callable[[Check], Check]:
+    """Return a decorator that registers the check of these sentences of docs/pullqueue.md."""
 
-    def keep(check: Check) -> Check:
+    def register(check: Check) -> Check:
         for number in numbers:
             CHECKS[number] = check
         return check
 
-    return keep
+    return register
 
 
-def expect(truth: object, said: object = "") -> None:
-    """Raise AssertionError with what was received unless `truth` holds."""
-    if not truth:
-        raise AssertionError(said)
+def expect(condition: object, received: object = "") -> None:
+    """Raise AssertionError with `received`, the unexpected value, unless `condition` is true."""
+    if not condition:
+        raise AssertionError(received)
 
 
 class Bench:
-    """A machine, a submitter and a raw connection, for one check.
+    """A build machine, a submitter and raw connections for one check.
 
-    Nothing of one check is left for the next.
+    `close` cancels its calls and ends its session, so that no check affects the next one.
     """
 
     def __init__(self, target: Target) -> None:
-        """Prepare a machine with a name of its own; no session is opened yet."""
+        """Prepare a machine with a unique name; `open` opens its session."""
         self.target = target
         self.api = Api(target.url, at_once=50)
         self.bot = f"conform-{uuid.uuid4().hex[:8]}"
         self.session = ""
-        self._jobs: list[asyncio.Task[Any]] = []
+        self._calls: list[asyncio.Task[Any]] = []
         split = urlsplit(target.url)
         self._address = (split.hostname, split.port)
 
     async def close(self) -> None:
-        """Cancel what is under way and end the session."""
-        for job in self._jobs:
-            job.cancel()
-        await asyncio.gather(*self._jobs, return_exceptions=True)
-        if self.session:  # leave nothing standing
-            with_none = {"leases": [], "status": "BOT_TERMINATING"}
+        """Cancel all calls in flight and end the session."""
+        for call in self._calls:
+            call.cancel()
+        await asyncio.gather(*self._calls, return_exceptions=True)
+        if self.session:  # no lease of this check must stay active
+            without_leases = {"leases": [], "status": "BOT_TERMINATING"}
             for _ in range(2):
                 try:
-                    await self.api.call("PATCH", self.session, with_none)
+                    await self.api.call("PATCH", self.session, without_leases)
                 except ApiError:
                     break
         self.api.close()
 
-    def later(self, job: Awaitable[_Result]) -> asyncio.Task[_Result]:
-        """Start a call without waiting for it; it is cancelled at the latest by `close`."""
-        task = asyncio.ensure_future(job)
+    def start(self, call: Awaitable[_Result]) -> asyncio.Task[_Result]:
+        """Start a call without waiting for it; `close` cancels it if it is still in flight."""
+        task = asyncio.ensure_future(call)
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
-        self._jobs.append(task)
+        self._calls.append(task)
         return task
 
     # ---- as a machine --------------------------------------------------------------------------------------
 
     def worker(self, **more: object) -> Json:
-        """Return the worker of the session; `more` adds or replaces fields."""
-        pairs = {
+        """Return the JSON of the session's worker; `more` adds or replaces fields."""
+        properties = {
             "cores": "64",
             "memory": "256",
             "hall": self.target.hall,
             "rack": "conform",
             "conform": self.bot,
         }
-        return {"properties": [{"key": key, "value": value} for key, value in pairs.items()], **more}
+        return {"properties": [{"key": key, "value": value} for key, value in properties.items()], **more}
 
     async def open(self, leases: list[Json] | None = None, **more: object) -> Json:
         """Open a session that lists `leases`; `more` goes into its worker. Raises ApiError."""
         body = {"botId": self.bot, "worker": self.worker(**more), "leases": leases or []}
-        said: Json = await self.api.call("POST", "botSessions", body)
-        self.session = said["name"]
-        return said
+        session: Json = await self.api.call("POST", "botSessions", body)
+        self.session = session["name"]
+        return session
 
     async def update(self, *leases: tuple[str, str], wait_s: float = 0.0, **more: object) -> Json:
-        """Update the session with (id, state) of each lease, and wait `wait_s` for work. Raises ApiError."""
-        listed = [{"id": name, "state": state} for name, state in leases]
-        body = {"leases": listed, **more}
-        said: Json = await self.api.call("PATCH", self.session, body, wait_s=wait_s)
-        return said
-
-    async def lease(self) -> Json:
-        """Wait for the next lease that is handed to this machine, and return it."""
-        end = time.monotonic() + LONG_S
-        while time.monotonic() < end:
-            said = await self.update(wait_s=0.5)
-            leases: list[Json] = said["leases"]
+        """Report the (id, state) of each lease, and wait up to `wait_s` for work. Raises ApiError."""
+        reports = [{"id": name, "state": state} for name, state in leases]
+        body = {"leases": reports, **more}
+        session: Json = await self.api.call("PATCH", self.session, body, wait_s=wait_s)
+        return session
+
+    async def next_lease(self) -> Json:
+        """Wait for the next new lease of this machine, and return it."""
+        deadline = time.monotonic() + ANSWER_TIMEOUT_S
+        while time.monotonic() < deadline:
+            session = await self.update(wait_s=0.5)
+            leases: list[Json] = session["leases"]
             for lease in leases:
                 if lease["state"] == "PENDING":
                     return lease
@@ -129,7 +133,7 @@
     # ---- as a submitter ------------------------------------------------------------------------------------
 
     def task(self, cls: str = "", key: str = "", **more: object) -> Json:
-        """Return a task that only this check's machine can take."""
+        """Return the JSON of a task for this check's machine only; `more` adds or replaces fields."""
         return {
             "class": cls or self.target.safe,
             "left": 4000,
@@ -142,64 +146,76 @@
         }
 
     async def submit(self, task: Json) -> Json:
-        """Submit and return the answer; a gateway that has just been started lets time pass first."""
-        end = time.monotonic() + LONG_S
+        """Submit a task and return the answer.
+
+        A gateway that has just started rejects tasks while leases of a former gateway may still run. In that
+        case the task is submitted again after the advised wait.
+        """
+        deadline = time.monotonic() + ANSWER_TIMEOUT_S
         while True:
             answer: Json = await self.api.call("POST", "tasks", task, wait_s=5.0)
-            if "former gateway" not in answer.get("reason", "") or time.monotonic() > end:
+            if "former gateway" not in answer.get("reason", "") or time.monotonic() > deadline:
                 return answer
             await asyncio.sleep(answer["waitMs"] / 1000)
 
-    async def standing(self, task: Json | None = None) -> tuple[str, str]:
-        """Place a task on this check's machine; return the names of its lease and of the task."""
+    async def place_task(self, task: Json | None = None) -> tuple[str, str]:
+        """Open a session and place a task on its machine; return the names of its lease and of the task."""
         await self.open()
-        answer = self.later(self.submit(task or self.task()))
-        lease = await self.lease()
+        answer = self.start(self.submit(task or self.task()))
+        lease = await self.next_lease()
         await self.update((lease["id"], "ACTIVE"))
-        placed = await asyncio.wait_for(answer, LONG_S)
+        placed = await asyncio.wait_for(answer, ANSWER_TIMEOUT_S)
         expect(placed["answer"] == "placed", placed)
         return lease["id"], placed["name"]
 
-    async def fault(self, code: int, field: str, method: str, path: str, body: object = None) -> None:
-        """Make a call and expect this error, with the field at fault."""
+    async def expect_error(self, code: int, field: str, method: str, path: str, body: object = None) -> None:
+        """Make a call and expect an error with this HTTP status and invalid field."""
         try:
             await self.api.call(method, path, body)
-        except ApiError as fault:
-            expect((fault.code, fault.field) == (code, field), f"{fault.code} {fault.field!r}: {fault}")
-            expect(fault.status and fault.message, "no status, or no message")
+        except ApiError as error:
+            expect((error.code, error.field) == (code, field), f"{error.code} {error.field!r}: {error}")
+            expect(error.status and error.message, "no status, or no message")
             return
         raise AssertionError(f"{method} {path}: answered with 200, expected {code}")
 
-    # ---- as plain bytes ------------------------------------------------------------------------------------
+    # ---- over a raw connection -----------------------------------------------------------------------------
 
-    async def raw(
-        self, data: bytes, count: int = 1, more: bytes = b"", until: int = 0
+    async def exchange(
+        self, data: bytes, count: int = 1, then_send: bytes = b"", until: int = 0
     ) -> list[tuple[int, dict[str, str], bytes]]:
-        """Send bytes and read `count` answers, or until one has the code `until`.
+        """Send bytes over a new connection; return the status, headers and body of each HTTP response.
 
-        more: goes out after the first answer. Returns code, headers (lower case) and body of each.
+        Reading ends after `count` responses, or after the first with the status `until`. then_send: bytes to
+        send after the first response. Header names and values are in lower case.
         """
         reader, writer = await asyncio.open_connection(*self._address)
         try:
             writer.write(data)
-            out = []
+            responses = []
             for _ in range(count):
-                head = (await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), LONG_S)).decode().split("\r\n")
+                head = (
+                    (await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), ANSWER_TIMEOUT_S))
+                    .decode()
+                    .split("\r\n")
+                )
                 headers = dict(line.lower().split(": ", 1) for line in head[1:] if line)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                out.append((int(head[0].split()[1]), headers, body))
-                writer.write(more)
-                more = b""
-                if out[-1][0] == until:
+                responses.append((int(head[0].split()[1]), headers, body))
+                writer.write(then_send)
+                then_send = b""
+                if responses[-1][0] == until:
                     break
-            if out[-1][1].get("connection") == "close":
-                expect(await asyncio.wait_for(reader.read(), LONG_S) == b"", "the connection stays open")
-            return out
+            if responses[-1][1].get("connection") == "close":
+                expect(
+                    await asyncio.wait_for(reader.read(), ANSWER_TIMEOUT_S) == b"",
+                    "the connection stays open",
+                )
+            return responses
         finally:
             writer.close()
 
 
-def ask(method: str, path: str, body: bytes = b"", *headers: str) -> bytes:
+def http_request(method: str, path: str, body: bytes = b"", *headers: str) -> bytes:
     """Return the bytes of one HTTP/1.1 request."""
     lines = [f"{method} {PREFIX}{path} HTTP/1.1", *headers]
     if not any("chunked" in line for line in headers):
