--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -1,4 +1,4 @@
-"""The conformance suite proves our own server, and its sentences are those of docs/pullqueue.md."""
+"""The conformance suite against our own gateway, and random calls against a model of the pull queue."""
 
 import asyncio
 import copy
@@ -23,213 +23,220 @@
 ROOT = Path(__file__).parent.parent
 
 
-def gateway(folder, **timing):
-    tree = copy.deepcopy(SETTINGS)
-    tree["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-    told = config.pull_queue_config(
+def start_gateway(folder, **timing):
+    queue_settings = copy.deepcopy(SETTINGS)
+    queue_settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
+    queue_config = config.pull_queue_config(
         {
             "enabled": True,
             "listen": "127.0.0.1:0",
             "store": str(folder),
             "timing": {"settle": 0, **timing},
-            "settings": tree,
+            "settings": queue_settings,
         }
     )
-    return PullQueue(told, Policy(told.settings, 5), lambda line: None)
+    return PullQueue(queue_config, Policy(queue_config.settings, 5), lambda line: None)
 
 
-def target(front):
-    return Target(f"http://127.0.0.1:{front.listener.address[1]}", "east", "safe", "keyed", "unsafe")
+def target_of(gateway):
+    return Target(f"http://127.0.0.1:{gateway.listener.address[1]}", "east", "safe", "keyed", "unsafe")
 
 
-class Ours(unittest.IsolatedAsyncioTestCase):
+class ConformanceOfOurGateway(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
         folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.front = gateway(folder)
+        self.gateway = start_gateway(folder)
 
     async def asyncTearDown(self):
-        self.front.abort()
+        self.gateway.abort()
         await asyncio.sleep(0)
 
     async def test_every_sentence_holds(self):
-        verdicts = await run(target(self.front))
-        self.assertEqual([], [one for one in verdicts if not one.holds])
+        verdicts = await run(target_of(self.gateway))
+        self.assertEqual([], [verdict for verdict in verdicts if not verdict.holds])
         self.assertEqual(len(CHECKS), len(verdicts))
         self.assertIn(f"{len(CHECKS)} of {len(CHECKS)} sentences hold", report(verdicts, False))
         await asyncio.sleep(0)
 
-    async def test_a_server_that_breaks_a_promise_is_found_out(self):
-        """Each fault is put into our own server; the check of its sentence has to see it."""
+    async def test_the_check_of_a_sentence_fails_if_the_gateway_violates_it(self):
+        """Guards against checks that always pass: each defect is patched into our own gateway."""
 
-        async def broken(number, where, name, value):
-            before = getattr(where, name)
-            setattr(where, name, value)
+        async def assert_detected(number, patched, attribute, defect):
+            original = getattr(patched, attribute)
+            setattr(patched, attribute, defect)
             try:
-                verdicts = await run(target(self.front), number)
+                verdicts = await run(target_of(self.gateway), number)
                 self.assertFalse(verdicts[0].holds, number)
             finally:
-                setattr(where, name, before)
+                setattr(patched, attribute, original)
 
-        bots, tasks = self.front.bots, self.front.tasks
-        await broken("3.1", bots.leases, "extend_lease", lambda lease: setattr(lease, "expires", 9e9))
-        await broken("6.4", tasks, "_barred", lambda key, cls: None)
-        await broken("4.4", tasks, "_by_request", _Forgetful())
-        await broken("2.8", bots_module, "masked", lambda tree, mask: tree)
+        bots, tasks = self.gateway.bots, self.gateway.tasks
+        await assert_detected(
+            "3.1", bots.leases, "extend_lease", lambda lease: setattr(lease, "expires", 9e9)
+        )
+        await assert_detected("6.4", tasks, "_barred", lambda key, cls: None)
+        await assert_detected("4.4", tasks, "_by_request", _DictWithoutLookup())
+        await assert_detected("2.8", bots_module, "masked", lambda tree, mask: tree)
 
 
-class _Forgetful(dict):
+class _DictWithoutLookup(dict):
     def get(self, *_):
         return None
 
 
-def test_the_sentences_marked_are_those_that_are_checked():
+def test_every_marked_sentence_of_the_page_has_a_check_and_no_other_has():
     text = (ROOT / "docs" / "pullqueue.md").read_text()
     marked = set(re.findall(r"^(\d+\.\d+)\* ", text, re.M))
-    every = re.findall(r"^(\d+\.\d+)\*? ", text, re.M)
+    numbers = re.findall(r"^(\d+\.\d+)\*? ", text, re.M)
     assert marked == set(CHECKS)
-    assert len(every) == len(set(every))
+    assert len(numbers) == len(set(numbers))
 
 
-# ---- sequences that nobody thought of
-# -----------------------------------------------------------------------
+# ---- random sequences of calls and restarts
 
 
-class Queue(RuleBasedStateMachine):
-    """Machines, submitters and restarts in any order, against a model of what may be out where."""
+class PullQueueSequences(RuleBasedStateMachine):
+    """Machines, submitters and gateway restarts in any order, against a model of the leases that are held."""
 
     def __init__(self):
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.folder = tempfile.TemporaryDirectory()
-        self.tasks = {}  # by key: operation name
-        self.held = {}  # by bot: leases that it holds
-        self.sessions = {}
-        self.started = {}  # by key of an unsafe task: how often it was begun
+        self.tasks = {}  # operation name by job key
+        self.held = {}  # by bot: the job key of each lease that it holds
+        self.sessions = {}  # session name by bot
+        self.starts = {}  # number of starts by job key, of unsafe tasks
 
-    def do(self, job):
-        return self.loop.run_until_complete(job)
+    def run_coroutine(self, coroutine):
+        return self.loop.run_until_complete(coroutine)
 
-    async def call(self, *words):
-        api = Api(f"http://127.0.0.1:{self.front.listener.address[1]}")
+    async def call(self, *arguments):
+        api = Api(f"http://127.0.0.1:{self.gateway.listener.address[1]}")
         try:
-            return 200, await api.call(*words)
-        except ApiError as fault:
-            return fault.code, {}
+            return 200, await api.call(*arguments)
+        except ApiError as error:
+            return error.code, {}
         finally:
             api.close()
 
-    async def begin(self):
-        self.front = gateway(self.folder.name, lease=30, session=60, pickup=20, poll=1)
+    async def start_gateway(self):
+        self.gateway = start_gateway(self.folder.name, lease=30, session=60, pickup=20, poll=1)
 
     @initialize()
     def start(self):
-        self.do(self.begin())
+        self.run_coroutine(self.start_gateway())
 
     @rule(key=st.integers(1, 4), unsafe=st.booleans())
     def submit(self, key, unsafe):
-        name = f"{key + 16 * unsafe:x}"
-        code, said = self.do(
+        job_key = f"{key + 16 * unsafe:x}"
+        code, operation = self.run_coroutine(
             self.call(
                 "POST",
                 "operations",
                 {
                     "class": "unsafe" if unsafe else "keyed",
                     "left": 3000,
-                    "key": name,
-                    "idem": name,
+                    "key": job_key,
+                    "idem": job_key,
                     "extras": "cores:1;memory:1;service:1",
                 },
             )
         )
         assert code in (200, 409)
         if code == 200:
-            self.tasks[name] = said["name"]
+            self.tasks[job_key] = operation["name"]
 
     @rule(bot=st.sampled_from("ab"), keep=st.booleans())
-    def open(self, bot, keep):
+    def open_session(self, bot, keep):
         held = self.held.setdefault(bot, {})
         if not keep:
-            held.clear()  # its process was killed, and its tasks with it
+            held.clear()  # the bot's process was killed together with its tasks
         worker = {
             "properties": [
                 {"key": key, "value": value}
                 for key, value in (("cores", "8"), ("memory", "8"), ("hall", "east"), ("rack", bot))
             ]
         }
-        code, said = self.do(
+        code, session = self.run_coroutine(
             self.call(
                 "POST",
                 "botSessions",
-                {"botId": bot, "worker": worker, "leases": [{"id": one, "state": "ACTIVE"} for one in held]},
+                {
+                    "botId": bot,
+                    "worker": worker,
+                    "leases": [{"id": lease, "state": "ACTIVE"} for lease in held],
+                },
             )
         )
         assert code == 200
-        self.sessions[bot] = said["name"]
-        self.take(bot, said)
+        self.sessions[bot] = session["name"]
+        self.handle_leases(bot, session)
 
-    def take(self, bot, said):
-        for lease in said["leases"]:
+    def handle_leases(self, bot, session):
+        for lease in session["leases"]:
             if lease["state"] == "PENDING" and "payload" in lease:
-                key = lease["payload"]["key"]
-                assert not any(key in held.values() for held in self.held.values()), "two attempts are out"
-                self.held[bot][lease["id"]] = key
+                job_key = lease["payload"]["key"]
+                assert not any(
+                    job_key in held.values() for held in self.held.values()
+                ), "two attempts of one task are running"
+                self.held[bot][lease["id"]] = job_key
                 if lease["payload"]["class"] == "unsafe":
-                    self.started[key] = self.started.get(key, 0) + 1
+                    self.starts[job_key] = self.starts.get(job_key, 0) + 1
             elif lease["state"] == "CANCELLED":
                 self.held[bot].pop(lease["id"], None)
 
     @precondition(lambda self: self.sessions)
-    @rule(bot=st.sampled_from("ab"), end=st.sampled_from(["ACTIVE", "COMPLETED", "CANCELLED"]))
-    def update(self, bot, end):
+    @rule(bot=st.sampled_from("ab"), state=st.sampled_from(["ACTIVE", "COMPLETED", "CANCELLED"]))
+    def update_session(self, bot, state):
         if bot not in self.sessions:
             return
-        listed = [{"id": one, "state": end} for one in self.held[bot]]
-        code, said = self.do(self.call("PATCH", self.sessions[bot], {"leases": listed}))
+        reports = [{"id": lease, "state": state} for lease in self.held[bot]]
+        code, session = self.run_coroutine(self.call("PATCH", self.sessions[bot], {"leases": reports}))
         if code == 404:
             del self.sessions[bot]
             return
         assert code == 200
-        if end != "ACTIVE":
+        if state != "ACTIVE":
             self.held[bot].clear()
-        self.take(bot, said)
+        self.handle_leases(bot, session)
 
     @precondition(lambda self: self.tasks)
     @rule(data=st.data())
     def cancel(self, data):
         name = self.tasks[data.draw(st.sampled_from(sorted(self.tasks)))]
-        code, _ = self.do(self.call("POST", f"{name}:cancel", {}))
+        code, _ = self.run_coroutine(self.call("POST", f"{name}:cancel", {}))
         assert code in (200, 404)
 
     @rule()
-    def kill(self):
-        async def again():
-            self.front.abort()
+    def kill_and_restart_gateway(self):
+        async def restart():
+            self.gateway.abort()
             await asyncio.sleep(0)
-            await self.begin()
+            await self.start_gateway()
 
-        self.do(again())
+        self.run_coroutine(restart())
 
     @invariant()
-    def nothing_that_must_not_start_twice_has(self):
-        assert all(count == 1 for count in self.started.values()), self.started
+    def no_unsafe_task_starts_twice(self):
+        assert all(count == 1 for count in self.starts.values()), self.starts
 
     def teardown(self):
-        async def end():
-            self.front.abort()
+        async def stop():
+            self.gateway.abort()
             await asyncio.sleep(0)
 
-        if hasattr(self, "front"):
-            self.do(end())
+        if hasattr(self, "gateway"):
+            self.run_coroutine(stop())
         self.loop.close()
         self.folder.cleanup()
 
 
-Queue.TestCase.settings = settings(
+PullQueueSequences.TestCase.settings = settings(
     max_examples=40,
     stateful_step_count=25,
     deadline=None,
     derandomize=True,
     suppress_health_check=list(HealthCheck),
 )
-TestQueue = Queue.TestCase
+TestPullQueueSequences = PullQueueSequences.TestCase
