--- a/weldhatch/client/submitter.py
+++ b/weldhatch/client/submitter.py
@@ -35,7 +35,7 @@
 
     def body(self, request_id: str, again: bool, left_s: float) -> dict[str, Any]:
         """Return the JSON of one call; `again` marks the retry of a rejected task."""
-        tree: dict[str, Any] = {
+        document: dict[str, Any] = {
             "class": self.class_name,
             "key": self.key,
             "left": int(left_s * 1000),
@@ -45,12 +45,12 @@
             "requestId": request_id,
         }
         if self.tenant:
-            tree["tenant"] = self.tenant
+            document["tenant"] = self.tenant
         if self.requirements:
-            tree["requirements"] = self.requirements
+            document["requirements"] = self.requirements
         if again:
-            tree["retry"] = "1"
-        return tree
+            document["retry"] = "1"
+        return document
 
 
 @dataclass(slots=True, frozen=True)
@@ -196,8 +196,8 @@
         while True:
             query = urlencode({"filter": filter, "pageSize": page_size, "pageToken": token})
             page = await self._api.call("GET", f"operations?{query}")
-            for tree in page["operations"]:
-                yield Operation.read(tree)
+            for listed in page["operations"]:
+                yield Operation.read(listed)
             token = page.get("nextPageToken", "")
             if not token:
                 return
