--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,9 +20,9 @@
 
 from weldhatch.applying.journal import Journal, story
 from weldhatch.applying.runner import Exit
-from weldhatch.planning.actions import Unplannable, actions
+from weldhatch.planning.actions import UnplannableError, actions
 from weldhatch.planning.change import Change, read_change
-from weldhatch.planning.check import breaks
+from weldhatch.planning.check import find_violations
 from weldhatch.planning.fleet import Fleet, State
 from weldhatch.planning.greedy import greedy
 from weldhatch.planning.records import Begin, Done, Heard, Intent, encode
@@ -107,14 +107,14 @@
                 start = time.perf_counter()
                 try:
                     found = search(change, fleet, way)
-                    assert not breaks(change, fleet, found.waves)
+                    assert not find_violations(change, fleet, found.waves)
                     row[way], row[f"{way}_seconds"], row[f"{way}_by"] = (
                         len(found.waves),
                         found.seconds,
-                        found.way,
+                        found.method,
                     )
                     row[f"{way}_proven"] = found.proven
-                except Unplannable:
+                except UnplannableError:
                     row[way] = None
                 row[f"{way}_s"] = time.perf_counter() - start
             rows.append(row)
@@ -177,7 +177,7 @@
     names = [node.id for node in fleet.nodes.values() if node.state is State.READY][: count // 2]
     with tempfile.TemporaryDirectory() as folder:
         from weldhatch.applying.runner import Runner
-        from weldhatch.planning.engine import Patience
+        from weldhatch.planning.engine import ApplyTimeouts
         from weldhatch.testbed.fleet import StandInWorld
         from weldhatch.testbed.virtual import VirtualLoop, run
 
@@ -190,7 +190,7 @@
         async def main() -> Exit:
             journal = Journal(folder, "bench", loop.clock())
             try:
-                runner = Runner(plan, fleet, world, journal, Patience(), clock=loop.clock, by="bench")
+                runner = Runner(plan, fleet, world, journal, ApplyTimeouts(), clock=loop.clock, by="bench")
                 return (await runner.run()).exit
             finally:
                 journal.close()
--- a/tests/test_applies.py
+++ b/tests/test_applies.py
@@ -9,11 +9,11 @@
 from weldhatch.applying.journal import Journal, story
 from weldhatch.applying.runner import Exit, Runner, observe
 from weldhatch.nodes.protocol import NodeOrder
-from weldhatch.planning.engine import Patience, Why
+from weldhatch.planning.engine import ApplyTimeouts, StopReason
 from weldhatch.planning.fleet import State
 from weldhatch.planning.plan import Kind
-from weldhatch.planning.records import Begin, Stand
-from weldhatch.planning.undo import drift
+from weldhatch.planning.records import Begin, StepStatus
+from weldhatch.planning.undo import find_drift
 from weldhatch.store.lock import LockHeldError
 from weldhatch.testbed.crash_points import Points, make_plan, trial
 from weldhatch.testbed.fleet import Faults, StandInWorld, small_fleet
@@ -157,7 +157,9 @@
 
 
 def test_a_node_that_goes_silent_stops_the_apply_and_it_goes_on_when_it_answers():
-    out = stopped(Why.LOST, "n1 has not answered", script=later(1.0, lambda world: node(world, "n1").fall()))
+    out = stopped(
+        StopReason.LOST, "n1 has not answered", script=later(1.0, lambda world: node(world, "n1").fall())
+    )
 
     def script(world, run):
         if not run:
@@ -174,7 +176,7 @@
         node(world, "n1").fall()
         node(world, "n1").come_back(world.clock(), on=True)
 
-    out = stopped(Why.RETURNED, "n1 came back as generation 2", script=later(1.0, act))
+    out = stopped(StopReason.RETURNED, "n1 came back as generation 2", script=later(1.0, act))
     assert len(node(out.world, "n1").effects) == 1
 
 
@@ -182,14 +184,14 @@
     def act(world):
         node(world, "n1").state = State.READY
 
-    stopped(Why.REVERTED, "not drained again", script=later(1.0, act))
+    stopped(StopReason.REVERTED, "not drained again", script=later(1.0, act))
 
 
 def test_a_node_that_refuses_for_good_stops_it_and_is_asked_again_under_the_same_operation():
     def script(world, run):
         node(world, "n1").refusing, node(world, "n1").refusals_left = "REFUSED last copy here", int(not run)
 
-    stopped(Why.REFUSED, "last copy here", script=script)
+    stopped(StopReason.REFUSED, "last copy here", script=script)
     out = trial(script=script)
     assert out.runs == 2 and out.result.exit is Exit.DONE and out.faults == NONE
 
@@ -225,12 +227,12 @@
         node(world, "n7").fall()
         node(world, "n7").come_back(0.0, on=False)
 
-    stopped(Why.FELL, "n7 was switched on and went off again", script=later(1.0, act))
+    stopped(StopReason.FELL, "n7 was switched on and went off again", script=later(1.0, act))
 
 
 def test_a_drain_that_does_not_end_stops_it_as_late():
     stopped(
-        Why.LATE,
+        StopReason.LATE,
         "n1: drain was taken",
         script=later(0.5, lambda world: setattr(node(world, "n1"), "drain_s", 1e6)),
     )
@@ -241,7 +243,7 @@
         for name in ("n4", "n5"):
             node(world, name).fall()
 
-    out = stopped(Why.FLOOR, "(keep (cores 120))", script=later(1.0, act))
+    out = stopped(StopReason.FLOOR, "(keep (cores 120))", script=later(1.0, act))
     assert not node(out.world, "n3").effects  # the second wave's drain
 
 
@@ -249,7 +251,7 @@
     def script(world, _):
         world.parties["gateway-1"].up = False
 
-    out = stopped(Why.GATEWAY, "gateway-1 did not take announce", script=script)
+    out = stopped(StopReason.GATEWAY, "gateway-1 did not take announce", script=script)
     assert not node(out.world, "n1").effects
     assert out.world.parties["gateway-0"].words["n1"][0] is State.DRAINING  # half done, and reported
 
@@ -273,7 +275,13 @@
         own = journal or self.journal()
         try:
             return await Runner(
-                plan or self.plan, self.fleet, self.world, own, Patience(), clock=self.loop.clock, by="me"
+                plan or self.plan,
+                self.fleet,
+                self.world,
+                own,
+                ApplyTimeouts(),
+                clock=self.loop.clock,
+                by="me",
             ).run(**options)
         finally:
             if journal is None:
@@ -301,7 +309,7 @@
         # A newer one, from another folder, has been heard by the node meanwhile.
         stage.world.nodes["n1"].take(NodeOrder(op="x/y", order=Kind.STOP, generation=9, fence=7), 0.0)
         runner = Runner(
-            stage.plan, stage.fleet, stage.world, held, Patience(), clock=stage.loop.clock, by="old"
+            stage.plan, stage.fleet, stage.world, held, ApplyTimeouts(), clock=stage.loop.clock, by="old"
         )
         fleet = await observe(stage.fleet, stage.world)
         out = await runner._loop(held.story.applies[stage.plan.id], fleet)  # it never looked for fences
@@ -309,7 +317,7 @@
         return out
 
     out = stage.run(main())
-    assert out.exit is Exit.STOPPED and out.stopped.reason == Why.OVERTAKEN
+    assert out.exit is Exit.STOPPED and out.stopped.reason == StopReason.OVERTAKEN
     assert not stage.world.nodes["n1"].effects
 
 
@@ -373,9 +381,9 @@
     assert stage.run(main()).exit is Exit.STOPPED
     progress = story(tmp_path).last
     assert progress.half_nodes == ["n1"]
-    assert {state.step.kind: state.stand for state in progress.steps.values()} == {
-        Kind.ANNOUNCE: Stand.UNKNOWN,
-        Kind.DRAIN: Stand.TODO,
+    assert {state.step.kind: state.status for state in progress.steps.values()} == {
+        Kind.ANNOUNCE: StepStatus.UNKNOWN,
+        Kind.DRAIN: StepStatus.TODO,
     }
 
 
@@ -384,9 +392,9 @@
 
     async def main():
         await stage.apply()
-        before = drift(story(tmp_path).last, await observe(stage.fleet, stage.world))
+        before = find_drift(story(tmp_path).last, await observe(stage.fleet, stage.world))
         node(stage.world, "n1").state = State.READY
-        return before, drift(story(tmp_path).last, await observe(stage.fleet, stage.world))
+        return before, find_drift(story(tmp_path).last, await observe(stage.fleet, stage.world))
 
     before, after = stage.run(main())
     assert before == []
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -444,7 +444,7 @@
             one.ended,
             one.stopped and one.stopped.text,
             {
-                step: [state.stand, state.outcome, state.note, state.tries]
+                step: [state.status, state.outcome, state.note, state.tries]
                 for step, state in one.steps.items()
             },
         ]
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from weldhatch.planning import plan as plans
-from weldhatch.planning.actions import Deed, Unplannable, actions
+from weldhatch.planning.actions import ActionKind, UnplannableError, actions
 from weldhatch.planning.change import read_change
-from weldhatch.planning.check import breaks
+from weldhatch.planning.check import find_violations
 from weldhatch.planning.fleet import Fleet, Node, Pace, ServiceClass, State
 from weldhatch.planning.greedy import greedy
-from weldhatch.planning.moved import floors_moved, nodes_moved
+from weldhatch.planning.moved import find_moved_floors, find_moved_nodes
 from weldhatch.planning.search import search, smallest_conflict
 from weldhatch.sexpr import reader
 from weldhatch.testbed.fleet import small_fleet
@@ -73,10 +73,10 @@
             " (drain (all of set old))", ""
         )
     )
-    assert change.wants() == {"n7": "on", "n1": "off", "n5": "off"}
+    assert change.target_states() == {"n7": "on", "n1": "off", "n5": "off"}
     assert change.orders[0].sets == (("n7",), ("n1", "n5"))
     everyone = read('(change "x" (drain (all of fleet)))')
-    assert len(everyone.wants()) == 8
+    assert len(everyone.target_states()) == 8
 
 
 # ---- actions -----------------------------------------------------------------------------------------------
@@ -89,13 +89,13 @@
     nodes["n5"] = msgspec.structs.replace(nodes["n5"], held=True)
     fleet = Fleet(nodes.values())
     change = read('(change "x" (on n1 n2 n3 n5 n7) (off n4 n8) (drain n6))', fleet)
-    assert {action.node.id: action.deed for action in actions(change, fleet)} == {
-        "n2": Deed.AWAIT,
-        "n3": Deed.UNDRAIN,
-        "n4": Deed.STOP,
-        "n5": Deed.WELCOME,
-        "n6": Deed.DRAIN,
-        "n7": Deed.SWITCH_ON,
+    assert {action.node.id: action.kind for action in actions(change, fleet)} == {
+        "n2": ActionKind.AWAIT,
+        "n3": ActionKind.UNDRAIN,
+        "n4": ActionKind.STOP,
+        "n5": ActionKind.WELCOME,
+        "n6": ActionKind.DRAIN,
+        "n7": ActionKind.SWITCH_ON,
     }
 
 
@@ -103,7 +103,7 @@
     nodes = dict(small_fleet().nodes)
     nodes["n1"] = msgspec.structs.replace(nodes["n1"], state=State.LOST)
     fleet = Fleet(nodes.values())
-    with pytest.raises(Unplannable, match="n1 does not answer"):
+    with pytest.raises(UnplannableError, match="n1 does not answer"):
         search(read('(change "x" (drain n1))', fleet), fleet)
 
 
@@ -123,7 +123,7 @@
     text = '(change "x" (on n7 n8) (drain n1 n2) (keep (cores 160)))'
     found = search(read(text, fleet), fleet, way)
     # 240 cores are ready and one rack holds 80 of them: nothing may drain before the new ones are warm.
-    assert [sorted(action.deed for action in wave) for wave in found.waves] == [
+    assert [sorted(action.kind for action in wave) for wave in found.waves] == [
         ["switch-on", "switch-on"],
         ["drain", "drain"],
     ]
@@ -135,7 +135,7 @@
     nodes = dict(small_fleet().nodes)
     nodes["n5"] = msgspec.structs.replace(nodes["n5"], state=State.DRAINING)  # rack r1, with tasks
     fleet = Fleet(nodes.values())
-    with pytest.raises(Unplannable, match="at-most 1 draining per rack"):
+    with pytest.raises(UnplannableError, match="at-most 1 draining per rack"):
         search(read('(change "x" (drain n1) (at-most 1 draining per rack))', fleet), fleet, way)
     assert (
         len(search(read('(change "x" (drain n1) (at-most 2 draining per rack))', fleet), fleet, way).waves)
@@ -163,7 +163,7 @@
     )
     todo = actions(change, fleet)
     plain, found = greedy(change, fleet, todo), search(change, fleet, way)
-    assert len(found.waves) <= len(plain) and not breaks(change, fleet, found.waves)
+    assert len(found.waves) <= len(plain) and not find_violations(change, fleet, found.waves)
     assert len(found.waves) == best(change, fleet, todo, len(plain))
 
 
@@ -175,7 +175,7 @@
                 tuple(action for action, wave in zip(todo, choice, strict=True) if wave == n)
                 for n in range(count)
             )
-            if all(waves) and not breaks(change, fleet, waves):
+            if all(waves) and not find_violations(change, fleet, waves):
                 return count
     return None
 
@@ -222,14 +222,16 @@
     text, fleet = problem
     change = read(text, fleet)
     todo = actions(change, fleet)
-    fewest = best(change, fleet, todo, len(todo)) if todo else (None if breaks(change, fleet, ()) else 0)
+    fewest = (
+        best(change, fleet, todo, len(todo)) if todo else (None if find_violations(change, fleet, ()) else 0)
+    )
     for way in WAYS:
         try:
             found = search(change, fleet, way)
-        except Unplannable:
+        except UnplannableError:
             assert fewest is None, (text, way)
             continue
-        assert not breaks(change, fleet, found.waves)
+        assert not find_violations(change, fleet, found.waves)
         assert len(found.waves) == fewest, (text, way)
 
 
@@ -239,18 +241,18 @@
         '(change "x"\n (drain n1 n2)\n (drain n3)\n (drain n4)\n (keep (cores 160))\n'
         " (at-most 2 draining per rack))"
     )
-    with pytest.raises(Unplannable) as caught:
+    with pytest.raises(UnplannableError) as caught:
         search(read(text, fleet), fleet)
     assert [line.text for line in caught.value.conflict] == ["(drain n1 n2)", "(keep (cores 160))"]
     assert "f:5:2: (keep (cores 160))" in str(caught.value)
-    with pytest.raises(Unplannable) as caught:
+    with pytest.raises(UnplannableError) as caught:
         search(read('(change "x" (on n7) (drain n1 n2) (order n1 n2) (order n2 n1))', fleet), fleet)
     assert [line.text for line in caught.value.conflict] == [
         "(drain n1 n2)",
         "(order n1 n2)",
         "(order n2 n1)",
     ]
-    with pytest.raises(Unplannable) as caught:
+    with pytest.raises(UnplannableError) as caught:
         search(
             read(
                 '(change "x" (drain n1 n5) (at-most 1 draining per rack) (within 1 waves) (within 1h))', fleet
@@ -317,9 +319,9 @@
         return fleet.with_nodes({name: msgspec.structs.replace(fleet.nodes[name], **changes)})
 
     aside = now("n4", generation=9, tasks=77)  # not acted on, and as ready as it was
-    assert not nodes_moved(plan, aside, every) and not floors_moved(plan, aside, every)
-    assert not nodes_moved(plan, now("n1", tasks=77), every)
-    [moved] = nodes_moved(plan, now("n1", generation=2), every)
+    assert not find_moved_nodes(plan, aside, every) and not find_moved_floors(plan, aside, every)
+    assert not find_moved_nodes(plan, now("n1", tasks=77), every)
+    [moved] = find_moved_nodes(plan, now("n1", generation=2), every)
     assert str(moved) == (
         "n1: planned: drain and stop in wave 1; then: ready, generation 1, 6 tasks; "
         "now: ready, generation 2, 6 tasks"
@@ -327,5 +329,5 @@
     gone = fleet.with_nodes(
         {name: msgspec.structs.replace(fleet.nodes[name], state=State.LOST) for name in ("n3", "n4")}
     )
-    [moved] = floors_moved(plan, gone, every)
+    [moved] = find_moved_floors(plan, gone, every)
     assert "(keep (cores 120))" in moved.what and "now: 40" in str(moved)
--- a/weldhatch/applying/journal.py
+++ b/weldhatch/applying/journal.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from weldhatch.planning.records import AnyRecord, Begin, Ended, Stopped, Story, decode, encode
+from weldhatch.planning.records import AnyRecord, ApplyHistory, Begin, Ended, Stopped, decode, encode
 from weldhatch.store.lock import Lock, lock_owner
 from weldhatch.store.log import Disk, Log, LogCorruptError, read_records
 
@@ -33,10 +33,10 @@
     return out
 
 
-def story(folder: str | Path) -> Story:
+def story(folder: str | Path) -> ApplyHistory:
     """Return all applies of a folder, without holding it."""
     path = Path(folder) / LOG
-    return Story(_records(read_records(path), path))
+    return ApplyHistory(_records(read_records(path), path))
 
 
 def current_applier(folder: str | Path) -> str:
@@ -59,7 +59,7 @@
             self._log = Log(self.folder / LOG, disk)
             self.torn_tail = self._log.torn_tail
             records = _records(self._log.recovered_records(), self.folder / LOG)
-            self.story = Story(records)
+            self.story = ApplyHistory(records)
             if len(records) > COMPACTION_RECORDS:
                 self._compact(records)
         except BaseException:
@@ -85,7 +85,7 @@
         records = list(records)
         self._log.append(map(encode, records))
         for record in records:
-            self.story.take(record)
+            self.story.add(record)
 
     def close(self) -> None:
         """Give the log and the folder back."""
--- a/weldhatch/applying/runner.py
+++ b/weldhatch/applying/runner.py
@@ -12,10 +12,10 @@
 
 from weldhatch.applying.journal import Journal
 from weldhatch.nodes.protocol import Answer
-from weldhatch.planning.change import counts
-from weldhatch.planning.engine import Decision, Engine, Order, Patience, Why
+from weldhatch.planning.change import counts_for_floor
+from weldhatch.planning.engine import ApplyTimeouts, Decision, Engine, Order, StopReason
 from weldhatch.planning.fleet import Fleet, Node, State
-from weldhatch.planning.moved import Moved, floors_moved, nodes_moved
+from weldhatch.planning.moved import Moved, find_moved_floors, find_moved_nodes
 from weldhatch.planning.plan import Plan
 from weldhatch.planning.records import AnyRecord, Begin, Done, Heard, Progress, Stopped
 
@@ -80,7 +80,7 @@
     return [
         node.id
         for node in fleet.nodes.values()
-        if node.id in acted or any(counts(floor, node, fleet) for floor in plan.change.floors)
+        if node.id in acted or any(counts_for_floor(floor, node, fleet) for floor in plan.change.floors)
     ]
 
 
@@ -93,7 +93,7 @@
         fleet: Fleet,
         world: World,
         journal: Journal,
-        patience: Patience,
+        patience: ApplyTimeouts,
         *,
         clock: Callable[[], float],
         by: str,
@@ -133,9 +133,9 @@
         if refusal := self._other(over):
             return refusal
         fleet = await observe(self._fleet, self._world, self._names)
-        if known is None or not known.begun:
+        if known is None or not known.begun_steps:
             every = [node.id for node in plan.world]
-            moved = nodes_moved(plan, fleet, every) or floors_moved(plan, fleet, every)
+            moved = find_moved_nodes(plan, fleet, every) or find_moved_floors(plan, fleet, every)
             if moved:
                 return Result(
                     Exit.MOVED, "the world has moved since the plan was made; nothing was done", tuple(moved)
@@ -151,7 +151,7 @@
 
     def _other(self, over: bool) -> Result | None:
         """Return why this apply may not begin: another one that is half done is finished or undone first."""
-        last = self._journal.story.open
+        last = self._journal.story.unfinished
         if last is None or last.plan.id in (self._plan.id, self._plan.undoes) or over or not last.half_nodes:
             return None
         return Result(
@@ -168,7 +168,7 @@
                 stop = Stopped(
                     apply=self._plan.id,
                     at=self._clock(),
-                    reason=Why.TOLD,
+                    reason=StopReason.TOLD,
                     text="told to stop; nothing more was ordered",
                 )
                 decision = Decision(stop=stop)
@@ -206,10 +206,12 @@
         if late is not None:
             # Guards against an older apply that wakes up late: it writes nothing more that others would read
             # as the newer one's, beside its own end.
-            stop = Stopped(apply=self._plan.id, at=now, reason=Why.OVERTAKEN, text=late.reason)
+            stop = Stopped(apply=self._plan.id, at=now, reason=StopReason.OVERTAKEN, text=late.reason)
             self._journal.append([*received, stop])
             return Result(
-                Exit.STOPPED, f"{Why.OVERTAKEN}: a later apply has the say: {late.reason}", stopped=stop
+                Exit.STOPPED,
+                f"{StopReason.OVERTAKEN}: a later apply has the say: {late.reason}",
+                stopped=stop,
             )
         self._journal.append(received)
         for order, answer in zip(orders, answers, strict=True):
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -30,7 +30,7 @@
 from weldhatch.planning.fleet import Fleet
 from weldhatch.planning.records import Progress
 from weldhatch.planning.search import search
-from weldhatch.planning.undo import drift as drifted
+from weldhatch.planning.undo import find_drift as drifted
 from weldhatch.planning.undo import undo_change
 from weldhatch.pullqueue import reconfiguration
 from weldhatch.sexpr import printer, reader
@@ -292,7 +292,7 @@
                 progress = journal.story.applies.get(plan.id)
                 if progress is not None:
                     bar.update(
-                        task, completed=sum(state.stand == "done" for state in progress.steps.values())
+                        task, completed=sum(state.status == "done" for state in progress.steps.values())
                     )
 
             runner = Runner(
@@ -373,10 +373,10 @@
             step=one.step.id,
             node=one.step.node,
             wave=one.step.wave,
-            stand=one.stand,
+            stand=one.status,
             outcome=one.outcome,
             note=one.note,
-            told=sorted(one.told),
+            told=sorted(one.accepted_by),
         )
         for one in progress.steps.values()
     ]
@@ -419,7 +419,7 @@
             by=one.by,
             undoes=one.plan.undoes,
             steps=len(one.steps),
-            done=len(one.steps) if one.ended else sum(step.stand == "done" for step in one.steps.values()),
+            done=len(one.steps) if one.ended else sum(step.status == "done" for step in one.steps.values()),
         )
         for name, one in known.applies.items()
     ]
--- a/weldhatch/cli/main.py
+++ b/weldhatch/cli/main.py
@@ -12,7 +12,7 @@
 from weldhatch.cli import output, settings
 from weldhatch.cli.fleet import fleet
 from weldhatch.keys.errors import KeysError
-from weldhatch.planning.actions import Unplannable
+from weldhatch.planning.actions import UnplannableError
 from weldhatch.planning.plan import PlanError
 from weldhatch.pullqueue import reconfiguration
 from weldhatch.sexpr.reader import FormError
@@ -107,7 +107,7 @@
     except click.ClickException as fault:
         fault.show()
         return OLD_FAULT if old else Exit.FAULT
-    except (FormError, Unplannable, PlanError, config.ConfigError, KeysError, OSError) as fault:
+    except (FormError, UnplannableError, PlanError, config.ConfigError, KeysError, OSError) as fault:
         lines = str(fault).split("\n")
         if "--json" in words:
             click.echo(
--- a/weldhatch/nodes/client.py
+++ b/weldhatch/nodes/client.py
@@ -10,7 +10,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest, HTTPResponse
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from weldhatch.nodes.protocol import SILENCE, Answer, NodeOrder, OperatorOrder, read_node, read_refusal
+from weldhatch.nodes.protocol import NO_ANSWER, Answer, NodeOrder, OperatorOrder, read_node, read_refusal
 from weldhatch.planning.engine import Order
 from weldhatch.planning.fleet import Node, State
 from weldhatch.planning.plan import Kind
@@ -113,5 +113,5 @@
             )
             answer = await self._call("POST", self._nodes[step.node], f"/v1/nodes/{step.node}/orders", body)
         if answer is None:
-            return SILENCE
+            return NO_ANSWER
         return Answer(taken=True) if answer.code == 200 else read_refusal(answer.body, answer.code)
--- a/weldhatch/nodes/protocol.py
+++ b/weldhatch/nodes/protocol.py
@@ -88,8 +88,8 @@
 
 _NODE: msgspec.json.Decoder[Node] = msgspec.json.Decoder(Node)
 _REFUSAL: msgspec.json.Decoder[RefusalBody] = msgspec.json.Decoder(RefusalBody)
-SILENCE = Answer(taken=False, reason="")
-ORDERS = frozenset({Kind.DRAIN, Kind.UNDRAIN, Kind.STOP, Kind.SWITCH_ON})
+NO_ANSWER = Answer(taken=False, reason="")
+NODE_ORDERS = frozenset({Kind.DRAIN, Kind.UNDRAIN, Kind.STOP, Kind.SWITCH_ON})
 
 
 def read_node(data: bytes, expected: str) -> Node:
--- a/weldhatch/planning/actions.py
+++ b/weldhatch/planning/actions.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from weldhatch.planning.change import Change, Goal, Line, Want
+from weldhatch.planning.change import Change, Goal, Line, TargetState
 from weldhatch.planning.fleet import Fleet, Node, State
 
 
-class Deed(StrEnum):
+class ActionKind(StrEnum):
     """What is done to a node as one of a plan's actions."""
 
     SWITCH_ON = "switch-on"  # off to ready: cold, then warm
@@ -23,27 +23,27 @@
     STOP = "stop"  # draining already: off once its tasks have ended
 
     @property
-    def adds(self) -> bool:
-        return self in (Deed.SWITCH_ON, Deed.AWAIT, Deed.UNDRAIN, Deed.WELCOME)
+    def adds_capacity(self) -> bool:
+        return self in (ActionKind.SWITCH_ON, ActionKind.AWAIT, ActionKind.UNDRAIN, ActionKind.WELCOME)
 
     @property
     def starts(self) -> bool:
-        return self in (Deed.SWITCH_ON, Deed.AWAIT)
+        return self in (ActionKind.SWITCH_ON, ActionKind.AWAIT)
 
     @property
     def drains(self) -> bool:
-        return self in (Deed.DRAIN, Deed.DRAIN_STOP)
-
-
-_DEEDS: dict[tuple[Want, State], Deed] = {
-    (Want.ON, State.OFF): Deed.SWITCH_ON,
-    (Want.ON, State.WARMING): Deed.AWAIT,
-    (Want.ON, State.DRAINING): Deed.UNDRAIN,
-    (Want.DRAIN, State.READY): Deed.DRAIN,
-    (Want.DRAIN, State.WARMING): Deed.DRAIN,
-    (Want.OFF, State.READY): Deed.DRAIN_STOP,
-    (Want.OFF, State.WARMING): Deed.DRAIN_STOP,
-    (Want.OFF, State.DRAINING): Deed.STOP,
+        return self in (ActionKind.DRAIN, ActionKind.DRAIN_STOP)
+
+
+_DEEDS: dict[tuple[TargetState, State], ActionKind] = {
+    (TargetState.ON, State.OFF): ActionKind.SWITCH_ON,
+    (TargetState.ON, State.WARMING): ActionKind.AWAIT,
+    (TargetState.ON, State.DRAINING): ActionKind.UNDRAIN,
+    (TargetState.DRAIN, State.READY): ActionKind.DRAIN,
+    (TargetState.DRAIN, State.WARMING): ActionKind.DRAIN,
+    (TargetState.OFF, State.READY): ActionKind.DRAIN_STOP,
+    (TargetState.OFF, State.WARMING): ActionKind.DRAIN_STOP,
+    (TargetState.OFF, State.DRAINING): ActionKind.STOP,
 }
 
 
@@ -52,11 +52,11 @@
     """One node's part of a change: what is done, and the goal that asks for it."""
 
     node: Node
-    deed: Deed
+    kind: ActionKind
     goal: Goal
 
 
-class Unplannable(ValueError):
+class UnplannableError(ValueError):
     """A change that can't be planned; each line tells why."""
 
     def __init__(self, lines: list[str], conflict: tuple[Line, ...] = ()) -> None:
@@ -64,10 +64,10 @@
         self.lines, self.conflict = lines, conflict
 
 
-def deed_for(want: Want, node: Node) -> Deed | None:
+def action_kind_for(want: TargetState, node: Node) -> ActionKind | None:
     """What brings one node there; None where it is as wanted, or where its state is not known."""
-    if want is Want.ON and node.state is State.READY:
-        return Deed.WELCOME if node.held else None
+    if want is TargetState.ON and node.state is State.READY:
+        return ActionKind.WELCOME if node.held else None
     return _DEEDS.get((want, node.state))
 
 
@@ -84,16 +84,16 @@
                 lost.append(
                     f"{goal.line}: {name} does not answer, so nobody knows what would have to be done"
                 )
-            elif deed := deed_for(goal.want, node):
-                out.append(Action(node, deed, goal))
+            elif kind := action_kind_for(goal.want, node):
+                out.append(Action(node, kind, goal))
     if lost:
-        raise Unplannable(lost)
+        raise UnplannableError(lost)
     return tuple(sorted(out, key=lambda action: action.node.id))
 
 
 Waves = tuple[tuple[Action, ...], ...]
 
 
-def by_node(waves: Waves) -> Mapping[str, int]:
+def wave_by_node(waves: Waves) -> Mapping[str, int]:
     """The wave of each node, counted from 1."""
     return {action.node.id: number for number, wave in enumerate(waves, 1) for action in wave}
--- a/weldhatch/planning/change.py
+++ b/weldhatch/planning/change.py
@@ -26,7 +26,7 @@
         return f"{self.place}: {self.text}"
 
 
-class Want(StrEnum):
+class TargetState(StrEnum):
     ON = "on"  # ends ready, and warm
     DRAIN = "drain"  # ends draining, without tasks
     OFF = "off"  # drained, then stopped
@@ -34,7 +34,7 @@
 
 class Goal(msgspec.Struct, frozen=True):
     line: Line
-    want: Want
+    want: TargetState
     nodes: tuple[str, ...]
 
 
@@ -91,14 +91,14 @@
     withins: tuple[Within, ...] = ()
     survive_rack: bool = True  # floors hold also if the worst single rack falls
 
-    def wants(self) -> dict[str, Want]:
+    def target_states(self) -> dict[str, TargetState]:
         return {node: goal.want for goal in self.goals for node in goal.nodes}
 
     def statements(self) -> tuple[Goal | Floor | Limit | Spread | Order | Within, ...]:
         """All that can exclude one another, goals first."""
         return (*self.goals, *self.floors, *self.limits, *self.spreads, *self.orders, *self.withins)
 
-    def only(self, kept: Iterable[object]) -> Change:
+    def restricted_to(self, kept: Iterable[object]) -> Change:
         """The same change with some of its statements."""
         chosen = {id(one) for one in kept}
         return msgspec.structs.replace(
@@ -125,7 +125,7 @@
             name: [] for name in ("goals", "floors", "limits", "spreads", "orders", "withins")
         }
         self._survive: bool | None = None
-        self._wanted: dict[str, tuple[Want, Place]] = {}
+        self._wanted: dict[str, tuple[TargetState, Place]] = {}
         name, body = self._body(items)
         heads: dict[str, Callable[[Form], None]] = {
             "on": self._goal,
@@ -193,9 +193,9 @@
             self._sets[name] = self._nodes(parts[1:], form)
 
     def _goal(self, form: Form) -> None:
-        self._want(form, Want(form.head), self._nodes(form.items[1:], form))
+        self._want(form, TargetState(form.head), self._nodes(form.items[1:], form))
 
-    def _want(self, form: Form, want: Want, nodes: tuple[str, ...]) -> None:
+    def _want(self, form: Form, want: TargetState, nodes: tuple[str, ...]) -> None:
         fresh = []
         for node in nodes:
             before = self._wanted.get(node)
@@ -221,8 +221,8 @@
             )
             return
         old, new = self._nodes(parts[:at], form), self._nodes(parts[at + 1 :], form)
-        self._want(form, Want.ON, new)
-        self._want(form, Want.OFF, old)
+        self._want(form, TargetState.ON, new)
+        self._want(form, TargetState.OFF, old)
         self._found["orders"].append(Order(self._line(form), (new, old)))
 
     def _keep(self, form: Form) -> None:
@@ -412,7 +412,9 @@
     def _plausible(self) -> None:
         """Guards against floors that the whole of their nodes could not hold, whatever is done."""
         for floor in self._found["floors"]:
-            nodes = [node for node in self._fleet.nodes.values() if counts(floor, node, self._fleet)]
+            nodes = [
+                node for node in self._fleet.nodes.values() if counts_for_floor(floor, node, self._fleet)
+            ]
             for what, asked in (("cores", floor.cores), ("memory", floor.memory)):
                 there = sum(getattr(node, what) for node in nodes)
                 if asked > there:
@@ -427,7 +429,7 @@
                     )
 
 
-def counts(floor: Floor, node: object, fleet: Fleet) -> bool:
+def counts_for_floor(floor: Floor, node: object, fleet: Fleet) -> bool:
     """Does a node's room count for a floor, once it is ready?"""
     return (
         (not floor.hall or node.hall == floor.hall)
--- a/weldhatch/planning/engine.py
+++ b/weldhatch/planning/engine.py
@@ -13,16 +13,25 @@
 
 import msgspec
 
-from weldhatch.planning.actions import Action, Deed
-from weldhatch.planning.change import counts
-from weldhatch.planning.check import Broken, breaks
+from weldhatch.planning.actions import Action, ActionKind
+from weldhatch.planning.change import counts_for_floor
+from weldhatch.planning.check import Violation, find_violations
 from weldhatch.planning.fleet import Fleet, Node, State
-from weldhatch.planning.moved import Moved, nodes_moved, rest_of, shown, untouched
+from weldhatch.planning.moved import Moved, describe_node, find_moved_nodes, remaining_change, untouched_nodes
 from weldhatch.planning.plan import Kind, Step
-from weldhatch.planning.records import AnyRecord, Done, Ended, Intent, Progress, Stand, StepState, Stopped
-
-
-class Why(StrEnum):
+from weldhatch.planning.records import (
+    AnyRecord,
+    Done,
+    Ended,
+    Intent,
+    Progress,
+    StepState,
+    StepStatus,
+    Stopped,
+)
+
+
+class StopReason(StrEnum):
     """Why an apply stops before its end."""
 
     MOVED = "moved"  # a node that is next is not as the plan found it
@@ -38,7 +47,7 @@
     TOLD = "told"  # asked to stop
 
 
-class Patience(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class ApplyTimeouts(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """How long an apply waits for whom, in seconds."""
 
     answer_s: float = 2.0  # for one answer
@@ -79,7 +88,7 @@
 class Engine:
     """Decides for one apply. `gateways`: the names of all that have to hear of a drain."""
 
-    def __init__(self, progress: Progress, gateways: tuple[str, ...], patience: Patience) -> None:
+    def __init__(self, progress: Progress, gateways: tuple[str, ...], patience: ApplyTimeouts) -> None:
         self.progress, self._gateways, self._patience = progress, gateways, patience
         self._silent: dict[str, float] = {}  # since when a node has not answered
         self._held_since: float | None = None
@@ -99,7 +108,8 @@
             else:
                 self._silent.pop(node.id, None)
         wave = next(
-            (state.step.wave for state in progress.steps.values() if state.stand is not Stand.DONE), None
+            (state.step.wave for state in progress.steps.values() if state.status is not StepStatus.DONE),
+            None,
         )
         if wave is None:
             decision.records.append(Ended(apply=plan.id, at=now))
@@ -107,10 +117,10 @@
             return decision
         fresh: list[StepState] = []
         for state in progress.steps.values():
-            if state.step.wave != wave or state.stand is Stand.DONE or not self._due(state.step):
+            if state.step.wave != wave or state.status is StepStatus.DONE or not self._due(state.step):
                 continue
             node = fleet.nodes.get(state.step.node)
-            if state.stand is Stand.TODO and state.step.kind is not Kind.AWAIT:
+            if state.status is StepStatus.TODO and state.step.kind is not Kind.AWAIT:
                 fresh.append(state)
             else:
                 self._under_way(state, node, now)
@@ -120,7 +130,7 @@
         return decision
 
     def _due(self, step: Step) -> bool:
-        return all(self.progress.steps[name].stand is Stand.DONE for name in step.after)
+        return all(self.progress.steps[name].status is StepStatus.DONE for name in step.after)
 
     # ---- steps that begin ----------------------------------------------------------------------------------
 
@@ -128,11 +138,11 @@
         """Orders leave only where their node is as planned, and drains only where all floors go on to
         hold."""
         progress, plan = self.progress, self.progress.plan
-        begun = progress.begun
-        virgin = untouched(plan, begun)
+        begun = progress.begun_steps
+        virgin = untouched_nodes(plan, begun)
         heads = [state for state in fresh if state.step.node in virgin]
-        if gone := nodes_moved(plan, fleet, {state.step.node for state in heads}):
-            self._wait_or_stop(Why.MOVED, gone, [state.step.node for state in heads], now)
+        if gone := find_moved_nodes(plan, fleet, {state.step.node for state in heads}):
+            self._wait_or_stop(StopReason.MOVED, gone, [state.step.node for state in heads], now)
             names = {one.what for one in gone}
             fresh = [state for state in fresh if state.step.node not in names]
             if self._decision.stop:
@@ -143,7 +153,7 @@
                 if self._held_since is None:
                     self._held_since = now
                 if now - self._held_since >= self._patience.hold_s:
-                    self._stop(Why.FLOOR, "; ".join(map(str, broken[:3])), now)
+                    self._stop(StopReason.FLOOR, "; ".join(map(str, broken[:3])), now)
                     return
                 fresh = [state for state in fresh if state not in drains]
             else:
@@ -151,13 +161,15 @@
         for state in fresh:
             step, node = state.step, fleet.nodes.get(state.step.node)
             if state.step.node not in virgin and (why := self._unfit(step, node)):
-                if why is Why.FELL:  # it is down, as the step wanted in the end
-                    self._done(state, "fell", f"now {shown(node)}", now)
-                elif why is not Why.LOST or self._silent_for(step.node, now) >= self._patience.silence_s:
+                if why is StopReason.FELL:  # it is down, as the step wanted in the end
+                    self._done(state, "fell", f"now {describe_node(node)}", now)
+                elif (
+                    why is not StopReason.LOST or self._silent_for(step.node, now) >= self._patience.silence_s
+                ):
                     self._stop(
                         why,
                         f"{step.node}: before {step.kind} it was to be {' or '.join(step.wants)}, "
-                        f"generation {step.generation}; it is {shown(node)}",
+                        f"generation {step.generation}; it is {describe_node(node)}",
                         now,
                     )
                     return
@@ -166,7 +178,7 @@
                 continue  # it drains on; `stop` is for empty nodes
             self._order(state, now)
 
-    def _wait_or_stop(self, why: Why, gone: list[Moved], names: list[str], now: float) -> None:
+    def _wait_or_stop(self, why: StopReason, gone: list[Moved], names: list[str], now: float) -> None:
         """A node that only fails to answer may do so in a moment; all else stops the apply at once."""
         silent = [one for one in gone if one.what in self._silent]
         if len(silent) < len(gone) or any(
@@ -174,47 +186,55 @@
         ):
             self._stop(why, "; ".join(str(one) for one in gone[:5]), now)
 
-    def _broken(self, fleet: Fleet, virgin: set[str], drains: list[StepState], wave: int) -> list[Broken]:
+    def _broken(self, fleet: Fleet, virgin: set[str], drains: list[StepState], wave: int) -> list[Violation]:
         """What going on would break: this wave's drains now, and all that is still to come."""
         plan, nodes = self.progress.plan, fleet.nodes
-        change, waves = rest_of(plan, fleet, virgin)
+        change, waves = remaining_change(plan, fleet, virgin)
         goals = {name: goal for goal in plan.change.goals for name in goal.nodes}
         # What was announced has its drain ahead, and what was switched on is there for the waves to come.
         leaving = {state.step.node for state in drains if state.step.node not in virgin}
         joining = {
             state.step.node
             for state in self.progress.steps.values()
-            if state.step.kind.adds and state.stand is not Stand.DONE and state.step.node not in virgin
+            if state.step.kind.adds_capacity
+            and state.status is not StepStatus.DONE
+            and state.step.node not in virgin
         }
-        own = [Action(nodes[name], Deed.DRAIN, goals[name]) for name in sorted(leaving) if name in nodes]
+        own = [
+            Action(nodes[name], ActionKind.DRAIN, goals[name]) for name in sorted(leaving) if name in nodes
+        ]
         own += [
-            Action(nodes[name], Deed.AWAIT, goals[name])
+            Action(nodes[name], ActionKind.AWAIT, goals[name])
             for name in sorted(joining)
             if name in nodes and nodes[name].state is not State.LOST
         ]
         waves = (*((),) * (wave - 1), (*own, *waves[wave - 1]), *waves[wave:])
-        going = [action.node for wave in waves for action in wave if action.deed.drains]
+        going = [action.node for wave in waves for action in wave if action.kind.drains]
         # A floor that others broke, and that this plan takes nothing from, holds nothing up.
-        floors = [floor for floor in change.floors if any(counts(floor, node, fleet) for node in going)]
-        return breaks(change.only([*floors, *change.limits, *change.spreads]), fleet, waves)
+        floors = [
+            floor for floor in change.floors if any(counts_for_floor(floor, node, fleet) for node in going)
+        ]
+        return find_violations(change.restricted_to([*floors, *change.limits, *change.spreads]), fleet, waves)
 
-    def _unfit(self, step: Step, node: Node | None) -> Why | None:
+    def _unfit(self, step: Step, node: Node | None) -> StopReason | None:
         """Why a later step of a node that is under way can't begin."""
         if node is None or node.state is State.LOST:
-            return Why.LOST
+            return StopReason.LOST
         if node.generation != step.generation:
-            return Why.RETURNED
+            return StopReason.RETURNED
         if node.state in step.wants:
             return None
         if node.state is State.OFF and step.kind in (Kind.DRAIN, Kind.STOP):
-            return Why.FELL
-        return Why.REVERTED
+            return StopReason.FELL
+        return StopReason.REVERTED
 
     def _order(self, state: StepState, now: float) -> None:
         step, plan = state.step, self.progress.plan
         op, fence = plan.operation(step), self.progress.fence
         receivers = (
-            [name for name in self._gateways if name not in state.told] if step.kind.at_gateways else [""]
+            [name for name in self._gateways if name not in state.accepted_by]
+            if step.kind.at_gateways
+            else [""]
         )
         if not receivers:
             self._done(state, "done", "", now)
@@ -230,14 +250,14 @@
     def _under_way(self, state: StepState, node: Node | None, now: float) -> None:
         step = state.step
         if step.kind.at_gateways:
-            if all(name in state.told for name in self._gateways):
+            if all(name in state.accepted_by for name in self._gateways):
                 self._done(state, "done", "", now)
             else:
                 self._again(
                     state,
-                    Why.GATEWAY,
+                    StopReason.GATEWAY,
                     f"{step.node}: "
-                    + ", ".join(name for name in self._gateways if name not in state.told)
+                    + ", ".join(name for name in self._gateways if name not in state.accepted_by)
                     + f" did not take {step.kind}",
                     now,
                 )
@@ -245,36 +265,38 @@
         if node is None or node.state is State.LOST:
             if self._silent_for(step.node, now) >= self._patience.silence_s:
                 self._stop(
-                    Why.LOST,
+                    StopReason.LOST,
                     f"{step.node} has not answered for {self._silent_for(step.node, now):.0f} s "
-                    f"while {step.kind} was {state.stand}",
+                    f"while {step.kind} was {state.status}",
                     now,
                 )
             return
-        if step.kind is Kind.AWAIT and state.stand is Stand.TODO:
+        if step.kind is Kind.AWAIT and state.status is StepStatus.TODO:
             self._awaited(state, node, now)
-        elif state.stand is Stand.TAKEN:
+        elif state.status is StepStatus.TAKEN:
             self._taken(state, node, now)
         elif node.generation != step.generation and not (
             step.kind is Kind.SWITCH_ON and node.generation == step.generation + 1
         ):
             self._stop(
-                Why.RETURNED,
+                StopReason.RETURNED,
                 f"{step.node} came back as generation {node.generation}, "
                 f"planned was {step.generation}: {step.kind} is not repeated",
                 now,
             )
-        elif state.stand is Stand.REFUSED and not state.transient:
+        elif state.status is StepStatus.REFUSED and not state.transient:
             if node.state in step.wants:
-                self._stop(Why.REFUSED, f"{step.node} refuses {step.kind}: {state.note}", now)
+                self._stop(StopReason.REFUSED, f"{step.node} refuses {step.kind}: {state.note}", now)
             elif node.state is step.leads_to:
                 self._taken(state, node, now)  # it is so already, and forgot by whom
             else:
                 self._stop(
-                    Why.REVERTED, f"{step.node} refuses {step.kind}: {state.note}; it is {shown(node)}", now
+                    StopReason.REVERTED,
+                    f"{step.node} refuses {step.kind}: {state.note}; it is {describe_node(node)}",
+                    now,
                 )
         else:
-            why = Why.REFUSED if state.stand is Stand.REFUSED else Why.LOST
+            why = StopReason.REFUSED if state.status is StepStatus.REFUSED else StopReason.LOST
             self._again(
                 state,
                 why,
@@ -283,7 +305,7 @@
                 now,
             )
 
-    def _again(self, state: StepState, why: Why, text: str, now: float) -> None:
+    def _again(self, state: StepState, why: StopReason, text: str, now: float) -> None:
         """The same order once more, after a wait that doubles."""
         if now < self._next_try.get(state.step.id, 0.0):
             return
@@ -304,9 +326,9 @@
                 self._late(state, node, patience.warm_most_s, now)
                 return
             self._stop(
-                Why.RETURNED,
+                StopReason.RETURNED,
                 f"{step.node} came back as generation {node.generation} while {step.kind} was "
-                f"under way ({shown(node)}): it is not ordered again",
+                f"under way ({describe_node(node)}): it is not ordered again",
                 now,
             )
         elif step.kind is Kind.DRAIN:
@@ -314,8 +336,8 @@
                 self._done(state, "fell", "it went off while it drained", now)
             elif node.state is not State.DRAINING:
                 self._stop(
-                    Why.REVERTED,
-                    f"{step.node} was draining and is {shown(node)}: it is not drained again",
+                    StopReason.REVERTED,
+                    f"{step.node} was draining and is {describe_node(node)}: it is not drained again",
                     now,
                 )
             elif node.drained:
@@ -323,7 +345,7 @@
             else:
                 self._late(state, node, patience.drain_most_s, now)
         elif step.kind is Kind.SWITCH_ON and node.state is State.OFF:
-            self._stop(Why.FELL, f"{step.node} was switched on and went off again", now)
+            self._stop(StopReason.FELL, f"{step.node} was switched on and went off again", now)
         elif node.state is step.leads_to:
             self._done(state, "done", "", now)
         else:
@@ -333,7 +355,7 @@
         if node.state is State.READY and node.generation == state.step.generation:
             self._done(state, "done", "", now)
         elif node.state is not State.WARMING or node.generation != state.step.generation:
-            self._stop(Why.MOVED, f"{state.step.node} was awaited and is {shown(node)}", now)
+            self._stop(StopReason.MOVED, f"{state.step.node} was awaited and is {describe_node(node)}", now)
         else:
             state.at = state.at or now
             self._late(state, node, self._patience.warm_most_s, now)
@@ -341,9 +363,9 @@
     def _late(self, state: StepState, node: Node, most: float, now: float) -> None:
         if now - state.at > most:
             self._stop(
-                Why.LATE,
+                StopReason.LATE,
                 f"{state.step.node}: {state.step.kind} was taken {now - state.at:.0f} s ago and the "
-                f"node is {shown(node)}",
+                f"node is {describe_node(node)}",
                 now,
             )
 
@@ -357,7 +379,7 @@
             Done(apply=self.progress.plan.id, at=now, step=state.step.id, outcome=outcome, note=note)
         )
 
-    def _stop(self, why: Why, text: str, now: float) -> None:
+    def _stop(self, why: StopReason, text: str, now: float) -> None:
         if self._decision.stop is None:
             self._decision.stop = Stopped(apply=self.progress.plan.id, at=now, reason=why, text=text)
             self._decision.records.append(self._decision.stop)
--- a/weldhatch/planning/greedy.py
+++ b/weldhatch/planning/greedy.py
@@ -7,8 +7,14 @@
 from collections import Counter, defaultdict
 
 from weldhatch.planning.actions import Action, Waves
-from weldhatch.planning.change import Change, Floor, counts
-from weldhatch.planning.check import EPSILON, breaks, busy_already, counted, place
+from weldhatch.planning.change import Change, Floor, counts_for_floor
+from weldhatch.planning.check import (
+    EPSILON,
+    busy_outside_plan,
+    counts_toward_limit,
+    find_violations,
+    limit_scope,
+)
 from weldhatch.planning.fleet import Fleet, Node
 
 
@@ -23,7 +29,7 @@
         self._memory: defaultdict[str, float] = defaultdict(float)
 
     def change(self, node: Node, sign: int) -> None:
-        if counts(self._floor, node, self._fleet):
+        if counts_for_floor(self._floor, node, self._fleet):
             self._cores[node.rack] += sign * node.cores
             self._memory[node.rack] += sign * node.memory
 
@@ -35,7 +41,7 @@
         return True
 
     def holds_without(self, node: Node) -> bool:
-        if not counts(self._floor, node, self._fleet):
+        if not counts_for_floor(self._floor, node, self._fleet):
             return True
         self.change(node, -1)
         held = self.holds()
@@ -71,10 +77,12 @@
             for guard in guards:
                 guard.change(node, 1)
     acted = [action.node.id for action in actions]
-    busy = [busy_already(limit, fleet, acted) for limit in change.limits]
+    busy = [busy_outside_plan(limit, fleet, acted) for limit in change.limits]
     before = _predecessors(change, actions)
     # What adds room first; then what loses least work.
-    rest = sorted(actions, key=lambda action: (not action.deed.adds, action.node.tasks, action.node.id))
+    rest = sorted(
+        actions, key=lambda action: (not action.kind.adds_capacity, action.node.tasks, action.node.id)
+    )
     done: set[str] = set()
     waves: list[tuple[Action, ...]] = []
     while rest:
@@ -85,13 +93,13 @@
             if not before[node.id] <= done:
                 continue
             places = [
-                (limit, room, place(limit, node))
+                (limit, room, limit_scope(limit, node))
                 for limit, room in zip(change.limits, here, strict=True)
-                if counted(limit, action)
+                if counts_toward_limit(limit, action)
             ]
             if any(room[name] >= limit.most for limit, room, name in places):
                 continue
-            if action.deed.drains and node.ready:
+            if action.kind.drains and node.ready:
                 if not all(guard.holds_without(node) for guard in guards):
                     continue
                 for guard in guards:
@@ -102,7 +110,7 @@
         if not taken:
             return None
         for action in taken:
-            if action.deed.adds:
+            if action.kind.adds_capacity:
                 for guard in guards:
                     guard.change(action.node, 1)
         gone = {action.node.id for action in taken}
@@ -110,7 +118,7 @@
         rest = [action for action in rest if action.node.id not in gone]
         waves.append(tuple(sorted(taken, key=lambda action: action.node.id)))
     found = tuple(waves)
-    return None if breaks(change, fleet, found) else found
+    return None if find_violations(change, fleet, found) else found
 
 
 def _predecessors(change: Change, actions: tuple[Action, ...]) -> dict[str, set[str]]:
--- a/weldhatch/planning/model.py
+++ b/weldhatch/planning/model.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 
 from weldhatch.planning.actions import Action, Waves
-from weldhatch.planning.change import Change, Floor, Limit, Order, Spread, counts
-from weldhatch.planning.check import busy_already, counted, place
+from weldhatch.planning.change import Change, Floor, Limit, Order, Spread, counts_for_floor
+from weldhatch.planning.check import busy_outside_plan, counts_toward_limit, limit_scope
 from weldhatch.planning.fleet import Fleet, Node
 from weldhatch.planning.linear import Program
 
@@ -36,7 +36,7 @@
                     node.kind,
                     node.cores,
                     node.memory,
-                    action.deed,
+                    action.kind,
                     node.ready,
                     member.get(node.id, ()),
                 )
@@ -88,8 +88,8 @@
             span = program.variable(0, longest)
             spans.append(span)
             for long, kind in (
-                (warm, lambda action: action.deed.starts),
-                (drain, lambda action: not action.deed.adds),
+                (warm, lambda action: action.kind.starts),
+                (drain, lambda action: not action.kind.adds_capacity),
             ):
                 own = [at for at in groups if kind(self._sample(at))]
                 if own and long:
@@ -118,7 +118,7 @@
         constant = 0
         for at, size in room.items():
             action = self._sample(at)
-            if action.deed.adds:
+            if action.kind.adds_capacity:
                 for variable in self._x[at][:wave]:
                     terms[variable] = size
             elif action.node.ready:  # it counts already, until it drains
@@ -129,7 +129,7 @@
 
     def _draining(self, counts_for: Sequence[int], wave: int) -> int | None:
         """A variable that is 1 where a wave drains anything of these groups; None where it can't."""
-        own = [at for at in counts_for if self._sample(at).deed.drains]
+        own = [at for at in counts_for if self._sample(at).kind.drains]
         if not own:
             return None
         flag = self.program.variable(0, 1)
@@ -139,8 +139,10 @@
 
     def _floor(self, floor: Floor) -> None:
         fleet = self._fleet
-        groups = [at for at in range(len(self._keys)) if counts(floor, self._sample(at).node, fleet)]
-        base = [node for node in self._ready if counts(floor, node, fleet)]
+        groups = [
+            at for at in range(len(self._keys)) if counts_for_floor(floor, self._sample(at).node, fleet)
+        ]
+        base = [node for node in self._ready if counts_for_floor(floor, node, fleet)]
         flags = [self._draining(groups, wave) for wave in range(self._most)]
         for what, wanted in (("cores", floor.cores), ("memory", floor.memory)):
             if not wanted:
@@ -207,11 +209,11 @@
                 self.program.row({**holds, flag: -needed}, low=0)
 
     def _limit(self, limit: Limit) -> None:
-        busy = busy_already(limit, self._fleet, self._acted)
+        busy = busy_outside_plan(limit, self._fleet, self._acted)
         places: dict[str, list[int]] = defaultdict(list)
         for at in range(len(self._keys)):
-            if counted(limit, self._sample(at)):
-                places[place(limit, self._sample(at).node)].append(at)
+            if counts_toward_limit(limit, self._sample(at)):
+                places[limit_scope(limit, self._sample(at).node)].append(at)
         for name, groups in places.items():
             for wave in range(self._most):
                 self.program.row(
--- a/weldhatch/planning/moved.py
+++ b/weldhatch/planning/moved.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from weldhatch.planning.actions import Action, Deed, Waves, deed_for
+from weldhatch.planning.actions import Action, ActionKind, Waves, action_kind_for
 from weldhatch.planning.change import Change, Goal
-from weldhatch.planning.check import breaks
+from weldhatch.planning.check import find_violations
 from weldhatch.planning.fleet import Fleet, Node, State
 from weldhatch.planning.plan import Kind, Plan, Step
 
@@ -25,7 +25,7 @@
         return f"{self.what}: planned: {self.planned}; then: {self.then}; now: {self.now}"
 
 
-def shown(node: Node | None) -> str:
+def describe_node(node: Node | None) -> str:
     """A node's state as a person reads it."""
     if node is None:
         return "not in the fleet"
@@ -35,7 +35,7 @@
     return f"{node.state}, generation {node.generation}{tasks}{', held at a gateway' if node.held else ''}"
 
 
-def nodes_moved(plan: Plan, fleet: Fleet, untouched: Iterable[str]) -> list[Moved]:
+def find_moved_nodes(plan: Plan, fleet: Fleet, untouched: Iterable[str]) -> list[Moved]:
     """Nodes that the plan acts on and that are not as it found them. Tasks may come and go.
 
     `untouched`: those of its nodes to which nothing has been done yet.
@@ -52,7 +52,11 @@
         )
         if not same:
             moved = _placed(then, now)
-            out.append(Moved(then.id, planned[then.id], shown(then) + moved[0], shown(now) + moved[1]))
+            out.append(
+                Moved(
+                    then.id, planned[then.id], describe_node(then) + moved[0], describe_node(now) + moved[1]
+                )
+            )
     return out
 
 
@@ -80,12 +84,12 @@
     }
 
 
-def floors_moved(plan: Plan, fleet: Fleet, untouched: Iterable[str]) -> list[Moved]:
+def find_moved_floors(plan: Plan, fleet: Fleet, untouched: Iterable[str]) -> list[Moved]:
     """What the rest of the plan would break on the fleet as it is now, though it did not then."""
-    change, waves = rest_of(plan, fleet, set(untouched))
+    change, waves = remaining_change(plan, fleet, set(untouched))
     then = {rest.line.place: rest for rest in plan.rests if not rest.wave}
     out: dict[tuple[str, str], Moved] = {}
-    for broken in breaks(change, fleet, waves):
+    for broken in find_violations(change, fleet, waves):
         before = then.get(broken.line.place)
         out.setdefault(
             (broken.line.place, broken.what),
@@ -99,7 +103,7 @@
     return list(out.values())
 
 
-def rest_of(plan: Plan, fleet: Fleet, untouched: set[str]) -> tuple[Change, Waves]:
+def remaining_change(plan: Plan, fleet: Fleet, untouched: set[str]) -> tuple[Change, Waves]:
     """The waves that are left, on the fleet as it is, under what has to hold at any moment.
 
     A node that is under way counts as what it is now, and adds or takes nothing more. The waves keep their
@@ -119,11 +123,11 @@
 
 
 def _action(node: Node, goal: Goal) -> Action | None:
-    deed: Deed | None = deed_for(goal.want, node)
-    return Action(node, deed, goal) if deed else None
+    kind: ActionKind | None = action_kind_for(goal.want, node)
+    return Action(node, kind, goal) if kind else None
 
 
-def untouched(plan: Plan, begun: Iterable[str]) -> set[str]:
+def untouched_nodes(plan: Plan, begun: Iterable[str]) -> set[str]:
     """The plan's nodes with no step among those begun; an await begins nothing."""
     awaits = {step.id for step in plan.steps if step.kind is Kind.AWAIT}
     touched = {step.node for step in plan.steps if step.id in set(begun) - awaits}
--- a/weldhatch/planning/plan.py
+++ b/weldhatch/planning/plan.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from weldhatch.planning.actions import Action, Deed, Waves
+from weldhatch.planning.actions import Action, ActionKind, Waves
 from weldhatch.planning.change import Change, Line
-from weldhatch.planning.check import duration, ready_room
+from weldhatch.planning.check import ready_capacity, wave_duration_s
 from weldhatch.planning.fleet import Fleet, Node, Pace, ServiceClass, State
-from weldhatch.planning.search import Search
+from weldhatch.planning.search import SearchResult
 
 SCHEMA = "weldhatch.fleet.plan"
 VERSION = 1
@@ -42,7 +42,7 @@
         return self in (Kind.ANNOUNCE, Kind.WELCOME)
 
     @property
-    def adds(self) -> bool:
+    def adds_capacity(self) -> bool:
         """It is on the way to taking work."""
         return self in (Kind.SWITCH_ON, Kind.AWAIT, Kind.UNDRAIN, Kind.WELCOME)
 
@@ -107,7 +107,9 @@
         return f"{self.id}/{step.id}"
 
 
-def make(change: Change, fleet: Fleet, found: Search, *, name: str, now: float, undoes: str = "") -> Plan:
+def make(
+    change: Change, fleet: Fleet, found: SearchResult, *, name: str, now: float, undoes: str = ""
+) -> Plan:
     """The plan for the waves that were found. `now` is in Unix seconds."""
     world = tuple(sorted((action.node for wave in found.waves for action in wave), key=lambda node: node.id))
     steps = tuple(
@@ -120,7 +122,7 @@
         fleet=name,
         made=now,
         undoes=undoes,
-        way=found.way,
+        way=found.method,
         greedy_waves=found.greedy_waves,
         change=change,
         classes=tuple(fleet.classes.values()),
@@ -130,7 +132,9 @@
         rests=tuple(_rests(change, fleet, found.waves)),
         waves=tuple(
             WavePlan(
-                number=number, seconds=duration(wave, fleet), nodes=tuple(action.node.id for action in wave)
+                number=number,
+                seconds=wave_duration_s(wave, fleet),
+                nodes=tuple(action.node.id for action in wave),
             )
             for number, wave in enumerate(found.waves, 1)
         ),
@@ -138,14 +142,14 @@
     return msgspec.structs.replace(plan, checksum=checksum(plan))
 
 
-_STEPS: dict[Deed, tuple[Kind, ...]] = {
-    Deed.SWITCH_ON: (Kind.SWITCH_ON, Kind.WELCOME),
-    Deed.AWAIT: (Kind.AWAIT, Kind.WELCOME),
-    Deed.UNDRAIN: (Kind.UNDRAIN, Kind.WELCOME),
-    Deed.WELCOME: (Kind.WELCOME,),
-    Deed.DRAIN: (Kind.ANNOUNCE, Kind.DRAIN),
-    Deed.DRAIN_STOP: (Kind.ANNOUNCE, Kind.DRAIN, Kind.STOP),
-    Deed.STOP: (Kind.ANNOUNCE, Kind.STOP),
+_STEPS: dict[ActionKind, tuple[Kind, ...]] = {
+    ActionKind.SWITCH_ON: (Kind.SWITCH_ON, Kind.WELCOME),
+    ActionKind.AWAIT: (Kind.AWAIT, Kind.WELCOME),
+    ActionKind.UNDRAIN: (Kind.UNDRAIN, Kind.WELCOME),
+    ActionKind.WELCOME: (Kind.WELCOME,),
+    ActionKind.DRAIN: (Kind.ANNOUNCE, Kind.DRAIN),
+    ActionKind.DRAIN_STOP: (Kind.ANNOUNCE, Kind.DRAIN, Kind.STOP),
+    ActionKind.STOP: (Kind.ANNOUNCE, Kind.STOP),
 }
 _SHAPES: dict[Kind, tuple[tuple[State, ...], State]] = {
     Kind.SWITCH_ON: ((State.OFF,), State.READY),
@@ -160,7 +164,7 @@
 
 def _steps(action: Action, wave: int) -> Iterable[Step]:
     generation, before = action.node.generation, ()
-    for kind in _STEPS[action.deed]:
+    for kind in _STEPS[action.kind]:
         wants, leads_to = _SHAPES[kind]
         step = Step(
             id=f"w{wave}.{action.node.id}.{kind}",
@@ -183,13 +187,13 @@
     ready = {node.id: node for node in fleet.nodes.values() if node.ready}
     for number, wave in enumerate(((), *waves, ())):
         for action in wave:
-            if not action.deed.adds:
+            if not action.kind.adds_capacity:
                 ready.pop(action.node.id, None)
         for floor in change.floors:
-            cores, memory = ready_room(floor, ready.values(), fleet, change.survive_rack)
+            cores, memory = ready_capacity(floor, ready.values(), fleet, change.survive_rack)
             yield Rest(line=floor.line, wave=number, cores=cores, memory=memory)
         for action in wave:
-            if action.deed.adds:
+            if action.kind.adds_capacity:
                 ready[action.node.id] = action.node
 
 
--- a/weldhatch/planning/records.py
+++ b/weldhatch/planning/records.py
@@ -75,7 +75,7 @@
     return _DECODER.decode(data)
 
 
-class Stand(StrEnum):
+class StepStatus(StrEnum):
     """How far a step has come."""
 
     TODO = "todo"
@@ -85,18 +85,18 @@
     DONE = "done"
 
     @property
-    def half(self) -> bool:
-        return self in (Stand.UNKNOWN, Stand.TAKEN, Stand.REFUSED)
+    def is_half_done(self) -> bool:
+        return self in (StepStatus.UNKNOWN, StepStatus.TAKEN, StepStatus.REFUSED)
 
 
 class StepState:
     """One step, as the records tell it."""
 
-    __slots__ = ("at", "note", "outcome", "stand", "step", "told", "transient", "tries")
+    __slots__ = ("accepted_by", "at", "note", "outcome", "status", "step", "transient", "tries")
 
     def __init__(self, step: Step) -> None:
-        self.step, self.stand, self.outcome, self.note = step, Stand.TODO, "", ""
-        self.told: set[str] = set()  # those who have taken it
+        self.step, self.status, self.outcome, self.note = step, StepStatus.TODO, "", ""
+        self.accepted_by: set[str] = set()  # those who have taken it
         self.tries, self.at, self.transient = 0, 0.0, False
 
 
@@ -112,64 +112,65 @@
         self.stopped: Stopped | None = None
         self.ended = False
 
-    def take(self, record: AnyRecord) -> None:
+    def add(self, record: AnyRecord) -> None:
         self.last_at = record.at
         match record:
             case Begin():
                 self.begun_at = self.begun_at or record.at
                 self.fence, self.by, self.stopped = record.fence, record.by, None
                 for state in self.steps.values():
-                    if state.stand is Stand.REFUSED:  # going on means asking again, under the same operation
-                        state.stand, state.transient = Stand.UNKNOWN, True
+                    if state.status is StepStatus.REFUSED:
+                        # A resumed apply sends the order again under the same operation id.
+                        state.status, state.transient = StepStatus.UNKNOWN, True
             case Intent():
                 state = self.steps[record.step]
                 state.tries, state.at = state.tries + 1, record.at
-                if state.stand is not Stand.TAKEN:
-                    state.stand = Stand.UNKNOWN
+                if state.status is not StepStatus.TAKEN:
+                    state.status = StepStatus.UNKNOWN
             case Heard():
                 state = self.steps[record.step]
                 state.note, state.transient = record.reason, record.transient
                 if record.taken:
-                    state.told.add(record.who)
-                    if state.stand is not Stand.DONE:
-                        state.stand = Stand.UNKNOWN if state.step.kind.at_gateways else Stand.TAKEN
+                    state.accepted_by.add(record.who)
+                    if state.status is not StepStatus.DONE:
+                        state.status = StepStatus.UNKNOWN if state.step.kind.at_gateways else StepStatus.TAKEN
                         state.at = record.at
-                elif state.stand is Stand.UNKNOWN and record.reason and not state.step.kind.at_gateways:
-                    state.stand = Stand.REFUSED
+                elif state.status is StepStatus.UNKNOWN and record.reason and not state.step.kind.at_gateways:
+                    state.status = StepStatus.REFUSED
             case Done():
                 state = self.steps[record.step]
-                state.stand, state.outcome, state.note = Stand.DONE, record.outcome, record.note
+                state.status, state.outcome, state.note = StepStatus.DONE, record.outcome, record.note
             case Stopped():
                 self.stopped = record
             case Ended():
                 self.ended = True
 
     @property
-    def begun(self) -> set[str]:
-        return {name for name, state in self.steps.items() if state.stand is not Stand.TODO}
+    def begun_steps(self) -> set[str]:
+        return {name for name, state in self.steps.items() if state.status is not StepStatus.TODO}
 
     @property
     def half_done(self) -> list[StepState]:
-        return [state for state in self.steps.values() if state.stand.half]
+        return [state for state in self.steps.values() if state.status.is_half_done]
 
     @property
     def half_nodes(self) -> list[str]:
         """Nodes of which something is done, or may be, and something is not."""
-        begun = {state.step.node for state in self.steps.values() if state.stand is not Stand.TODO}
-        open_ = {state.step.node for state in self.steps.values() if state.stand is not Stand.DONE}
+        begun = {state.step.node for state in self.steps.values() if state.status is not StepStatus.TODO}
+        open_ = {state.step.node for state in self.steps.values() if state.status is not StepStatus.DONE}
         return sorted(begun & open_)
 
 
-class Story:
+class ApplyHistory:
     """All applies of a journal, oldest first."""
 
     def __init__(self, records: Iterable[AnyRecord] = ()) -> None:
         self.applies: dict[str, Progress] = {}
         self.fence = 0
         for record in records:
-            self.take(record)
+            self.add(record)
 
-    def take(self, record: AnyRecord) -> None:
+    def add(self, record: AnyRecord) -> None:
         if isinstance(record, Begin):
             self.fence = max(self.fence, record.fence)
             if record.apply not in self.applies:
@@ -177,10 +178,10 @@
                     return  # its beginning was compacted away
                 self.applies[record.apply] = Progress(record.plan)
         if record.apply in self.applies:
-            self.applies[record.apply].take(record)
+            self.applies[record.apply].add(record)
 
     @property
-    def open(self) -> Progress | None:
+    def unfinished(self) -> Progress | None:
         """The apply that is neither ended nor given up for a later one, if there is one."""
         last = self.last
         return last if last is not None and not last.ended else None
--- a/weldhatch/planning/search.py
+++ b/weldhatch/planning/search.py
@@ -8,9 +8,16 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from weldhatch.planning.actions import Action, Unplannable, Waves, actions
-from weldhatch.planning.change import Change, Want
-from weldhatch.planning.check import Broken, breaks, busy_already, counted, duration, place
+from weldhatch.planning.actions import Action, UnplannableError, Waves, actions
+from weldhatch.planning.change import Change, TargetState
+from weldhatch.planning.check import (
+    Violation,
+    busy_outside_plan,
+    counts_toward_limit,
+    find_violations,
+    limit_scope,
+    wave_duration_s,
+)
 from weldhatch.planning.fleet import Fleet
 from weldhatch.planning.greedy import greedy
 from weldhatch.planning.linear import SOLVERS, Program
@@ -22,17 +29,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Search:
+class SearchResult:
     """The waves found, by whom, and whether fewer are proven to be impossible."""
 
     waves: Waves
-    way: str  # nothing, greedy, cp-sat, highs
+    method: str  # nothing, greedy, cp-sat, highs
     greedy_waves: int | None
     proven: bool
     seconds: float  # by the fleet's pace
 
 
-def search(change: Change, fleet: Fleet, way: str = "highs", effort: float = EFFORT) -> Search:
+def search(change: Change, fleet: Fleet, way: str = "highs", effort: float = EFFORT) -> SearchResult:
     """The best waves. Raises Unplannable with the smallest set of statements that exclude each other.
 
     `way` is a solver's name or `greedy`. A solver's waves are checked by `check.breaks` and taken only where
@@ -40,9 +47,9 @@
     """
     todo = actions(change, fleet)
     if not todo:
-        if broken := breaks(change, fleet, ()):
+        if broken := find_violations(change, fleet, ()):
             raise _impossible(change, fleet, way, effort, broken)
-        return Search((), "nothing", 0, True, 0.0)
+        return SearchResult((), "nothing", 0, True, 0.0)
     plain = greedy(change, fleet, todo)
     least = least_waves(change, fleet, todo)
     best, used = plain, "greedy"
@@ -60,14 +67,18 @@
         if quicker and _worth(quicker, fleet) < _worth(best, fleet):
             best, used = quicker, way
     if best is None:
-        raise _impossible(change, fleet, way, effort, breaks(change, fleet, _all_then_all(todo)))
-    return Search(
-        best, used, None if plain is None else len(plain), proven, sum(duration(wave, fleet) for wave in best)
+        raise _impossible(change, fleet, way, effort, find_violations(change, fleet, _all_then_all(todo)))
+    return SearchResult(
+        best,
+        used,
+        None if plain is None else len(plain),
+        proven,
+        sum(wave_duration_s(wave, fleet) for wave in best),
     )
 
 
 def _worth(waves: Waves, fleet: Fleet) -> tuple[int, float]:
-    return len(waves), sum(duration(wave, fleet) for wave in waves)
+    return len(waves), sum(wave_duration_s(wave, fleet) for wave in waves)
 
 
 def _most(change: Change) -> int:
@@ -86,7 +97,7 @@
         return None, found.proven
     waves = model.waves(found.values)
     # Guards against a model that says less than the checks: its waves are not taken on trust.
-    return (None, False) if breaks(change, fleet, waves) else (waves, found.proven)
+    return (None, False) if find_violations(change, fleet, waves) else (waves, found.proven)
 
 
 def least_waves(change: Change, fleet: Fleet, todo: Iterable[Action]) -> int:
@@ -95,8 +106,10 @@
     least = 1 if todo else 0
     acted = [action.node.id for action in todo]
     for limit in change.limits:
-        busy = busy_already(limit, fleet, acted)
-        here = Counter(place(limit, action.node) for action in todo if counted(limit, action))
+        busy = busy_outside_plan(limit, fleet, acted)
+        here = Counter(
+            limit_scope(limit, action.node) for action in todo if counts_toward_limit(limit, action)
+        )
         for name, count in here.items():
             if (room := limit.most - busy[name]) > 0:
                 least = max(least, math.ceil(count / room))
@@ -105,8 +118,8 @@
 
 def _all_then_all(todo: tuple[Action, ...]) -> Waves:
     """What adds room in one wave, all else in the next: where even its end breaks something, all plans do."""
-    adds = tuple(action for action in todo if action.deed.adds)
-    rest = tuple(action for action in todo if not action.deed.adds)
+    adds = tuple(action for action in todo if action.kind.adds_capacity)
+    rest = tuple(action for action in todo if not action.kind.adds_capacity)
     return tuple(wave for wave in (adds, rest) if wave)
 
 
@@ -118,8 +131,8 @@
     todo = actions(change, fleet)
     if any(
         not broken.wave
-        for broken in breaks(
-            change.only([*change.goals, *change.floors, *change.spreads]), fleet, _all_then_all(todo)
+        for broken in find_violations(
+            change.restricted_to([*change.goals, *change.floors, *change.spreads]), fleet, _all_then_all(todo)
         )
     ):
         return False
@@ -172,28 +185,30 @@
     return {at for at, value in enumerate(found.values) if value}
 
 
-def _impossible(change: Change, fleet: Fleet, way: str, effort: float, broken: list[Broken]) -> Unplannable:
+def _impossible(
+    change: Change, fleet: Fleet, way: str, effort: float, broken: list[Violation]
+) -> UnplannableError:
     """The error for a change that can't be: the smallest conflict, and what it comes to in figures."""
     statements = change.statements()
 
-    helps = [goal for goal in change.goals if goal.want is Want.ON]
+    helps = [goal for goal in change.goals if goal.want is TargetState.ON]
 
     def possible(kept: list[object]) -> bool:
         """Leaving out what switches on is no relief of itself: those nodes may still be on, or not."""
         with_all = [*(goal for goal in helps if all(goal is not one for one in kept)), *kept]
-        return feasible(change.only(kept), fleet, way, effort) or (
-            len(with_all) > len(kept) and feasible(change.only(with_all), fleet, way, effort)
+        return feasible(change.restricted_to(kept), fleet, way, effort) or (
+            len(with_all) > len(kept) and feasible(change.restricted_to(with_all), fleet, way, effort)
         )
 
     if possible(list(statements)):  # only the time given was too short, or the way too plain
-        return Unplannable(
+        return UnplannableError(
             [f"no plan was found by {way} in the time given; nothing proves that there is none"]
         )
     conflict = smallest_conflict(statements, possible)
-    within = change.only([*conflict, *(goal for goal in helps if goal not in conflict)])
-    figures = [str(one) for one in breaks(within, fleet, _all_then_all(actions(within, fleet)))]
+    within = change.restricted_to([*conflict, *(goal for goal in helps if goal not in conflict)])
+    figures = [str(one) for one in find_violations(within, fleet, _all_then_all(actions(within, fleet)))]
     lines = [f"these {len(conflict)} exclude each other:" if len(conflict) > 1 else "this can't be:"]
     lines += [f"  {one.line}" for one in conflict]
     if figures or broken:
         lines.append("with all else left out: " + (figures or [str(one) for one in broken])[0])
-    return Unplannable(lines, tuple(one.line for one in conflict))
+    return UnplannableError(lines, tuple(one.line for one in conflict))
--- a/weldhatch/planning/undo.py
+++ b/weldhatch/planning/undo.py
@@ -4,13 +4,18 @@
 
 import msgspec
 
-from weldhatch.planning.actions import deed_for
-from weldhatch.planning.change import Change, Goal, Line, Want
+from weldhatch.planning.actions import action_kind_for
+from weldhatch.planning.change import Change, Goal, Line, TargetState
 from weldhatch.planning.fleet import Fleet, State
-from weldhatch.planning.moved import shown
-from weldhatch.planning.records import Progress, Stand
+from weldhatch.planning.moved import describe_node
+from weldhatch.planning.records import Progress, StepStatus
 
-_BACK = {State.READY: Want.ON, State.WARMING: Want.ON, State.OFF: Want.OFF, State.DRAINING: Want.DRAIN}
+_BACK = {
+    State.READY: TargetState.ON,
+    State.WARMING: TargetState.ON,
+    State.OFF: TargetState.OFF,
+    State.DRAINING: TargetState.DRAIN,
+}
 
 
 def undo_change(progress: Progress, fleet: Fleet) -> Change:
@@ -20,7 +25,7 @@
     as they were, or have left the fleet, need nothing.
     """
     plan = progress.plan
-    touched = {state.step.node for state in progress.steps.values() if state.stand is not Stand.TODO}
+    touched = {state.step.node for state in progress.steps.values() if state.status is not StepStatus.TODO}
     goals = []
     for then in plan.world:
         if then.id in touched and then.id in fleet.nodes:
@@ -40,11 +45,11 @@
     now: str
 
 
-def drift(progress: Progress, fleet: Fleet) -> list[Drift]:
+def find_drift(progress: Progress, fleet: Fleet) -> list[Drift]:
     """What differs from the end of an apply; a drained node that is off meanwhile is as it was left."""
     out = []
-    for name, want in progress.plan.change.wants().items():
+    for name, want in progress.plan.change.target_states().items():
         node = fleet.nodes.get(name)
-        if node is None or node.state is State.LOST or deed_for(want, node) is not None:
-            out.append(Drift(name, str(want), shown(node)))
+        if node is None or node.state is State.LOST or action_kind_for(want, node) is not None:
+            out.append(Drift(name, str(want), describe_node(node)))
     return out
--- a/weldhatch/testbed/crash_points.py
+++ b/weldhatch/testbed/crash_points.py
@@ -16,9 +16,9 @@
 from weldhatch.applying.runner import Exit, Result, Runner, observe
 from weldhatch.nodes.protocol import Answer
 from weldhatch.planning import plan as plans
-from weldhatch.planning.actions import Unplannable
+from weldhatch.planning.actions import UnplannableError
 from weldhatch.planning.change import read_change
-from weldhatch.planning.engine import Order, Patience
+from weldhatch.planning.engine import ApplyTimeouts, Order
 from weldhatch.planning.fleet import Fleet, Node
 from weldhatch.planning.plan import Plan
 from weldhatch.planning.search import search
@@ -138,7 +138,7 @@
     runs_most: int = 6,
     undo: bool = False,
     wait_s: float = 3.0,
-    patience: Patience | None = None,
+    patience: ApplyTimeouts | None = None,
     script: Callable[[StandInWorld, int], None] | None = None,
 ) -> Outcome:
     """Plan, apply, and apply again after each crash and each stop, at most `runs_most` times.
@@ -151,7 +151,7 @@
     world = StandInWorld(fleet, loop, seed=seed, faults=faults)
     plan = make_plan(text, fleet, loop.clock())
     world.watch = plan.change
-    patience = patience or Patience(silence_s=6.0, hold_s=6.0, drain_most_s=60.0, warm_most_s=30.0)
+    patience = patience or ApplyTimeouts(silence_s=6.0, hold_s=6.0, drain_most_s=60.0, warm_most_s=30.0)
     out = Outcome(None, world, plan, 0, 0, 0)
 
     async def once(folder: str, which: Plan, points: Points) -> Result | None:
@@ -192,7 +192,7 @@
         if progress is None:
             return
         seen = await observe(fleet, world)
-        with contextlib.suppress(Unplannable):
+        with contextlib.suppress(UnplannableError):
             change = undo_change(progress, seen)
             back = plans.make(
                 change,
@@ -212,7 +212,7 @@
 def reported(folder: str, plan: Plan) -> set[str]:
     """The nodes of which the journal says that something was, or may have been, done."""
     progress = story(folder).applies.get(plan.id)
-    return set() if progress is None else {progress.steps[name].step.node for name in progress.begun}
+    return set() if progress is None else {progress.steps[name].step.node for name in progress.begun_steps}
 
 
 def large_fleet(count: int, seed: int) -> Fleet:
--- a/weldhatch/testbed/fleet.py
+++ b/weldhatch/testbed/fleet.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from weldhatch.nodes.protocol import SILENCE, Answer, NodeOrder, OperatorOrder
+from weldhatch.nodes.protocol import NO_ANSWER, Answer, NodeOrder, OperatorOrder
 from weldhatch.planning.change import Change
-from weldhatch.planning.check import floor_faults
+from weldhatch.planning.check import floor_violations
 from weldhatch.planning.engine import Order
 from weldhatch.planning.fleet import Fleet, Node, Pace, ServiceClass, State
 from weldhatch.planning.plan import Kind
@@ -116,14 +116,14 @@
         await self._way()
         if random.random() < faults.lose_order:
             await asyncio.sleep(self._answer_s)
-            return SILENCE
+            return NO_ANSWER
         answer = self._to_gateway(order) if order.gateway else self._to_node(order)
         if answer is None or random.random() < faults.lose_answer:
             await asyncio.sleep(self._answer_s)
-            return SILENCE
+            return NO_ANSWER
         if random.random() < faults.late_answer:
             await asyncio.sleep(self._answer_s * 1.5)
-            return SILENCE
+            return NO_ANSWER
         await self._way()
         return answer
 
@@ -223,7 +223,7 @@
         ready.pop(drained.spec.id, None)
         for floor in self.watch.floors:
             self.floors_broken += bool(
-                floor_faults(floor, ready.values(), self.fleet, self.watch.survive_rack, 0)
+                floor_violations(floor, ready.values(), self.fleet, self.watch.survive_rack, 0)
             )
 
     def second_drains(self) -> int:
--- a/weldhatch/testbed/nodes.py
+++ b/weldhatch/testbed/nodes.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from weldhatch.nodes.protocol import ORDERS, Answer, NodeOrder, Refusal
+from weldhatch.nodes.protocol import NODE_ORDERS, Answer, NodeOrder, Refusal
 from weldhatch.planning.fleet import Node, Pace, State
 from weldhatch.planning.plan import Kind
 
@@ -80,7 +80,7 @@
     def take(self, order: NodeOrder, now: float) -> Answer:
         """One order: carried out, known already, or refused with a reason."""
         self.tick(now)
-        if order.order not in ORDERS:
+        if order.order not in NODE_ORDERS:
             return Answer.refused(Refusal.REFUSED, f"{order.order} is no order to a node")
         if order.fence < self.fence:
             return Answer.refused(Refusal.FENCE, f"{self.fence} has been heard, this is {order.fence}")
