--- a/weldhatch/planning/actions.py
+++ b/weldhatch/planning/actions.py
@@ -1,5 +1,4 @@
-"""From goals to what has to be done: the actions of a change on the fleet as it is, before they have an
-order."""
+"""Derives the actions that a change needs on the fleet as observed, before they are divided into waves."""
 
 from __future__ import annotations
 
@@ -12,30 +11,35 @@
 
 
 class ActionKind(StrEnum):
-    """What is done to a node as one of a plan's actions."""
-
-    SWITCH_ON = "switch-on"  # off to ready: cold, then warm
-    AWAIT = "await"  # on its way already: nothing is ordered, its being warm is waited for
-    WELCOME = "welcome"  # ready, but held at a gateway: the gateways are told that it takes work
-    UNDRAIN = "undrain"  # draining to ready, without a start
-    DRAIN = "drain"  # ready to draining, until its tasks have ended
-    DRAIN_STOP = "drain-stop"  # the same, then off
-    STOP = "stop"  # draining already: off once its tasks have ended
+    """What an action of a plan does to its node."""
+
+    SWITCH_ON = "switch-on"  # from off to ready, through warming
+    AWAIT = "await"  # the node is warming already: no order is sent, the apply waits until it is ready
+    WELCOME = (
+        "welcome"  # the node is ready but held at a gateway: the gateways are notified that it takes work
+    )
+    UNDRAIN = "undrain"  # from draining to ready, without a restart
+    DRAIN = "drain"  # from ready to draining, until its tasks have ended
+    DRAIN_STOP = "drain-stop"  # drains the node, then switches it off
+    STOP = "stop"  # the node is draining already: it is switched off once its tasks have ended
 
     @property
     def adds_capacity(self) -> bool:
+        """Whether the node is ready at the end of the action."""
         return self in (ActionKind.SWITCH_ON, ActionKind.AWAIT, ActionKind.UNDRAIN, ActionKind.WELCOME)
 
     @property
     def starts(self) -> bool:
+        """Whether the node warms up during the action."""
         return self in (ActionKind.SWITCH_ON, ActionKind.AWAIT)
 
     @property
     def drains(self) -> bool:
+        """Whether the action puts the node into draining."""
         return self in (ActionKind.DRAIN, ActionKind.DRAIN_STOP)
 
 
-_DEEDS: dict[tuple[TargetState, State], ActionKind] = {
+_ACTION_KINDS: dict[tuple[TargetState, State], ActionKind] = {
     (TargetState.ON, State.OFF): ActionKind.SWITCH_ON,
     (TargetState.ON, State.WARMING): ActionKind.AWAIT,
     (TargetState.ON, State.DRAINING): ActionKind.UNDRAIN,
@@ -49,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Action:
-    """One node's part of a change: what is done, and the goal that asks for it."""
+    """One node's part of a change: the node as observed, what is done to it, and the goal it serves."""
 
     node: Node
     kind: ActionKind
@@ -57,43 +61,45 @@
 
 
 class UnplannableError(ValueError):
-    """A change that can't be planned; each line tells why."""
+    """A change that can't be planned: `lines` has the reasons, `conflict` the statements in conflict."""
 
     def __init__(self, lines: list[str], conflict: tuple[Line, ...] = ()) -> None:
+        """Join the lines to the error's message."""
         super().__init__("\n".join(lines))
         self.lines, self.conflict = lines, conflict
 
 
-def action_kind_for(want: TargetState, node: Node) -> ActionKind | None:
-    """What brings one node there; None where it is as wanted, or where its state is not known."""
-    if want is TargetState.ON and node.state is State.READY:
+def action_kind_for(target: TargetState, node: Node) -> ActionKind | None:
+    """Return the action that brings a node to a target state; None if none is needed or the node is lost."""
+    if target is TargetState.ON and node.state is State.READY:
         return ActionKind.WELCOME if node.held else None
-    return _DEEDS.get((want, node.state))
+    return _ACTION_KINDS.get((target, node.state))
 
 
 def actions(change: Change, fleet: Fleet) -> tuple[Action, ...]:
-    """What the change needs on this fleet, by node id; nodes that are as wanted need nothing.
+    """Return the actions that the change needs on this fleet, ordered by node id.
 
-    Raises Unplannable for nodes whose state nobody knows.
+    A node that is in its target state needs none. Raises UnplannableError for nodes that do not answer, since
+    their state is unknown.
     """
-    out, lost = [], []
+    found, unanswered = [], []
     for goal in change.goals:
         for name in goal.nodes:
             node = fleet.nodes[name]
             if node.state is State.LOST:
-                lost.append(
+                unanswered.append(
                     f"{goal.line}: {name} does not answer, so nobody knows what would have to be done"
                 )
             elif kind := action_kind_for(goal.want, node):
-                out.append(Action(node, kind, goal))
-    if lost:
-        raise UnplannableError(lost)
-    return tuple(sorted(out, key=lambda action: action.node.id))
+                found.append(Action(node, kind, goal))
+    if unanswered:
+        raise UnplannableError(unanswered)
+    return tuple(sorted(found, key=lambda action: action.node.id))
 
 
 Waves = tuple[tuple[Action, ...], ...]
 
 
 def wave_by_node(waves: Waves) -> Mapping[str, int]:
-    """The wave of each node, counted from 1."""
+    """Return the number of each node's wave, counted from 1, by node id."""
     return {action.node.id: number for number, wave in enumerate(waves, 1) for action in wave}
--- a/weldhatch/planning/change.py
+++ b/weldhatch/planning/change.py
@@ -1,7 +1,7 @@
-"""What a change file asks for: goals for nodes, and what has to hold on the way.
+"""The content of a change file: goals for nodes, and constraints that hold while the change is carried out.
 
-Read from the forms of `weldhatch.sexpr` against a fleet; a node, rack, hall or class that the fleet does not
-know is a fault of the file, with its place. All faults are told at once.
+It is read from the forms of `weldhatch.sexpr` and checked against a fleet. A node, rack, hall, kind or class
+that the fleet does not have is reported as a fault with its place in the file, all faults at once.
 """
 
 from __future__ import annotations
@@ -23,43 +23,48 @@
     text: str
 
     def __str__(self) -> str:
+        """Return the statement after its place."""
         return f"{self.place}: {self.text}"
 
 
 class TargetState(StrEnum):
-    ON = "on"  # ends ready, and warm
-    DRAIN = "drain"  # ends draining, without tasks
-    OFF = "off"  # drained, then stopped
+    """The state in which a change leaves a node."""
+
+    ON = "on"  # ready and warm
+    DRAIN = "drain"  # draining, without tasks
+    OFF = "off"  # drained, then switched off
 
 
 class Goal(msgspec.Struct, frozen=True):
+    """The target state of some nodes."""
+
     line: Line
     want: TargetState
     nodes: tuple[str, ...]
 
 
 class Floor(msgspec.Struct, frozen=True):
-    """Ready capacity that has to be there at any moment: cores, and memory in GB."""
+    """The least ready capacity at any moment of the change: cores, and memory in GB."""
 
     line: Line
-    hall: str  # '' for all halls
-    rack: str  # '' for all racks
-    cls: str  # '' for all kinds of node
+    hall: str  # '' means all halls
+    rack: str  # '' means all racks
+    cls: str  # the class whose nodes count; '' means all nodes
     cores: float
     memory: float
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """At most so many nodes draining, or starting, at a time in each rack, each hall, or the fleet."""
+    """The most nodes that may drain, or start, at the same time in each rack, each hall, or the fleet."""
 
     line: Line
     most: int
-    doing: str  # draining, starting
-    per: str  # rack, hall, fleet
+    doing: str  # 'draining' or 'starting'
+    per: str  # 'rack', 'hall' or 'fleet'
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """So many tasks of one service of a class can be placed under the class's spread rule."""
+    """The number of tasks of one service of a class that can be placed under the class's spread rule."""
 
     line: Line
     cls: str
@@ -67,14 +72,14 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """What happens to one set is over before the next begins."""
+    """Sets of nodes that are treated one after the other: a set is done before the next one begins."""
 
     line: Line
     sets: tuple[tuple[str, ...], ...]
 
 
 class Within(msgspec.Struct, frozen=True):
-    """The whole takes at most so many waves, or so many seconds by the fleet's pace; 0 for no such bound."""
+    """The most waves, or seconds by the fleet's pace, that the whole change may take; 0 means no bound."""
 
     line: Line
     waves: int = 0
@@ -82,6 +87,8 @@
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
+    """The statements of a change file, by kind."""
+
     name: str
     goals: tuple[Goal, ...] = ()
     floors: tuple[Floor, ...] = ()
@@ -89,82 +96,83 @@
     spreads: tuple[Spread, ...] = ()
     orders: tuple[Order, ...] = ()
     withins: tuple[Within, ...] = ()
-    survive_rack: bool = True  # floors hold also if the worst single rack falls
+    survive_rack: bool = True  # floors also hold if the rack with the most ready capacity fails
 
     def target_states(self) -> dict[str, TargetState]:
+        """Return the target state of each node that a goal names."""
         return {node: goal.want for goal in self.goals for node in goal.nodes}
 
     def statements(self) -> tuple[Goal | Floor | Limit | Spread | Order | Within, ...]:
-        """All that can exclude one another, goals first."""
+        """Return all statements that can exclude one another, goals first."""
         return (*self.goals, *self.floors, *self.limits, *self.spreads, *self.orders, *self.withins)
 
     def restricted_to(self, kept: Iterable[object]) -> Change:
-        """The same change with some of its statements."""
-        chosen = {id(one) for one in kept}
+        """Return the change with only the statements in `kept`, which are compared by identity."""
+        chosen = {id(statement) for statement in kept}
         return msgspec.structs.replace(
             self,
             **{
-                name: tuple(one for one in getattr(self, name) if id(one) in chosen)
+                name: tuple(statement for statement in getattr(self, name) if id(statement) in chosen)
                 for name in ("goals", "floors", "limits", "spreads", "orders", "withins")
             },
         )
 
 
 def read_change(items: list[Form | Atom], fleet: Fleet) -> Change:
-    """The change of a file's items (`sexpr.reader.read_whole`). Raises FormError with all its faults."""
-    return _Reader(items, fleet).change
+    """Return the change in items read by `sexpr.reader.read_whole`. Raises FormError with all faults."""
+    return _ChangeReader(items, fleet).change
 
 
-class _Reader:
-    """Takes the file apart; faults are gathered, and what holds them is left out."""
+class _ChangeReader:
+    """Reads the items of one file. Faults are collected; a statement that has one is left out."""
 
     def __init__(self, items: list[Form | Atom], fleet: Fleet) -> None:
         self._fleet, self._faults = fleet, []
         self._sets: dict[str, tuple[str, ...]] = {}
-        self._found: dict[str, list] = {
+        self._statements: dict[str, list] = {
             name: [] for name in ("goals", "floors", "limits", "spreads", "orders", "withins")
         }
-        self._survive: bool | None = None
-        self._wanted: dict[str, tuple[TargetState, Place]] = {}
-        name, body = self._body(items)
-        heads: dict[str, Callable[[Form], None]] = {
-            "on": self._goal,
-            "drain": self._goal,
-            "off": self._goal,
-            "replace": self._replace,
-            "keep": self._keep,
-            "at-most": self._at_most,
-            "spread": self._spread,
-            "order": self._order,
-            "within": self._within,
-            "survive": self._survives,
+        self._survive_rack: bool | None = None
+        self._targets: dict[str, tuple[TargetState, Place]] = {}
+        name, body = self._read_body(items)
+        handlers: dict[str, Callable[[Form], None]] = {
+            "on": self._read_goal,
+            "drain": self._read_goal,
+            "off": self._read_goal,
+            "replace": self._read_replace,
+            "keep": self._read_keep,
+            "at-most": self._read_at_most,
+            "spread": self._read_spread,
+            "order": self._read_order,
+            "within": self._read_within,
+            "survive": self._read_survive,
         }
         for form in body:
             if isinstance(form, Form) and form.head == "set":
-                self._define(form)
+                self._define_set(form)
         for form in body:
-            if not isinstance(form, Form) or form.head not in (*heads, "set"):
-                self._unknown(form, (*heads, "set"))
+            if not isinstance(form, Form) or form.head not in (*handlers, "set"):
+                self._add_unknown_fault(form, (*handlers, "set"))
             elif form.head != "set":
-                heads[form.head](form)
-        self._plausible()
+                handlers[form.head](form)
+        self._check_floors()
         if self._faults:
             raise FormError(self._faults)
         self.change = Change(
             name=name,
-            survive_rack=self._survive is not False,
-            **{key: tuple(value) for key, value in self._found.items()},
+            survive_rack=self._survive_rack is not False,
+            **{key: tuple(value) for key, value in self._statements.items()},
         )
 
-    # ---- the parts -----------------------------------------------------------------------------------------
+    # ---- statements ----------------------------------------------------------------------------------------
 
-    def _body(self, items: list[Form | Atom]) -> tuple[str, list[Form | Atom]]:
+    def _read_body(self, items: list[Form | Atom]) -> tuple[str, list[Form | Atom]]:
         changes = [item for item in items if isinstance(item, Form) and item.head == "change"]
         for item in items:
             if not (isinstance(item, Form) and item.head in ("change", "set")):
-                self._unknown(item, ("change", "set", "include"))
+                self._add_unknown_fault(item, ("change", "set", "include"))
         for extra in changes[1:]:
-            self._fault(extra, "a second change in one file", "one (change ...)")
+            self._add_fault(extra, "a second change in one file", "one (change ...)")
         if not changes:
             place = items[0].place if items else Place("the change file", 1, 1)
             raise FormError(
@@ -172,82 +180,84 @@
             )
         parts = changes[0].items[1:]
         if not parts or not isinstance(parts[0], Atom) or parts[0].kind != "STRING":
-            self._fault(changes[0], f"{describe(parts[0] if parts else None)} is no name", "a text in quotes")
+            self._add_fault(
+                changes[0], f"{describe(parts[0] if parts else None)} is no name", "a text in quotes"
+            )
             name, parts = "", parts[1:] if parts and isinstance(parts[0], Atom) else parts
         else:
             name, parts = str(parts[0].value), parts[1:]
         outer = [item for item in items if isinstance(item, Form) and item.head == "set"]
         return name, [*outer, *parts]
 
-    def _define(self, form: Form) -> None:
+    def _define_set(self, form: Form) -> None:
         parts = form.items[1:]
         if len(parts) < 2 or not isinstance(parts[0], Atom) or parts[0].kind != "SYMBOL":
-            self._fault(form, f"{describe(form)} defines nothing", "(set NAME NODE ...)")
+            self._add_fault(form, f"{describe(form)} defines nothing", "(set NAME NODE ...)")
             return
         name = str(parts[0].value)
         if name in self._sets:
-            self._fault(form, f"the set {name} is defined twice", "another name")
+            self._add_fault(form, f"the set {name} is defined twice", "another name")
         elif name in self._fleet.nodes:
-            self._fault(form, f"{name} is a node", "a name that no node has")
+            self._add_fault(form, f"{name} is a node", "a name that no node has")
         else:
-            self._sets[name] = self._nodes(parts[1:], form)
+            self._sets[name] = self._select_nodes(parts[1:], form)
 
-    def _goal(self, form: Form) -> None:
-        self._want(form, TargetState(form.head), self._nodes(form.items[1:], form))
+    def _read_goal(self, form: Form) -> None:
+        self._add_goal(form, TargetState(form.head), self._select_nodes(form.items[1:], form))
 
-    def _want(self, form: Form, want: TargetState, nodes: tuple[str, ...]) -> None:
-        fresh = []
+    def _add_goal(self, form: Form, target: TargetState, nodes: tuple[str, ...]) -> None:
+        new_nodes = []
         for node in nodes:
-            before = self._wanted.get(node)
-            if before is not None and before[0] is not want:
-                self._fault(
+            before = self._targets.get(node)
+            if before is not None and before[0] is not target:
+                self._add_fault(
                     form,
-                    f"{node} is to be {want}, and {before[0]} at line {before[1].line}",
+                    f"{node} is to be {target}, and {before[0]} at line {before[1].line}",
                     "one of the two",
                 )
             elif before is None:
-                self._wanted[node] = (want, form.place)
-                fresh.append(node)
-        if fresh:
-            self._found["goals"].append(Goal(self._line(form), want, tuple(fresh)))
+                self._targets[node] = (target, form.place)
+                new_nodes.append(node)
+        if new_nodes:
+            self._statements["goals"].append(Goal(self._statement_line(form), target, tuple(new_nodes)))
 
-    def _replace(self, form: Form) -> None:
-        """(replace OLD ... with NEW ...): the new are warm before the old drain."""
+    def _read_replace(self, form: Form) -> None:
+        """Read (replace OLD ... with NEW ...): the new nodes are warm before the old ones drain."""
         parts = form.items[1:]
         at = next((n for n, part in enumerate(parts) if isinstance(part, Atom) and part.value == "with"), -1)
         if at < 1 or at == len(parts) - 1:
-            self._fault(
+            self._add_fault(
                 form, f"{describe(form)} does not say what by what", "(replace NODE ... with NODE ...)"
             )
             return
-        old, new = self._nodes(parts[:at], form), self._nodes(parts[at + 1 :], form)
-        self._want(form, TargetState.ON, new)
-        self._want(form, TargetState.OFF, old)
-        self._found["orders"].append(Order(self._line(form), (new, old)))
+        old, new = self._select_nodes(parts[:at], form), self._select_nodes(parts[at + 1 :], form)
+        self._add_goal(form, TargetState.ON, new)
+        self._add_goal(form, TargetState.OFF, old)
+        self._statements["orders"].append(Order(self._statement_line(form), (new, old)))
 
-    def _keep(self, form: Form) -> None:
+    def _read_keep(self, form: Form) -> None:
         given: dict[str, object] = {}
         for part in form.items[1:]:
             head = part.head if isinstance(part, Form) else ""
             if head not in ("hall", "rack", "class", "cores", "memory"):
-                self._unknown(part, ("hall", "rack", "class", "cores", "memory"))
+                self._add_unknown_fault(part, ("hall", "rack", "class", "cores", "memory"))
                 continue
             if head in given:
-                self._fault(part, f"a second {head}", "one of each")
+                self._add_fault(part, f"a second {head}", "one of each")
                 continue
             if head in ("cores", "memory"):
-                given[head] = self._figure(part, ("NUMBER",) if head == "cores" else ("SIZE", "NUMBER"))
+                given[head] = self._read_number(part, ("NUMBER",) if head == "cores" else ("SIZE", "NUMBER"))
             else:
-                given[head] = self._known(part, head)
+                given[head] = self._read_name(part, head)
         if None in given.values():
             return
         cores, memory = float(given.get("cores", 0.0)), float(given.get("memory", 0.0))
         if not cores and not memory:
-            self._fault(form, f"{describe(form)} keeps nothing", "(cores N) or (memory SIZE)")
+            self._add_fault(form, f"{describe(form)} keeps nothing", "(cores N) or (memory SIZE)")
             return
-        self._found["floors"].append(
+        self._statements["floors"].append(
             Floor(
-                self._line(form),
+                self._statement_line(form),
                 str(given.get("hall", "")),
                 str(given.get("rack", "")),
                 str(given.get("class", "")),
@@ -256,7 +266,7 @@
             )
         )
 
-    def _at_most(self, form: Form) -> None:
+    def _read_at_most(self, form: Form) -> None:
         parts = form.items[1:]
         shape = "(at-most N draining per rack), or starting, per hall or fleet"
         words = [str(part.value) for part in parts if isinstance(part, Atom)]
@@ -268,15 +278,15 @@
             or words[2] != "per"
             or words[3] not in ("rack", "hall", "fleet")
         ):
-            self._fault(form, f"{describe(form)} can't be read", shape)
+            self._add_fault(form, f"{describe(form)} can't be read", shape)
             return
         most = parts[0].value
         if most < 0 or most != int(most):
-            self._fault(parts[0], f"{parts[0].text} nodes", "a whole number")
+            self._add_fault(parts[0], f"{parts[0].text} nodes", "a whole number")
             return
-        self._found["limits"].append(Limit(self._line(form), int(most), words[1], words[3]))
+        self._statements["limits"].append(Limit(self._statement_line(form), int(most), words[1], words[3]))
 
-    def _spread(self, form: Form) -> None:
+    def _read_spread(self, form: Form) -> None:
         parts = form.items[1:]
         if (
             len(parts) != 2
@@ -284,84 +294,88 @@
             or parts[0].kind != "SYMBOL"
             or parts[1].kind != "NUMBER"
         ):
-            self._fault(form, f"{describe(form)} can't be read", "(spread CLASS TASKS)")
+            self._add_fault(form, f"{describe(form)} can't be read", "(spread CLASS TASKS)")
             return
-        if not self._one_of(parts[0], "class"):
+        if not self._check_name(parts[0], "class"):
             return
         if not self._fleet.classes[str(parts[0].value)].spread_most:
-            self._fault(
+            self._add_fault(
                 parts[0], f"the class {parts[0].text} has no spread rule in the fleet's file", "one that has"
             )
             return
-        self._found["spreads"].append(Spread(self._line(form), str(parts[0].value), int(parts[1].value)))
+        self._statements["spreads"].append(
+            Spread(self._statement_line(form), str(parts[0].value), int(parts[1].value))
+        )
 
-    def _order(self, form: Form) -> None:
-        sets = tuple(self._nodes([part], form) for part in form.items[1:])
+    def _read_order(self, form: Form) -> None:
+        sets = tuple(self._select_nodes([part], form) for part in form.items[1:])
         if len(sets) < 2:
-            self._fault(form, f"{describe(form)} orders nothing", "(order SET SET ...)")
+            self._add_fault(form, f"{describe(form)} orders nothing", "(order SET SET ...)")
             return
-        self._found["orders"].append(Order(self._line(form), sets))
+        self._statements["orders"].append(Order(self._statement_line(form), sets))
 
-    def _within(self, form: Form) -> None:
+    def _read_within(self, form: Form) -> None:
         match form.items[1:]:
             case [Atom(kind="DURATION", value=seconds)] if seconds > 0:
-                self._found["withins"].append(Within(self._line(form), seconds=float(seconds)))
+                self._statements["withins"].append(Within(self._statement_line(form), seconds=float(seconds)))
             case [Atom(kind="NUMBER", value=waves), Atom(value="waves" | "wave")] if waves >= 1:
-                self._found["withins"].append(Within(self._line(form), waves=int(waves)))
+                self._statements["withins"].append(Within(self._statement_line(form), waves=int(waves)))
             case _:
-                self._fault(form, f"{describe(form)} can't be read", "(within 10m) or (within 4 waves)")
+                self._add_fault(form, f"{describe(form)} can't be read", "(within 10m) or (within 4 waves)")
 
-    def _survives(self, form: Form) -> None:
+    def _read_survive(self, form: Form) -> None:
         words = [part.value for part in form.items[1:] if isinstance(part, Atom)]
-        if words not in (["rack"], ["nothing"]) or self._survive is not None:
-            self._fault(
+        if words not in (["rack"], ["nothing"]) or self._survive_rack is not None:
+            self._add_fault(
                 form, f"{describe(form)} can't be read, or comes twice", "(survive rack) or (survive nothing)"
             )
             return
-        self._survive = words == ["rack"]
+        self._survive_rack = words == ["rack"]
 
-    # ---- words ---------------------------------------------------------------------------------------------
+    # ---- selectors, names and numbers ----------------------------------------------------------------------
 
-    def _nodes(self, parts: list[Form | Atom], within: Form) -> tuple[str, ...]:
-        """The nodes that selectors name, in the order of the file, each once."""
-        out: dict[str, None] = {}
+    def _select_nodes(self, parts: list[Form | Atom], statement: Form) -> tuple[str, ...]:
+        """Return the nodes that selectors name, in the order of the file, without duplicates."""
+        selected: dict[str, None] = {}
         if not parts:
-            self._fault(within, f"{describe(within)} names no node", "a node, or (all of rack NAME)")
+            self._add_fault(
+                statement, f"{describe(statement)} names no node", "a node, or (all of rack NAME)"
+            )
         for part in parts:
             if isinstance(part, Atom):
                 if part.kind == "SYMBOL" and str(part.value) in self._sets:
-                    out.update(dict.fromkeys(self._sets[str(part.value)]))
-                elif self._one_of(part, "node"):
-                    out[str(part.value)] = None
+                    selected.update(dict.fromkeys(self._sets[str(part.value)]))
+                elif self._check_name(part, "node"):
+                    selected[str(part.value)] = None
                 continue
-            out.update(dict.fromkeys(self._selected(part)))
-        return tuple(out)
+            selected.update(dict.fromkeys(self._select_all_of(part)))
+        return tuple(selected)
 
-    def _selected(self, form: Form) -> Iterable[str]:
+    def _select_all_of(self, form: Form) -> Iterable[str]:
         shape = "(all of rack NAME), of hall, of kind, of set, or (all of fleet)"
         match [part.value if isinstance(part, Atom) else None for part in form.items]:
             case ["all", "of", "fleet"]:
                 return self._fleet.nodes
             case ["all", "of", "rack" | "hall" | "kind" as what, _]:
                 name = form.items[3]
-                if not self._one_of(name, what):
+                if not self._check_name(name, what):
                     return ()
                 return [node.id for node in self._fleet.nodes.values() if getattr(node, what) == name.value]
             case ["all", "of", "set", name]:
                 if name not in self._sets:
-                    self._unnamed(form.items[3], "set", self._sets)
+                    self._add_name_fault(form.items[3], "set", self._sets)
                 return self._sets.get(str(name), ())
-        self._fault(form, f"{describe(form)} names no nodes", shape)
+        self._add_fault(form, f"{describe(form)} names no nodes", shape)
         return ()
 
-    def _known(self, form: Form, what: str) -> str | None:
+    def _read_name(self, form: Form, what: str) -> str | None:
         parts = form.items[1:]
         if len(parts) != 1 or not isinstance(parts[0], Atom):
-            self._fault(form, f"{describe(form)} can't be read", f"({what} NAME)")
+            self._add_fault(form, f"{describe(form)} can't be read", f"({what} NAME)")
             return None
-        return str(parts[0].value) if self._one_of(parts[0], what) else None
+        return str(parts[0].value) if self._check_name(parts[0], what) else None
 
-    def _figure(self, form: Form, kinds: tuple[str, ...]) -> float | None:
+    def _read_number(self, form: Form, kinds: tuple[str, ...]) -> float | None:
         parts = form.items[1:]
         if (
             len(parts) != 1
@@ -369,16 +383,16 @@
             or parts[0].kind not in kinds
             or parts[0].value < 0
         ):
-            word = "a size such as 300GB" if "SIZE" in kinds else "a number"
-            self._fault(
+            expected = "a size such as 300GB" if "SIZE" in kinds else "a number"
+            self._add_fault(
                 parts[0] if parts else form,
                 f"{describe(parts[0] if parts else None)} is no figure here",
-                word,
+                expected,
             )
             return None
         return float(parts[0].value)
 
-    def _one_of(self, atom: Atom, what: str) -> bool:
+    def _check_name(self, atom: Atom, what: str) -> bool:
         known = {
             "node": self._fleet.nodes,
             "rack": self._fleet.racks,
@@ -388,49 +402,49 @@
         }[what]
         if atom.kind in ("SYMBOL", "STRING") and atom.value in known:
             return True
-        self._unnamed(atom, what, known)
+        self._add_name_fault(atom, what, known)
         return False
 
-    def _unnamed(self, atom: Atom, what: str, known: Iterable[str]) -> None:
-        near = difflib.get_close_matches(str(atom.value), list(known), 1, 0.7)
-        self._fault(
+    def _add_name_fault(self, atom: Atom, what: str, known: Iterable[str]) -> None:
+        similar = difflib.get_close_matches(str(atom.value), list(known), 1, 0.7)
+        self._add_fault(
             atom,
             f"no {what} is named {atom.text}",
-            f"one such as {near[0]}" if near else f"a {what} of the fleet",
+            f"one such as {similar[0]}" if similar else f"a {what} of the fleet",
         )
 
-    def _unknown(self, item: Form | Atom, heads: Iterable[str]) -> None:
-        self._fault(item, f"{describe(item)} is not known here", "one of " + " ".join(heads))
+    def _add_unknown_fault(self, item: Form | Atom, expected: Iterable[str]) -> None:
+        self._add_fault(item, f"{describe(item)} is not known here", "one of " + " ".join(expected))
 
-    def _fault(self, item: Form | Atom, message: str, expected: str) -> None:
+    def _add_fault(self, item: Form | Atom, message: str, expected: str) -> None:
         self._faults.append(Fault(item.place, message, expected))
 
     @staticmethod
-    def _line(form: Form) -> Line:
+    def _statement_line(form: Form) -> Line:
         return Line(str(form.place), form.shown)
 
-    def _plausible(self) -> None:
-        """Guards against floors that the whole of their nodes could not hold, whatever is done."""
-        for floor in self._found["floors"]:
+    def _check_floors(self) -> None:
+        """Guards against floors that exceed the capacity of all the nodes that count for them."""
+        for floor in self._statements["floors"]:
             nodes = [
                 node for node in self._fleet.nodes.values() if counts_for_floor(floor, node, self._fleet)
             ]
             for what, asked in (("cores", floor.cores), ("memory", floor.memory)):
-                there = sum(getattr(node, what) for node in nodes)
-                if asked > there:
+                available = sum(getattr(node, what) for node in nodes)
+                if asked > available:
                     file, line, column = floor.line.place.rsplit(":", 2)
                     self._faults.append(
                         Fault(
                             Place(file, int(line), int(column)),
                             f"{floor.line.text} asks {asked:g} of {what}, and all {len(nodes)} nodes "
-                            f"hold {there:g}",
-                            f"at most {there:g}",
+                            f"hold {available:g}",
+                            f"at most {available:g}",
                         )
                     )
 
 
 def counts_for_floor(floor: Floor, node: object, fleet: Fleet) -> bool:
-    """Does a node's room count for a floor, once it is ready?"""
+    """Return whether a node's capacity counts for a floor while the node is ready."""
     return (
         (not floor.hall or node.hall == floor.hall)
         and (not floor.rack or node.rack == floor.rack)
--- a/weldhatch/planning/engine.py
+++ b/weldhatch/planning/engine.py
@@ -1,9 +1,8 @@
-"""What an apply does next: decided from its records, the world as it was last seen, and the time. No I/O.
+"""Decides the next actions of an apply from its records, the fleet as last observed, and the time. No I/O.
 
-One turn: the runner looks at the world, the engine decides, the decision's records go to the journal, and
-only
-then do its orders leave. A step that may have been ordered is only ever repeated under the same operation id
-and generation, so a node that has heard it does nothing twice.
+In one turn, the runner observes the fleet, the engine decides, the decision's records are written to the
+journal, and only then are its orders sent. An order that may have been sent is retried only under the same
+operation id and generation, so that a node that has received it does not execute it twice.
 """
 
 from __future__ import annotations
@@ -32,48 +31,48 @@
 
 
 class StopReason(StrEnum):
-    """Why an apply stops before its end."""
-
-    MOVED = "moved"  # a node that is next is not as the plan found it
-    FLOOR = "floor"  # going on would break what has to hold
-    REFUSED = "refused"  # a node will not, or not after all tries
-    RETURNED = "returned"  # a node came back under another generation
-    REVERTED = "reverted"  # a node is no longer in the state that it was ordered into
-    FELL = "fell"  # a node that was switched on went off
+    """The reason reason an apply stops before its end."""
+
+    MOVED = "moved"  # a node is not in the state that the plan assumes
+    FLOOR = "floor"  # the next drains would violate a constraint
+    REFUSED = "refused"  # a node refuses an order finally, or after all tries
+    RETURNED = "returned"  # a node was restarted and has another generation
+    REVERTED = "reverted"  # a node is no longer in the state that an order brought it into
+    FELL = "fell"  # a node went off after it was switched on
     LOST = "lost"  # a node does not answer
-    LATE = "late"  # an effect does not come
-    GATEWAY = "gateway"  # a gateway does not take a node's state
-    OVERTAKEN = "overtaken"  # a later apply has the say
-    TOLD = "told"  # asked to stop
+    LATE = "late"  # the effect of an order did not appear in time
+    GATEWAY = "gateway"  # a gateway does not accept a node's state
+    OVERTAKEN = "overtaken"  # a later apply has a higher fencing number
+    TOLD = "told"  # the operator requested the stop
 
 
 class ApplyTimeouts(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How long an apply waits for whom, in seconds."""
+    """Time-outs in seconds and the retry limit of an apply."""
 
-    answer_s: float = 2.0  # for one answer
-    poll_s: float = 0.5  # between two looks at the world
-    tries: int = 6  # of one order that is refused for now, or not answered
-    backoff_s: float = 0.5  # before its second try; doubled at each, at most `backoff_most_s`
+    answer_s: float = 2.0  # the time-out of one call
+    poll_s: float = 0.5  # between two observations of the fleet
+    tries: int = 6  # attempts of one order that is refused temporarily or not answered
+    backoff_s: float = 0.5  # before the second attempt; doubled at each, up to `backoff_most_s`
     backoff_most_s: float = 8.0
-    silence_s: float = 20.0  # a node or a gateway that says nothing for so long stops the apply
-    hold_s: float = 20.0  # a floor that would be broken may be mended by others for so long
-    warm_most_s: float = 120.0  # for a node to be ready
-    drain_most_s: float = 900.0  # for a node to be empty
+    silence_s: float = 20.0  # a node that does not answer for so long stops the apply
+    hold_s: float = 20.0  # how long drains wait for a floor that they would violate, before the apply stops
+    warm_most_s: float = 120.0  # for a node to become ready
+    drain_most_s: float = 900.0  # for a draining node to end its tasks
 
 
 @dataclass(slots=True, frozen=True)
 class Order:
-    """One message to send, after the decision's records are written."""
+    """A message that is sent after the decision's records are written."""
 
     step: Step
     op: str
     fence: int
-    gateway: str = ""  # '' where it goes to the node
+    gateway: str = ""  # '' if the order goes to the node
 
 
 @dataclass(slots=True)
 class Decision:
-    """What to write, then what to send; whether that is all."""
+    """The records to write, then the orders to send; and whether the apply stops or has ended."""
 
     records: list[AnyRecord] = field(default_factory=list)
     orders: list[Order] = field(default_factory=list)
@@ -82,31 +81,32 @@
 
     @property
     def idle(self) -> bool:
+        """Whether there is nothing to do but to wait."""
         return not self.records and not self.orders and not self.stop and not self.ended
 
 
 class Engine:
-    """Decides for one apply. `gateways`: the names of all that have to hear of a drain."""
+    """Decides the actions of one apply."""
 
-    def __init__(self, progress: Progress, gateways: tuple[str, ...], patience: ApplyTimeouts) -> None:
-        self.progress, self._gateways, self._patience = progress, gateways, patience
-        self._silent: dict[str, float] = {}  # since when a node has not answered
-        self._held_since: float | None = None
+    def __init__(self, progress: Progress, gateways: tuple[str, ...], timeouts: ApplyTimeouts) -> None:
+        """Continue from the recorded progress. `gateways`: the names of all that are notified of drains."""
+        self.progress, self._gateways, self._timeouts = progress, gateways, timeouts
+        self._silent_since: dict[str, float] = {}  # when each silent node was first found silent
+        self._floors_violated_since: float | None = None
         self._next_try: dict[str, float] = {}
-        self._tries: dict[
-            str, int
-        ] = {}  # of this process: those of one that crashed are not held against a node
+        # Only the attempts of this process: those of a process that crashed don't use up a node's tries.
+        self._tries: dict[str, int] = {}
         self._decision = Decision()
 
     def decide(self, now: float, fleet: Fleet) -> Decision:
-        """The next turn, by the fleet as it was just seen. `now` in Unix seconds."""
+        """Return the decision of the next turn for the fleet as just observed. `now` is in Unix seconds."""
         decision = self._decision = Decision()
         progress, plan = self.progress, self.progress.plan
         for node in fleet.nodes.values():
             if node.state is State.LOST:
-                self._silent.setdefault(node.id, now)
+                self._silent_since.setdefault(node.id, now)
             else:
-                self._silent.pop(node.id, None)
+                self._silent_since.pop(node.id, None)
         wave = next(
             (state.step.wave for state in progress.steps.values() if state.status is not StepStatus.DONE),
             None,
@@ -115,59 +115,63 @@
             decision.records.append(Ended(apply=plan.id, at=now))
             decision.ended = True
             return decision
-        fresh: list[StepState] = []
+        startable: list[StepState] = []
         for state in progress.steps.values():
-            if state.step.wave != wave or state.status is StepStatus.DONE or not self._due(state.step):
+            if (
+                state.step.wave != wave
+                or state.status is StepStatus.DONE
+                or not self._predecessors_done(state.step)
+            ):
                 continue
             node = fleet.nodes.get(state.step.node)
             if state.status is StepStatus.TODO and state.step.kind is not Kind.AWAIT:
-                fresh.append(state)
+                startable.append(state)
             else:
-                self._under_way(state, node, now)
+                self._continue_step(state, node, now)
             if decision.stop:
                 return decision
-        self._begin(fresh, fleet, now)
+        self._start_steps(startable, fleet, now)
         return decision
 
-    def _due(self, step: Step) -> bool:
+    def _predecessors_done(self, step: Step) -> bool:
         return all(self.progress.steps[name].status is StepStatus.DONE for name in step.after)
 
-    # ---- steps that begin ----------------------------------------------------------------------------------
+    # ---- starting steps ------------------------------------------------------------------------------------
 
-    def _begin(self, fresh: list[StepState], fleet: Fleet, now: float) -> None:
-        """Orders leave only where their node is as planned, and drains only where all floors go on to
-        hold."""
+    def _start_steps(self, startable: list[StepState], fleet: Fleet, now: float) -> None:
+        """Order the steps whose nodes are in the expected state; drains also require that all floors hold."""
         progress, plan = self.progress, self.progress.plan
         begun = progress.begun_steps
-        virgin = untouched_nodes(plan, begun)
-        heads = [state for state in fresh if state.step.node in virgin]
-        if gone := find_moved_nodes(plan, fleet, {state.step.node for state in heads}):
-            self._wait_or_stop(StopReason.MOVED, gone, [state.step.node for state in heads], now)
-            names = {one.what for one in gone}
-            fresh = [state for state in fresh if state.step.node not in names]
+        untouched = untouched_nodes(plan, begun)
+        first_steps = [state for state in startable if state.step.node in untouched]
+        if moved_nodes := find_moved_nodes(plan, fleet, {state.step.node for state in first_steps}):
+            self._wait_or_stop(StopReason.MOVED, moved_nodes, [state.step.node for state in first_steps], now)
+            moved_ids = {moved.what for moved in moved_nodes}
+            startable = [state for state in startable if state.step.node not in moved_ids]
             if self._decision.stop:
                 return
-        drains = [state for state in fresh if state.step.kind in (Kind.ANNOUNCE, Kind.DRAIN)]
+        drains = [state for state in startable if state.step.kind in (Kind.ANNOUNCE, Kind.DRAIN)]
         if drains:
-            if broken := self._broken(fleet, virgin, drains, drains[0].step.wave):
-                if self._held_since is None:
-                    self._held_since = now
-                if now - self._held_since >= self._patience.hold_s:
-                    self._stop(StopReason.FLOOR, "; ".join(map(str, broken[:3])), now)
+            if violations := self._violations(fleet, untouched, drains, drains[0].step.wave):
+                if self._floors_violated_since is None:
+                    self._floors_violated_since = now
+                if now - self._floors_violated_since >= self._timeouts.hold_s:
+                    self._record_stop(StopReason.FLOOR, "; ".join(map(str, violations[:3])), now)
                     return
-                fresh = [state for state in fresh if state not in drains]
+                startable = [state for state in startable if state not in drains]
             else:
-                self._held_since = None
-        for state in fresh:
+                self._floors_violated_since = None
+        for state in startable:
             step, node = state.step, fleet.nodes.get(state.step.node)
-            if state.step.node not in virgin and (why := self._unfit(step, node)):
-                if why is StopReason.FELL:  # it is down, as the step wanted in the end
-                    self._done(state, "fell", f"now {describe_node(node)}", now)
+            if state.step.node not in untouched and (reason := self._obstacle(step, node)):
+                if reason is StopReason.FELL:  # the node is off, which is the final result of the step too
+                    self._record_done(state, "fell", f"now {describe_node(node)}", now)
                 elif (
-                    why is not StopReason.LOST or self._silent_for(step.node, now) >= self._patience.silence_s
+                    reason is not StopReason.LOST
+                    or self._silence_s(step.node, now) >= self._timeouts.silence_s
                 ):
-                    self._stop(
-                        why,
+                    self._record_stop(
+                        reason,
                         f"{step.node}: before {step.kind} it was to be {' or '.join(step.wants)}, "
                         f"generation {step.generation}; it is {describe_node(node)}",
                         now,
@@ -175,49 +179,54 @@
                     return
                 continue
             if step.kind is Kind.STOP and node.tasks:
-                continue  # it drains on; `stop` is for empty nodes
+                continue  # the node is still draining; `stop` is for nodes without tasks
             self._order(state, now)
 
-    def _wait_or_stop(self, why: StopReason, gone: list[Moved], names: list[str], now: float) -> None:
-        """A node that only fails to answer may do so in a moment; all else stops the apply at once."""
-        silent = [one for one in gone if one.what in self._silent]
-        if len(silent) < len(gone) or any(
-            self._silent_for(one.what, now) >= self._patience.silence_s for one in silent
+    def _wait_or_stop(
+        self, reason: StopReason, moved_nodes: list[Moved], names: list[str], now: float
+    ) -> None:
+        """Stop the apply, unless all changed nodes are silent and have been for less than `silence_s`."""
+        silent = [moved for moved in moved_nodes if moved.what in self._silent_since]
+        if len(silent) < len(moved_nodes) or any(
+            self._silence_s(moved.what, now) >= self._timeouts.silence_s for moved in silent
         ):
-            self._stop(why, "; ".join(str(one) for one in gone[:5]), now)
+            self._record_stop(reason, "; ".join(str(moved) for moved in moved_nodes[:5]), now)
 
-    def _broken(self, fleet: Fleet, virgin: set[str], drains: list[StepState], wave: int) -> list[Violation]:
-        """What going on would break: this wave's drains now, and all that is still to come."""
+    def _violations(
+        self, fleet: Fleet, untouched: set[str], drains: list[StepState], wave: int
+    ) -> list[Violation]:
+        """Return the violations by this wave's drains and the remaining waves."""
         plan, nodes = self.progress.plan, fleet.nodes
-        change, waves = remaining_change(plan, fleet, virgin)
+        change, waves = remaining_change(plan, fleet, untouched)
         goals = {name: goal for goal in plan.change.goals for name in goal.nodes}
-        # What was announced has its drain ahead, and what was switched on is there for the waves to come.
-        leaving = {state.step.node for state in drains if state.step.node not in virgin}
+        # A node whose drain has been announced still has to drain; a node that is being switched on counts in
+        # the later waves.
+        leaving = {state.step.node for state in drains if state.step.node not in untouched}
         joining = {
             state.step.node
             for state in self.progress.steps.values()
             if state.step.kind.adds_capacity
             and state.status is not StepStatus.DONE
-            and state.step.node not in virgin
+            and state.step.node not in untouched
         }
-        own = [
+        own_actions = [
             Action(nodes[name], ActionKind.DRAIN, goals[name]) for name in sorted(leaving) if name in nodes
         ]
-        own += [
+        own_actions += [
             Action(nodes[name], ActionKind.AWAIT, goals[name])
             for name in sorted(joining)
             if name in nodes and nodes[name].state is not State.LOST
         ]
-        waves = (*((),) * (wave - 1), (*own, *waves[wave - 1]), *waves[wave:])
-        going = [action.node for wave in waves for action in wave if action.kind.drains]
-        # A floor that others broke, and that this plan takes nothing from, holds nothing up.
+        waves = (*((),) * (wave - 1), (*own_actions, *waves[wave - 1]), *waves[wave:])
+        drained = [action.node for wave in waves for action in wave if action.kind.drains]
+        # A floor that is violated for other reasons does not block a plan that drains no node counted for it.
         floors = [
-            floor for floor in change.floors if any(counts_for_floor(floor, node, fleet) for node in going)
+            floor for floor in change.floors if any(counts_for_floor(floor, node, fleet) for node in drained)
         ]
         return find_violations(change.restricted_to([*floors, *change.limits, *change.spreads]), fleet, waves)
 
-    def _unfit(self, step: Step, node: Node | None) -> StopReason | None:
-        """Why a later step of a node that is under way can't begin."""
+    def _obstacle(self, step: Step, node: Node | None) -> StopReason | None:
+        """Return why a later step of a node can't begin; None if it can."""
         if node is None or node.state is State.LOST:
             return StopReason.LOST
         if node.generation != step.generation:
@@ -237,23 +246,23 @@
             else [""]
         )
         if not receivers:
-            self._done(state, "done", "", now)
+            self._record_done(state, "done", "", now)
             return
         tries = self._tries[step.id] = self._tries.get(step.id, 0) + 1
-        patience = self._patience
-        self._next_try[step.id] = now + min(patience.backoff_s * 2 ** (tries - 1), patience.backoff_most_s)
+        timeouts = self._timeouts
+        self._next_try[step.id] = now + min(timeouts.backoff_s * 2 ** (tries - 1), timeouts.backoff_most_s)
         self._decision.records.append(Intent(apply=plan.id, at=now, step=step.id, op=op, fence=fence))
         self._decision.orders += [Order(step, op, fence, name) for name in receivers]
 
-    # ---- steps under way -----------------------------------------------------------------------------------
+    # ---- steps in progress ---------------------------------------------------------------------------------
 
-    def _under_way(self, state: StepState, node: Node | None, now: float) -> None:
+    def _continue_step(self, state: StepState, node: Node | None, now: float) -> None:
         step = state.step
         if step.kind.at_gateways:
             if all(name in state.accepted_by for name in self._gateways):
-                self._done(state, "done", "", now)
+                self._record_done(state, "done", "", now)
             else:
-                self._again(
+                self._retry(
                     state,
                     StopReason.GATEWAY,
                     f"{step.node}: "
@@ -263,22 +272,22 @@
                 )
             return
         if node is None or node.state is State.LOST:
-            if self._silent_for(step.node, now) >= self._patience.silence_s:
-                self._stop(
+            if self._silence_s(step.node, now) >= self._timeouts.silence_s:
+                self._record_stop(
                     StopReason.LOST,
-                    f"{step.node} has not answered for {self._silent_for(step.node, now):.0f} s "
+                    f"{step.node} has not answered for {self._silence_s(step.node, now):.0f} s "
                     f"while {step.kind} was {state.status}",
                     now,
                 )
             return
         if step.kind is Kind.AWAIT and state.status is StepStatus.TODO:
-            self._awaited(state, node, now)
+            self._check_awaited(state, node, now)
         elif state.status is StepStatus.TAKEN:
-            self._taken(state, node, now)
+            self._check_effect(state, node, now)
         elif node.generation != step.generation and not (
             step.kind is Kind.SWITCH_ON and node.generation == step.generation + 1
         ):
-            self._stop(
+            self._record_stop(
                 StopReason.RETURNED,
                 f"{step.node} came back as generation {node.generation}, "
                 f"planned was {step.generation}: {step.kind} is not repeated",
@@ -286,46 +295,47 @@
             )
         elif state.status is StepStatus.REFUSED and not state.transient:
             if node.state in step.wants:
-                self._stop(StopReason.REFUSED, f"{step.node} refuses {step.kind}: {state.note}", now)
+                self._record_stop(StopReason.REFUSED, f"{step.node} refuses {step.kind}: {state.note}", now)
             elif node.state is step.leads_to:
-                self._taken(state, node, now)  # it is so already, and forgot by whom
+                # The order has had its effect, but the node no longer knows the operation.
+                self._check_effect(state, node, now)
             else:
-                self._stop(
+                self._record_stop(
                     StopReason.REVERTED,
                     f"{step.node} refuses {step.kind}: {state.note}; it is {describe_node(node)}",
                     now,
                 )
         else:
-            why = StopReason.REFUSED if state.status is StepStatus.REFUSED else StopReason.LOST
-            self._again(
+            reason = StopReason.REFUSED if state.status is StepStatus.REFUSED else StopReason.LOST
+            self._retry(
                 state,
-                why,
+                reason,
                 f"{step.node}: no {step.kind} after "
                 f"{self._tries.get(step.id, 0)} tries: {state.note or 'no answer'}",
                 now,
             )
 
-    def _again(self, state: StepState, why: StopReason, text: str, now: float) -> None:
-        """The same order once more, after a wait that doubles."""
+    def _retry(self, state: StepState, reason: StopReason, text: str, now: float) -> None:
+        """Retry the order with exponential backoff; stop the apply after all tries."""
         if now < self._next_try.get(state.step.id, 0.0):
             return
-        if self._tries.get(state.step.id, 0) >= self._patience.tries:
-            self._stop(why, text, now)
+        if self._tries.get(state.step.id, 0) >= self._timeouts.tries:
+            self._record_stop(reason, text, now)
         else:
             self._order(state, now)
 
-    def _taken(self, state: StepState, node: Node, now: float) -> None:
-        """The node has said yes: is the effect there?"""
+    def _check_effect(self, state: StepState, node: Node, now: float) -> None:
+        """Check whether the effect of an accepted order has appeared."""
         step = state.step
         expected = step.generation + (step.kind is Kind.SWITCH_ON)
-        patience = self._patience
+        timeouts = self._timeouts
         if node.generation != expected and not (
             node.state is State.OFF and step.kind is not Kind.SWITCH_ON and node.generation == step.generation
         ):
             if step.kind is Kind.SWITCH_ON and node.generation == step.generation:
-                self._late(state, node, patience.warm_most_s, now)
+                self._check_time_limit(state, node, timeouts.warm_most_s, now)
                 return
-            self._stop(
+            self._record_stop(
                 StopReason.RETURNED,
                 f"{step.node} came back as generation {node.generation} while {step.kind} was "
                 f"under way ({describe_node(node)}): it is not ordered again",
@@ -333,56 +343,60 @@
             )
         elif step.kind is Kind.DRAIN:
             if node.state is State.OFF:
-                self._done(state, "fell", "it went off while it drained", now)
+                self._record_done(state, "fell", "it went off while it drained", now)
             elif node.state is not State.DRAINING:
-                self._stop(
+                self._record_stop(
                     StopReason.REVERTED,
                     f"{step.node} was draining and is {describe_node(node)}: it is not drained again",
                     now,
                 )
             elif node.drained:
-                self._done(state, "done", "", now)
+                self._record_done(state, "done", "", now)
             else:
-                self._late(state, node, patience.drain_most_s, now)
+                self._check_time_limit(state, node, timeouts.drain_most_s, now)
         elif step.kind is Kind.SWITCH_ON and node.state is State.OFF:
-            self._stop(StopReason.FELL, f"{step.node} was switched on and went off again", now)
+            self._record_stop(StopReason.FELL, f"{step.node} was switched on and went off again", now)
         elif node.state is step.leads_to:
-            self._done(state, "done", "", now)
+            self._record_done(state, "done", "", now)
         else:
-            self._late(state, node, patience.warm_most_s, now)
+            self._check_time_limit(state, node, timeouts.warm_most_s, now)
 
-    def _awaited(self, state: StepState, node: Node, now: float) -> None:
+    def _check_awaited(self, state: StepState, node: Node, now: float) -> None:
         if node.state is State.READY and node.generation == state.step.generation:
-            self._done(state, "done", "", now)
+            self._record_done(state, "done", "", now)
         elif node.state is not State.WARMING or node.generation != state.step.generation:
-            self._stop(StopReason.MOVED, f"{state.step.node} was awaited and is {describe_node(node)}", now)
+            self._record_stop(
+                StopReason.MOVED, f"{state.step.node} was awaited and is {describe_node(node)}", now
+            )
         else:
             state.at = state.at or now
-            self._late(state, node, self._patience.warm_most_s, now)
+            self._check_time_limit(state, node, self._timeouts.warm_most_s, now)
 
-    def _late(self, state: StepState, node: Node, most: float, now: float) -> None:
-        if now - state.at > most:
-            self._stop(
+    def _check_time_limit(self, state: StepState, node: Node, limit_s: float, now: float) -> None:
+        if now - state.at > limit_s:
+            self._record_stop(
                 StopReason.LATE,
                 f"{state.step.node}: {state.step.kind} was taken {now - state.at:.0f} s ago and the "
                 f"node is {describe_node(node)}",
                 now,
             )
 
-    # ---- ends ----------------------------------------------------------------------------------------------
+    # ---- results -------------------------------------------------------------------------------------------
 
-    def _silent_for(self, name: str, now: float) -> float:
-        return now - self._silent.get(name, now)
+    def _silence_s(self, name: str, now: float) -> float:
+        return now - self._silent_since.get(name, now)
 
-    def _done(self, state: StepState, outcome: str, note: str, now: float) -> None:
+    def _record_done(self, state: StepState, outcome: str, note: str, now: float) -> None:
         self._decision.records.append(
             Done(apply=self.progress.plan.id, at=now, step=state.step.id, outcome=outcome, note=note)
         )
 
-    def _stop(self, why: StopReason, text: str, now: float) -> None:
+    def _record_stop(self, reason: StopReason, text: str, now: float) -> None:
         if self._decision.stop is None:
-            self._decision.stop = Stopped(apply=self.progress.plan.id, at=now, reason=why, text=text)
+            self._decision.stop = Stopped(apply=self.progress.plan.id, at=now, reason=reason, text=text)
             self._decision.records.append(self._decision.stop)
             self._decision.orders.clear()
-            # What would have been ordered in this turn has not left: no intent of it is kept.
-            self._decision.records = [one for one in self._decision.records if not isinstance(one, Intent)]
+            # The orders of this turn have not been sent, so their intents are not recorded.
+            self._decision.records = [
+                record for record in self._decision.records if not isinstance(record, Intent)
+            ]
--- a/weldhatch/planning/model.py
+++ b/weldhatch/planning/model.py
@@ -1,7 +1,8 @@
-"""The waves of a change as a linear program. Nodes that are alike share one variable a wave.
+"""The waves of a change as an integer linear program.
 
-x[group, wave] is how many of a group's nodes are done in a wave. A floor is a row for each wave that may
-drain from it, lifted by a large number in waves that drain nothing there.
+Nodes with the same properties form a group. The variable counts[group][wave] is how many nodes of a group
+are treated in a wave. A floor is a constraint for each wave that may drain nodes counted for it; in
+waves that drain none of them, a large constant makes the constraint ineffective (big-M).
 """
 
 from __future__ import annotations
@@ -16,18 +17,19 @@
 from weldhatch.planning.fleet import Fleet, Node
 from weldhatch.planning.linear import Program
 
-SCALE = 1000  # cores and GB in thousandths
-TENTHS = 10  # seconds in tenths
+CAPACITY_SCALE = 1000  # cores and GB are integers in units of 1/1000
+TIME_SCALE = 10  # seconds are integers in units of 1/10 s
 
 
 class Model:
-    """The program for at most `most` waves, and the way from its values to waves."""
+    """The program for at most `max_waves` waves, and the conversion of its solution to waves."""
 
-    def __init__(self, change: Change, fleet: Fleet, actions: tuple[Action, ...], most: int) -> None:
-        self._change, self._fleet, self._most = change, fleet, most
+    def __init__(self, change: Change, fleet: Fleet, actions: tuple[Action, ...], max_waves: int) -> None:
+        """Group the actions and add the variables and constraints."""
+        self._change, self._fleet, self._max_waves = change, fleet, max_waves
         self.program = Program()
         self._groups: dict[tuple, list[Action]] = defaultdict(list)
-        member = self._memberships()
+        memberships = self._memberships()
         for action in actions:
             node = action.node
             self._groups[
@@ -38,217 +40,231 @@
                     node.memory,
                     action.kind,
                     node.ready,
-                    member.get(node.id, ()),
+                    memberships.get(node.id, ()),
                 )
             ].append(action)
         self._keys = list(self._groups)
-        self._x = [
-            [self.program.variable(0, len(self._groups[key])) for _ in range(most)] for key in self._keys
+        self._counts = [
+            [self.program.add_variable(0, len(self._groups[key])) for _ in range(max_waves)]
+            for key in self._keys
         ]
         self._ready = [node for node in fleet.nodes.values() if node.ready]
-        for at, key in enumerate(self._keys):
+        for group, key in enumerate(self._keys):
             size = len(self._groups[key])
-            self.program.row(dict.fromkeys(self._x[at], 1), size, size)
+            self.program.add_row(dict.fromkeys(self._counts[group], 1), size, size)
         self._acted = [action.node.id for action in actions]
-        self._waves_used()
+        self._add_objective()
         for floor in change.floors:
-            self._floor(floor)
+            self._add_floor(floor)
         for spread in change.spreads:
-            self._spread(spread)
+            self._add_spread(spread)
         for limit in change.limits:
-            self._limit(limit)
+            self._add_limit(limit)
         for order in change.orders:
-            self._order(order)
+            self._add_order(order)
 
     def _memberships(self) -> dict[str, tuple]:
-        out: dict[str, tuple] = {}
-        for n, order in enumerate(self._change.orders):
-            for m, names in enumerate(order.sets):
+        memberships: dict[str, tuple] = {}
+        for order_index, order in enumerate(self._change.orders):
+            for set_index, names in enumerate(order.sets):
                 for name in names:
-                    out[name] = (*out.get(name, ()), (n, m))
-        return out
+                    memberships[name] = (*memberships.get(name, ()), (order_index, set_index))
+        return memberships
 
-    def _sample(self, at: int) -> Action:
-        return self._groups[self._keys[at]][0]
+    def _example(self, group: int) -> Action:
+        return self._groups[self._keys[group]][0]
 
-    # ---- rows ----------------------------------------------------------------------------------------------
+    # ---- constraints ---------------------------------------------------------------------------------------
 
-    def _waves_used(self) -> None:
-        """Which waves are used, how long they take, and the goal: few waves, then little time."""
+    def _add_objective(self) -> None:
+        """Add the used waves, their durations and bounds, and the goal: few waves, then little time."""
         program, pace, groups = self.program, self._fleet.pace, range(len(self._keys))
         count = sum(map(len, self._groups.values()))
-        self._used = [program.variable(0, 1) for _ in range(self._most)]
-        warm, drain = round(pace.warm_s * TENTHS), round(pace.drain_s * TENTHS)
+        self._used = [program.add_variable(0, 1) for _ in range(self._max_waves)]
+        warm, drain = round(pace.warm_s * TIME_SCALE), round(pace.drain_s * TIME_SCALE)
         longest = max(warm, drain, 1)
-        spans = []
-        for wave in range(self._most):
-            program.row({**{self._x[at][wave]: 1 for at in groups}, self._used[wave]: -count}, high=0)
+        durations = []
+        for wave in range(self._max_waves):
+            program.add_row(
+                {**{self._counts[group][wave]: 1 for group in groups}, self._used[wave]: -count}, high=0
+            )
             if wave:
-                program.row({self._used[wave]: 1, self._used[wave - 1]: -1}, high=0)
-            span = program.variable(0, longest)
-            spans.append(span)
-            for long, kind in (
+                program.add_row({self._used[wave]: 1, self._used[wave - 1]: -1}, high=0)
+            duration = program.add_variable(0, longest)
+            durations.append(duration)
+            for seconds, selects in (
                 (warm, lambda action: action.kind.starts),
                 (drain, lambda action: not action.kind.adds_capacity),
             ):
-                own = [at for at in groups if kind(self._sample(at))]
-                if own and long:
-                    there = program.variable(0, 1)
-                    size = sum(len(self._groups[self._keys[at]]) for at in own)
-                    program.row({**{self._x[at][wave]: 1 for at in own}, there: -size}, high=0)
-                    program.row({span: 1, there: -long}, low=0)
-        order = round(pace.order_s * TENTHS)
-        most = longest * self._most + 1
-        program.goal = {**dict.fromkeys(self._used, most + order), **dict.fromkeys(spans, 1)}
+                own = [group for group in groups if selects(self._example(group))]
+                if own and seconds:
+                    present = program.add_variable(0, 1)
+                    size = sum(len(self._groups[self._keys[group]]) for group in own)
+                    program.add_row(
+                        {**{self._counts[group][wave]: 1 for group in own}, present: -size}, high=0
+                    )
+                    program.add_row({duration: 1, present: -seconds}, low=0)
+        order = round(pace.order_s * TIME_SCALE)
+        wave_weight = longest * self._max_waves + 1
+        program.goal = {**dict.fromkeys(self._used, wave_weight + order), **dict.fromkeys(durations, 1)}
         for within in self._change.withins:
             if within.waves:
-                program.row(dict.fromkeys(self._used, 1), high=within.waves)
+                program.add_row(dict.fromkeys(self._used, 1), high=within.waves)
             if within.seconds:
-                program.row(
-                    {**dict.fromkeys(spans, 1), **dict.fromkeys(self._used, order)},
-                    high=math.floor(within.seconds * TENTHS),
+                program.add_row(
+                    {**dict.fromkeys(durations, 1), **dict.fromkeys(self._used, order)},
+                    high=math.floor(within.seconds * TIME_SCALE),
                 )
 
-    def _there(self, room: dict[int, int], wave: int) -> tuple[dict[int, int], int]:
-        """What the actions add to a sum of ready room in a wave, `room` being each group's room a node.
+    def _ready_terms(self, node_capacity: dict[int, int], wave: int) -> tuple[dict[int, int], int]:
+        """Return what the actions change in the sum of ready capacity in a wave, as terms and a constant.
 
-        Returns terms and a constant; the wave `most` is the end.
+        `node_capacity` is the capacity of one node of each group; the wave after the last is the plan's end.
         """
         terms: dict[int, int] = {}
         constant = 0
-        for at, size in room.items():
-            action = self._sample(at)
+        for group, size in node_capacity.items():
+            action = self._example(group)
             if action.kind.adds_capacity:
-                for variable in self._x[at][:wave]:
+                for variable in self._counts[group][:wave]:
                     terms[variable] = size
-            elif action.node.ready:  # it counts already, until it drains
-                constant -= size * len(self._groups[self._keys[at]])
-                for variable in self._x[at][wave + 1 :]:
+            elif action.node.ready:  # the nodes count in the sum already, until they drain
+                constant -= size * len(self._groups[self._keys[group]])
+                for variable in self._counts[group][wave + 1 :]:
                     terms[variable] = size
         return terms, constant
 
-    def _draining(self, counts_for: Sequence[int], wave: int) -> int | None:
-        """A variable that is 1 where a wave drains anything of these groups; None where it can't."""
-        own = [at for at in counts_for if self._sample(at).kind.drains]
+    def _drain_flag(self, groups: Sequence[int], wave: int) -> int | None:
+        """Return a variable that is 1 if a wave drains a node of these groups; None if it can't."""
+        own = [group for group in groups if self._example(group).kind.drains]
         if not own:
             return None
-        flag = self.program.variable(0, 1)
-        size = sum(len(self._groups[self._keys[at]]) for at in own)
-        self.program.row({**{self._x[at][wave]: 1 for at in own}, flag: -size}, high=0)
-        return flag
+        drain_flag = self.program.add_variable(0, 1)
+        size = sum(len(self._groups[self._keys[group]]) for group in own)
+        self.program.add_row({**{self._counts[group][wave]: 1 for group in own}, drain_flag: -size}, high=0)
+        return drain_flag
 
-    def _floor(self, floor: Floor) -> None:
+    def _add_floor(self, floor: Floor) -> None:
         fleet = self._fleet
         groups = [
-            at for at in range(len(self._keys)) if counts_for_floor(floor, self._sample(at).node, fleet)
+            group
+            for group in range(len(self._keys))
+            if counts_for_floor(floor, self._example(group).node, fleet)
         ]
         base = [node for node in self._ready if counts_for_floor(floor, node, fleet)]
-        flags = [self._draining(groups, wave) for wave in range(self._most)]
-        for what, wanted in (("cores", floor.cores), ("memory", floor.memory)):
-            if not wanted:
+        drain_flags = [self._drain_flag(groups, wave) for wave in range(self._max_waves)]
+        for what, required in (("cores", floor.cores), ("memory", floor.memory)):
+            if not required:
                 continue
-            need = math.ceil(wanted * SCALE - 1e-3)
+            required_amount = math.ceil(required * CAPACITY_SCALE - 1e-3)
 
             def size(node: Node, what: str = what) -> int:
-                return math.floor(getattr(node, what) * SCALE + 1e-3)
+                return math.floor(getattr(node, what) * CAPACITY_SCALE + 1e-3)
 
             by_rack: dict[str, int] = defaultdict(int)
             for node in base:
                 by_rack[node.rack] += size(node)
             racks: dict[str, dict[int, int]] = defaultdict(dict)
-            for at in groups:
-                node = self._sample(at).node
-                racks[node.rack][at] = size(node)
-            whole = {at: room for one in racks.values() for at, room in one.items()}
-            top = sum(by_rack.values()) + sum(
-                room * len(self._groups[self._keys[at]]) for at, room in whole.items()
+            for group in groups:
+                node = self._example(group).node
+                racks[node.rack][group] = size(node)
+            all_groups = {group: amount for by_group in racks.values() for group, amount in by_group.items()}
+            max_total = sum(by_rack.values()) + sum(
+                amount * len(self._groups[self._keys[group]]) for group, amount in all_groups.items()
             )
-            for wave in range(self._most + 1):
-                if wave < self._most and flags[wave] is None:
+            for wave in range(self._max_waves + 1):
+                if wave < self._max_waves and drain_flags[wave] is None:
                     continue
-                terms, constant = self._there(whole, wave)
+                terms, constant = self._ready_terms(all_groups, wave)
                 constant += sum(by_rack.values())
                 if self._change.survive_rack and not floor.rack:
-                    worst = self.program.variable(0, max(top, 0))
+                    worst_rack = self.program.add_variable(0, max(max_total, 0))
                     for rack in {*by_rack, *racks}:
-                        own, fixed = self._there(racks.get(rack, {}), wave)
-                        self.program.row(
-                            {worst: 1, **{at: -room for at, room in own.items()}}, low=fixed + by_rack[rack]
+                        own, fixed = self._ready_terms(racks.get(rack, {}), wave)
+                        self.program.add_row(
+                            {worst_rack: 1, **{group: -amount for group, amount in own.items()}},
+                            low=fixed + by_rack[rack],
                         )
-                    terms[worst] = -1
-                if wave < self._most:  # lifted in waves that drain nothing here
-                    lift = need + top
-                    self.program.row({**terms, flags[wave]: -lift}, low=need - constant - lift)
+                    terms[worst_rack] = -1
+                if wave < self._max_waves:  # ineffective in waves that drain no node of the floor
+                    big_m = required_amount + max_total
+                    self.program.add_row(
+                        {**terms, drain_flags[wave]: -big_m}, low=required_amount - constant - big_m
+                    )
                 else:
-                    self.program.row(terms, low=need - constant)
+                    self.program.add_row(terms, low=required_amount - constant)
 
-    def _spread(self, spread: Spread) -> None:
+    def _add_spread(self, spread: Spread) -> None:
         cls = self._fleet.classes[spread.cls]
         needed = math.ceil(spread.tasks / cls.spread_most)
-        groups = [at for at in range(len(self._keys)) if cls.served_by(self._sample(at).node.kind)]
+        groups = [group for group in range(len(self._keys)) if cls.served_by(self._example(group).node.kind)]
         base: dict[str, int] = defaultdict(int)
         for node in self._ready:
             if cls.served_by(node.kind):
                 base[node.rack] += 1
         racks: dict[str, dict[int, int]] = defaultdict(dict)
-        for at in groups:
-            racks[self._sample(at).node.rack][at] = 1
-        for wave in range(self._most + 1):
-            flag = self._draining(groups, wave) if wave < self._most else None
-            if wave < self._most and flag is None:
+        for group in groups:
+            racks[self._example(group).node.rack][group] = 1
+        for wave in range(self._max_waves + 1):
+            drain_flag = self._drain_flag(groups, wave) if wave < self._max_waves else None
+            if wave < self._max_waves and drain_flag is None:
                 continue
-            holds = {}
+            rack_flags = {}
             for rack in sorted({*base, *racks}):
-                there = self.program.variable(0, 1)
-                terms, constant = self._there(racks.get(rack, {}), wave)
-                self.program.row({**terms, there: -1}, low=-constant - base[rack])
-                holds[there] = 1
-            if flag is None:
-                self.program.row(holds, low=needed)
+                present = self.program.add_variable(0, 1)
+                terms, constant = self._ready_terms(racks.get(rack, {}), wave)
+                self.program.add_row({**terms, present: -1}, low=-constant - base[rack])
+                rack_flags[present] = 1
+            if drain_flag is None:
+                self.program.add_row(rack_flags, low=needed)
             else:
-                self.program.row({**holds, flag: -needed}, low=0)
+                self.program.add_row({**rack_flags, drain_flag: -needed}, low=0)
 
-    def _limit(self, limit: Limit) -> None:
+    def _add_limit(self, limit: Limit) -> None:
         busy = busy_outside_plan(limit, self._fleet, self._acted)
-        places: dict[str, list[int]] = defaultdict(list)
-        for at in range(len(self._keys)):
-            if counts_toward_limit(limit, self._sample(at)):
-                places[limit_scope(limit, self._sample(at).node)].append(at)
-        for name, groups in places.items():
-            for wave in range(self._most):
-                self.program.row(
-                    {self._x[at][wave]: 1 for at in groups}, high=max(0, limit.most - busy[name])
+        scopes: dict[str, list[int]] = defaultdict(list)
+        for group in range(len(self._keys)):
+            if counts_toward_limit(limit, self._example(group)):
+                scopes[limit_scope(limit, self._example(group).node)].append(group)
+        for name, groups in scopes.items():
+            for wave in range(self._max_waves):
+                self.program.add_row(
+                    {self._counts[group][wave]: 1 for group in groups}, high=max(0, limit.most - busy[name])
                 )
 
-    def _order(self, order: Order) -> None:
+    def _add_order(self, order: Order) -> None:
         earlier: list[int] = []
         for names in order.sets:
             chosen = set(names)
-            own = [at for at in range(len(self._keys)) if self._sample(at).node.id in chosen]
-            for wave in range(self._most) if own and earlier else ():
-                done = self.program.variable(0, 1)
-                size = sum(len(self._groups[self._keys[at]]) for at in earlier)
-                self.program.row(
-                    {**{variable: 1 for at in earlier for variable in self._x[at][:wave]}, done: -size}, low=0
+            own = [group for group in range(len(self._keys)) if self._example(group).node.id in chosen]
+            for wave in range(self._max_waves) if own and earlier else ():
+                earlier_done = self.program.add_variable(0, 1)
+                size = sum(len(self._groups[self._keys[group]]) for group in earlier)
+                self.program.add_row(
+                    {
+                        **{variable: 1 for group in earlier for variable in self._counts[group][:wave]},
+                        earlier_done: -size,
+                    },
+                    low=0,
                 )
-                self.program.row(
+                self.program.add_row(
                     {
-                        **{self._x[at][wave]: 1 for at in own},
-                        done: -sum(len(self._groups[self._keys[at]]) for at in own),
+                        **{self._counts[group][wave]: 1 for group in own},
+                        earlier_done: -sum(len(self._groups[self._keys[group]]) for group in own),
                     },
                     high=0,
                 )
             earlier = sorted({*earlier, *own})
 
-    # ---- values --------------------------------------------------------------------------------------------
+    # ---- solution ------------------------------------------------------------------------------------------
 
     def waves(self, values: Sequence[int]) -> Waves:
-        """The waves that the values mean; within a group, nodes with fewer tasks go first."""
-        out: list[list[Action]] = [[] for _ in range(self._most)]
-        for at, key in enumerate(self._keys):
-            rest = sorted(self._groups[key], key=lambda action: (action.node.tasks, action.node.id))
-            for wave in range(self._most):
-                count = values[self._x[at][wave]]
-                out[wave] += rest[:count]
-                rest = rest[count:]
-        return tuple(tuple(sorted(wave, key=lambda action: action.node.id)) for wave in out if wave)
+        """Return the waves of a solution; within a group, nodes with fewer tasks are treated first."""
+        waves: list[list[Action]] = [[] for _ in range(self._max_waves)]
+        for group, key in enumerate(self._keys):
+            remaining = sorted(self._groups[key], key=lambda action: (action.node.tasks, action.node.id))
+            for wave in range(self._max_waves):
+                count = values[self._counts[group][wave]]
+                waves[wave] += remaining[:count]
+                remaining = remaining[count:]
+        return tuple(tuple(sorted(wave, key=lambda action: action.node.id)) for wave in waves if wave)
--- a/weldhatch/planning/moved.py
+++ b/weldhatch/planning/moved.py
@@ -1,4 +1,4 @@
-"""What has moved in the world since a plan was made, told three ways: as planned, then, now."""
+"""Finds changes of the fleet since a plan was made; each shows the plan, the state then and the state now."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
     now: str
 
     def __str__(self) -> str:
+        """Return all fields as one line."""
         return f"{self.what}: planned: {self.planned}; then: {self.then}; now: {self.now}"
 
 
 def describe_node(node: Node | None) -> str:
-    """A node's state as a person reads it."""
+    """Return a node's state as text for operators."""
     if node is None:
         return "not in the fleet"
     if node.state is State.LOST:
@@ -36,14 +37,14 @@
 
 
 def find_moved_nodes(plan: Plan, fleet: Fleet, untouched: Iterable[str]) -> list[Moved]:
-    """Nodes that the plan acts on and that are not as it found them. Tasks may come and go.
+    """Return the nodes that the plan acts on and whose state has changed; the number of tasks may differ.
 
-    `untouched`: those of its nodes to which nothing has been done yet.
+    `untouched`: the nodes of the plan for which no step has begun.
     """
-    out, wanted = [], set(untouched)
-    planned = _planned(plan)
+    moved_nodes, relevant = [], set(untouched)
+    planned = _planned_steps_by_node(plan)
     for then in plan.world:
-        if then.id not in wanted:
+        if then.id not in relevant:
             continue
         now = fleet.nodes.get(then.id)
         same = now is not None and all(
@@ -51,17 +52,20 @@
             for name in ("state", "generation", "hall", "rack", "kind", "cores", "memory", "held")
         )
         if not same:
-            moved = _placed(then, now)
-            out.append(
+            placement = _describe_placement(then, now)
+            moved_nodes.append(
                 Moved(
-                    then.id, planned[then.id], describe_node(then) + moved[0], describe_node(now) + moved[1]
+                    then.id,
+                    planned[then.id],
+                    describe_node(then) + placement[0],
+                    describe_node(now) + placement[1],
                 )
             )
-    return out
+    return moved_nodes
 
 
-def _placed(then: Node, now: Node | None) -> tuple[str, str]:
-    """Where it stands and how large it is, if that has moved."""
+def _describe_placement(then: Node, now: Node | None) -> tuple[str, str]:
+    """Return the fields of placement and size that have changed, with the planned and the present values."""
     if now is None:
         return "", ""
     names = [
@@ -72,48 +76,48 @@
     return tuple("".join(f", {name} {getattr(node, name)}" for name in names) for node in (then, now))
 
 
-def _planned(plan: Plan) -> dict[str, str]:
-    """What is ordered of each node, and when."""
-    kinds: dict[str, list[Step]] = {}
+def _planned_steps_by_node(plan: Plan) -> dict[str, str]:
+    """Return, by node id, the steps that the plan has for the node, and their wave."""
+    steps_by_node: dict[str, list[Step]] = {}
     for step in plan.steps:
-        kinds.setdefault(step.node, []).append(step)
+        steps_by_node.setdefault(step.node, []).append(step)
     return {
         name: " and ".join(step.kind for step in steps if step.kind.orders_node or len(steps) == 1)
         + f" in wave {steps[0].wave}"
-        for name, steps in kinds.items()
+        for name, steps in steps_by_node.items()
     }
 
 
 def find_moved_floors(plan: Plan, fleet: Fleet, untouched: Iterable[str]) -> list[Moved]:
-    """What the rest of the plan would break on the fleet as it is now, though it did not then."""
+    """Return the statements that the rest of the plan would violate on the fleet as it is now."""
     change, waves = remaining_change(plan, fleet, set(untouched))
     then = {rest.line.place: rest for rest in plan.rests if not rest.wave}
-    out: dict[tuple[str, str], Moved] = {}
-    for broken in find_violations(change, fleet, waves):
-        before = then.get(broken.line.place)
-        out.setdefault(
-            (broken.line.place, broken.what),
+    moved_floors: dict[tuple[str, str], Moved] = {}
+    for violation in find_violations(change, fleet, waves):
+        before = then.get(violation.line.place)
+        moved_floors.setdefault(
+            (violation.line.place, violation.quantity),
             Moved(
-                str(broken.line),
-                f"{broken.what} of at least {broken.wanted:g}",
+                str(violation.line),
+                f"{violation.quantity} of at least {violation.required:g}",
                 f"{before.cores:g} cores, {before.memory:g} GB before the first wave" if before else "held",
-                f"{broken.there:g} {f'in wave {broken.wave}' if broken.wave else 'at the end'}",
+                f"{violation.actual:g} {f'in wave {violation.wave}' if violation.wave else 'at the end'}",
             ),
         )
-    return list(out.values())
+    return list(moved_floors.values())
 
 
 def remaining_change(plan: Plan, fleet: Fleet, untouched: set[str]) -> tuple[Change, Waves]:
-    """The waves that are left, on the fleet as it is, under what has to hold at any moment.
+    """Return the remaining waves on the fleet as it is, and the constraints that hold at any moment.
 
-    A node that is under way counts as what it is now, and adds or takes nothing more. The waves keep their
-    numbers: one in which nothing is left is empty.
+    A node for which a step has begun counts in its present state and has no action left. Waves keep their
+    numbers: a wave without remaining actions is empty.
     """
-    wants = {name: goal for goal in plan.change.goals for name in goal.nodes}
+    goals = {name: goal for goal in plan.change.goals for name in goal.nodes}
     waves = []
     for wave in plan.waves:
         own = [
-            _action(fleet.nodes[name], wants[name])
+            _action(fleet.nodes[name], goals[name])
             for name in wave.nodes
             if name in untouched and name in fleet.nodes
         ]
@@ -128,7 +132,7 @@
 
 
 def untouched_nodes(plan: Plan, begun: Iterable[str]) -> set[str]:
-    """The plan's nodes with no step among those begun; an await begins nothing."""
+    """Return the plan's nodes for which no step has begun, except await steps, which send no order."""
     awaits = {step.id for step in plan.steps if step.kind is Kind.AWAIT}
     touched = {step.node for step in plan.steps if step.id in set(begun) - awaits}
     return {node.id for node in plan.world} - touched
--- a/weldhatch/planning/plan.py
+++ b/weldhatch/planning/plan.py
@@ -1,7 +1,8 @@
-"""The plan: ordered steps in waves, the world that they rest on, and the file that holds them.
+"""The plan: ordered steps in waves, the node states that they assume, and the plan file.
 
-The file is JSON of a stated version with a checksum, so one that was cut or edited by hand is not carried
-out.
+The file is JSON with a schema version and a checksum; a truncated or edited file is rejected.
+
+`weldhatch fleet schema` prints the docstrings of `Kind`, `Step` and `Rest` and the names of these classes.
 """
 
 from __future__ import annotations
@@ -23,31 +24,33 @@
 
 
 class PlanError(ValueError):
-    """A plan file that can't be carried out; the text names the place."""
+    """A plan file that can't be carried out; the message names the file and the place."""
 
 
 class Kind(StrEnum):
     """What a step does, and to whom."""
 
-    ANNOUNCE = "announce"  # every gateway: give it nothing new
-    WELCOME = "welcome"  # every gateway: it takes work
-    DRAIN = "drain"  # the node
+    ANNOUNCE = "announce"  # notifies every gateway that the node takes no new work
+    WELCOME = "welcome"  # notifies every gateway that the node takes work
+    DRAIN = "drain"  # orders the node, as do the next three
     UNDRAIN = "undrain"
     STOP = "stop"
     SWITCH_ON = "switch-on"
-    AWAIT = "await"  # nobody: the node is on its way
+    AWAIT = "await"  # sends no order: the node is warming up already
 
     @property
     def at_gateways(self) -> bool:
+        """Whether the step's order goes to the gateways."""
         return self in (Kind.ANNOUNCE, Kind.WELCOME)
 
     @property
     def adds_capacity(self) -> bool:
-        """It is on the way to taking work."""
+        """Whether the step brings the node closer to taking work."""
         return self in (Kind.SWITCH_ON, Kind.AWAIT, Kind.UNDRAIN, Kind.WELCOME)
 
     @property
     def orders_node(self) -> bool:
+        """Whether the step's order goes to the node."""
         return not self.at_gateways and self is not Kind.AWAIT
 
 
@@ -59,10 +62,10 @@
     kind: Kind
     node: str
     generation: int
-    wants: tuple[State, ...]  # states in which it may begin
+    wants: tuple[State, ...]  # the states of the node in which the step may begin
     leads_to: State
-    after: tuple[str, ...] = ()  # steps that are done before
-    because: str = ""  # place of the statement that asks for it
+    after: tuple[str, ...] = ()  # the ids of the steps that have to be done before
+    because: str = ""  # the place of the statement in the change file that requires the step
 
 
 class Rest(msgspec.Struct, frozen=True, kw_only=True):
@@ -74,24 +77,26 @@
     memory: float
 
 
-class WavePlan(msgspec.Struct, frozen=True, kw_only=True):
+class WavePlan(msgspec.Struct, frozen=True, kw_only=True):  # noqa: D101 - it would change the printed schema
     number: int
     seconds: float
     nodes: tuple[str, ...]
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """The content of a plan file."""
+
     schema: str = SCHEMA
     version: int = VERSION
-    fleet: str = ""  # its name
+    fleet: str = ""  # the fleet's name
     made: float = 0.0  # Unix seconds
-    undoes: str = ""  # the apply that it takes back
-    way: str = ""
-    greedy_waves: int | None = None
+    undoes: str = ""  # the id of the apply that the plan undoes, if any
+    way: str = ""  # the planning method that found the waves
+    greedy_waves: int | None = None  # the number of waves of the greedy method; None if it found none
     change: Change
     classes: tuple[ServiceClass, ...]
     pace: Pace
-    world: tuple[Node, ...]  # the nodes that are acted on, as they were
+    world: tuple[Node, ...]  # the nodes that the plan acts on, as observed when it was made
     waves: tuple[WavePlan, ...]
     rests: tuple[Rest, ...]
     steps: tuple[Step, ...]
@@ -99,18 +104,18 @@
 
     @property
     def id(self) -> str:
-        """Its name in journals and operation ids."""
+        """The plan's name in journals and operation ids."""
         return self.checksum[:12]
 
     def operation(self, step: Step) -> str:
-        """The id of a step's order: the same at each repeat, so that a node knows it again."""
+        """Return the operation id of a step's order; retries use the same id, so nodes can deduplicate."""
         return f"{self.id}/{step.id}"
 
 
 def make(
     change: Change, fleet: Fleet, found: SearchResult, *, name: str, now: float, undoes: str = ""
 ) -> Plan:
-    """The plan for the waves that were found. `now` is in Unix seconds."""
+    """Return the plan for the waves that were found. `name`: the fleet's name; `now`: Unix seconds."""
     world = tuple(sorted((action.node for wave in found.waves for action in wave), key=lambda node: node.id))
     steps = tuple(
         step
@@ -142,7 +147,7 @@
     return msgspec.structs.replace(plan, checksum=checksum(plan))
 
 
-_STEPS: dict[ActionKind, tuple[Kind, ...]] = {
+_STEP_KINDS: dict[ActionKind, tuple[Kind, ...]] = {
     ActionKind.SWITCH_ON: (Kind.SWITCH_ON, Kind.WELCOME),
     ActionKind.AWAIT: (Kind.AWAIT, Kind.WELCOME),
     ActionKind.UNDRAIN: (Kind.UNDRAIN, Kind.WELCOME),
@@ -151,7 +156,7 @@
     ActionKind.DRAIN_STOP: (Kind.ANNOUNCE, Kind.DRAIN, Kind.STOP),
     ActionKind.STOP: (Kind.ANNOUNCE, Kind.STOP),
 }
-_SHAPES: dict[Kind, tuple[tuple[State, ...], State]] = {
+_STATES_BEFORE_AND_AFTER: dict[Kind, tuple[tuple[State, ...], State]] = {
     Kind.SWITCH_ON: ((State.OFF,), State.READY),
     Kind.AWAIT: ((State.WARMING, State.READY), State.READY),
     Kind.UNDRAIN: ((State.DRAINING,), State.READY),
@@ -163,9 +168,9 @@
 
 
 def _steps(action: Action, wave: int) -> Iterable[Step]:
-    generation, before = action.node.generation, ()
-    for kind in _STEPS[action.kind]:
-        wants, leads_to = _SHAPES[kind]
+    generation, predecessors = action.node.generation, ()
+    for kind in _STEP_KINDS[action.kind]:
+        wants, leads_to = _STATES_BEFORE_AND_AFTER[kind]
         step = Step(
             id=f"w{wave}.{action.node.id}.{kind}",
             wave=wave,
@@ -174,11 +179,11 @@
             generation=generation,
             wants=wants,
             leads_to=leads_to,
-            after=before,
+            after=predecessors,
             because=action.goal.line.place,
         )
         yield step
-        before = (step.id,)
+        predecessors = (step.id,)
         if kind is Kind.SWITCH_ON:
             generation += 1
 
@@ -201,30 +206,32 @@
 
 
 def checksum(plan: Plan) -> str:
-    blank = msgspec.structs.replace(plan, checksum="")
-    return hashlib.sha256(msgspec.json.encode(blank, order="deterministic")).hexdigest()
+    """Return the SHA-256 of the plan with an empty checksum, in hexadecimal digits."""
+    unsigned = msgspec.structs.replace(plan, checksum="")
+    return hashlib.sha256(msgspec.json.encode(unsigned, order="deterministic")).hexdigest()
 
 
 def encode(plan: Plan) -> bytes:
+    """Return the content of a plan file."""
     return msgspec.json.format(msgspec.json.encode(plan), indent=1) + b"\n"
 
 
 def decode(data: bytes, path: str) -> Plan:
-    """The plan of a file. Raises PlanError naming what is wrong, and where."""
+    """Return the plan in a file's data. Raises PlanError, which names `path` and the faulty key."""
     try:
-        head = msgspec.json.decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise PlanError(f"{path}: this is no whole JSON file; it may have been cut: {fault}") from None
-    if not isinstance(head, dict) or head.get("schema") != SCHEMA:
+        content = msgspec.json.decode(data)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise PlanError(f"{path}: this is no whole JSON file; it may have been cut: {error}") from None
+    if not isinstance(content, dict) or content.get("schema") != SCHEMA:
         raise PlanError(f"{path}: schema: this is no plan of a fleet's change")
-    if head.get("version") != VERSION:
+    if content.get("version") != VERSION:
         raise PlanError(
-            f"{path}: version: {head.get('version')!r}, and this program carries out version {VERSION}"
+            f"{path}: version: {content.get('version')!r}, and this program carries out version {VERSION}"
         )
     try:
         plan = msgspec.json.decode(data, type=Plan)
-    except msgspec.ValidationError as fault:
-        raise PlanError(f"{path}: {fault}") from None
+    except msgspec.ValidationError as error:
+        raise PlanError(f"{path}: {error}") from None
     if plan.checksum != checksum(plan):
         raise PlanError(f"{path}: checksum: the file is not as it was written; make a new plan of the change")
     return plan
--- a/weldhatch/planning/search.py
+++ b/weldhatch/planning/search.py
@@ -1,4 +1,4 @@
-"""Finds the waves of a change: greedy first, a solver to better it, and why there are none."""
+"""Finds the waves of a change, by the greedy method and a solver, or the reason why there are none."""
 
 from __future__ import annotations
 
@@ -23,192 +23,217 @@
 from weldhatch.planning.linear import SOLVERS, Program
 from weldhatch.planning.model import Model
 
-WAVES_MOST = 24  # where greedy finds nothing, a solver looks no further than this
-EFFORT = 2.0  # of one call of a solver, on a small model
-VARIABLES = 150  # a model with more of them gets less in proportion
+MAX_WAVES = 24  # the most waves that a solver looks for where the greedy method finds none
+SOLVER_EFFORT = 2.0  # for one call on a small model, in units of about a second (see `linear.cp_sat`)
+FULL_EFFORT_VARIABLES = 150  # a model with more variables gets proportionally less effort
 
 
 @dataclass(slots=True, frozen=True)
 class SearchResult:
-    """The waves found, by whom, and whether fewer are proven to be impossible."""
+    """The waves that were found, the method, and whether fewer waves are proven to be impossible."""
 
     waves: Waves
-    method: str  # nothing, greedy, cp-sat, highs
-    greedy_waves: int | None
+    method: str  # 'greedy', 'cp-sat', 'highs', or 'nothing' where no action is needed
+    greedy_waves: int | None  # the number of waves of the greedy method; None if it found none
     proven: bool
-    seconds: float  # by the fleet's pace
+    seconds: float  # the expected time of all waves, by the fleet's pace
 
 
-def search(change: Change, fleet: Fleet, way: str = "highs", effort: float = EFFORT) -> SearchResult:
-    """The best waves. Raises Unplannable with the smallest set of statements that exclude each other.
+def search(
+    change: Change, fleet: Fleet, method: str = "highs", effort: float = SOLVER_EFFORT
+) -> SearchResult:
+    """Return the best waves. Raises UnplannableError with the smallest set of conflicting statements.
 
-    `way` is a solver's name or `greedy`. A solver's waves are checked by `check.breaks` and taken only where
-    they are no worse than the greedy ones.
+    `method` is a solver's name or `greedy`. A solver's waves are checked by `check.find_violations` and used
+    only if they are no worse than the greedy ones.
     """
     todo = actions(change, fleet)
     if not todo:
-        if broken := find_violations(change, fleet, ()):
-            raise _impossible(change, fleet, way, effort, broken)
+        if violations := find_violations(change, fleet, ()):
+            raise _conflict_error(change, fleet, method, effort, violations)
         return SearchResult((), "nothing", 0, True, 0.0)
-    plain = greedy(change, fleet, todo)
-    least = least_waves(change, fleet, todo)
-    best, used = plain, "greedy"
-    proven = plain is not None and len(plain) <= least
-    if way != "greedy" and best is None:
-        best, proven = _solve(change, fleet, todo, min(len(todo), _most(change)), way, effort)
-        used = way
-    elif way != "greedy" and len(best) > 1:
+    greedy_result = greedy(change, fleet, todo)
+    minimum = min_waves(change, fleet, todo)
+    best, best_method = greedy_result, "greedy"
+    proven = greedy_result is not None and len(greedy_result) <= minimum
+    if method != "greedy" and best is None:
+        best, proven = _solve(change, fleet, todo, min(len(todo), _max_waves(change)), method, effort)
+        best_method = method
+    elif method != "greedy" and len(best) > 1:
         if not proven:
-            # Are fewer waves possible at all? Without the last wave the question is a smaller one.
-            better, known = _solve(change, fleet, todo, len(best) - 1, way, effort)
-            best, used, proven = (better, way, known) if better else (best, used, known)
-        # With no fewer waves to be had, only time can be won, and little is spent on that.
-        quicker, _ = _solve(change, fleet, todo, len(best), way, effort / 8)
-        if quicker and _worth(quicker, fleet) < _worth(best, fleet):
-            best, used = quicker, way
+            # A model with one wave fewer is smaller, so whether fewer waves are possible is solved first.
+            better, known = _solve(change, fleet, todo, len(best) - 1, method, effort)
+            best, best_method, proven = (better, method, known) if better else (best, best_method, known)
+        # From here on only the duration of the waves can improve, which is worth little effort.
+        quicker, _ = _solve(change, fleet, todo, len(best), method, effort / 8)
+        if quicker and _cost(quicker, fleet) < _cost(best, fleet):
+            best, best_method = quicker, method
     if best is None:
-        raise _impossible(change, fleet, way, effort, find_violations(change, fleet, _all_then_all(todo)))
+        raise _conflict_error(
+            change, fleet, method, effort, find_violations(change, fleet, _additions_then_rest(todo))
+        )
     return SearchResult(
         best,
-        used,
-        None if plain is None else len(plain),
+        best_method,
+        None if greedy_result is None else len(greedy_result),
         proven,
         sum(wave_duration_s(wave, fleet) for wave in best),
     )
 
 
-def _worth(waves: Waves, fleet: Fleet) -> tuple[int, float]:
+def _cost(waves: Waves, fleet: Fleet) -> tuple[int, float]:
     return len(waves), sum(wave_duration_s(wave, fleet) for wave in waves)
 
 
-def _most(change: Change) -> int:
-    return min([WAVES_MOST, *(within.waves for within in change.withins if within.waves)])
+def _max_waves(change: Change) -> int:
+    return min([MAX_WAVES, *(within.waves for within in change.withins if within.waves)])
 
 
 def _solve(
-    change: Change, fleet: Fleet, todo: tuple[Action, ...], most: int, way: str, effort: float
+    change: Change, fleet: Fleet, todo: tuple[Action, ...], max_waves: int, method: str, effort: float
 ) -> tuple[Waves | None, bool]:
-    """Waves, at most so many, or None; and whether that answer is proven."""
-    model = Model(change, fleet, todo, most)
-    # A large model gets less of it: its work is slower than a second each.
-    share = min(1.0, VARIABLES / len(model.program.bounds))
-    found = SOLVERS[way](model.program, effort * share, None)
-    if found.values is None:
-        return None, found.proven
-    waves = model.waves(found.values)
-    # Guards against a model that says less than the checks: its waves are not taken on trust.
-    return (None, False) if find_violations(change, fleet, waves) else (waves, found.proven)
-
-
-def least_waves(change: Change, fleet: Fleet, todo: Iterable[Action]) -> int:
-    """No plan has fewer waves: by the limits, each place takes so many a wave."""
+    """Return at most `max_waves` waves, or None, and whether the result is proven to be the best."""
+    model = Model(change, fleet, todo, max_waves)
+    # In a large model, a unit of effort takes longer than a second.
+    fraction = min(1.0, FULL_EFFORT_VARIABLES / len(model.program.bounds))
+    solution = SOLVERS[method](model.program, effort * fraction, None)
+    if solution.values is None:
+        return None, solution.proven
+    waves = model.waves(solution.values)
+    # Guards against a model that lacks a constraint: its waves are used only if the check passes.
+    return (None, False) if find_violations(change, fleet, waves) else (waves, solution.proven)
+
+
+def min_waves(change: Change, fleet: Fleet, todo: Iterable[Action]) -> int:
+    """Return a lower bound for the number of waves, from the limits per rack, hall or fleet."""
     todo = tuple(todo)
-    least = 1 if todo else 0
+    minimum = 1 if todo else 0
     acted = [action.node.id for action in todo]
     for limit in change.limits:
         busy = busy_outside_plan(limit, fleet, acted)
-        here = Counter(
+        scope_counts = Counter(
             limit_scope(limit, action.node) for action in todo if counts_toward_limit(limit, action)
         )
-        for name, count in here.items():
-            if (room := limit.most - busy[name]) > 0:
-                least = max(least, math.ceil(count / room))
-    return least
+        for name, count in scope_counts.items():
+            if (free := limit.most - busy[name]) > 0:
+                minimum = max(minimum, math.ceil(count / free))
+    return minimum
+
 
+def _additions_then_rest(todo: tuple[Action, ...]) -> Waves:
+    """Return two waves: all actions that add capacity, then all others.
 
-def _all_then_all(todo: tuple[Action, ...]) -> Waves:
-    """What adds room in one wave, all else in the next: where even its end breaks something, all plans do."""
+    A statement that is violated at the end of these waves is violated at the end of every plan.
+    """
     adds = tuple(action for action in todo if action.kind.adds_capacity)
     rest = tuple(action for action in todo if not action.kind.adds_capacity)
     return tuple(wave for wave in (adds, rest) if wave)
 
 
-# ---- why there is none -------------------------------------------------------------------------------------
+# ---- conflicts ---------------------------------------------------------------------------------------------
 
 
-def feasible(change: Change, fleet: Fleet, way: str, effort: float) -> bool:
-    """Is there any plan? The cheap answers come first."""
+def feasible(change: Change, fleet: Fleet, method: str, effort: float) -> bool:
+    """Return whether a plan was found; the cheap checks come first."""
     todo = actions(change, fleet)
     if any(
-        not broken.wave
-        for broken in find_violations(
-            change.restricted_to([*change.goals, *change.floors, *change.spreads]), fleet, _all_then_all(todo)
+        not violation.wave
+        for violation in find_violations(
+            change.restricted_to([*change.goals, *change.floors, *change.spreads]),
+            fleet,
+            _additions_then_rest(todo),
         )
     ):
         return False
     if not todo or greedy(change, fleet, todo) is not None:
         return True
-    return way != "greedy" and bool(
-        _solve(change, fleet, todo, min(len(todo), _most(change)), way, effort)[0]
+    return method != "greedy" and bool(
+        _solve(change, fleet, todo, min(len(todo), _max_waves(change)), method, effort)[0]
     )
 
 
 def smallest_conflict(
     statements: Sequence[object], possible: Callable[[list[object]], bool], rounds: int = 200
 ) -> list[object]:
-    """A smallest set of statements that can't all hold, in their order; `possible` tells of any set.
+    """Return a smallest set of statements that can't all hold, in their order; `possible` tests a set.
 
-    By hitting sets: what is left out of each largest possible set has to be hit by every conflict. After so
-    many rounds a set is returned from which nothing can be left out.
+    The algorithm uses hitting sets: each conflict has a statement from the complement of each largest set
+    that is possible. After `rounds` rounds, it returns a set from which no statement can be removed, but
+    which may not be the smallest.
     """
-    order = {id(one): n for n, one in enumerate(statements)}
-    missed: list[set[int]] = []
+    position = {id(statement): number for number, statement in enumerate(statements)}
+    complements: list[set[int]] = []
     for _ in range(rounds):
-        core = _hit(missed, len(statements))
-        chosen = [statements[at] for at in sorted(core)]
+        hitting_set = _smallest_hitting_set(complements, len(statements))
+        chosen = [statements[index] for index in sorted(hitting_set)]
         if not possible(chosen):
             return chosen
-        for one in statements:
-            if order[id(one)] not in core and possible([*chosen, one]):
-                chosen.append(one)
-        missed.append({order[id(one)] for one in statements} - {order[id(one)] for one in chosen})
+        for statement in statements:
+            if position[id(statement)] not in hitting_set and possible([*chosen, statement]):
+                chosen.append(statement)
+        complements.append(
+            {position[id(statement)] for statement in statements}
+            - {position[id(statement)] for statement in chosen}
+        )
     kept = list(statements)
-    for one in list(statements):
-        fewer = [other for other in kept if other is not one]
+    for statement in list(statements):
+        fewer = [other for other in kept if other is not statement]
         if not possible(fewer):
             kept = fewer
     return kept
 
 
-def _hit(missed: list[set[int]], count: int) -> set[int]:
-    """The fewest numbers that hit every set; the earlier ones where that is a tie."""
-    if not missed:
+def _smallest_hitting_set(sets: list[set[int]], count: int) -> set[int]:
+    """Return the fewest numbers below `count` that hit every set; lower numbers are preferred."""
+    if not sets:
         return set()
     program = Program()
-    for at in range(count):
-        program.goal[program.variable(0, 1)] = 1000 * count + at
-    for one in missed:
-        program.row(dict.fromkeys(sorted(one), 1), low=1)
-    found = SOLVERS["highs"](program, 10.0, None)
-    if found.values is None:  # out of time: any hitting set goes on being right, only not smallest
-        return set(itertools.chain.from_iterable({min(one)} for one in missed))
-    return {at for at, value in enumerate(found.values) if value}
-
-
-def _impossible(
-    change: Change, fleet: Fleet, way: str, effort: float, broken: list[Violation]
+    for index in range(count):
+        program.goal[program.add_variable(0, 1)] = 1000 * count + index
+    for members in sets:
+        program.add_row(dict.fromkeys(sorted(members), 1), low=1)
+    solution = SOLVERS["highs"](program, 10.0, None)
+    if solution.values is None:  # at the time limit: any hitting set is correct, but may not be the smallest
+        return set(itertools.chain.from_iterable({min(members)} for members in sets))
+    return {index for index, value in enumerate(solution.values) if value}
+
+
+def _conflict_error(
+    change: Change, fleet: Fleet, method: str, effort: float, violations: list[Violation]
 ) -> UnplannableError:
-    """The error for a change that can't be: the smallest conflict, and what it comes to in figures."""
+    """Return the error for a change without a plan: the smallest conflict, and one violation."""
     statements = change.statements()
 
-    helps = [goal for goal in change.goals if goal.want is TargetState.ON]
+    switch_on_goals = [goal for goal in change.goals if goal.want is TargetState.ON]
 
     def possible(kept: list[object]) -> bool:
-        """Leaving out what switches on is no relief of itself: those nodes may still be on, or not."""
-        with_all = [*(goal for goal in helps if all(goal is not one for one in kept)), *kept]
-        return feasible(change.restricted_to(kept), fleet, way, effort) or (
-            len(with_all) > len(kept) and feasible(change.restricted_to(with_all), fleet, way, effort)
+        """Return whether statements can hold, with or without the goals that switch nodes on.
+
+        Leaving out such a goal must not count as a relief of its own: the nodes may be on or not.
+        """
+        with_switch_on = [
+            *(goal for goal in switch_on_goals if all(goal is not other for other in kept)),
+            *kept,
+        ]
+        return feasible(change.restricted_to(kept), fleet, method, effort) or (
+            len(with_switch_on) > len(kept)
+            and feasible(change.restricted_to(with_switch_on), fleet, method, effort)
         )
 
-    if possible(list(statements)):  # only the time given was too short, or the way too plain
+    if possible(list(statements)):  # the effort was too small, or the method too weak
         return UnplannableError(
-            [f"no plan was found by {way} in the time given; nothing proves that there is none"]
+            [f"no plan was found by {method} in the time given; nothing proves that there is none"]
         )
     conflict = smallest_conflict(statements, possible)
-    within = change.restricted_to([*conflict, *(goal for goal in helps if goal not in conflict)])
-    figures = [str(one) for one in find_violations(within, fleet, _all_then_all(actions(within, fleet)))]
+    within = change.restricted_to([*conflict, *(goal for goal in switch_on_goals if goal not in conflict)])
+    figures = [
+        str(violation)
+        for violation in find_violations(within, fleet, _additions_then_rest(actions(within, fleet)))
+    ]
     lines = [f"these {len(conflict)} exclude each other:" if len(conflict) > 1 else "this can't be:"]
-    lines += [f"  {one.line}" for one in conflict]
-    if figures or broken:
-        lines.append("with all else left out: " + (figures or [str(one) for one in broken])[0])
-    return UnplannableError(lines, tuple(one.line for one in conflict))
+    lines += [f"  {statement.line}" for statement in conflict]
+    if figures or violations:
+        lines.append(
+            "with all else left out: " + (figures or [str(violation) for violation in violations])[0]
+        )
+    return UnplannableError(lines, tuple(statement.line for statement in conflict))
