--- a/weldhatch/nodes/__init__.py
+++ b/weldhatch/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""The node-control protocol: what is asked of nodes and gateways when the fleet is changed."""
+"""The node-control protocol: the requests to nodes and gateways by which a change of the fleet is applied."""
--- a/weldhatch/nodes/client.py
+++ b/weldhatch/nodes/client.py
@@ -1,4 +1,4 @@
-"""Nodes and gateways over HTTP, as an apply needs them. Owns its HTTP client, which `close` gives back."""
+"""The HTTP client of an apply for the control addresses of nodes and gateways."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class NodeClient:
-    """Calls by HTTP to the control addresses of nodes and gateways."""
+    """Calls nodes and gateways over HTTP. The caller closes the client by `close`."""
 
     def __init__(self, nodes: Mapping[str, str], gateways: tuple[str, ...], answer_s: float) -> None:
-        """Open no connection yet.
+        """Create the client without opening a connection.
 
-        `nodes`: host:port of each node's control address, by its id; `gateways`: names, which are host:port
-        too; `answer_s`: how long an answer is waited for.
+        `nodes`: host:port of each node's control address, by node id; `gateways`: the gateways' names, which
+        are host:port too; `answer_s`: the time-out for connecting, and for the whole call, in seconds.
         """
         self._nodes = nodes
         self.gateways = gateways
@@ -43,13 +43,13 @@
         )
 
     def close(self) -> None:
-        """Give the HTTP client back."""
+        """Close the HTTP client."""
         self._client.close()
 
     async def _call(
         self, method: str, address: str, path: str, body: bytes | None = None
     ) -> HTTPResponse | None:
-        """Return the answer, whatever its status; None where none came in time, or none that is HTTP."""
+        """Return the answer, whatever its status; None if there was no HTTP answer in time."""
         request = HTTPRequest(
             f"http://{address}{path}",
             method=method,
@@ -61,12 +61,12 @@
         )
         try:
             answer = await self._client.fetch(request, raise_error=False)
-        except (OSError, ValueError, HTTPClientError):  # refused, cut off, or no HTTP
+        except (OSError, ValueError, HTTPClientError):  # connection refused or lost, or not HTTP
             return None
         return None if answer.code == 599 else answer
 
     async def node(self, name: str) -> Node | None:
-        """Return one node as it says it is; None where it does not answer, or not with sense."""
+        """Return a node's reported state; None if it does not answer, or its answer is invalid."""
         answer = await self._call("GET", self._nodes[name], f"/v1/nodes/{name}")
         if answer is None or answer.code != 200:
             return None
@@ -76,12 +76,12 @@
             return None
 
     async def fetch_nodes(self, names: Iterable[str]) -> dict[str, Node | None]:
-        """Return nodes as they say they are; None for one that does not answer."""
+        """Return the reported states of nodes by id; None for a node that does not answer."""
         names = list(names)
         return dict(zip(names, await asyncio.gather(*(self.node(name) for name in names)), strict=True))
 
     async def draining_machines(self) -> dict[str, frozenset[str]]:
-        """Return the machines that each gateway holds as draining, but for gateways that do not answer."""
+        """Return the machines that each gateway lists as draining, without gateways that do not answer."""
         answers = await asyncio.gather(*map(self._draining_at, self.gateways))
         return {
             gateway: draining
@@ -101,7 +101,7 @@
         return frozenset(name for name, machine in machines.items() if machine.get("state") == State.DRAINING)
 
     async def send(self, order: Order) -> Answer:
-        """Send one order to its node or gateway; return what came of it."""
+        """Send an order to its node or gateway and return the answer."""
         step = order.step
         if order.gateway:
             state = State.DRAINING if step.kind is Kind.ANNOUNCE else State.READY
--- a/weldhatch/nodes/protocol.py
+++ b/weldhatch/nodes/protocol.py
@@ -1,9 +1,11 @@
-"""The messages of node control, by JSON over HTTP. `docs/node-control.md` is the page for those who serve it.
+"""The messages of the node-control protocol: JSON over HTTP.
 
-    GET  /v1/nodes/ID          the node as it is
-    POST /v1/nodes/ID/orders   {"op", "order", "generation", "fence"}: 200 taken, or a refusal
+`docs/node-control.md` is the guide for implementers of nodes.
 
-A refusal has a code. FENCE, GENERATION, STATE and REFUSED are final for this order; BUSY may be tried again.
+    GET  /v1/nodes/ID          the node's present state
+    POST /v1/nodes/ID/orders   {"op", "order", "generation", "fence"}: 200 if accepted, or a refusal
+
+A refusal has a code. FENCE, GENERATION, STATE and REFUSED are final for this order; BUSY may be retried.
 """
 
 from __future__ import annotations
@@ -17,22 +19,22 @@
 
 
 class Refusal(StrEnum):
-    """Why a node or gateway has not taken an order."""
+    """The code of a refusal: why a node or gateway did not accept an order."""
 
-    FENCE = "FENCE"  # an order of a later apply has come
-    GENERATION = "GENERATION"  # the node has started anew since
-    STATE = "STATE"  # the order does not fit its state
-    REFUSED = "REFUSED"  # it will not
-    BUSY = "BUSY"  # not now
+    FENCE = "FENCE"  # an order of a later apply has been received
+    GENERATION = "GENERATION"  # the node has been restarted and has another generation
+    STATE = "STATE"  # the order is not valid in the node's state
+    REFUSED = "REFUSED"  # the order is refused for another reason, such as data that would be lost
+    BUSY = "BUSY"  # the order may be accepted later
 
     @property
     def transient(self) -> bool:
-        """Whether the same order may be taken later."""
+        """Whether the same order may be accepted later."""
         return self is Refusal.BUSY
 
 
 class NodeOrder(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An order to a node. The same `op` again is the same order again: it has no second effect."""
+    """An order to a node. `op` is the idempotency key: an order repeated under it has no second effect."""
 
     op: str
     order: Kind
@@ -41,7 +43,7 @@
 
 
 class OperatorOrder(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An operator's order on a machine, to a gateway: `draining` gets nothing new, `ready` lifts that."""
+    """An operator's order to a gateway: a `draining` machine gets no new work, `ready` ends the drain."""
 
     op: str
     state: State
@@ -49,7 +51,7 @@
 
 
 class RefusalDetail(msgspec.Struct, frozen=True, kw_only=True):
-    """Why an order was not taken. `code`: one of `Refusal`, or another; `fence`: the latest that has come."""
+    """Why an order was refused. `code` may be unknown to `Refusal`; `fence` is the highest one received."""
 
     code: str
     message: str = ""
@@ -57,16 +59,16 @@
 
 
 class RefusalBody(msgspec.Struct, frozen=True):
-    """The body of an answer that is no 200."""
+    """The body of an answer with a status other than 200."""
 
     error: RefusalDetail
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """What came of one order.
+    """The result of an order.
 
-    `taken` is False with a reason where it was refused, and without one where nobody answered: then it may
-    have arrived. `overtaken`: an order of a later apply has come.
+    `taken`: whether the order was accepted. If not, `reason` is the refusal, or empty if there was no answer:
+    then the order may have been received. `overtaken`: an order of a later apply has been received.
     """
 
     taken: bool
@@ -76,7 +78,7 @@
 
     @staticmethod
     def refused(code: str, message: str) -> Answer:
-        """Return the answer for a refusal; a code that is not known is final."""
+        """Return the result for a refusal; an unknown code is final."""
         known = code in Refusal.__members__
         return Answer(
             taken=False,
@@ -93,7 +95,7 @@
 
 
 def read_node(data: bytes, expected: str) -> Node:
-    """Return a node's own account of itself. Raises ValueError for what is none, or another node's."""
+    """Return a node's reported state. Raises ValueError if the data is invalid or from another node."""
     node: Node = _NODE.decode(data)
     if node.id != expected:
         raise ValueError(f"$.id: {node.id!r} answers where {expected!r} was asked")
@@ -101,7 +103,7 @@
 
 
 def read_refusal(data: bytes, status: int) -> Answer:
-    """Return the refusal in a body; one that can't be read is final and says so, but for a status of 5xx."""
+    """Return the refusal in a body; a body that can't be read is final unless the status is 5xx."""
     try:
         detail = _REFUSAL.decode(data).error
     except (msgspec.DecodeError, UnicodeDecodeError):
