--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""Change files against a fleet, waves by every way, and what excludes each other. No I/O."""
+"""Change files read against a fleet, the waves of each planning method, conflicts, and plan files. No I/O."""
 
 import itertools
 
@@ -18,16 +18,16 @@
 from weldhatch.sexpr import reader
 from weldhatch.testbed.fleet import small_fleet
 
-WAYS = ("cp-sat", "highs")
+SOLVER_NAMES = ("cp-sat", "highs")
 
 
-def read(text, fleet=None):
+def read_text(text, fleet=None):
     return read_change(reader.read_whole("f", lambda _: text), fleet or small_fleet())
 
 
-def faults(text):
+def faults_of(text):
     with pytest.raises(reader.FormError) as caught:
-        read(text)
+        read_text(text)
     return [str(fault) for fault in caught.value.faults]
 
 
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ('(change "x" (drain n99))', "f:1:20: no node is named n99"),
         ('(change "x" (drain (all of rack r77)))', "no rack is named r77"),
@@ -57,38 +57,38 @@
         ("", "no change stands in this file"),
     ],
 )
-def test_what_a_change_file_says_wrong_is_named_with_its_place(text, said):
-    [fault] = faults(text)
+def test_a_fault_in_a_change_file_is_reported_with_its_place(text, message):
+    [fault] = faults_of(text)
     assert fault.startswith("f:1:" if text else "the change file")
-    assert said in fault
+    assert message in fault
 
 
-def test_all_faults_of_a_change_are_told_at_once():
-    assert len(faults('(change "x" (on n99)\n (drain n98) (keep (rack r9) (cores 1))\n (foo))')) == 4
+def test_all_faults_of_a_change_file_are_reported_at_once():
+    assert len(faults_of('(change "x" (on n99)\n (drain n98) (keep (rack r9) (cores 1))\n (foo))')) == 4
 
 
-def test_sets_selectors_and_replacements_name_nodes():
-    change = read(
+def test_sets_selectors_and_replacements_select_nodes():
+    change = read_text(
         '(set old (all of rack r1)) (change "x" (replace old with n7) (drain (all of set old)))'.replace(
             " (drain (all of set old))", ""
         )
     )
     assert change.target_states() == {"n7": "on", "n1": "off", "n5": "off"}
     assert change.orders[0].sets == (("n7",), ("n1", "n5"))
-    everyone = read('(change "x" (drain (all of fleet)))')
-    assert len(everyone.target_states()) == 8
+    whole_fleet = read_text('(change "x" (drain (all of fleet)))')
+    assert len(whole_fleet.target_states()) == 8
 
 
 # ---- actions -----------------------------------------------------------------------------------------------
 
 
-def test_what_is_as_wanted_needs_nothing_and_what_is_under_way_is_awaited():
+def test_a_node_in_its_target_state_needs_no_action_and_a_warming_node_is_awaited():
     nodes = dict(small_fleet().nodes)
     for name, state in (("n2", State.WARMING), ("n3", State.DRAINING), ("n4", State.DRAINING)):
         nodes[name] = msgspec.structs.replace(nodes[name], state=state)
     nodes["n5"] = msgspec.structs.replace(nodes["n5"], held=True)
     fleet = Fleet(nodes.values())
-    change = read('(change "x" (on n1 n2 n3 n5 n7) (off n4 n8) (drain n6))', fleet)
+    change = read_text('(change "x" (on n1 n2 n3 n5 n7) (off n4 n8) (drain n6))', fleet)
     assert {action.node.id: action.kind for action in actions(change, fleet)} == {
         "n2": ActionKind.AWAIT,
         "n3": ActionKind.UNDRAIN,
@@ -99,53 +99,63 @@
     }
 
 
-def test_a_node_that_does_not_answer_can_not_be_planned_for():
+def test_a_change_of_a_node_that_does_not_answer_is_unplannable():
     nodes = dict(small_fleet().nodes)
     nodes["n1"] = msgspec.structs.replace(nodes["n1"], state=State.LOST)
     fleet = Fleet(nodes.values())
     with pytest.raises(UnplannableError, match="n1 does not answer"):
-        search(read('(change "x" (drain n1))', fleet), fleet)
+        search(read_text('(change "x" (drain n1))', fleet), fleet)
 
 
 # ---- waves -------------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("way", ["greedy", *WAYS])
-def test_new_nodes_are_warm_before_what_they_replace_drains(way):
+@pytest.mark.parametrize("method", ["greedy", *SOLVER_NAMES])
+def test_new_nodes_are_warm_before_the_replaced_nodes_drain(method):
     fleet = small_fleet()
-    found = search(read('(change "x" (replace n1 with n7) (keep (cores 160)))', fleet), fleet, way)
+    found = search(read_text('(change "x" (replace n1 with n7) (keep (cores 160)))', fleet), fleet, method)
     assert [[action.node.id for action in wave] for wave in found.waves] == [["n7"], ["n1"]]
 
 
-@pytest.mark.parametrize("way", ["greedy", *WAYS])
-def test_floors_hold_also_if_the_worst_rack_falls(way):
-    fleet = small_fleet()  # six ready nodes of 40 cores; two racks of four have two ready ones
+@pytest.mark.parametrize("method", ["greedy", *SOLVER_NAMES])
+def test_floors_also_hold_if_the_rack_with_the_most_capacity_fails(method):
+    fleet = small_fleet()  # six ready nodes of 40 cores; two of the four racks have two ready nodes
     text = '(change "x" (on n7 n8) (drain n1 n2) (keep (cores 160)))'
-    found = search(read(text, fleet), fleet, way)
-    # 240 cores are ready and one rack holds 80 of them: nothing may drain before the new ones are warm.
+    found = search(read_text(text, fleet), fleet, method)
+    # 240 cores are ready, 80 of them in one rack: no node may drain before the new ones are warm.
     assert [sorted(action.kind for action in wave) for wave in found.waves] == [
         ["switch-on", "switch-on"],
         ["drain", "drain"],
     ]
-    assert len(search(read(text.replace("(keep", "(survive nothing) (keep"), fleet), fleet, way).waves) == 1
+    assert (
+        len(search(read_text(text.replace("(keep", "(survive nothing) (keep"), fleet), fleet, method).waves)
+        == 1
+    )
 
 
-@pytest.mark.parametrize("way", ["greedy", *WAYS])
-def test_limits_count_those_who_drain_already(way):
+@pytest.mark.parametrize("method", ["greedy", *SOLVER_NAMES])
+def test_limits_count_nodes_that_are_draining_already(method):
     nodes = dict(small_fleet().nodes)
-    nodes["n5"] = msgspec.structs.replace(nodes["n5"], state=State.DRAINING)  # rack r1, with tasks
+    nodes["n5"] = msgspec.structs.replace(nodes["n5"], state=State.DRAINING)  # in rack r1, with tasks
     fleet = Fleet(nodes.values())
     with pytest.raises(UnplannableError, match="at-most 1 draining per rack"):
-        search(read('(change "x" (drain n1) (at-most 1 draining per rack))', fleet), fleet, way)
+        search(read_text('(change "x" (drain n1) (at-most 1 draining per rack))', fleet), fleet, method)
     assert (
-        len(search(read('(change "x" (drain n1) (at-most 2 draining per rack))', fleet), fleet, way).waves)
+        len(
+            search(
+                read_text('(change "x" (drain n1) (at-most 2 draining per rack))', fleet), fleet, method
+            ).waves
+        )
         == 1
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_a_solver_finds_fewer_waves_where_greedy_begins_with_the_wrong_ones(way):
-    """Greedy drains by tasks; the small node first leaves no room for the two that would fit together."""
+@pytest.mark.parametrize("method", SOLVER_NAMES)
+def test_a_solver_finds_the_fewest_waves_where_greedy_drains_in_a_bad_order(method):
+    """Guards against a solver that is no better than the greedy method, which drains nodes by their tasks.
+
+    The small node drains first and leaves too little capacity for the two that could drain together.
+    """
     sizes = {"a1": 10, "a2": 40, "b1": 30, "b2": 20}
     nodes = [
         Node(id=name, hall="h", rack=f"r{n}", kind="k", cores=size, memory=1, state=State.READY, tasks=n)
@@ -156,20 +166,20 @@
         for n in range(2)
     ]
     fleet = Fleet(nodes, (), Pace())
-    change = read(
+    change = read_text(
         '(change "x" (survive nothing) (on c0 c1) (drain a1 a2 b1 b2) (keep (cores 50))'
         " (at-most 1 starting per fleet))",
         fleet,
     )
     todo = actions(change, fleet)
-    plain, found = greedy(change, fleet, todo), search(change, fleet, way)
-    assert len(found.waves) <= len(plain) and not find_violations(change, fleet, found.waves)
-    assert len(found.waves) == best(change, fleet, todo, len(plain))
+    greedy_waves, found = greedy(change, fleet, todo), search(change, fleet, method)
+    assert len(found.waves) <= len(greedy_waves) and not find_violations(change, fleet, found.waves)
+    assert len(found.waves) == fewest_waves(change, fleet, todo, len(greedy_waves))
 
 
-def best(change, fleet, todo, most):
-    """The fewest waves there are, by trying all."""
-    for count in range(1, most + 1):
+def fewest_waves(change, fleet, todo, max_waves):
+    """Return the fewest possible waves, by exhaustive search; None if there are none."""
+    for count in range(1, max_waves + 1):
         for choice in itertools.product(range(count), repeat=len(todo)):
             waves = tuple(
                 tuple(action for action, wave in zip(todo, choice, strict=True) if wave == n)
@@ -181,8 +191,8 @@
 
 
 @st.composite
-def problems(draw):
-    """Small fleets with changes that may or may not be possible."""
+def planning_problems(draw):
+    """Return a change file's text, which may or may not be possible, and a small fleet."""
     count = draw(st.integers(3, 5))
     nodes = [
         Node(
@@ -217,36 +227,38 @@
     return f'(change "x" {" ".join(parts)})', fleet
 
 
-@given(problems())
-def test_every_way_holds_what_has_to_hold_and_a_solver_is_best(problem):
+@given(planning_problems())
+def test_each_solver_finds_a_valid_plan_with_the_fewest_waves_or_none_exists(problem):
     text, fleet = problem
-    change = read(text, fleet)
+    change = read_text(text, fleet)
     todo = actions(change, fleet)
     fewest = (
-        best(change, fleet, todo, len(todo)) if todo else (None if find_violations(change, fleet, ()) else 0)
+        fewest_waves(change, fleet, todo, len(todo))
+        if todo
+        else (None if find_violations(change, fleet, ()) else 0)
     )
-    for way in WAYS:
+    for method in SOLVER_NAMES:
         try:
-            found = search(change, fleet, way)
+            found = search(change, fleet, method)
         except UnplannableError:
-            assert fewest is None, (text, way)
+            assert fewest is None, (text, method)
             continue
         assert not find_violations(change, fleet, found.waves)
-        assert len(found.waves) == fewest, (text, way)
+        assert len(found.waves) == fewest, (text, method)
 
 
-def test_the_smallest_set_that_excludes_each_other_is_named_in_the_files_words():
+def test_the_smallest_conflict_is_reported_with_the_text_of_its_statements():
     fleet = small_fleet()
     text = (
         '(change "x"\n (drain n1 n2)\n (drain n3)\n (drain n4)\n (keep (cores 160))\n'
         " (at-most 2 draining per rack))"
     )
     with pytest.raises(UnplannableError) as caught:
-        search(read(text, fleet), fleet)
+        search(read_text(text, fleet), fleet)
     assert [line.text for line in caught.value.conflict] == ["(drain n1 n2)", "(keep (cores 160))"]
     assert "f:5:2: (keep (cores 160))" in str(caught.value)
     with pytest.raises(UnplannableError) as caught:
-        search(read('(change "x" (on n7) (drain n1 n2) (order n1 n2) (order n2 n1))', fleet), fleet)
+        search(read_text('(change "x" (on n7) (drain n1 n2) (order n1 n2) (order n2 n1))', fleet), fleet)
     assert [line.text for line in caught.value.conflict] == [
         "(drain n1 n2)",
         "(order n1 n2)",
@@ -254,7 +266,7 @@
     ]
     with pytest.raises(UnplannableError) as caught:
         search(
-            read(
+            read_text(
                 '(change "x" (drain n1 n5) (at-most 1 draining per rack) (within 1 waves) (within 1h))', fleet
             ),
             fleet,
@@ -267,11 +279,11 @@
 
 
 @given(st.lists(st.sets(st.integers(0, 6), min_size=1), min_size=1, max_size=6))
-def test_a_smallest_conflict_is_one_and_none_is_smaller(conflicts):
+def test_a_smallest_conflict_is_impossible_and_no_conflict_is_smaller(conflicts):
     statements = [object() for _ in range(7)]
 
     def possible(kept):
-        chosen = {n for n, one in enumerate(statements) if any(one is other for other in kept)}
+        chosen = {n for n, statement in enumerate(statements) if any(statement is other for other in kept)}
         return not any(conflict <= chosen for conflict in conflicts)
 
     found = smallest_conflict(statements, possible)
@@ -282,20 +294,20 @@
 # ---- the plan file -----------------------------------------------------------------------------------------
 
 
-def made(text='(change "x" (on n7 n8) (off n1) (drain n2) (keep (cores 120)))', fleet=None):
+def make_plan(text='(change "x" (on n7 n8) (off n1) (drain n2) (keep (cores 120)))', fleet=None):
     fleet = fleet or small_fleet()
-    change = read(text, fleet)
+    change = read_text(text, fleet)
     return plans.make(change, fleet, search(change, fleet), name="toy", now=5.0)
 
 
-def test_a_plan_file_comes_back_as_it_was():
-    plan = made()
+def test_a_plan_is_unchanged_after_encoding_and_decoding():
+    plan = make_plan()
     assert plans.decode(plans.encode(plan), "p") == plan
     assert [step.kind for step in plan.steps if step.node == "n1"] == ["announce", "drain", "stop"]
 
 
 @pytest.mark.parametrize(
-    ("spoil", "said"),
+    ("corrupt", "message"),
     [
         (lambda data: data[:-40], "cut"),
         (lambda data: data.replace(b'"version": 1', b'"version": 2'), "version"),
@@ -306,28 +318,30 @@
         (lambda data: data.replace(b'"way"', b'"wey"', 1), "unknown field"),
     ],
 )
-def test_a_plan_that_was_cut_or_edited_is_refused(spoil, said):
-    with pytest.raises(plans.PlanError, match=said):
-        plans.decode(spoil(plans.encode(made())), "p")
+def test_a_truncated_or_edited_plan_is_rejected(corrupt, message):
+    with pytest.raises(plans.PlanError, match=message):
+        plans.decode(corrupt(plans.encode(make_plan())), "p")
 
 
-def test_only_what_the_plan_rests_on_can_move():
-    fleet, plan = small_fleet(), made()
-    every = [node.id for node in plan.world]
+def test_only_changes_that_the_plan_depends_on_are_reported_as_moved():
+    fleet, plan = small_fleet(), make_plan()
+    node_ids = [node.id for node in plan.world]
 
-    def now(name, **changes):
+    def fleet_with(name, **changes):
         return fleet.with_nodes({name: msgspec.structs.replace(fleet.nodes[name], **changes)})
 
-    aside = now("n4", generation=9, tasks=77)  # not acted on, and as ready as it was
-    assert not find_moved_nodes(plan, aside, every) and not find_moved_floors(plan, aside, every)
-    assert not find_moved_nodes(plan, now("n1", tasks=77), every)
-    [moved] = find_moved_nodes(plan, now("n1", generation=2), every)
+    unrelated = fleet_with("n4", generation=9, tasks=77)  # not part of the plan, and still ready
+    assert not find_moved_nodes(plan, unrelated, node_ids) and not find_moved_floors(
+        plan, unrelated, node_ids
+    )
+    assert not find_moved_nodes(plan, fleet_with("n1", tasks=77), node_ids)
+    [moved] = find_moved_nodes(plan, fleet_with("n1", generation=2), node_ids)
     assert str(moved) == (
         "n1: planned: drain and stop in wave 1; then: ready, generation 1, 6 tasks; "
         "now: ready, generation 2, 6 tasks"
     )
-    gone = fleet.with_nodes(
+    lost_nodes = fleet.with_nodes(
         {name: msgspec.structs.replace(fleet.nodes[name], state=State.LOST) for name in ("n3", "n4")}
     )
-    [moved] = find_moved_floors(plan, gone, every)
+    [moved] = find_moved_floors(plan, lost_nodes, node_ids)
     assert "(keep (cores 120))" in moved.what and "now: 40" in str(moved)
