--- a/weldhatch/planning/actions.py
+++ b/weldhatch/planning/actions.py
@@ -15,9 +15,7 @@
 
     SWITCH_ON = "switch-on"  # from off to ready, through warming
     AWAIT = "await"  # the node is warming already: no order is sent, the apply waits until it is ready
-    WELCOME = (
-        "welcome"  # the node is ready but held at a gateway: the gateways are notified that it takes work
-    )
+    WELCOME = "welcome"  # the node is ready but held at a gateway: the gateways are notified to end that
     UNDRAIN = "undrain"  # from draining to ready, without a restart
     DRAIN = "drain"  # from ready to draining, until its tasks have ended
     DRAIN_STOP = "drain-stop"  # drains the node, then switches it off
--- a/weldhatch/planning/change.py
+++ b/weldhatch/planning/change.py
@@ -186,8 +186,8 @@
             name, parts = "", parts[1:] if parts and isinstance(parts[0], Atom) else parts
         else:
             name, parts = str(parts[0].value), parts[1:]
-        outer = [item for item in items if isinstance(item, Form) and item.head == "set"]
-        return name, [*outer, *parts]
+        outer_sets = [item for item in items if isinstance(item, Form) and item.head == "set"]
+        return name, [*outer_sets, *parts]
 
     def _define_set(self, form: Form) -> None:
         parts = form.items[1:]
@@ -224,13 +224,18 @@
     def _read_replace(self, form: Form) -> None:
         """Read (replace OLD ... with NEW ...): the new nodes are warm before the old ones drain."""
         parts = form.items[1:]
-        at = next((n for n, part in enumerate(parts) if isinstance(part, Atom) and part.value == "with"), -1)
-        if at < 1 or at == len(parts) - 1:
+        with_index = next(
+            (index for index, part in enumerate(parts) if isinstance(part, Atom) and part.value == "with"), -1
+        )
+        if with_index < 1 or with_index == len(parts) - 1:
             self._add_fault(
                 form, f"{describe(form)} does not say what by what", "(replace NODE ... with NODE ...)"
             )
             return
-        old, new = self._select_nodes(parts[:at], form), self._select_nodes(parts[at + 1 :], form)
+        old, new = (
+            self._select_nodes(parts[:with_index], form),
+            self._select_nodes(parts[with_index + 1 :], form),
+        )
         self._add_goal(form, TargetState.ON, new)
         self._add_goal(form, TargetState.OFF, old)
         self._statements["orders"].append(Order(self._statement_line(form), (new, old)))
@@ -268,7 +273,7 @@
 
     def _read_at_most(self, form: Form) -> None:
         parts = form.items[1:]
-        shape = "(at-most N draining per rack), or starting, per hall or fleet"
+        expected = "(at-most N draining per rack), or starting, per hall or fleet"
         words = [str(part.value) for part in parts if isinstance(part, Atom)]
         if (
             len(words) != 4
@@ -278,13 +283,15 @@
             or words[2] != "per"
             or words[3] not in ("rack", "hall", "fleet")
         ):
-            self._add_fault(form, f"{describe(form)} can't be read", shape)
+            self._add_fault(form, f"{describe(form)} can't be read", expected)
             return
-        most = parts[0].value
-        if most < 0 or most != int(most):
+        max_nodes = parts[0].value
+        if max_nodes < 0 or max_nodes != int(max_nodes):
             self._add_fault(parts[0], f"{parts[0].text} nodes", "a whole number")
             return
-        self._statements["limits"].append(Limit(self._statement_line(form), int(most), words[1], words[3]))
+        self._statements["limits"].append(
+            Limit(self._statement_line(form), int(max_nodes), words[1], words[3])
+        )
 
     def _read_spread(self, form: Form) -> None:
         parts = form.items[1:]
@@ -352,7 +359,7 @@
         return tuple(selected)
 
     def _select_all_of(self, form: Form) -> Iterable[str]:
-        shape = "(all of rack NAME), of hall, of kind, of set, or (all of fleet)"
+        expected = "(all of rack NAME), of hall, of kind, of set, or (all of fleet)"
         match [part.value if isinstance(part, Atom) else None for part in form.items]:
             case ["all", "of", "fleet"]:
                 return self._fleet.nodes
@@ -365,7 +372,7 @@
                 if name not in self._sets:
                     self._add_name_fault(form.items[3], "set", self._sets)
                 return self._sets.get(str(name), ())
-        self._add_fault(form, f"{describe(form)} names no nodes", shape)
+        self._add_fault(form, f"{describe(form)} names no nodes", expected)
         return ()
 
     def _read_name(self, form: Form, what: str) -> str | None:
@@ -429,14 +436,14 @@
             nodes = [
                 node for node in self._fleet.nodes.values() if counts_for_floor(floor, node, self._fleet)
             ]
-            for what, asked in (("cores", floor.cores), ("memory", floor.memory)):
+            for what, required in (("cores", floor.cores), ("memory", floor.memory)):
                 available = sum(getattr(node, what) for node in nodes)
-                if asked > available:
+                if required > available:
                     file, line, column = floor.line.place.rsplit(":", 2)
                     self._faults.append(
                         Fault(
                             Place(file, int(line), int(column)),
-                            f"{floor.line.text} asks {asked:g} of {what}, and all {len(nodes)} nodes "
+                            f"{floor.line.text} asks {required:g} of {what}, and all {len(nodes)} nodes "
                             f"hold {available:g}",
                             f"at most {available:g}",
                         )
--- a/weldhatch/planning/engine.py
+++ b/weldhatch/planning/engine.py
@@ -31,7 +31,7 @@
 
 
 class StopReason(StrEnum):
-    """The reason reason an apply stops before its end."""
+    """The reason why an apply stops before its end."""
 
     MOVED = "moved"  # a node is not in the state that the plan assumes
     FLOOR = "floor"  # the next drains would violate a constraint
@@ -369,15 +369,15 @@
                 StopReason.MOVED, f"{state.step.node} was awaited and is {describe_node(node)}", now
             )
         else:
-            state.at = state.at or now
+            state.last_event_at = state.last_event_at or now
             self._check_time_limit(state, node, self._timeouts.warm_most_s, now)
 
     def _check_time_limit(self, state: StepState, node: Node, limit_s: float, now: float) -> None:
-        if now - state.at > limit_s:
+        if now - state.last_event_at > limit_s:
             self._record_stop(
                 StopReason.LATE,
-                f"{state.step.node}: {state.step.kind} was taken {now - state.at:.0f} s ago and the "
-                f"node is {describe_node(node)}",
+                f"{state.step.node}: {state.step.kind} was taken {now - state.last_event_at:.0f} s ago "
+                f"and the node is {describe_node(node)}",
                 now,
             )
 
--- a/weldhatch/planning/model.py
+++ b/weldhatch/planning/model.py
@@ -151,7 +151,7 @@
             for group in range(len(self._keys))
             if counts_for_floor(floor, self._example(group).node, fleet)
         ]
-        base = [node for node in self._ready if counts_for_floor(floor, node, fleet)]
+        initial_ready = [node for node in self._ready if counts_for_floor(floor, node, fleet)]
         drain_flags = [self._drain_flag(groups, wave) for wave in range(self._max_waves)]
         for what, required in (("cores", floor.cores), ("memory", floor.memory)):
             if not required:
@@ -162,7 +162,7 @@
                 return math.floor(getattr(node, what) * CAPACITY_SCALE + 1e-3)
 
             by_rack: dict[str, int] = defaultdict(int)
-            for node in base:
+            for node in initial_ready:
                 by_rack[node.rack] += size(node)
             racks: dict[str, dict[int, int]] = defaultdict(dict)
             for group in groups:
@@ -198,10 +198,10 @@
         cls = self._fleet.classes[spread.cls]
         needed = math.ceil(spread.tasks / cls.spread_most)
         groups = [group for group in range(len(self._keys)) if cls.served_by(self._example(group).node.kind)]
-        base: dict[str, int] = defaultdict(int)
+        initial_ready: dict[str, int] = defaultdict(int)
         for node in self._ready:
             if cls.served_by(node.kind):
-                base[node.rack] += 1
+                initial_ready[node.rack] += 1
         racks: dict[str, dict[int, int]] = defaultdict(dict)
         for group in groups:
             racks[self._example(group).node.rack][group] = 1
@@ -210,10 +210,10 @@
             if wave < self._max_waves and drain_flag is None:
                 continue
             rack_flags = {}
-            for rack in sorted({*base, *racks}):
+            for rack in sorted({*initial_ready, *racks}):
                 present = self.program.add_variable(0, 1)
                 terms, constant = self._ready_terms(racks.get(rack, {}), wave)
-                self.program.add_row({**terms, present: -1}, low=-constant - base[rack])
+                self.program.add_row({**terms, present: -1}, low=-constant - initial_ready[rack])
                 rack_flags[present] = 1
             if drain_flag is None:
                 self.program.add_row(rack_flags, low=needed)
--- a/weldhatch/planning/moved.py
+++ b/weldhatch/planning/moved.py
@@ -116,12 +116,12 @@
     goals = {name: goal for goal in plan.change.goals for name in goal.nodes}
     waves = []
     for wave in plan.waves:
-        own = [
+        remaining = [
             _action(fleet.nodes[name], goals[name])
             for name in wave.nodes
             if name in untouched and name in fleet.nodes
         ]
-        waves.append(tuple(action for action in own if action is not None))
+        waves.append(tuple(action for action in remaining if action is not None))
     change = msgspec.structs.replace(plan.change, orders=(), withins=())
     return change, tuple(waves)
 
@@ -132,7 +132,7 @@
 
 
 def untouched_nodes(plan: Plan, begun: Iterable[str]) -> set[str]:
-    """Return the plan's nodes for which no step has begun, except await steps, which send no order."""
+    """Return the plan's nodes for which no step has begun; await steps are ignored, as they send no order."""
     awaits = {step.id for step in plan.steps if step.kind is Kind.AWAIT}
     touched = {step.node for step in plan.steps if step.id in set(begun) - awaits}
     return {node.id for node in plan.world} - touched
--- a/weldhatch/planning/records.py
+++ b/weldhatch/planning/records.py
@@ -92,15 +92,19 @@
 
 
 class StepState:
-    """The state of one step by the records of its apply."""
+    """The state of one step by the records of its apply.
 
-    __slots__ = ("accepted_by", "at", "note", "outcome", "status", "step", "transient", "tries")
+    `last_event_at` is the Unix time in seconds of the last order or its acceptance; for an await step, of the
+    first observation of the warming node.
+    """
+
+    __slots__ = ("accepted_by", "last_event_at", "note", "outcome", "status", "step", "transient", "tries")
 
     def __init__(self, step: Step) -> None:
         """Create the state of a step that has not begun."""
         self.step, self.status, self.outcome, self.note = step, StepStatus.TODO, "", ""
         self.accepted_by: set[str] = set()  # nodes and gateways that accepted the order
-        self.tries, self.at, self.transient = 0, 0.0, False
+        self.tries, self.last_event_at, self.transient = 0, 0.0, False
 
 
 class Progress:
@@ -129,7 +133,7 @@
                         state.status, state.transient = StepStatus.UNKNOWN, True
             case Intent():
                 state = self.steps[record.step]
-                state.tries, state.at = state.tries + 1, record.at
+                state.tries, state.last_event_at = state.tries + 1, record.at
                 if state.status is not StepStatus.TAKEN:
                     state.status = StepStatus.UNKNOWN
             case Heard():
@@ -139,7 +143,7 @@
                     state.accepted_by.add(record.who)
                     if state.status is not StepStatus.DONE:
                         state.status = StepStatus.UNKNOWN if state.step.kind.at_gateways else StepStatus.TAKEN
-                        state.at = record.at
+                        state.last_event_at = record.at
                 elif state.status is StepStatus.UNKNOWN and record.reason and not state.step.kind.at_gateways:
                     state.status = StepStatus.REFUSED
             case Done():
