--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -177,7 +177,7 @@
     names = [node.id for node in fleet.nodes.values() if node.state is State.READY][: count // 2]
     with tempfile.TemporaryDirectory() as folder:
         from weldhatch.applying.runner import Runner
-        from weldhatch.planning.engine import ApplyTimeouts
+        from weldhatch.planning.engine import Patience
         from weldhatch.testbed.fleet import StandInWorld
         from weldhatch.testbed.virtual import VirtualLoop, run
 
@@ -190,7 +190,7 @@
         async def main() -> Exit:
             journal = Journal(folder, "bench", loop.clock())
             try:
-                runner = Runner(plan, fleet, world, journal, ApplyTimeouts(), clock=loop.clock, by="bench")
+                runner = Runner(plan, fleet, world, journal, Patience(), clock=loop.clock, by="bench")
                 return (await runner.run()).exit
             finally:
                 journal.close()
--- a/tests/test_applies.py
+++ b/tests/test_applies.py
@@ -9,7 +9,7 @@
 from weldhatch.applying.journal import Journal, story
 from weldhatch.applying.runner import Exit, Runner, observe
 from weldhatch.nodes.protocol import NodeOrder
-from weldhatch.planning.engine import ApplyTimeouts, StopReason
+from weldhatch.planning.engine import Patience, StopReason
 from weldhatch.planning.fleet import State
 from weldhatch.planning.plan import Kind
 from weldhatch.planning.records import Begin, StepStatus
@@ -279,7 +279,7 @@
                 self.fleet,
                 self.world,
                 own,
-                ApplyTimeouts(),
+                Patience(),
                 clock=self.loop.clock,
                 by="me",
             ).run(**options)
@@ -309,7 +309,7 @@
         # A newer one, from another folder, has been heard by the node meanwhile.
         stage.world.nodes["n1"].take(NodeOrder(op="x/y", order=Kind.STOP, generation=9, fence=7), 0.0)
         runner = Runner(
-            stage.plan, stage.fleet, stage.world, held, ApplyTimeouts(), clock=stage.loop.clock, by="old"
+            stage.plan, stage.fleet, stage.world, held, Patience(), clock=stage.loop.clock, by="old"
         )
         fleet = await observe(stage.fleet, stage.world)
         out = await runner._loop(held.story.applies[stage.plan.id], fleet)  # it never looked for fences
--- a/weldhatch/applying/runner.py
+++ b/weldhatch/applying/runner.py
@@ -13,7 +13,7 @@
 from weldhatch.applying.journal import Journal
 from weldhatch.nodes.protocol import Answer
 from weldhatch.planning.change import counts_for_floor
-from weldhatch.planning.engine import ApplyTimeouts, Decision, Engine, Order, StopReason
+from weldhatch.planning.engine import Decision, Engine, Order, Patience, StopReason
 from weldhatch.planning.fleet import Fleet, Node, State
 from weldhatch.planning.moved import Moved, find_moved_floors, find_moved_nodes
 from weldhatch.planning.plan import Plan
@@ -93,7 +93,7 @@
         fleet: Fleet,
         world: World,
         journal: Journal,
-        patience: ApplyTimeouts,
+        patience: Patience,
         *,
         clock: Callable[[], float],
         by: str,
--- a/weldhatch/config/fleet_file.py
+++ b/weldhatch/config/fleet_file.py
@@ -10,7 +10,7 @@
 
 from weldhatch.config.errors import ConfigError
 from weldhatch.config.reading import Tree, parse_endpoint, read_toml_file
-from weldhatch.planning.engine import ApplyTimeouts
+from weldhatch.planning.engine import Patience
 from weldhatch.planning.fleet import Fleet, Node, Pace, ServiceClass
 
 Value = TypeVar("Value")
@@ -27,7 +27,7 @@
     gateways: tuple[str, ...]  # host:port of the control addresses that are notified of drains
     control: dict[str, str]  # host:port of each node's control address, by its id
     fleet: Fleet
-    patience: ApplyTimeouts
+    patience: Patience
 
 
 def fleet_config(path: str) -> FleetConfig:
@@ -53,7 +53,7 @@
         gateways=gateways,
         control=control,
         fleet=Fleet(nodes, classes, _part(path, "pace", tree.get("pace", {}), Pace)),
-        patience=_part(path, "patience", tree.get("patience", {}), ApplyTimeouts),
+        patience=_part(path, "patience", tree.get("patience", {}), Patience),
     )
 
 
--- a/weldhatch/planning/engine.py
+++ b/weldhatch/planning/engine.py
@@ -46,8 +46,8 @@
     TOLD = "told"  # the operator requested the stop
 
 
-class ApplyTimeouts(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Time-outs in seconds and the retry limit of an apply."""
+class Patience(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """Time-outs in seconds and the retry limit of an apply: the table `patience` of the fleet file."""
 
     answer_s: float = 2.0  # the time-out of one call
     poll_s: float = 0.5  # between two observations of the fleet
@@ -88,7 +88,7 @@
 class Engine:
     """Decides the actions of one apply."""
 
-    def __init__(self, progress: Progress, gateways: tuple[str, ...], timeouts: ApplyTimeouts) -> None:
+    def __init__(self, progress: Progress, gateways: tuple[str, ...], timeouts: Patience) -> None:
         """Continue from the recorded progress. `gateways`: the names of all that are notified of drains."""
         self.progress, self._gateways, self._timeouts = progress, gateways, timeouts
         self._silent_since: dict[str, float] = {}  # when each silent node was first found silent
--- a/weldhatch/testbed/crash_points.py
+++ b/weldhatch/testbed/crash_points.py
@@ -18,7 +18,7 @@
 from weldhatch.planning import plan as plans
 from weldhatch.planning.actions import UnplannableError
 from weldhatch.planning.change import read_change
-from weldhatch.planning.engine import ApplyTimeouts, Order
+from weldhatch.planning.engine import Order, Patience
 from weldhatch.planning.fleet import Fleet, Node
 from weldhatch.planning.plan import Plan
 from weldhatch.planning.search import search
@@ -138,7 +138,7 @@
     runs_most: int = 6,
     undo: bool = False,
     wait_s: float = 3.0,
-    patience: ApplyTimeouts | None = None,
+    patience: Patience | None = None,
     script: Callable[[StandInWorld, int], None] | None = None,
 ) -> Outcome:
     """Plan, apply, and apply again after each crash and each stop, at most `runs_most` times.
@@ -151,7 +151,7 @@
     world = StandInWorld(fleet, loop, seed=seed, faults=faults)
     plan = make_plan(text, fleet, loop.clock())
     world.watch = plan.change
-    patience = patience or ApplyTimeouts(silence_s=6.0, hold_s=6.0, drain_most_s=60.0, warm_most_s=30.0)
+    patience = patience or Patience(silence_s=6.0, hold_s=6.0, drain_most_s=60.0, warm_most_s=30.0)
     out = Outcome(None, world, plan, 0, 0, 0)
 
     async def once(folder: str, which: Plan, points: Points) -> Result | None:
