--- a/weldhatch/planning/__init__.py
+++ b/weldhatch/planning/__init__.py
@@ -1,1 +1,1 @@
-"""What a change of the fleet comes to: plans, their checks, and the way through them. No I/O in here."""
+"""Planning of fleet changes: plans, their validation, and the decisions while a plan is applied. No I/O."""
