--- a/tests/test_applies.py
+++ b/tests/test_applies.py
@@ -9,11 +9,11 @@
 from weldhatch.applying.journal import Journal, read_history
 from weldhatch.applying.runner import Exit, Runner, observe
 from weldhatch.nodes.protocol import NodeOrder
-from weldhatch.planning.engine import Patience, Why
+from weldhatch.planning.engine import Patience, StopReason
 from weldhatch.planning.fleet import State
 from weldhatch.planning.plan import Kind
-from weldhatch.planning.records import Begin, Stand
-from weldhatch.planning.undo import drift
+from weldhatch.planning.records import Begin, StepStatus
+from weldhatch.planning.undo import find_drift
 from weldhatch.store.lock import LockHeldError
 from weldhatch.testbed.crash_points import Points, make_plan, trial
 from weldhatch.testbed.fleet import Faults, StandInWorld, small_fleet
@@ -162,7 +162,7 @@
 
 def test_a_silent_node_stops_the_apply_which_resumes_once_it_answers():
     outcome = stopped_trial(
-        Why.LOST, "n1 has not answered", script=run_later(1.0, lambda world: node(world, "n1").fall())
+        StopReason.LOST, "n1 has not answered", script=run_later(1.0, lambda world: node(world, "n1").fall())
     )
 
     def script(world, run):
@@ -180,7 +180,7 @@
         node(world, "n1").fall()
         node(world, "n1").come_back(world.clock(), on=True)
 
-    outcome = stopped_trial(Why.RETURNED, "n1 came back as generation 2", script=run_later(1.0, act))
+    outcome = stopped_trial(StopReason.RETURNED, "n1 came back as generation 2", script=run_later(1.0, act))
     assert len(node(outcome.world, "n1").effects) == 1
 
 
@@ -188,14 +188,14 @@
     def act(world):
         node(world, "n1").state = State.READY
 
-    stopped_trial(Why.REVERTED, "not drained again", script=run_later(1.0, act))
+    stopped_trial(StopReason.REVERTED, "not drained again", script=run_later(1.0, act))
 
 
 def test_a_permanent_refusal_stops_the_apply_and_resuming_retries_the_order():
     def script(world, run):
         node(world, "n1").refusing, node(world, "n1").refusals_left = "REFUSED last copy here", int(not run)
 
-    stopped_trial(Why.REFUSED, "last copy here", script=script)
+    stopped_trial(StopReason.REFUSED, "last copy here", script=script)
     outcome = trial(script=script)
     assert outcome.runs == 2 and outcome.result.exit is Exit.DONE and outcome.faults == NO_FAULTS
 
@@ -231,12 +231,12 @@
         node(world, "n7").fall()
         node(world, "n7").come_back(0.0, on=False)
 
-    stopped_trial(Why.FELL, "n7 was switched on and went off again", script=run_later(1.0, act))
+    stopped_trial(StopReason.FELL, "n7 was switched on and went off again", script=run_later(1.0, act))
 
 
 def test_a_drain_over_its_time_limit_stops_the_apply_as_late():
     stopped_trial(
-        Why.LATE,
+        StopReason.LATE,
         "n1: drain was taken",
         script=run_later(0.5, lambda world: setattr(node(world, "n1"), "drain_s", 1e6)),
     )
@@ -247,7 +247,7 @@
         for name in ("n4", "n5"):
             node(world, name).fall()
 
-    outcome = stopped_trial(Why.FLOOR, "(keep (cores 120))", script=run_later(1.0, act))
+    outcome = stopped_trial(StopReason.FLOOR, "(keep (cores 120))", script=run_later(1.0, act))
     assert not node(outcome.world, "n3").effects  # the second wave's drain
 
 
@@ -255,7 +255,7 @@
     def script(world, _):
         world.parties["gateway-1"].up = False
 
-    outcome = stopped_trial(Why.GATEWAY, "gateway-1 did not take announce", script=script)
+    outcome = stopped_trial(StopReason.GATEWAY, "gateway-1 did not take announce", script=script)
     assert not node(outcome.world, "n1").effects
     # The change is half done: the other gateway has the announced drain, and the journal records that.
     assert outcome.world.parties["gateway-0"].words["n1"][0] is State.DRAINING
@@ -328,7 +328,7 @@
         return result
 
     result = fixture.run(main())
-    assert result.exit is Exit.STOPPED and result.stopped.reason == Why.OVERTAKEN
+    assert result.exit is Exit.STOPPED and result.stopped.reason == StopReason.OVERTAKEN
     assert not fixture.world.nodes["n1"].effects
 
 
@@ -392,9 +392,9 @@
     assert fixture.run(main()).exit is Exit.STOPPED
     progress = read_history(tmp_path).last
     assert progress.half_nodes == ["n1"]
-    assert {state.step.kind: state.stand for state in progress.steps.values()} == {
-        Kind.ANNOUNCE: Stand.UNKNOWN,
-        Kind.DRAIN: Stand.TODO,
+    assert {state.step.kind: state.status for state in progress.steps.values()} == {
+        Kind.ANNOUNCE: StepStatus.UNKNOWN,
+        Kind.DRAIN: StepStatus.TODO,
     }
 
 
@@ -403,9 +403,9 @@
 
     async def main():
         await fixture.apply()
-        before = drift(read_history(tmp_path).last, await observe(fixture.fleet, fixture.world))
+        before = find_drift(read_history(tmp_path).last, await observe(fixture.fleet, fixture.world))
         node(fixture.world, "n1").state = State.READY
-        return before, drift(read_history(tmp_path).last, await observe(fixture.fleet, fixture.world))
+        return before, find_drift(read_history(tmp_path).last, await observe(fixture.fleet, fixture.world))
 
     before, after = fixture.run(main())
     assert before == []
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -449,7 +449,7 @@
             apply.ended,
             apply.stopped and apply.stopped.text,
             {
-                step: [state.stand, state.outcome, state.note, state.tries]
+                step: [state.status, state.outcome, state.note, state.tries]
                 for step, state in apply.steps.items()
             },
         ]
--- a/weldhatch/applying/journal.py
+++ b/weldhatch/applying/journal.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from weldhatch.planning.records import AnyRecord, Begin, Ended, Stopped, Story, decode, encode
+from weldhatch.planning.records import AnyRecord, ApplyHistory, Begin, Ended, Stopped, decode, encode
 from weldhatch.store.lock import Lock, lock_owner
 from weldhatch.store.log import Disk, Log, LogCorruptError, read_records
 
@@ -33,10 +33,10 @@
     return records
 
 
-def read_history(folder: str | Path) -> Story:
+def read_history(folder: str | Path) -> ApplyHistory:
     """Return all applies in a journal folder, without taking its lock."""
     path = Path(folder) / LOG_FILE
-    return Story(_decode_records(read_records(path), path))
+    return ApplyHistory(_decode_records(read_records(path), path))
 
 
 def current_applier(folder: str | Path) -> str:
@@ -64,7 +64,7 @@
             self._log = Log(self.folder / LOG_FILE, disk)
             self.torn_tail = self._log.torn_tail
             records = _decode_records(self._log.recovered_records(), self.folder / LOG_FILE)
-            self.history = Story(records)
+            self.history = ApplyHistory(records)
             if len(records) > COMPACTION_RECORDS:
                 self._compact(records)
         except BaseException:
@@ -94,7 +94,7 @@
         records = list(records)
         self._log.append(map(encode, records))
         for record in records:
-            self.history.take(record)
+            self.history.add(record)
 
     def close(self) -> None:
         """Close the log and release the lock."""
--- a/weldhatch/applying/runner.py
+++ b/weldhatch/applying/runner.py
@@ -12,10 +12,10 @@
 
 from weldhatch.applying.journal import Journal
 from weldhatch.nodes.protocol import Answer
-from weldhatch.planning.change import counts
-from weldhatch.planning.engine import Decision, Engine, Order, Patience, Why
+from weldhatch.planning.change import counts_for_floor
+from weldhatch.planning.engine import Decision, Engine, Order, Patience, StopReason
 from weldhatch.planning.fleet import Fleet, Node, State
-from weldhatch.planning.moved import Moved, floors_moved, nodes_moved
+from weldhatch.planning.moved import Moved, find_moved_floors, find_moved_nodes
 from weldhatch.planning.plan import Plan
 from weldhatch.planning.records import AnyRecord, Begin, Done, Heard, Progress, Stopped
 
@@ -85,7 +85,7 @@
     return [
         node.id
         for node in fleet.nodes.values()
-        if node.id in plan_nodes or any(counts(floor, node, fleet) for floor in plan.change.floors)
+        if node.id in plan_nodes or any(counts_for_floor(floor, node, fleet) for floor in plan.change.floors)
     ]
 
 
@@ -142,9 +142,9 @@
         if refusal := self._check_unfinished(ignore_unfinished):
             return refusal
         fleet = await observe(self._fleet, self._client, self._names)
-        if previous is None or not previous.begun:
+        if previous is None or not previous.begun_steps:
             plan_nodes = [node.id for node in plan.world]
-            moved = nodes_moved(plan, fleet, plan_nodes) or floors_moved(plan, fleet, plan_nodes)
+            moved = find_moved_nodes(plan, fleet, plan_nodes) or find_moved_floors(plan, fleet, plan_nodes)
             if moved:
                 return Result(
                     Exit.MOVED, "the world has moved since the plan was made; nothing was done", tuple(moved)
@@ -162,7 +162,7 @@
 
     def _check_unfinished(self, ignore_unfinished: bool) -> Result | None:
         """Return a refusal if another apply is half done, which must first be finished or undone."""
-        last = self._journal.history.open
+        last = self._journal.history.unfinished
         if (
             last is None
             or last.plan.id in (self._plan.id, self._plan.undoes)
@@ -184,7 +184,7 @@
                 stop = Stopped(
                     apply=self._plan.id,
                     at=self._clock(),
-                    reason=Why.TOLD,
+                    reason=StopReason.TOLD,
                     text="told to stop; nothing more was ordered",
                 )
                 decision = Decision(stop=stop)
@@ -223,10 +223,12 @@
         if overtaken is not None:
             # Guards against an older apply that resumes late: after these answers and its own stop, it writes
             # no further records that readers could attribute to the newer apply.
-            stop = Stopped(apply=self._plan.id, at=now, reason=Why.OVERTAKEN, text=overtaken.reason)
+            stop = Stopped(apply=self._plan.id, at=now, reason=StopReason.OVERTAKEN, text=overtaken.reason)
             self._journal.append([*received, stop])
             return Result(
-                Exit.STOPPED, f"{Why.OVERTAKEN}: a later apply has the say: {overtaken.reason}", stopped=stop
+                Exit.STOPPED,
+                f"{StopReason.OVERTAKEN}: a later apply has the say: {overtaken.reason}",
+                stopped=stop,
             )
         self._journal.append(received)
         for order, answer in zip(orders, answers, strict=True):
--- a/weldhatch/testbed/crash_points.py
+++ b/weldhatch/testbed/crash_points.py
@@ -16,7 +16,7 @@
 from weldhatch.applying.runner import Exit, Result, Runner, observe
 from weldhatch.nodes.protocol import Answer
 from weldhatch.planning import plan as plans
-from weldhatch.planning.actions import Unplannable
+from weldhatch.planning.actions import UnplannableError
 from weldhatch.planning.change import read_change
 from weldhatch.planning.engine import Order, Patience
 from weldhatch.planning.fleet import Fleet, Node
@@ -192,7 +192,7 @@
         if progress is None:
             return
         seen = await observe(fleet, world)
-        with contextlib.suppress(Unplannable):
+        with contextlib.suppress(UnplannableError):
             change = undo_change(progress, seen)
             back = plans.make(
                 change,
@@ -212,7 +212,7 @@
 def reported(folder: str, plan: Plan) -> set[str]:
     """The nodes of which the journal says that something was, or may have been, done."""
     progress = read_history(folder).applies.get(plan.id)
-    return set() if progress is None else {progress.steps[name].step.node for name in progress.begun}
+    return set() if progress is None else {progress.steps[name].step.node for name in progress.begun_steps}
 
 
 def large_fleet(count: int, seed: int) -> Fleet:
