--- a/examples/client_machine.py
+++ b/examples/client_machine.py
@@ -1,4 +1,4 @@
-"""A build machine on the client library, against `make pullqueue`: runs what it gets, one second each."""
+"""A build machine on the client library: runs each task from `make pullqueue` for one second."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 async def run(lease):
-    print("begins", lease.payload["key"], flush=True)
+    print("task started:", lease.payload["key"], flush=True)
     await asyncio.sleep(1)
     return Outcome(result={"length": len(lease.payload["blob"])})
 
--- a/examples/client_submit.py
+++ b/examples/client_submit.py
@@ -1,4 +1,4 @@
-"""A submitter on the client library, against `make pullqueue` and `client_machine.py`."""
+"""A submitter on the client library: hands one task to `make pullqueue`; `client_machine.py` runs it."""
 
 import asyncio
 
@@ -12,8 +12,8 @@
         answer = await submitter.submit(task, again_s=20)
         print("answer:", answer.answer, "at", answer.bot_id)
         if answer.placed:
-            over = await submitter.wait(answer.name.replace("tasks", "operations"), 20)
-            print("the task is", over.state, over.result)
+            operation = await submitter.wait(answer.name.replace("tasks", "operations"), 20)
+            print("task state:", operation.state, operation.result)
 
 
 if __name__ == "__main__":
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,4 +1,4 @@
-"""A toy server and event bus: accepts every task, runs it for a while, and says so.
+"""A toy server and event bus: the server accepts every task and releases it after TASK_DURATION_S.
 
 python examples/toy_server.py SERVER_PORT BUS_PORT
 """
@@ -8,13 +8,13 @@
 
 from weldhatch.platform import server_codec
 
-RUNS_S = 2.0
+TASK_DURATION_S = 2.0
 
 
-async def serve(reader, writer):
-    """One link of a dispatcher: tests are answered, set-ups accepted, and released when they are done."""
+async def serve_dispatcher(reader, writer):
+    """Serve one dispatcher's connection: answer probes, accept tasks, release each task when done."""
 
-    def run_out(tag):
+    def finish_task(tag):
         print(f"server: task {tag.hex()} is done", flush=True)
         writer.write(server_codec.encode(server_codec.RELEASE, tag, {server_codec.CAUSE: b"\x10"}))
 
@@ -35,13 +35,13 @@
             )
         elif kind == server_codec.SET_UP:
             print(f"server: task {tag.hex()} is accepted", flush=True)
-            words = {server_codec.DESCRIPTION: b"hello from the toy server"}
-            writer.write(server_codec.encode(server_codec.ANSWER, tag, words))
-            asyncio.get_running_loop().call_later(RUNS_S, run_out, tag)
+            parameters = {server_codec.DESCRIPTION: b"hello from the toy server"}
+            writer.write(server_codec.encode(server_codec.ANSWER, tag, parameters))
+            asyncio.get_running_loop().call_later(TASK_DURATION_S, finish_task, tag)
 
 
-async def bus(reader, writer):
-    """The event bus of a list that never changes: a comment each second."""
+async def serve_event_bus(reader, writer):
+    """Serve an event bus whose server list never changes: one comment per second as a keep-alive."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
     while not writer.is_closing():
@@ -50,8 +50,8 @@
 
 
 async def main(server_port, bus_port):
-    await asyncio.start_server(serve, "127.0.0.1", server_port)
-    await asyncio.start_server(bus, "127.0.0.1", bus_port)
+    await asyncio.start_server(serve_dispatcher, "127.0.0.1", server_port)
+    await asyncio.start_server(serve_event_bus, "127.0.0.1", bus_port)
     await asyncio.Event().wait()
 
 
--- a/examples/try_fleet.py
+++ b/examples/try_fleet.py
@@ -1,6 +1,6 @@
-"""A whole change of a fleet on stand-in nodes, with one crash in the middle. Loopback only.
+"""A change of a fleet of stand-in nodes, with a crash of the apply in the middle. Loopback only.
 
-Plans `release.change`, begins to apply it, kills the apply half-way, asks how far it has come, and goes on.
+Plans `release.change`, starts to apply the plan, kills the apply half-way, shows the status, and resumes.
 """
 
 import json
@@ -20,28 +20,28 @@
     folder = Path(tempfile.mkdtemp(prefix="weldhatch-fleet-"))
     environment = {**os.environ, "PYTHONPATH": str(HERE.parent)}
     environment.pop("PROXY_CONFIG", None)
-    fleet = folder / "fleet.toml"
-    shutil.copy(HERE / "fleet.toml", fleet)
+    fleet_config = folder / "fleet.toml"
+    shutil.copy(HERE / "fleet.toml", fleet_config)
     shutil.copy(HERE / "release.change", folder)
-    queue = folder / "pullqueue.toml"
+    queue_config = folder / "pullqueue.toml"
     text = (HERE / "pullqueue.toml").read_text().replace("127.0.0.1:509", "127.0.0.1:519")
-    queue.write_text(text.replace('states = ""', f'states = "{folder / "states"}"'))
-    plan = folder / "release.change.plan"
+    queue_config.write_text(text.replace('states = ""', f'states = "{folder / "states"}"'))
+    plan_file = folder / "release.change.plan"
 
-    def weldhatch(*words, **more):
-        print("$ weldhatch", *(word.replace(f"{folder}/", "") for word in words), flush=True)
-        command = [sys.executable, "-m", "weldhatch", *words]
-        return subprocess.run(command, cwd=HERE.parent, env=environment, **more).returncode
+    def weldhatch(*arguments, **run_options):
+        print("$ weldhatch", *(argument.replace(f"{folder}/", "") for argument in arguments), flush=True)
+        command = [sys.executable, "-m", "weldhatch", *arguments]
+        return subprocess.run(command, cwd=HERE.parent, env=environment, **run_options).returncode
 
-    started = []
+    processes = []
     try:
-        for words in (
-            ["weldhatch", "--pullqueue", str(queue)],
-            ["weldhatch.testbed.server", str(fleet), "--ready"],
+        for arguments in (
+            ["weldhatch", "--pullqueue", str(queue_config)],
+            ["weldhatch.testbed.server", str(fleet_config), "--ready"],
         ):
-            started.append(
+            processes.append(
                 subprocess.Popen(
-                    [sys.executable, "-m", *words],
+                    [sys.executable, "-m", *arguments],
                     cwd=HERE.parent,
                     env=environment,
                     stdout=subprocess.PIPE,
@@ -49,45 +49,50 @@
                     text=True,
                 )
             )
-            while "listen" not in (line := started[-1].stdout.readline()):
+            while "listen" not in (line := processes[-1].stdout.readline()):
                 if not line:
-                    sys.exit("it did not start")
-        options = ["--fleet", str(fleet)]
-        weldhatch("fleet", "show", *options)
+                    sys.exit("process ended before it listened")
+        fleet_option = ["--fleet", str(fleet_config)]
+        weldhatch("fleet", "show", *fleet_option)
         weldhatch(
-            "fleet", "plan", str(folder / "release.change"), *options, "--chart", str(folder / "plan.png")
+            "fleet",
+            "plan",
+            str(folder / "release.change"),
+            *fleet_option,
+            "--chart",
+            str(folder / "plan.png"),
         )
-        command = [sys.executable, "-m", "weldhatch", "fleet", "apply", str(plan), *options]
+        command = [sys.executable, "-m", "weldhatch", "fleet", "apply", str(plan_file), *fleet_option]
         print("$ weldhatch fleet apply release.change.plan    (killed half-way)", flush=True)
-        applying = subprocess.Popen(command, cwd=HERE.parent, env=environment)
-        while applying.poll() is None and not half_way(options, environment):
+        apply_process = subprocess.Popen(command, cwd=HERE.parent, env=environment)
+        while apply_process.poll() is None and not partly_applied(fleet_option, environment):
             time.sleep(0.05)
-        applying.send_signal(signal.SIGKILL)
-        applying.wait()
-        weldhatch("fleet", "status", *options)
-        code = weldhatch("fleet", "apply", str(plan), *options)
-        weldhatch("fleet", "drift", *options)
-        weldhatch("fleet", "history", *options)
-        weldhatch("fleet", "show", *options)
-        sys.exit(code)
+        apply_process.send_signal(signal.SIGKILL)
+        apply_process.wait()
+        weldhatch("fleet", "status", *fleet_option)
+        exit_code = weldhatch("fleet", "apply", str(plan_file), *fleet_option)
+        weldhatch("fleet", "drift", *fleet_option)
+        weldhatch("fleet", "history", *fleet_option)
+        weldhatch("fleet", "show", *fleet_option)
+        sys.exit(exit_code)
     finally:
-        for process in started:
+        for process in processes:
             process.terminate()
-        for process in started:
+        for process in processes:
             process.wait()
         shutil.rmtree(folder)
 
 
-def half_way(options, environment):
-    """Is something done, and something not?"""
-    told = subprocess.run(
-        [sys.executable, "-m", "weldhatch", "fleet", "status", "--json", *options],
+def partly_applied(fleet_option, environment):
+    """Return whether at least one step is done and at least one is not begun."""
+    result = subprocess.run(
+        [sys.executable, "-m", "weldhatch", "fleet", "status", "--json", *fleet_option],
         cwd=HERE.parent,
         env=environment,
         capture_output=True,
         text=True,
     )
-    steps = json.loads(told.stdout or "{}").get("steps", [])
+    steps = json.loads(result.stdout or "{}").get("steps", [])
     return any(step["stand"] == "done" for step in steps) and any(step["stand"] == "todo" for step in steps)
 
 
--- a/examples/try_platform.py
+++ b/examples/try_platform.py
@@ -1,4 +1,4 @@
-"""Starts the toy server and a dispatcher, asks for one task, and prints all that is said. Loopback only."""
+"""Starts the toy server and a dispatcher, requests one task, and prints the messages. Loopback only."""
 
 import json
 import os
@@ -22,13 +22,13 @@
 }
 
 
-def connected(port, patience=10.0):
-    end = time.monotonic() + patience
+def connect(port, timeout_s=10.0):
+    deadline = time.monotonic() + timeout_s
     while True:
         try:
-            return socket.create_connection(("127.0.0.1", port), timeout=patience)
+            return socket.create_connection(("127.0.0.1", port), timeout=timeout_s)
         except OSError:
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 raise
             time.sleep(0.05)
 
@@ -39,17 +39,17 @@
         [sys.executable, str(HERE / "toy_server.py"), "5081", "4222"],
         [sys.executable, "-m", "weldhatch"],
     )
-    started = [subprocess.Popen(command, cwd=HERE.parent, env=environment) for command in commands]
+    processes = [subprocess.Popen(command, cwd=HERE.parent, env=environment) for command in commands]
     try:
-        connected(5081).close()
-        with connected(5080) as owner, owner.makefile("rw") as lines:
-            print("owner:", json.dumps(TASK), flush=True)
-            lines.write(json.dumps(TASK) + "\n")
-            lines.flush()
-            for _ in range(2):  # the answer, and the release when the task is done
-                print("owner hears:", lines.readline().strip(), flush=True)
+        connect(5081).close()
+        with connect(5080) as owner, owner.makefile("rw") as stream:
+            print("owner sent:", json.dumps(TASK), flush=True)
+            stream.write(json.dumps(TASK) + "\n")
+            stream.flush()
+            for _ in range(2):  # the answer, then the task's release when it is done
+                print("owner received:", stream.readline().strip(), flush=True)
     finally:
-        for process in reversed(started):  # the dispatcher first: it would miss its event bus and its server
+        for process in reversed(processes):  # the dispatcher first, as it needs its event bus and server
             process.terminate()
             process.wait()
 
--- a/examples/try_pullqueue.py
+++ b/examples/try_pullqueue.py
@@ -1,4 +1,4 @@
-"""A toy build machine and a submitter against `make pullqueue`: one task from its submission to its end."""
+"""A toy build machine and a submitter for `make pullqueue`: one task from its submission to its end."""
 
 import http.client
 import json
@@ -24,9 +24,9 @@
     return answer
 
 
-def machine():
-    """Opens a session and works on what it gets, one second a task."""
-    said = call(
+def run_machine():
+    """Opens a session and runs each offered task for one second."""
+    session = call(
         "POST",
         "botSessions",
         {
@@ -34,31 +34,32 @@
             "worker": {"properties": [{"key": key, "value": value} for key, value in PROPERTIES.items()]},
         },
     )
-    done = {}
+    end_times = {}
     while True:
-        for lease in said["leases"]:
+        for lease in session["leases"]:
             if lease["state"] == "PENDING":
-                print("machine: begins", lease["payload"]["key"], flush=True)
-                done[lease["id"]] = time.monotonic() + 1
-        listed = [
-            {"id": id, "state": "ACTIVE" if time.monotonic() < end else "COMPLETED"}
-            for id, end in done.items()
+                print("machine: task started:", lease["payload"]["key"], flush=True)
+                end_times[lease["id"]] = time.monotonic() + 1
+        reported = [
+            {"id": lease_id, "state": "ACTIVE" if time.monotonic() < end_time else "COMPLETED"}
+            for lease_id, end_time in end_times.items()
         ]
-        said = call("PATCH", said["name"], {"leases": listed})
-        for lease in listed:
+        session = call("PATCH", session["name"], {"leases": reported})
+        for lease in reported:
             if lease["state"] == "COMPLETED":
-                del done[lease["id"]]
+                del end_times[lease["id"]]
 
 
 def main():
-    threading.Thread(target=machine, daemon=True).start()
+    threading.Thread(target=run_machine, daemon=True).start()
     while (answer := call("POST", "tasks", TASK))["answer"] == "refused":
-        print("submitter hears:", answer, flush=True)  # a gateway that has just started lets time pass first
+        # A gateway rejects all requests until `settle` seconds after its start.
+        print("submitter received:", answer, flush=True)
         time.sleep(answer["waitMs"] / 1000)
-    print("submitter hears:", answer, flush=True)
+    print("submitter received:", answer, flush=True)
     while (state := call("GET", answer["name"])["state"]) == "PLACED":
         pass
-    print("the task is", state, flush=True)
+    print("task state:", state, flush=True)
 
 
 if __name__ == "__main__":
--- a/examples/try_rules.py
+++ b/examples/try_rules.py
@@ -1,9 +1,9 @@
-"""Three dispatchers agree on a change of their settings, and go on when the one that leads is killed.
+"""Three dispatchers agree on a change of their settings, and still do after their leader is killed.
 
     .venv/bin/python examples/try_rules.py
 
-Writes three files, starts three processes by the commands that it prints, and runs `weldhatch rules` on them.
-Loopback only; everything is in a folder of its own that goes at the end.
+Writes three configurations, prints and runs the commands that start the processes, and runs `weldhatch rules`
+on them. Loopback only; all files are in a temporary folder that is removed at the end.
 """
 
 import json
@@ -15,14 +15,18 @@
 from pathlib import Path
 
 HERE = Path(__file__).parent
-PORTS = {"g1": 5490, "g2": 5590, "g3": 5690}  # the queue; its control, the group's control and link follow
+PORTS = {
+    "g1": 5490,
+    "g2": 5590,
+    "g3": 5690,
+}  # of the queue; next: its control, the group's control, the group's link
 VOTERS = {name: f"127.0.0.1:{port + 3}" for name, port in PORTS.items()}
 
 
-def write(folder, name):
-    tree = tomllib.loads((HERE / "pullqueue.toml").read_text())
+def write_config(folder, name):
+    config = tomllib.loads((HERE / "pullqueue.toml").read_text())
     port = PORTS[name]
-    tree |= {
+    config |= {
         "listen": f"127.0.0.1:{port}",
         "control": f"127.0.0.1:{port + 1}",
         "agreement": {
@@ -34,16 +38,16 @@
         },
     }
     path = folder / f"{name}.json"
-    path.write_text(json.dumps(tree, indent=1))
+    path.write_text(json.dumps(config, indent=1))
     return path
 
 
-def weldhatch(*words, quiet=False):
-    """Run one command, and show it."""
+def weldhatch(*arguments, quiet=False):
+    """Run one command; print the command line unless `quiet`."""
     if not quiet:
-        print(f"\n$ weldhatch {' '.join(map(str, words))}", flush=True)
+        print(f"\n$ weldhatch {' '.join(map(str, arguments))}", flush=True)
     return subprocess.run(
-        [sys.executable, "-m", "weldhatch", *map(str, words)],
+        [sys.executable, "-m", "weldhatch", *map(str, arguments)],
         cwd=HERE.parent,
         capture_output=quiet,
         text=True,
@@ -51,63 +55,76 @@
 
 
 def main():
-    with tempfile.TemporaryDirectory(prefix="weldhatch-rules-") as name:
-        folder, running = Path(name), {}
-        files = {one: write(folder, one) for one in PORTS}
-
-        def start(one):
-            print(f"$ weldhatch --pullqueue {files[one]} &", flush=True)
-            with open(folder / f"{one}.log", "ab") as log:
-                running[one] = subprocess.Popen(
-                    [sys.executable, "-m", "weldhatch", "--pullqueue", str(files[one])],
+    with tempfile.TemporaryDirectory(prefix="weldhatch-rules-") as temporary:
+        folder, processes = Path(temporary), {}
+        config_files = {name: write_config(folder, name) for name in PORTS}
+
+        def start(name):
+            print(f"$ weldhatch --pullqueue {config_files[name]} &", flush=True)
+            with open(folder / f"{name}.log", "ab") as log:
+                processes[name] = subprocess.Popen(
+                    [sys.executable, "-m", "weldhatch", "--pullqueue", str(config_files[name])],
                     cwd=HERE.parent,
                     stderr=log,
                 )
 
-        def status(one):
-            told = weldhatch("rules", "status", "--pullqueue", files[one], "--json", quiet=True)
-            return json.loads(told.stdout) if told.stdout.startswith("{") else {}
+        def status(name):
+            result = weldhatch("rules", "status", "--pullqueue", config_files[name], "--json", quiet=True)
+            return json.loads(result.stdout) if result.stdout.startswith("{") else {}
 
-        def wait(done, what):
-            end = time.monotonic() + 20
-            while not done():
-                if time.monotonic() > end:
-                    sys.exit(f"never: {what}")
+        def wait_until(condition, description):
+            deadline = time.monotonic() + 20
+            while not condition():
+                if time.monotonic() > deadline:
+                    sys.exit(f"not reached within 20 s: {description}")
                 time.sleep(0.1)
 
         try:
-            for one in PORTS:
-                start(one)
-            wait(lambda: all(status(one).get("number") == 1 for one in PORTS), "version 1 is in force")
-            weldhatch("rules", "status", "--pullqueue", files["g1"])
-            tree = json.loads(files["g2"].read_text())
-            tree["settings"]["limits"]["mostTries"] = 2
-            tree["settings"]["extra"]["spreadMost"] = [5, 0, 0]
+            for name in PORTS:
+                start(name)
+            wait_until(
+                lambda: all(status(name).get("number") == 1 for name in PORTS),
+                "all dispatchers act on version 1",
+            )
+            weldhatch("rules", "status", "--pullqueue", config_files["g1"])
+            config = json.loads(config_files["g2"].read_text())
+            config["settings"]["limits"]["mostTries"] = 2
+            config["settings"]["extra"]["spreadMost"] = [5, 0, 0]
             changed = folder / "changed.json"
-            changed.write_text(json.dumps(tree))
-            weldhatch("rules", "diff", changed, "--pullqueue", files["g2"])
+            changed.write_text(json.dumps(config))
+            weldhatch("rules", "diff", changed, "--pullqueue", config_files["g2"])
             weldhatch(
-                "rules", "propose", changed, "--why", "fewer tries, wider spread", "--pullqueue", files["g2"]
+                "rules",
+                "propose",
+                changed,
+                "--why",
+                "fewer tries, wider spread",
+                "--pullqueue",
+                config_files["g2"],
             )
             leader = status("g1")["leader"]
-            print(f"\n{leader} leads. It is killed.", flush=True)
-            running[leader].kill()
-            running[leader].wait()
-            other = next(one for one in PORTS if one != leader)
-            wait(
-                lambda: status(other).get("leader") not in ("", leader, None)
-                and status(other)["footing"] == "lease",
-                "another leads",
+            print(f"\nkilling the leader, {leader}", flush=True)
+            processes[leader].kill()
+            processes[leader].wait()
+            remaining_voter = next(name for name in PORTS if name != leader)
+            wait_until(
+                lambda: status(remaining_voter).get("leader") not in ("", leader, None)
+                and status(remaining_voter)["footing"] == "lease",
+                "another dispatcher leads",
+            )
+            weldhatch(
+                "rules", "undo", "--why", "it was not needed", "--pullqueue", config_files[remaining_voter]
             )
-            weldhatch("rules", "undo", "--why", "it was not needed", "--pullqueue", files[other])
             start(leader)
-            wait(lambda: status(leader).get("number") == 3, "it has heard of version 3")
-            weldhatch("rules", "status", "--pullqueue", files[leader])
-            weldhatch("rules", "history", "--pullqueue", files[leader])
+            wait_until(
+                lambda: status(leader).get("number") == 3, "the restarted dispatcher acts on version 3"
+            )
+            weldhatch("rules", "status", "--pullqueue", config_files[leader])
+            weldhatch("rules", "history", "--pullqueue", config_files[leader])
         finally:
-            for process in running.values():
+            for process in processes.values():
                 process.terminate()
-            for process in running.values():
+            for process in processes.values():
                 process.wait()
 
 
