--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared helpers: settings of made-up deployments and a small way to drive one policy by hand."""
+"""Shared fixtures and helpers: settings of an invented deployment, and a driver that steps one policy."""
 
 import contextlib
 import fcntl
@@ -31,36 +31,41 @@
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None, max_examples=60)
 hypothesis_settings.load_profile("fixed")
 
-# Guards the verdict against a slow disk: stores are written to memory here, what a disk does is played.
+# Temporary files, among them stores, are kept in memory, so that no test fails because the disk is slow;
+# disk behaviour is simulated by the tests that need it.
 if os.access("/dev/shm", os.W_OK):
     tempfile.tempdir = "/dev/shm"
 
-# Guards the verdict of simulations against the order of sets of strings: workers inherit this.
+# The iteration order of sets of strings depends on the hash seed; worker processes inherit this fixed one, so
+# that simulations are reproducible.
 os.environ["PYTHONHASHSEED"] = "0"
 
 SECOND = 1_000_000
-FLEETS_MOST = 2  # tests of many processes that run at once, over all workers
+MAX_CONCURRENT_FLEET_TESTS = 2  # over all test workers
 
 
 @pytest.fixture(autouse=True)
-def room_for_a_fleet(request):
-    """Guards the verdict of tests marked `fleet` against a machine with too much to do: each of them starts
-    up to eight processes whose leases last for less than a second."""
+def limit_concurrent_fleet_tests(request):
+    """Limit how many tests marked `fleet` run at the same time.
+
+    Each starts up to eight processes whose leases last for less than a second, and fails on an overloaded
+    machine.
+    """
     if request.node.get_closest_marker("fleet") is None:
         yield
         return
     folder = Path(tempfile.gettempdir())
-    with contextlib.ExitStack() as held:  # closing a file gives its lock back
+    with contextlib.ExitStack() as open_files:  # closing a file releases its lock
         files = [
-            held.enter_context(open(folder / f"weldhatch-fleet-{os.getuid()}-{n}", "w"))
-            for n in range(FLEETS_MOST)
+            open_files.enter_context(open(folder / f"weldhatch-fleet-{os.getuid()}-{n}", "w"))
+            for n in range(MAX_CONCURRENT_FLEET_TESTS)
         ]
-        while not any(locked(file) for file in files):
+        while not any(try_lock(file) for file in files):
             time.sleep(0.1)
         yield
 
 
-def locked(file):
+def try_lock(file):
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
@@ -68,28 +73,31 @@
     return True
 
 
-KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-KNOWN_RED_MOST = 3
+KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_RED = 3
 
 
 def known_red():
-    """The tests that may fail for a known fault, by node id, with the line that says why."""
-    lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
+    """Return the tests that may fail because of a known fault: node id to the line that states the cause."""
+    lines = KNOWN_RED_FILE.read_text().splitlines() if KNOWN_RED_FILE.exists() else []
     found = {line.partition(": ")[0]: line for line in lines if line.strip()}
-    assert len(found) <= KNOWN_RED_MOST, "KNOWN-RED.txt: three lines at most"
+    assert len(found) <= MAX_KNOWN_RED, "KNOWN-RED.txt may list at most three tests"
     return found
 
 
 def pytest_collection_modifyitems(items):
-    """Let a known fault pass, and only that; `-rxX` prints each with its cause, whether it failed or not."""
-    red = known_red()
+    """Mark the tests of KNOWN-RED.txt, and no others, as expected failures.
+
+    The option `-rxX` prints each of them with its cause, whether it failed or passed.
+    """
+    reasons = known_red()
     for item in items:
-        if item.nodeid in red:
-            item.add_marker(pytest.mark.xfail(reason=red[item.nodeid], strict=False))
+        if item.nodeid in reasons:
+            item.add_marker(pytest.mark.xfail(reason=reasons[item.nodeid], strict=False))
 
 
 def pytest_configure(config):
-    config.addinivalue_line("markers", "fleet: starts many processes; few of these run at once")
+    config.addinivalue_line("markers", "fleet: starts many processes; few such tests run at the same time")
 
 
 def make_class(**changes):
@@ -116,7 +124,7 @@
 
 
 class Driver:
-    """Drives one policy by hand, firing its timers on the way."""
+    """Feeds events to one policy, advances its clock, and fires its timers when they are due."""
 
     def __init__(self, settings, machines=(), seed=7):
         self.settings = settings
@@ -129,12 +137,12 @@
 
     @property
     def machine_records(self):
-        """What the policy knows of each machine, by its id."""
+        """The policy's record of each machine, by machine id."""
         return self.policy._cluster.machines
 
     @property
     def request_records(self):
-        """What the policy knows of each request, by its id."""
+        """The policy's record of each request, by request id."""
         return self.policy._cluster.requests
 
     def send(self, *events):
@@ -145,9 +153,9 @@
         self.log += actions
         return actions
 
-    def wait(self, duration):
-        """Let time pass; return all actions that the timers brought."""
-        end, start = self.now + duration, len(self.log)
+    def wait(self, duration_us):
+        """Advance the clock, fire the timers that fall due, and return the actions that they cause."""
+        end, start = self.now + duration_us, len(self.log)
         while True:
             due = min((t for t in self.timers if t[0] <= end), default=None)
             if due is None:
@@ -160,12 +168,12 @@
 
     def arrive(self, service=1, cores=1.0, memory=2.0, class_index=0, life=None):
         self.requests += 1
-        cls = self.settings.classes[class_index]
+        request_class = self.settings.classes[class_index]
         return self.send(
             RequestArrived(
                 self.requests,
                 class_index,
-                self.now + (life or cls.deadline_us),
+                self.now + (life or request_class.deadline_us),
                 service,
                 cores,
                 memory,
@@ -174,20 +182,24 @@
         )
 
     def answer(self, actions, reports=None):
-        """Answer every probe among the actions, and those that the answers bring; `reports` maps a machine
-        to its report."""
-        out, asked = [], of(actions, Probe)
-        for _ in range(4):  # a draw again after probes: at most once a request
-            brought = []
-            for action in asked:
+        """Answer each probe among the actions, and each further probe that an answer causes.
+
+        Returns the actions that the answers cause. `reports` maps a machine to its load report.
+        """
+        new_actions, pending_probes = [], of(actions, Probe)
+        for _ in range(4):  # a request redraws machines at most once after its probes
+            round_actions = []
+            for action in pending_probes:
                 report = (reports or {}).get(action.machine, (16.0, 32.0, 0.5))
-                brought += self.send(ProbeAnswered(action.machine, Outcome.OK, 500, report))
-            out += brought
-            asked = of(brought, Probe)
-        return out
+                round_actions += self.send(ProbeAnswered(action.machine, Outcome.OK, 500, report))
+            new_actions += round_actions
+            pending_probes = of(round_actions, Probe)
+        return new_actions
 
     def place(self, **request):
-        """Take a request as far as its first offer, probes answered; machines heard lately are not probed."""
+        """Send a request, answer its probes, and return its first offers.
+
+        Machines with a recent load report are not probed."""
         actions = self.arrive(**request)
         return of(actions + self.answer(actions), Offer)
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports run one way, the core knows no wire, what decides does no I/O, and `run` stays lean."""
+"""Imports have no cycles, core imports no transport, pure modules do no I/O, a start loads few modules."""
 
 import ast
 import graphlib
@@ -38,8 +38,8 @@
     "store",
     "zones",
 }
-# What each package may import of the others; modules beside the packages are its business.
-ABOVE = {
+# The other packages that a package may import. Modules outside all packages are not restricted here.
+ALLOWED_IMPORTS = {
     "scheduling": set(),
     "config": {"planning", "scheduling", "zones"},
     "simulator_link": {"config", "scheduling"},
@@ -71,8 +71,8 @@
         "zones",
     },
 }
-# Modules that hold decisions take clock and randomness as arguments, and do no I/O.
-PURE = (
+# Modules that make decisions: they take the time and random numbers as arguments, and do no I/O.
+PURE_PREFIXES = (
     "weldhatch.planning.",
     "weldhatch.consensus.",
     "weldhatch.coordination.",
@@ -99,11 +99,22 @@
         )
     ),
 )
-IMPURE = {"time", "random", "socket", "asyncio", "os", "pathlib", "subprocess", "tempfile", "tornado", "http"}
+IMPURE_MODULES = {
+    "time",
+    "random",
+    "socket",
+    "asyncio",
+    "os",
+    "pathlib",
+    "subprocess",
+    "tempfile",
+    "tornado",
+    "http",
+}
 
 
-def imported(path):
-    """All module names that a file imports, anywhere in it."""
+def imported_names(path):
+    """Return all modules, and all names from modules, that are imported anywhere in a file."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom):
@@ -113,8 +124,8 @@
     return found
 
 
-def imports(path):
-    found = imported(path)
+def imported_project_modules(path):
+    found = imported_names(path)
     return {
         name
         for name in found
@@ -122,11 +133,11 @@
     }
 
 
-GRAPH = {name: imports(path) for name, path in MODULES.items()}
+IMPORT_GRAPH = {name: imported_project_modules(path) for name, path in MODULES.items()}
 
 
-def test_no_module_imports_in_a_circle():
-    order = list(graphlib.TopologicalSorter(GRAPH).static_order())
+def test_module_imports_have_no_cycle():
+    order = list(graphlib.TopologicalSorter(IMPORT_GRAPH).static_order())
     assert (
         order.index("weldhatch.scheduling.types")
         < order.index("weldhatch.core.request_lifecycle")
@@ -134,33 +145,34 @@
     )
 
 
-def packages():
+def package_imports():
     found = {}
-    for name, needs in GRAPH.items():
+    for name, dependencies in IMPORT_GRAPH.items():
         if name.count(".") == 2:
             found.setdefault(name.split(".")[1], set()).update(
-                need.split(".")[1] for need in needs if need.count(".") == 2
+                dependency.split(".")[1] for dependency in dependencies if dependency.count(".") == 2
             )
-    return {name: needs - {name} for name, needs in found.items()}
+    return {name: dependencies - {name} for name, dependencies in found.items()}
 
 
-def test_no_package_imports_in_a_circle():
-    found = packages()
+def test_package_imports_have_no_cycle_and_follow_the_allowed_list():
+    found = package_imports()
     assert set(found) == PACKAGES
     assert list(graphlib.TopologicalSorter(found).static_order())
-    for name, above in ABOVE.items():
-        assert found[name] <= above, name
-    # But for `sim`, which plays gateways against them, and is imported by its command alone.
-    assert not any("testbed" in needs for name, needs in found.items() if name != "simulation")
-    assert not any("simulation" in needs for name, needs in found.items() if name != "cli")
+    for name, allowed in ALLOWED_IMPORTS.items():
+        assert found[name] <= allowed, name
+    # `simulation` runs gateways against the stand-ins of `testbed`, and only its command in `cli` imports it.
+    assert not any("testbed" in dependencies for name, dependencies in found.items() if name != "simulation")
+    assert not any("simulation" in dependencies for name, dependencies in found.items() if name != "cli")
 
 
-VOCABULARY = {f"weldhatch.scheduling.{name}" for name in ("actions", "events", "types")}  # no decisions
+# The modules of `scheduling` that hold types and no decisions.
+TYPE_MODULES = {f"weldhatch.scheduling.{name}" for name in ("actions", "events", "types")}
 
 
-def test_the_packages_know_the_types_of_decisions_and_not_the_decisions():
-    """Only what puts a whole program together may import more of `scheduling` than its types."""
-    assemblers = (
+def test_only_composition_modules_import_more_of_scheduling_than_its_types():
+    """Only modules that assemble a whole program may import more of `scheduling` than its types."""
+    composition_modules = (
         "weldhatch",
         "weldhatch.gateway",
         "weldhatch.server",
@@ -168,32 +180,37 @@
         "weldhatch.simulation.scenario_runner",
         "weldhatch.testbed.multi_site",
     )
-    for name, needs in GRAPH.items():
-        if not name.startswith("weldhatch.scheduling") and name not in assemblers:
-            known = {need for need in needs if need.startswith("weldhatch.scheduling")}
-            assert known <= VOCABULARY, name
+    for name, dependencies in IMPORT_GRAPH.items():
+        if not name.startswith("weldhatch.scheduling") and name not in composition_modules:
+            scheduling_modules = {
+                dependency for dependency in dependencies if dependency.startswith("weldhatch.scheduling")
+            }
+            assert scheduling_modules <= TYPE_MODULES, name
 
 
-@pytest.mark.parametrize("prefix", PURE)
-def test_each_name_in_the_list_of_pure_modules_stands_for_one(prefix):
+@pytest.mark.parametrize("prefix", PURE_PREFIXES)
+def test_each_prefix_of_the_pure_modules_matches_a_module(prefix):
     assert any(name.startswith(prefix) for name in MODULES)
 
 
-def test_the_core_knows_no_wire_and_the_sockets_no_protocol():
+def test_core_imports_no_transport_and_net_imports_no_protocol():
     allowed = {
-        "core": {"weldhatch", "weldhatch.core", *VOCABULARY},
+        "core": {"weldhatch", "weldhatch.core", *TYPE_MODULES},
         "net": {"weldhatch.net"},
     }
-    for part, known in allowed.items():
-        for name, needs in GRAPH.items():
-            if name.startswith(f"weldhatch.{part}."):
-                assert {need if need in known else need.rsplit(".", 1)[0] for need in needs} <= known, name
-
-
-@pytest.mark.parametrize("name", sorted(name for name in MODULES if name.startswith(PURE)))
-def test_what_decides_does_no_io_and_reads_no_clock(name):
-    roots = {one.split(".")[0] for one in imported(MODULES[name])}
-    seeded = (
+    for package, permitted in allowed.items():
+        for name, dependencies in IMPORT_GRAPH.items():
+            if name.startswith(f"weldhatch.{package}."):
+                assert {
+                    dependency if dependency in permitted else dependency.rsplit(".", 1)[0]
+                    for dependency in dependencies
+                } <= permitted, name
+
+
+@pytest.mark.parametrize("name", sorted(name for name in MODULES if name.startswith(PURE_PREFIXES)))
+def test_a_pure_module_does_no_io_and_reads_no_clock(name):
+    roots = {module.split(".")[0] for module in imported_names(MODULES[name])}
+    modules_given_random = (
         "weldhatch.scheduling.policy",
         "weldhatch.scheduling.context",
         "weldhatch.consensus.raft",
@@ -202,24 +219,35 @@
         "weldhatch.zones.standalone",
         "weldhatch.simulation.faults",
     )
-    allowed = {"random"} if name in seeded else set()  # the type of what they are given
-    assert not roots & (IMPURE - allowed)
+    # These modules are given a generator, and import `random` for its type only.
+    allowed = {"random"} if name in modules_given_random else set()
+    assert not roots & (IMPURE_MODULES - allowed)
 
 
-def test_run_imports_nothing_heavy():
-    """Guards the platform's 32 MB and its time from start to first answer."""
+def test_a_standalone_start_imports_only_tornado_and_no_cluster_package():
+    """Guards the platform's limits on memory (32 MB) and on the time from start to first answer."""
     code = (
         "import sys, os; os.environ.pop('PROXY_CONFIG', None); before = set(sys.modules)\n"
         "from weldhatch import __main__\nsys.argv = ['weldhatch']\n"
-        "assert __main__.main() == 2\n"  # no PROXY_CONFIG: the file's fault, after all imports
+        "assert __main__.main() == 2\n"  # without PROXY_CONFIG the program ends with 2 after all imports
         "print(*sorted(set(sys.modules) - before))"
     )
-    out = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    modules = set(out.stdout.split())
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    modules = set(result.stdout.split())
     loaded = {name.split(".")[0] for name in modules}
     standard = set(sys.stdlib_module_names) | {"__main__", "__mp_main__"}
     assert loaded - standard == {"tornado", "weldhatch"}
     assert not loaded & {"sqlite3", "unittest"}
-    # What dispatchers that talk to each other need is of no use where they share nothing.
-    off = {"cluster", "standalone_zones", "consensus", "coordination", "simulation", "sites", "zones"}
-    assert not {name.split(".")[1] for name in modules if name.startswith("weldhatch.")} & off
+    # A dispatcher with no peers needs none of the packages for work between dispatchers.
+    cluster_packages = {
+        "cluster",
+        "standalone_zones",
+        "consensus",
+        "coordination",
+        "simulation",
+        "sites",
+        "zones",
+    }
+    assert not {name.split(".")[1] for name in modules if name.startswith("weldhatch.")} & cluster_packages
