--- a/examples/try_rules.py
+++ b/examples/try_rules.py
@@ -15,11 +15,8 @@
 from pathlib import Path
 
 HERE = Path(__file__).parent
-PORTS = {
-    "g1": 5490,
-    "g2": 5590,
-    "g3": 5690,
-}  # of the queue; next: its control, the group's control, the group's link
+# Ports of the queues; the next three ports are the queue's control, the group's control and the group's link.
+PORTS = {"g1": 5490, "g2": 5590, "g3": 5690}
 VOTERS = {name: f"127.0.0.1:{port + 3}" for name, port in PORTS.items()}
 
 
--- a/examples/try_sites.py
+++ b/examples/try_sites.py
@@ -19,10 +19,8 @@
 from weldhatch.client import Api, BuildMachine, Outcome, Submitter, Task  # noqa: E402
 from weldhatch.testbed.fault_proxy import Wire  # noqa: E402
 
-PORTS = {
-    "hall-a": 5290,
-    "hall-b": 5390,
-}  # of the queue; next: its control address, the address of its sites' link
+# Ports of the queues; the next two ports are the control address and the address for other sites.
+PORTS = {"hall-a": 5290, "hall-b": 5390}
 MACHINE = {"cores": "16", "memory": "64", "hall": "hall-b", "rack": "r1"}
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -48,8 +48,8 @@
 def limit_concurrent_fleet_tests(request):
     """Limit how many tests marked `fleet` run at the same time.
 
-    Each starts up to eight processes whose leases last for less than a second, and fails on an overloaded
-    machine.
+    Each starts up to eight processes whose leases last for less than a second, so an overloaded machine
+    can make it fail.
     """
     if request.node.get_closest_marker("fleet") is None:
         yield
