--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from weldhatch.pullqueue.admission import LEAST_ADMITTED, AdmissionQueue, Ticket, Verdict
+from weldhatch.pullqueue.admission import MIN_ADMITTED, AdmissionQueue, Ticket, Verdict
 from weldhatch.pullqueue.deadlines import Deadlines
 from weldhatch.pullqueue.workers import Matching, Worker, matches, read_worker
 
@@ -19,8 +19,8 @@
     queue.limit = 1.0
     first = Ticket(0, 99 * SECOND, 0)
     assert queue.request_admission(first, 0).verdict is Verdict.ADMITTED
-    queue.pace.answers_per_s = rate
-    queue.pace.answer_time_us = took
+    queue.answer_stats.answers_per_s = rate
+    queue.answer_stats.answer_time_us = took
     queue._steady_since = -10 * SECOND
     queue.request_admission(Ticket(0, 9999 * SECOND, 0), 0)  # somebody waits, and has for a while
     queue._steady_since = -10 * SECOND
@@ -92,8 +92,8 @@
     queue, _ = full(most=10_000, rate=0, took=0)
     tickets = [come(queue, 0, 2 * SECOND)[0] for _ in range(1000)]
     assert queue.waiting == 1001 and queue.remove_late(0) == []
-    queue.pace.answers_per_s = 100.0
-    queue.pace.answer_time_us = 10_000.0
+    queue.answer_stats.answers_per_s = 100.0
+    queue.answer_stats.answer_time_us = 10_000.0
     out = queue.remove_late(0)
     assert out == tickets[-len(out) :] and 830 < len(out) < 860 and queue.waiting == 1001 - len(out)
     assert queue.remove_late(0) == []
@@ -132,7 +132,7 @@
     queue = AdmissionQueue({0: 1.0}, 10)
     for _ in range(60):
         queue.update_limit(200_000)
-    assert queue.limit <= LEAST_ADMITTED
+    assert queue.limit <= MIN_ADMITTED
     for _ in range(200):
         queue.update_limit(1000)
     assert queue.limit > 200  # again
--- a/weldhatch/pullqueue/bot_leases.py
+++ b/weldhatch/pullqueue/bot_leases.py
@@ -1,7 +1,8 @@
-"""The leases of all build machines: what the core asks of them, and what their pullers report.
+"""The leases of all build machines: operations of the core on them, and reports of their pullers.
 
-A lease goes OFFERED, PENDING, ACTIVE, and ends in `end_lease`, the one place where it is given back. What was
-handed out is never taken for stopped on a guess: only its puller's report, or expiry and grace, end it.
+A lease goes through OFFERED, PENDING and ACTIVE, and ends in `end_lease`, the only place that frees its
+capacity after a hand-out. A lease that was handed out ends only by a report of its puller, or when its expiry
+and the grace period have passed: until then its task may still run.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from weldhatch.pullqueue.deadlines import Deadlines
 from weldhatch.pullqueue.leases import KeyLedger, Lease, LeasePhase
 from weldhatch.pullqueue.machines import Bot, NullReceiver, payload_of
-from weldhatch.pullqueue.reports import Listed
+from weldhatch.pullqueue.reports import ReportedLease
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.scheduling.types import MachineState, Outcome, Reason, Settings
 
-# What a puller that declines a lease before it runs says of it, by google.rpc.Code: proof that nothing ran.
-DECLINED = {8: Reason.UNSPECIFIED, 9: Reason.NOT_ACCEPTING}
-RAN_WELL = 0
+# google.rpc.Code with which a puller declines a lease before it starts the task: proof that nothing ran.
+DECLINE_REASONS = {8: Reason.UNSPECIFIED, 9: Reason.NOT_ACCEPTING}
+CODE_OK = 0
 
 
 class BotLeases:
-    """All leases of this gateway, and the machines as the core's `Site`."""
+    """All leases of this gateway. Implements the core's `ports.Site` for build machines."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         log: Callable[[str], None],
         now: Callable[[], float],
     ) -> None:
-        """Keep the deadlines of leases under ("lease", id). `now`: Unix seconds that do not leap."""
+        """Keep the deadlines of leases under ("lease", id). `now`: Unix seconds of a clock without jumps."""
         self.settings = settings
         self.timing = timing
         self._registry = registry
@@ -51,17 +52,17 @@
         self._log = log
         self._now = now
         self.by_id: dict[str, Lease] = {}
-        self._unconfirmed: set[str] = set()  # restored ones that their machines have not renewed yet
+        self._unconfirmed: set[str] = set()  # restored leases that their machines have not renewed yet
 
-    # ---- as the dispatcher of leases needs them ------------------------------------------------------------
+    # ---- implements `lease_dispatch.LeaseOwner` ------------------------------------------------------------
 
     def extend_lease(self, lease: Lease) -> None:
-        """Let a lease run for a lease's time from now; it counts as leased for the grace after that."""
+        """Extend a lease to a full lease time from now; it stays leased for the grace period after that."""
         lease.expires = self._now() + self.timing.lease
         self._deadlines.set(("lease", lease.id), lease.expires + self.timing.grace)
 
     def end_lease(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CUT) -> None:
-        """End an attempt: the one place where that is done."""
+        """End an attempt and its lease, free its capacity and notify the receiver."""
         lease.phase = LeasePhase.ENDED
         self._registry.by_machine[lease.machine].remove(lease)
         self.by_id.pop(lease.id, None)
@@ -78,13 +79,13 @@
         """Return the names of a machine's zone and rack."""
         return self._registry.zone_and_rack(bot)
 
-    # ---- what a puller reports -----------------------------------------------------------------------------
+    # ---- reports of pullers --------------------------------------------------------------------------------
 
-    def apply_report(self, bot: Bot, listed: list[Listed]) -> list[str]:
-        """Take each listed lease; return ids of those that the puller has to end before it gets more."""
+    def apply_report(self, bot: Bot, reported: list[ReportedLease]) -> list[str]:
+        """Apply the reported leases; return the ids of those that the puller must end to get new ones."""
         to_end = []
         now = self._now()
-        for entry in listed:
+        for entry in reported:
             lease = bot.leases.get(entry.id)
             running = entry.state in ("PENDING", "ACTIVE")
             if lease is None or lease.phase is LeasePhase.OFFERED:
@@ -93,8 +94,8 @@
             elif not running:
                 self._finish(lease, entry)
             elif lease.phase is LeasePhase.CANCELLED or now >= lease.expires:
-                # Guards against a renewal that comes too late: the puller had to stop, and the task may
-                # be on its way elsewhere as soon as the grace is over.
+                # A renewal after the expiry is rejected: the puller had to stop the task at the expiry, and
+                # the task may be placed elsewhere as soon as the grace period is over.
                 lease.phase = LeasePhase.CANCELLED
                 bot.stopping[lease.id] = lease
             elif entry.state == "ACTIVE":
@@ -111,27 +112,30 @@
             self._storage.append_with_retry(durable_state.encode("running", lease.id))
             lease.receiver.deliver(Answered(lease.attempt, bot.id))
 
-    def _finish(self, lease: Lease, entry: Listed) -> None:
-        """End a lease that its puller holds no longer."""
+    def _finish(self, lease: Lease, entry: ReportedLease) -> None:
+        """End a lease that its puller reports as completed or cancelled."""
         payload_of(lease.task).on_result(entry.result, entry.message)
-        ran_well = entry.state == "COMPLETED" and entry.code == RAN_WELL
+        succeeded = entry.state == "COMPLETED" and entry.code == CODE_OK
         if lease.phase is LeasePhase.CANCELLED:
             self.end_lease(lease, Outcome.CANCELLED, cause=CALLED_OFF)
         elif lease.phase is LeasePhase.ACTIVE:
-            outcome = Outcome.OK if ran_well else Outcome.RESET
-            self.end_lease(lease, outcome, cause=GIVEN_UP if ran_well else CUT)
-        elif ran_well:  # a short task: begun and ended in one report
+            outcome = Outcome.OK if succeeded else Outcome.RESET
+            self.end_lease(lease, outcome, cause=GIVEN_UP if succeeded else CUT)
+        elif succeeded:  # a short task whose start and end are in the same report
             lease.receiver.deliver(Answered(lease.attempt, self._registry.by_machine[lease.machine].id))
             self.end_lease(lease, Outcome.OK, cause=GIVEN_UP)
-        elif entry.state == "COMPLETED" and entry.code in DECLINED:
-            self.end_lease(lease, Outcome.FULL, DECLINED[entry.code])
+        elif entry.state == "COMPLETED" and entry.code in DECLINE_REASONS:
+            self.end_lease(lease, Outcome.FULL, DECLINE_REASONS[entry.code])
         else:
             self.end_lease(lease, Outcome.ERROR)
 
     # ---- deadlines, operators, restarts --------------------------------------------------------------------
 
     def check_deadline(self, lease: Lease, now: float) -> None:
-        """End a lease whose deadline has come, or note when it will; its machine may be forgotten then."""
+        """End a lease whose deadline has passed, or set its deadline again.
+
+        The machine is forgotten if it then has neither a session nor leases.
+        """
         bot = self._registry.by_machine[lease.machine]
         if lease.phase is LeasePhase.OFFERED:
             if now >= lease.expires:
@@ -139,19 +143,19 @@
             else:
                 self._deadlines.set(("lease", lease.id), lease.expires)
         elif now >= lease.expires + self.timing.grace:
-            self._log(f"bot {bot.id}: lease {lease.id} has run out, {lease.phase.value}")
+            self._log(f"bot {bot.id}: lease {lease.id} has run out in state {lease.phase.value}")
             self.end_lease(lease, Outcome.RESET)
         else:
             self._deadlines.set(("lease", lease.id), lease.expires + self.timing.grace)
         self._registry.forget_if_idle(bot)
 
     def end_offers(self, bot: Bot) -> None:
-        """End what waits for a machine as not sent: it has never run, and goes elsewhere."""
+        """End the offers to a machine as not sent: their tasks have never run and are placed elsewhere."""
         for lease in list(bot.offered.values()):
             self.end_lease(lease, Outcome.NOT_SENT)
 
     def restore(self, record: durable_state.LeaseRecord, task: ports.Task) -> int:
-        """Count a lease as leased anew that was when the gateway ended; return its machine's number."""
+        """Restore a lease that was handed out by a former run of the gateway; return its machine's number."""
         bot = self._registry.restore(record.bot, record.place)
         phase = LeasePhase.ACTIVE if record.running else LeasePhase.PENDING
         lease = Lease(record.id, bot.machine, task, 0, NullReceiver(), phase)
@@ -166,10 +170,10 @@
         return bot.machine
 
     def handed_out(self) -> list[Lease]:
-        """Return the leases that machines hold, or may hold."""
+        """Return the leases that machines hold or may hold."""
         return [lease for lease in self.by_id.values() if lease.phase is not LeasePhase.OFFERED]
 
-    # ---- what the core asks for: `ports.Site` --------------------------------------------------------------
+    # ---- implements `ports.Site` ---------------------------------------------------------------------------
 
     def offer(
         self,
@@ -180,7 +184,7 @@
         receiver: ports.Receiver,
         start_by_us: int = 0,
     ) -> None:
-        """Offer a task to a machine; it waits for the machine's next update, for `wait_us` at the most."""
+        """Offer a task to a machine. The offer waits for the machine's next update, for at most `wait_us`."""
         bot = self._registry.by_machine.get(machine)
         if bot is None or not bot.session or self._registry.effective_state(bot) is not MachineState.READY:
             receiver.deliver(Ended(attempt, Outcome.NOT_SENT))
@@ -193,15 +197,15 @@
         bot.changed.set()
 
     def adopt(self, machine: int, task: ports.Task, receiver: ports.Receiver) -> None:
-        """Deliver to this receiver from now on what becomes of a restored lease."""
+        """Deliver the messages of a restored lease to this receiver from now on."""
         lease = self._lease_of(machine, task)
-        if lease is None:  # no submitter names a machine
+        if lease is None:  # a submission of the pull queue cannot name the machine that runs its task
             receiver.deliver(Ended(0, Outcome.RESET))
         else:
             lease.receiver = receiver
 
     def give_up(self, machine: int, task: ports.Task) -> GiveUpResult:
-        """Withdraw an offer; what was handed out is cancelled, and stays out until that is confirmed."""
+        """Withdraw an offer. A lease that was handed out is cancelled, and ends when its puller confirms."""
         lease = self._lease_of(machine, task)
         if lease is None:
             return GiveUpResult.GIVEN_UP
@@ -215,16 +219,16 @@
         return GiveUpResult.STILL_OUT
 
     def release(self, machine: int, task: ports.Task, cause: int) -> None:
-        """Have a standing task ended; its end is still delivered."""
+        """Cancel a running task; its end is still delivered."""
         if lease := self._lease_of(machine, task):
             self._cancel(lease)
 
     def move(self, machine: int, task: ports.Task) -> None:
-        """Have a standing task ended because it is to run elsewhere."""
+        """Cancel a running task that is to be placed elsewhere."""
         self.release(machine, task, CALLED_OFF)
 
     def probe(self, machine: int, done: Callable[[Outcome, tuple[float, ...]], None]) -> None:
-        """Answer from the machine's last update; one that owes an update is silent."""
+        """Answer a probe from the machine's last update; an overdue update counts as a time-out."""
         bot = self._registry.by_machine.get(machine)
         if bot is None or not bot.session:
             done(Outcome.CONNECT_FAILED, ())
@@ -239,7 +243,7 @@
         return bot.by_task.get(id(task)) if bot else None
 
     def _cancel(self, lease: Lease) -> None:
-        """Cancel a lease at its puller's next update; until it confirms, the lease stays out."""
+        """Cancel a lease at its puller's next update; the lease ends when the puller confirms that."""
         lease.phase = LeasePhase.CANCELLED
         bot = self._registry.by_machine[lease.machine]
         bot.stopping[lease.id] = lease
--- a/weldhatch/pullqueue/bot_registry.py
+++ b/weldhatch/pullqueue/bot_registry.py
@@ -1,4 +1,4 @@
-"""The build machines that the gateway knows: by id, by the policy's number, and by session."""
+"""The known build machines, indexed by bot id, by the policy's machine number and by session."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from weldhatch.scheduling.events import MachinesChanged
 from weldhatch.scheduling.types import ListForm, Machine, MachineState, Settings
 
-MOST_CAPACITY = 1e9  # cores or units of memory that a machine may say that it has
+MAX_CAPACITY = 1e9  # cores or units of memory that a machine may report
 RACK_NAME_LIMIT = 100
 
 
 class NameSource:
-    """Names that no former gateway gave: of sessions and of leases, numbered together."""
+    """Generates names of sessions and leases, with one counter for both, that no former run has used."""
 
     def __init__(self, epoch_name: str) -> None:
-        """Give names of this epoch."""
+        """Generate names of this epoch."""
         self._epoch_name = epoch_name
         self._serial = 0
 
@@ -31,7 +31,7 @@
 
 
 class Place(NamedTuple):
-    """How large a machine is, and where it stands, by the numbers of its zone and rack."""
+    """Capacity of a machine, and the numbers of its zone and rack."""
 
     cores: float
     memory: float
@@ -45,28 +45,28 @@
     def __init__(
         self, settings: Settings, operators: Operators, on_change: Callable[[MachinesChanged], None]
     ) -> None:
-        """Report each change to `on_change`, which is the policy's."""
+        """Start without machines. `on_change` passes each change of a machine to the policy."""
         self._operators = operators
         self._on_change = on_change
         self.bots: dict[str, Bot] = {}
         self.by_machine: dict[int, Bot] = {}
         self.by_session: dict[str, Bot] = {}
-        self.workers: dict[int, Worker] = {}  # by machine, for requirements
+        self.workers: dict[int, Worker] = {}  # by machine number; requirements are matched against them
         self._racks: dict[str, int] = {}
         self._rack_names: list[str] = []
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Take over settings that are in force from now on; zones keep their numbers."""
+        """Replace the settings; zones keep their numbers."""
         self._zone_names = settings.zones
         self._zones = {name: number for number, name in enumerate(settings.zones)}
 
     def get_or_add(self, bot_id: str) -> Bot:
-        """Return a machine, added without size and place where it was not known."""
+        """Return a machine; an unknown machine is added without capacity and location."""
         return self.bots.get(bot_id) or self._add(bot_id, Place(0.0, 0.0, 0, 0))
 
     def restore(self, bot_id: str, place: list[float | str]) -> Bot:
-        """Return a machine, added where it was not known. `place`: cores, memory, names of zone and rack."""
+        """Return a machine; an unknown one is added. `place`: cores, memory, names of zone and rack."""
         bot = self.bots.get(bot_id)
         if bot is None:
             cores, memory, zone, rack = place
@@ -88,16 +88,16 @@
             self.workers.pop(bot.machine, None)
 
     def set_worker(self, bot: Bot, worker: Worker) -> None:
-        """Set what a machine says that it is."""
+        """Set the properties that a machine reports of itself."""
         bot.worker = worker
         self.workers[bot.machine] = worker
 
     def effective_state(self, bot: Bot) -> MachineState:
-        """Return the stricter of a machine's own state and the operator's; new work needs READY."""
+        """Return the stricter of a machine's own state and the operator's; only READY gets new work."""
         return self._operators.merged(bot.id, bot.state)
 
     def report(self, bot: Bot) -> None:
-        """Report the present state of a machine to the policy."""
+        """Report the current state of a machine to the policy."""
         state = self.effective_state(bot)
         machine = Machine(bot.machine, bot.zone, 0, bot.rack, state, cores=bot.cores, memory=bot.memory)
         self._on_change(MachinesChanged(ListForm.DELTA, (machine,)))
@@ -107,7 +107,7 @@
         return self._zone_names[bot.zone], self._rack_names[bot.rack]
 
     def place_of(self, worker: Worker) -> Place:
-        """Return size and place from a worker's properties. Raises HttpError naming the field."""
+        """Read capacity and location from a worker's properties. Raises HttpError naming the field."""
         cores, memory = (self._capacity(worker, name) for name in ("cores", "memory"))
         zone = worker.first("hall")
         rack = worker.first("rack")
@@ -125,13 +125,13 @@
             capacity = float(text or "")
         except ValueError:
             capacity = 0.0
-        if not 0 < capacity < MOST_CAPACITY:
+        if not 0 < capacity < MAX_CAPACITY:
             field = f"worker.properties.{name}"
             raise HttpError(400, f"{field}: the unusable value {text!r}", field)
         return capacity
 
     def _rack(self, name: str) -> int:
-        """Number racks as they come; only their names outlast the gateway."""
+        """Return the number of a rack. Numbers are given in order of appearance; only names are stored."""
         if name not in self._racks:
             self._racks[name] = len(self._rack_names)
             self._rack_names.append(name)
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -19,7 +19,7 @@
 from weldhatch.pullqueue.leases import KeyLedger, LeasePhase
 from weldhatch.pullqueue.machines import Bot
 from weldhatch.pullqueue.operator_states import Operators
-from weldhatch.pullqueue.reports import Listed, masked, read_listed, read_status
+from weldhatch.pullqueue.reports import ReportedLease, masked, read_reported_leases, read_status
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.workers import Worker, read_worker
 from weldhatch.scheduling.events import MachinesChanged
@@ -112,8 +112,8 @@
         worker = read_worker(tree.get("worker"), "worker")
         place = self.registry.place_of(worker)
         state = read_status(tree)
-        listed = read_listed(tree)
-        self._check_epochs(one.id for one in listed)
+        reported = read_reported_leases(tree)
+        self._check_epochs(one.id for one in reported)
         bot = self.registry.get_or_add(bot_id)
         bot.cores, bot.memory, bot.zone, bot.rack = place
         self.registry.set_worker(bot, worker)
@@ -121,9 +121,9 @@
         self.registry.by_session.pop(bot.session, None)
         bot.session = self._names.next("botSessions")
         self.registry.by_session[bot.session] = bot
-        self._log(f"bot {bot_id}: session {bot.session} opened, {len(listed)} leases listed")
+        self._log(f"bot {bot_id}: session {bot.session} opened, {len(reported)} leases listed")
         bot.state = MachineState.REMOVED  # reports the machine to the policy anew
-        return await self._update(bot, state, listed, request)
+        return await self._update(bot, state, reported, request)
 
     async def update(self, name: str, request: Request) -> dict[str, Any]:
         """Take an update of a session, and answer it once there is something to say. Raises HttpError."""
@@ -143,7 +143,7 @@
             raise HttpError(400, "botId: not the one that opened the session", "botId")
         if tree.get("worker"):
             self._update_worker(bot, read_worker(tree["worker"], "worker"))
-        return await self._update(bot, read_status(tree), read_listed(tree), request)
+        return await self._update(bot, read_status(tree), read_reported_leases(tree), request)
 
     def _update_worker(self, bot: Bot, worker: Worker) -> None:
         """Take what a machine says that it is; its size and place are those of its session."""
@@ -170,7 +170,7 @@
             raise HttpError(503, f"store: {self.stale_reason}", "store", STALE_STORE_RETRY_S)
 
     async def _update(
-        self, bot: Bot, state: MachineState, listed: list[Listed], request: Request
+        self, bot: Bot, state: MachineState, reported: list[ReportedLease], request: Request
     ) -> dict[str, Any]:
         """Take the report, wait for something to say, and say it."""
         wait_s = request.seconds("x-server-timeout", self.timing.poll)
@@ -180,10 +180,10 @@
         if state != bot.state:
             bot.state = state
             self.registry.report(bot)
-        to_end = self.leases.apply_report(bot, listed)
+        to_end = self.leases.apply_report(bot, reported)
         if state != MachineState.READY or to_end:
             wait_s = 0.0
-        known = {entry.id for entry in listed}
+        known = {entry.id for entry in reported}
         await self._wait_for_change(bot, known, wait_s)
         if bot.session != session or bot.update_number != update_number:
             # Guards against handing a lease to a poll that its machine has given up.
--- a/weldhatch/pullqueue/deadlines.py
+++ b/weldhatch/pullqueue/deadlines.py
@@ -1,4 +1,4 @@
-"""Keys that fall due, in order, without looking at those that do not. No clock of its own."""
+"""A priority queue of keys by deadline; the caller passes the time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Deadlines(Generic[_Key]):
-    """One time for each key: a heap with lazy deletion, old entries are skipped when they come up."""
+    """At most one deadline for each key, in a heap with lazy deletion: stale entries are skipped when due."""
 
     def __init__(self) -> None:
         """Start without keys."""
@@ -19,9 +19,9 @@
         self._serial = 0
 
     def set(self, key: _Key, at: float) -> None:
-        """Set the time of a key, in whatever unit `due` is asked in.
+        """Set the deadline of a key, in the time unit that the caller of `due` uses.
 
-        A later time for a known key costs nothing now: its old entry is corrected when it comes up.
+        Postponing a known key costs no heap operation: its old entry is corrected once it is due.
         """
         before = self._times.get(key)
         self._times[key] = at
@@ -33,11 +33,11 @@
         heapq.heappush(self._heap, (at, self._serial, key))
 
     def drop(self, key: _Key) -> None:
-        """Forget the time of a key, if it has one."""
+        """Remove the deadline of a key, if it has one."""
         self._times.pop(key, None)
 
     def due(self, now: float) -> Iterator[_Key]:
-        """Yield the keys whose time has come, each dropped as it is yielded."""
+        """Yield the keys whose deadline has passed; each is removed as it is yielded."""
         while self._heap and self._heap[0][0] <= now:
             _, _, key = heapq.heappop(self._heap)
             at = self._times.get(key)
@@ -50,5 +50,5 @@
                 yield key
 
     def __len__(self) -> int:
-        """Return the number of keys that have a time."""
+        """Return the number of keys that have a deadline."""
         return len(self._times)
--- a/weldhatch/pullqueue/durable_state.py
+++ b/weldhatch/pullqueue/durable_state.py
@@ -1,20 +1,21 @@
-"""What outlasts a gateway: its epoch, submissions with their answers, leases that are out, and spent keys.
-
-Records and their fold only; the front writes them. A record is a JSON list; its first item says its kind:
-
-    ["epoch", number, token, at]                    a gateway begins
-    ["asked", name, fields, blob, meta]             a submission
-    ["handed", lease, name, bot, place, attempt]    a lease is about to leave; place: cores, memory, zone,
-                                                    rack
-    ["back", lease]                                 it did not leave
-    ["running", lease]                              its machine has begun it
-    ["seen", lease]                                 its machine has renewed it, told once an epoch
-    ["until", lease, expires]                       a gateway that starts counts it as out until then
-    ["over", lease]                                 its one end
-    ["answer", name, answer]                        the one final answer
-    ["end", name, state, cause, result]             the task is over
-    ["drop", name]                                  it is no longer reported
-    ["spent", keys]                                 keys of tasks that never go out again
+"""The stored state of a pull queue: its epoch, submissions with their answers, leases and spent keys.
+
+This module defines the records and folds them into the state; its callers write them. A record is a JSON list
+whose first item is its kind:
+
+    ["epoch", number, token, at]                    a run of the gateway begins
+    ["asked", name, fields, blob, meta]             a submission was received
+    ["handed", lease, name, bot, place, attempt]    a lease is about to be handed out; place: cores, memory,
+                                                    zone and rack of the machine
+    ["back", lease]                                 the lease was not handed out after all
+    ["running", lease]                              the machine has started the task of the lease
+    ["seen", lease]                                 the machine has renewed the lease: once an epoch
+    ["until", lease, expires]                       a starting gateway counts the lease as leased until then
+    ["over", lease]                                 the lease has ended
+    ["answer", name, answer]                        the final answer to a submission
+    ["end", name, state, cause, result]             the task of a submission has ended
+    ["drop", name]                                  a submission is no longer kept
+    ["spent", keys]                                 keys of tasks that must not be handed out again
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 def encode(*record: object) -> bytes:
-    """Return a record as it stands in the log."""
+    """Encode a record for the log."""
     return json.dumps(record, separators=(",", ":")).encode()
 
 
@@ -37,12 +38,13 @@
 
 @dataclass(slots=True)
 class LeaseRecord:
-    """A lease that is out, or may be.
+    """A lease that a machine holds or may hold.
 
-    `place`: cores, memory, zone and rack of its machine; `until`: Unix seconds, 0 where it is not known.
+    `place`: cores, memory, zone and rack of the machine; `until`: expiry in Unix seconds, 0 if unknown.
 
-    Renewals are not written, each epoch's first one is: what was `seen` in the last epoch may run for a whole
-    lease from its end on; what was not runs out when it would have, however often the gateway starts anew.
+    Only the first renewal of each epoch is written. After a restart, a lease that was `seen` in the last
+    epoch may run for a full lease time; any other lease keeps its old expiry, however often the gateway
+    restarts.
     """
 
     id: str
@@ -57,9 +59,10 @@
 
 @dataclass(slots=True)
 class OperationRecord:
-    """A submission as it is reported.
+    """A submission with its answer and the end of its task.
 
-    `meta`: at, deadline (Unix us), tenant, request (its id), waits (somebody may come for the answer).
+    `meta`: at and deadline (Unix us), tenant, request (the request id), waits (whether the submitter may
+    fetch the answer later).
     """
 
     name: str
@@ -76,7 +79,7 @@
 
 @dataclass(slots=True)
 class QueueState:
-    """The fold of all records."""
+    """The state that results from all records."""
 
     epoch: int = 0
     token: str = ""
@@ -85,7 +88,7 @@
     spent: dict[int, None] = field(default_factory=dict)
 
     def apply(self, payload: bytes) -> None:
-        """Apply one record. Raises ValueError for what is none."""
+        """Apply one record. Raises ValueError for an invalid record."""
         try:
             kind, *values = json.loads(payload)
             known = (
@@ -96,10 +99,10 @@
             if not known:
                 raise ValueError(kind)
         except (ValueError, TypeError, KeyError, IndexError) as error:
-            raise ValueError(f"a record that can't be read: {payload[:80]!r}: {error!r}") from None
+            raise ValueError(f"invalid record {payload[:80]!r}: {error!r}") from None
 
     def _apply_run(self, kind: str, values: list[Any]) -> bool:
-        """Apply a record that concerns the whole store; False for any other."""
+        """Apply a record that concerns the whole store; return False for any other."""
         match kind, values:
             case "epoch", [number, token, _]:
                 self.epoch = number
@@ -115,7 +118,7 @@
         return True
 
     def _apply_lease(self, kind: str, values: list[Any]) -> bool:
-        """Apply a record of a lease; False for any other. One of an unknown lease changes nothing."""
+        """Apply a record of a lease; return False for any other. Records of unknown leases are ignored."""
         match kind, values:
             case "handed", [id, name, bot, place, attempt]:
                 self.leases[id] = LeaseRecord(id, name, bot, place, attempt)
@@ -141,7 +144,7 @@
         return True
 
     def _apply_operation(self, kind: str, values: list[Any]) -> bool:
-        """Apply a record of a submission; False for any other."""
+        """Apply a record of a submission; return False for any other."""
         match kind, values:
             case "asked", [name, fields, blob, meta]:
                 self.operations[name] = OperationRecord(name, fields, blob, meta)
@@ -163,7 +166,7 @@
         return True
 
     def snapshot_records(self) -> Iterator[bytes]:
-        """Return the least records that fold to the same state."""
+        """Return a minimal list of records that folds to the same state."""
         yield encode("epoch", self.epoch, self.token, 0)
         keys = list(self.spent)
         for start in range(0, len(keys), SPENT_PER_RECORD):
@@ -185,12 +188,12 @@
 
     @property
     def snapshot_size(self) -> int:
-        """About how many records `records` gives."""
+        """The approximate number of records of `snapshot_records`."""
         return 2 + 3 * len(self.operations) + 2 * len(self.leases) + len(self.spent) // SPENT_PER_RECORD
 
 
 def fold(payloads: Iterable[bytes]) -> QueueState:
-    """Return the state that records bring about. Raises ValueError for what is none."""
+    """Return the state that results from records. Raises ValueError for an invalid record."""
     out = QueueState()
     for payload in payloads:
         out.apply(payload)
@@ -198,7 +201,7 @@
 
 
 def epoch_of(name: str) -> tuple[int, str] | None:
-    """Return the epoch in a name like `leases/7.3fa0-12`; None for one that no gateway with a store gave."""
+    """Return the epoch in a name like `leases/7.3fa0-12`; None for a name without a store's epoch."""
     _, sign, rest = name.partition("/")
     head, dash, _ = rest.partition("-")
     number, dot, token = head.partition(".")
@@ -208,10 +211,10 @@
 
 
 def from_later(names: Iterable[str], epoch: int, token: str) -> str:
-    """Return a name that a later gateway than this one has given; '' where there is none.
+    """Return the first of these names that a later run of the gateway generated; '' if there is none.
 
-    Guards against an older copy of the store: what was started after it was made is unknown to it, so a
-    gateway that meets a trace of that must not give anything out.
+    Such a name shows that the store is an older copy. It lacks the leases that were handed out after it was
+    made, so the gateway must not hand out anything from it.
     """
     for name in names:
         known = epoch_of(name)
--- a/weldhatch/pullqueue/lease_dispatch.py
+++ b/weldhatch/pullqueue/lease_dispatch.py
@@ -1,4 +1,4 @@
-"""Leases that leave the gateway for their machines: here, and only here."""
+"""Hand-out of leases to their machines: the only module that sends new leases."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from weldhatch.scheduling.types import Outcome, Settings
 from weldhatch.store.log import LogError
 
-REPLY_LIMIT = 48 * 1024  # bytes that one answer hands out, about; the rest waits for the next
-LEASE_OVERHEAD = 512  # bytes of a lease beside its blob, about
-INLINE_ASSIGNMENT = ("inlineAssignment", "yes")  # a worker's config
+MAX_REPLY_BYTES = 48 * 1024  # approximate limit of the leases in one answer; others wait for the next one
+LEASE_OVERHEAD_BYTES = 512  # approximate size of a lease without its blob
+INLINE_ASSIGNMENT = ("inlineAssignment", "yes")  # config of a worker that expects the payload inline
 
 
 class LeaseOwner(Protocol):
-    """Who holds the leases, and their deadlines."""
+    """The owner of the leases and their deadlines."""
 
     def extend_lease(self, lease: Lease) -> None:
-        """Let a lease run for a lease's time from now."""
+        """Extend a lease to a full lease time from now."""
 
     def end_lease(self, lease: Lease, outcome: Outcome, reason: int = 0, cause: int = CUT) -> None:
         """End an attempt."""
@@ -43,15 +43,15 @@
 
 @dataclass(slots=True)
 class _Batch:
-    """The leases of one answer, and what has to be on the disk before they leave."""
+    """The leases of one answer, and the records that must be on the disk before the answer is sent."""
 
     leases: list[Lease] = field(default_factory=list)
     records: list[bytes] = field(default_factory=list)
-    newly_spent: set[str] = field(default_factory=set)  # ids of leases whose keys are spent by this
+    newly_spent: set[str] = field(default_factory=set)  # ids of leases whose keys become spent by this batch
 
 
 class LeaseDispatcher:
-    """Hands leases out in the answer to an update: written first, checked last."""
+    """Hands out leases in the answer to an update: stores them, then checks them again before the answer."""
 
     def __init__(
         self,
@@ -71,15 +71,16 @@
         self._owner = owner
         self._log = log
         self._now = now
-        self.rules: ports.Rules | None = None  # where dispatchers agree on them
+        self.rules: ports.Rules | None = None  # set if a group of dispatchers agrees on its rules
 
     async def hand_out(
         self, bot: Bot, session: str, update_number: int, request: Request
     ) -> list[dict[str, Any]]:
-        """Hand out the leases that are offered to a machine, as its answer shows them.
+        """Hand out the leases that are offered to a machine; return them as JSON.
 
-        What may not start twice is on the disk before it is on the wire; where the disk does not take it, or
-        the machine has sent a later update meanwhile, it has not left. Raises HttpError for the latter.
+        The hand-out is on the disk before the leases are on the wire, so that a restarted gateway knows them.
+        If the write fails, the offers end as not sent. If the machine has sent a later update meanwhile,
+        the leases are offered again. Raises HttpError in the latter case.
         """
         batch = self._prepare(bot)
         if not batch.leases:
@@ -92,7 +93,7 @@
                     self._ledger.undo_handout(lease, lease.id in batch.newly_spent)
                     self._owner.end_lease(lease, Outcome.NOT_SENT)
             return []
-        except asyncio.CancelledError:  # the connection of this update has ended meanwhile
+        except asyncio.CancelledError:  # the connection of this update has closed meanwhile
             self._offer_again(bot, batch)
             raise
         if bot.session != session or bot.update_number != update_number or request.closed():
@@ -105,13 +106,13 @@
         ]
 
     def _prepare(self, bot: Bot) -> _Batch:
-        """Take as many offered leases as one answer holds, with the records of their hand-out."""
+        """Mark as many offered leases as fit into one answer as handed out, and collect their records."""
         batch = _Batch()
         size = 0
         for lease in self._permitted(list(bot.offered.values())):
             payload = payload_of(lease.task)
-            size += LEASE_OVERHEAD + 2 * len(payload.blob)
-            if batch.leases and size > REPLY_LIMIT:
+            size += LEASE_OVERHEAD_BYTES + 2 * len(payload.blob)
+            if batch.leases and size > MAX_REPLY_BYTES:
                 break
             del bot.offered[lease.id]
             lease.phase = LeasePhase.PENDING
@@ -129,9 +130,9 @@
         return durable_state.encode("handed", lease.id, lease.task.label, bot.id, place, lease.attempt)
 
     def _permitted(self, leases: list[Lease], newly_spent: Container[str] = ()) -> list[Lease]:
-        """Return the leases that may leave; end the others as not sent.
+        """Return the leases that the rules allow to be handed out; end the others as not sent.
 
-        Guards against rules that moved on, or a process that was stopped, while an offer waited.
+        The rules may have changed, or the process may have been suspended, while an offer waited.
         """
         permitted = []
         for lease in leases:
@@ -142,17 +143,17 @@
             ):
                 permitted.append(lease)
                 continue
-            self._log(f"lease {lease.id} stays: {reason}")
+            self._log(f"lease {lease.id} not handed out: {reason}")
             if lease.phase is LeasePhase.PENDING:
                 self._ledger.undo_handout(lease, lease.id in newly_spent)
             self._owner.end_lease(lease, Outcome.NOT_SENT)
         return permitted
 
     def _offer_again(self, bot: Bot, batch: _Batch) -> None:
-        """Offer leases again that were written and have not left; their keys are neither leased nor spent.
+        """Offer leases again that were stored but not sent, and undo the hand-out of their keys.
 
-        Guards against a lease that is lost with an update that its machine has given up, and against a key
-        that stays taken where the offer is withdrawn then.
+        Otherwise a lease would be lost with an update that its machine has abandoned, and its key would stay
+        leased or spent if the offer is withdrawn later.
         """
         for lease in batch.leases:
             if lease.phase not in (LeasePhase.PENDING, LeasePhase.CANCELLED):
@@ -169,12 +170,12 @@
         bot.changed.set()
 
     def _handout_json(self, bot: Bot, lease: Lease) -> dict[str, Any]:
-        """Return a lease as it is handed out; the API's earlier form has the payload inline too."""
+        """Return a new lease as JSON; workers of an earlier API version get the payload inline too."""
         payload = self._payload_json(lease)
-        shown = {**lease_json(lease), "assignment": lease.task.label, "payload": payload}
+        lease_tree = {**lease_json(lease), "assignment": lease.task.label, "payload": payload}
         if INLINE_ASSIGNMENT in bot.worker.configs:
-            shown["inlineAssignment"] = payload
-        return shown
+            lease_tree["inlineAssignment"] = payload
+        return lease_tree
 
     @staticmethod
     def _payload_json(lease: Lease) -> dict[str, Any]:
@@ -193,10 +194,10 @@
 
 
 def lease_json(lease: Lease) -> dict[str, Any]:
-    """Return a lease as the Remote Workers API shows it."""
+    """Return a lease in the JSON form of the Remote Workers API."""
     return {"id": lease.id, "state": lease.phase.value, "expireTime": rfc3339(lease.expires)}
 
 
 def rfc3339(at: float) -> str:
-    """Return Unix seconds as a timestamp of RFC 3339, in UTC and to the millisecond."""
+    """Format Unix seconds as an RFC 3339 timestamp in UTC, with milliseconds."""
     return datetime.fromtimestamp(at, UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
--- a/weldhatch/pullqueue/leases.py
+++ b/weldhatch/pullqueue/leases.py
@@ -1,4 +1,4 @@
-"""Leases, and the ledger of keys: what is leased, what may still run, and what may never start again."""
+"""Leases, and the ledger of idempotency keys: which are reserved, leased, or must not start again."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class LeasePhase(Enum):
-    """How far a lease has come. The values in capitals are those of the HTTP interface."""
+    """The state of a lease. The values in capitals are those of the HTTP interface."""
 
-    OFFERED = "waiting"  # not handed to the puller yet: it has never run
-    PENDING = "PENDING"  # handed out
-    ACTIVE = "ACTIVE"  # the puller has started it
-    CANCELLED = "CANCELLED"  # the puller must stop it, and may not have done so yet
+    OFFERED = "waiting"  # not handed out yet: its task has never run
+    PENDING = "PENDING"  # handed out to the puller
+    ACTIVE = "ACTIVE"  # the puller has started the task
+    CANCELLED = "CANCELLED"  # the puller must stop the task and may not have done so yet
     ENDED = "over"
 
 
 @dataclass(slots=True, eq=False)
 class Lease:
-    """One attempt at one build machine.
+    """One attempt on one build machine.
 
-    It counts as leased until its puller says otherwise, or until its expiry and the grace after that have
-    passed, by when a puller that keeps the rules has stopped.
+    The lease lasts until its puller reports its end, or until its expiry and the grace period have passed; a
+    puller that follows the protocol has stopped the task by then.
     """
 
     id: str
@@ -41,7 +41,7 @@
 
 
 class KeyRejection(Enum):
-    """Why a key can't be taken now. The values are texts of the HTTP interface."""
+    """The reason why a task with this key is rejected. The values are texts of the HTTP interface."""
 
     BUSY = "a request for this key is under way, or its task stands"
     IN_DOUBT = "an earlier lease of this key may still run"
@@ -50,17 +50,17 @@
 
 @dataclass(slots=True)
 class KeyLedger:
-    """Keys of tasks: reserved by a request, leased, or spent. A task without a key is its own."""
+    """Keys of tasks: reserved by a request, leased, or spent. Tasks without a key are not recorded."""
 
-    capacity: int  # keys that may not start twice, at the most
-    path: str = ""  # where keys that may not start twice are kept over a restart; '' for nowhere
-    _reserved: set[int] = field(default_factory=set)  # a request is in flight, or the task stands
-    _leased: dict[int, Lease] = field(default_factory=dict)  # handed out, and not ended
-    _spent: set[int] = field(default_factory=set)  # handed out once, of a class that may not start twice
+    capacity: int  # maximum number of keys whose tasks must not start twice
+    path: str = ""  # file that keeps the spent keys over a restart; '' for none
+    _reserved: set[int] = field(default_factory=set)  # a request is in flight, or its task is running
+    _leased: dict[int, Lease] = field(default_factory=dict)  # handed out and not ended
+    _spent: set[int] = field(default_factory=set)  # handed out once, and the task must not start twice
     _file: TextIO | None = None
 
     def open(self) -> None:
-        """Read what a former gateway handed out, and keep the file open for more. Raises ConfigError."""
+        """Read the keys that a former run spent, and keep the file open for writing. Raises ConfigError."""
         if not self.path:
             return
         try:
@@ -71,13 +71,13 @@
             raise ConfigError(f"ledger: {self.path}: {error}") from None
 
     def close(self) -> None:
-        """Close the file, where there is one."""
+        """Close the file, if there is one."""
         if self._file is not None:
             self._file.close()
             self._file = None
 
     def rejection(self, key: int, request_class: RequestClass) -> KeyRejection | None:
-        """Return why a task with this key can't be taken now; None where it can."""
+        """Return why a task with this key is rejected now; None if it is not."""
         if not key:
             return None
         if key in self._reserved:
@@ -87,7 +87,7 @@
         return KeyRejection.IN_DOUBT if key in self._leased else None
 
     def is_full_for(self, request_class: RequestClass) -> bool:
-        """Tell whether no more tasks that may not start twice can be remembered: none is forgotten."""
+        """Return whether the ledger is full for tasks that must not start twice: no key is ever evicted."""
         if request_class.effect is not Effect.UNSAFE:
             return False
         return len(self._spent) + len(self._reserved) >= self.capacity
@@ -98,13 +98,13 @@
             self._reserved.add(key)
 
     def release(self, key: int) -> None:
-        """Release a key: its request is over, and nothing stands for it."""
+        """Release the reservation of a key once its request is over and its task has ended."""
         self._reserved.discard(key)
 
     def record_handout(self, lease: Lease, request_class: RequestClass) -> bool:
-        """Record a lease that is about to leave; return whether its key is spent by that.
+        """Record a lease that is about to be handed out; return whether its key becomes spent by that.
 
-        Raises OSError where the ledger's file can't be written.
+        Raises OSError if the ledger's file can't be written.
         """
         key = lease.task.key
         if not key:
@@ -120,29 +120,29 @@
         return True
 
     def undo_handout(self, lease: Lease, newly_spent: bool) -> None:
-        """Take a lease back that did not leave, and its key if it was spent by that."""
+        """Undo the record of a lease that was not handed out, and unspend its key if it became spent then."""
         self.end(lease)
         if newly_spent:
             self._spent.discard(lease.task.key)
 
     def spend(self, key: int) -> bool:
-        """Record a key that was handed out elsewhere; return whether it was not spent before."""
+        """Record the key of a task that another site handed out; return whether it was not spent before."""
         is_new = key not in self._spent
         self._spent.add(key)
         return is_new
 
     def end(self, lease: Lease) -> None:
-        """Record the end of a lease: its key is no longer in doubt."""
+        """Record the end of a lease: its task no longer runs."""
         if self._leased.get(lease.task.key) is lease:
             del self._leased[lease.task.key]
 
     def restore(self, spent: Iterable[int], leased: Iterable[Lease], reserved: Iterable[int]) -> None:
-        """Take over what a store kept."""
+        """Add the keys that a store kept."""
         self._spent.update(spent)
         self._leased.update((lease.task.key, lease) for lease in leased if lease.task.key)
         self._reserved.update(key for key in reserved if key)
 
     def in_doubt_until(self, key: int) -> float:
-        """Return when the lease of a key expires, in Unix seconds; 0 where it is not leased."""
+        """Return when the lease of a key expires, in Unix seconds; 0 if the key is not leased."""
         lease = self._leased.get(key)
         return lease.expires if lease else 0.0
--- a/weldhatch/pullqueue/monotonic_unix_time.py
+++ b/weldhatch/pullqueue/monotonic_unix_time.py
@@ -1,4 +1,4 @@
-"""Unix time that does not leap, for what ends after a span: leases, sessions, offers."""
+"""A Unix clock without jumps, for the expiry of leases, sessions and offers."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 def steady() -> Callable[[], float]:
-    """Unix seconds: the wall clock as it is now, and from here on a clock that nobody sets.
+    """Return a clock of Unix seconds that starts at the wall clock's time and is never adjusted.
 
-    Guards leases against a wall clock that is set while their machines run on: all of them would run out at
-    once, and what is asked for again would start a second time. It goes on while the machine sleeps, as a
-    lease does.
+    If the wall clock is set forward, leases by that clock would all expire at once while their machines still
+    run the tasks, and retries would start them a second time. CLOCK_BOOTTIME advances while the machine is
+    suspended, as leases do.
     """
-    begun = time.time() - time.clock_gettime(time.CLOCK_BOOTTIME)
-    return lambda: begun + time.clock_gettime(time.CLOCK_BOOTTIME)
+    boot_time = time.time() - time.clock_gettime(time.CLOCK_BOOTTIME)
+    return lambda: boot_time + time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/weldhatch/pullqueue/reports.py
+++ b/weldhatch/pullqueue/reports.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class ReportedLease:
     """One lease as a puller lists it."""
 
     id: str
@@ -51,13 +51,13 @@
     return STATUSES[status]
 
 
-def read_listed(tree: dict) -> list[Listed]:
+def read_reported_leases(tree: dict) -> list[ReportedLease]:
     entries = tree.get("leases") or []
     if not isinstance(entries, list):
         raise HttpError(400, "leases: a list is needed", "leases")
     if len(entries) > LEASES_MOST:
         raise HttpError(400, f"leases: at most {LEASES_MOST} are taken", "leases")
-    listed = []
+    reported = []
     for n, entry in enumerate(entries):
         field = f"leases[{n}]"
         if not isinstance(entry, dict) or not isinstance(entry.get("id"), str):
@@ -84,5 +84,5 @@
                 f"{field}.result: an object of at most {RESULT_MOST} bytes is needed",
                 f"{field}.result",
             )
-        listed.append(Listed(entry["id"], entry["state"], code, message, result))
-    return listed
+        reported.append(ReportedLease(entry["id"], entry["state"], code, message, result))
+    return reported
