--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -10,7 +10,7 @@
 
 from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.pullqueue.errors import HttpError
-from weldhatch.pullqueue.http import BODY_MOST, HEAD_MOST, Reader
+from weldhatch.pullqueue.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, Reader
 
 
 def feed(data, size, reader=None):
@@ -50,11 +50,11 @@
         (b"GET / HTTP/2\r\n\r\n", 505, "request"),
         (b"GET / HTTP/1.1\r\nX-Y z\r\n\r\n", 400, "headers"),
         (b"GET / HTTP/1.1\r\n X: y\r\n\r\n", 400, "headers"),
-        (b"GET / HTTP/1.1\r\nX: " + b"y" * HEAD_MOST, 431, "headers"),
+        (b"GET / HTTP/1.1\r\nX: " + b"y" * MAX_HEAD_BYTES, 431, "headers"),
         (b"GET / HTTP/1.1\r\n" + b"X: y\r\n" * 70 + b"\r\n", 431, "headers"),
         (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400, "content-length"),
         (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400, "content-length"),
-        (f"POST / HTTP/1.1\r\nContent-Length: {BODY_MOST + 1}\r\n\r\n".encode(), 413, "body"),
+        (f"POST / HTTP/1.1\r\nContent-Length: {MAX_BODY_BYTES + 1}\r\n\r\n".encode(), 413, "body"),
         (
             b"POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
             400,
@@ -71,7 +71,7 @@
 def test_what_can_not_be_served_says_which_part(data, code, field):
     with pytest.raises(HttpError) as caught:
         feed(data, 700)
-    assert (caught.value.code, caught.value.field, caught.value.last) == (code, field, True)
+    assert (caught.value.code, caught.value.field, caught.value.closes_connection) == (code, field, True)
 
 
 class Raw:
@@ -151,15 +151,15 @@
     async def test_a_stalled_request_is_told_so(self):
         import weldhatch.pullqueue.front as front
 
-        before, front.HALF_S = front.HALF_S, 0.1
-        self.addCleanup(setattr, front, "HALF_S", before)
+        before, front.INCOMPLETE_REQUEST_TIMEOUT_S = front.INCOMPLETE_REQUEST_TIMEOUT_S, 0.1
+        self.addCleanup(setattr, front, "INCOMPLETE_REQUEST_TIMEOUT_S", before)
         async with self.raw() as raw:
             raw.send(b"POST /v1test2/tasks HTTP/1.1\r\nContent-Length: 10\r\n\r\n{")
             self.assertEqual(408, (await raw.answer())[0])
             self.assertEqual(b"", await raw.reader.read())
 
     async def test_a_silent_connection_is_closed(self):
-        self.gateway._told = __import__("dataclasses").replace(self.gateway._told, idle=0.1)
+        self.gateway._config = __import__("dataclasses").replace(self.gateway._config, idle=0.1)
         async with self.raw() as raw, asyncio.timeout(20):
             self.assertEqual(b"", await raw.reader.read())
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -12,33 +12,33 @@
 from weldhatch import config
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
-from weldhatch.pullqueue.operator_states import Operators, Word, WordError, read_word
+from weldhatch.pullqueue.operator_states import Directive, OperatorDirectives, WordError, read_word
 from weldhatch.scheduling.policy import Policy
 from weldhatch.scheduling.types import MachineState
 
 
 def word(machine="b1", state="draining", fence=3):
-    return Word(machine, state, fence, "op", 1.0)
+    return Directive(machine, state, fence, "op", 1.0)
 
 
 def test_the_less_of_both_words_counts():
-    operators = Operators()
+    operators = OperatorDirectives()
     own = (MachineState.READY, MachineState.DRAINING, MachineState.REMOVED)
-    assert [operators.merged("b1", state) for state in own] == list(own)
-    operators.take(word())
-    assert [operators.merged("b1", state) for state in own] == [
+    assert [operators.effective_state("b1", state) for state in own] == list(own)
+    operators.set(word())
+    assert [operators.effective_state("b1", state) for state in own] == [
         MachineState.DRAINING,
         MachineState.DRAINING,
         MachineState.REMOVED,
     ]
-    operators.take(word(state="off"))
-    assert {operators.merged("b1", state) for state in own} == {MachineState.REMOVED}
+    operators.set(word(state="off"))
+    assert {operators.effective_state("b1", state) for state in own} == {MachineState.REMOVED}
 
 
 def test_a_late_word_of_an_older_apply_is_refused_and_a_repeat_changes_nothing():
-    operators = Operators()
+    operators = OperatorDirectives()
     assert operators.check(word())
-    operators.take(word())
+    operators.set(word())
     assert not operators.check(word())
     with pytest.raises(WordError, match="3 has been heard, this is 2") as caught:
         operators.check(word(state="ready", fence=2))
@@ -64,10 +64,10 @@
 
 
 def test_words_come_back_from_their_records():
-    first, second = Operators(), Operators()
-    first.take(word())
-    second.restore(one.encode() for one in first.words.values())
-    assert second.words == first.words
+    first, second = OperatorDirectives(), OperatorDirectives()
+    first.set(word())
+    second.restore(one.encode() for one in first.directives.values())
+    assert second.directives == first.directives
     with pytest.raises(ValueError, match="unusable state"):
         second.restore([json.dumps(["b", "up", 1, "", 0.0]).encode()])
 
@@ -160,10 +160,10 @@
         """)
 
     async def test_a_word_that_is_not_on_the_disk_is_not_in_force(self):
-        self.gateway._words._broken = "the disk is gone"
+        self.gateway._directive_log._broken = "the disk is gone"
         with self.assertRaises(OSError):
             self.gateway.operate(word())
-        assert not self.gateway.operators.words
+        assert not self.gateway.operators.directives
 
     async def test_a_broken_file_of_words_is_named_and_nothing_starts(self):
         self.gateway.operate(word())
@@ -200,5 +200,5 @@
         self.assertEqual((400, "FIELD"), (code, tree["error"]["code"]))
         code, tree = await call("GET", "/v1/machines")
         self.assertEqual({"b1": {"state": "draining", "fence": 3, "op": "x", "since": 7.0}}, tree["machines"])
-        self.gateway._words._broken = "full"
+        self.gateway._directive_log._broken = "full"
         self.assertEqual(503, (await call("PUT", "/v1/machines/b2", drain))[0])
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -528,7 +528,7 @@
         held = self.parties["p1"].seen["lease"]
         await self.again()
         await self.play(f"p2 send POST botSessions | {self.back(held)}\np2 expect 200 leases.0.state=ACTIVE")
-        await self.gateway.book.flush()
+        await self.gateway.storage.flush()
         report = [json.loads(record) for record in logged(self.store / "queue.log")]
         shapes = sorted({json.dumps([one[0], *map(shape, one[1:])]) for one in report if one[0] != "probe"})
         self.recorded(shapes)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -52,7 +52,7 @@
         self.gateway = PullQueue(told, Policy(told.settings, 5), self.logged.append)
 
     async def again(self, **more):
-        await self.gateway.book.flush()
+        await self.gateway.storage.flush()
         self.gateway.abort()
         self.begin(**more)
 
@@ -100,7 +100,7 @@
         await self.again()
         await self.again()
         await self.play(f"c3 send POST tasks | {task('unsafe')}\nc3 expect 200 answer=failed")
-        assert held not in self.gateway.book.state.leases
+        assert held not in self.gateway.storage.state.leases
 
     async def test_a_machine_whose_leases_are_all_known_gets_work_at_once(self):
         """`settle` is for a first start only."""
@@ -213,7 +213,7 @@
 
     async def test_a_lease_that_was_written_and_did_not_leave_keeps_no_key(self):
         """Its machine goes away while the disk is waited for, and its submitter then gives it up."""
-        kept, written = self.gateway.book.append, asyncio.Event()
+        kept, written = self.gateway.storage.append, asyncio.Event()
 
         def slow(*records):
             done = asyncio.get_running_loop().create_future()
@@ -232,23 +232,23 @@
 
         await self.play(f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.play("p1 send PATCH $session X-Server-Timeout=9 | {}")
-        self.gateway.book.append = slow
+        self.gateway.storage.append = slow
         await self.play(f"c1 send POST tasks | {task('unsafe')}")
         await asyncio.wait_for(written.wait(), 20)
         await self.play("p1 close\np1 wait closed")
         await self.until(lambda: self.job.done(), "the disk has answered")
         await self.play("c1 close")
         await self.until(lambda: not self.gateway.core.requests, "the task was given up")
-        self.gateway.book.append = kept
-        await self.gateway.book.flush()
+        self.gateway.storage.append = kept
+        await self.gateway.storage.flush()
         assert not self.gateway._ledger._leased and not self.gateway._ledger._spent
-        assert not self.gateway.book.state.leases
+        assert not self.gateway.storage.state.leases
 
 
 class Stores(Kept):
     async def test_an_older_copy_of_the_store_gives_nothing_out(self):
         copy = self.folder / "copy"
-        await self.gateway.book.flush()
+        await self.gateway.storage.flush()
         shutil.copytree(self.store, copy)
         await self.again()
         held, _ = await self.placed()
@@ -276,7 +276,7 @@
     async def test_a_torn_record_never_left_and_its_lease_is_ended(self):
         """The last record is cut as a crash cuts it: the lease it told of was not on the wire."""
         held, _ = await self.placed("safe")
-        await self.gateway.book.flush()
+        await self.gateway.storage.flush()
         self.gateway.abort()
         path = self.store / "queue.log"
         data = path.read_bytes()
@@ -290,7 +290,7 @@
 
     async def test_a_flipped_bit_is_named_and_nothing_starts(self):
         await self.placed("safe")
-        await self.gateway.book.flush()
+        await self.gateway.storage.flush()
         self.gateway.abort()
         path = self.store / "queue.log"
         data = bytearray(path.read_bytes())
@@ -303,7 +303,7 @@
 
     async def test_a_full_disk_refuses_new_work_loses_none_and_goes_on(self):
         held, name = await self.placed("safe")
-        log, whole = self.gateway.book._store._log, Log.append
+        log, whole = self.gateway.storage._store._log, Log.append
 
         def full(payloads):
             raise LogError("No space left on device")
@@ -325,7 +325,7 @@
             c2 expect 200 state=DONE
         """)
         log.append = lambda payloads: whole(log, payloads)
-        await self.until(lambda: not self.gateway.book.write_error, "there is room again")
+        await self.until(lambda: not self.gateway.storage.write_error, "there is room again")
         await self.again()
         await self.play(f"c3 send GET {name}\nc3 expect 200 state=DONE")
 
@@ -348,14 +348,14 @@
                         "$operation", list(self.gateway.tasks.known)[-1].replace("tasks", "operations")
                     )
                 )
-            await self.gateway.book.flush()
-            self.assertLess(self.gateway.book._store._log.count, 80)
+            await self.gateway.storage.flush()
+            self.assertLess(self.gateway.storage._store._log.count, 80)
         finally:
             folded.COMPACTION_SLACK_RECORDS, folded.COMPACTION_FACTOR = before
         self.assertIn("cut down", " ".join(self.logged))
         await self.again()
         await self.play(f"c3 send GET {name}\nc3 expect 200 state=PLACED")
-        assert held in self.gateway.book.state.leases
+        assert held in self.gateway.storage.state.leases
 
 
 class Folds(Scenario):
--- a/tests/test_remote_sites.py
+++ b/tests/test_remote_sites.py
@@ -212,7 +212,7 @@
         link = self.a.sites.links["b"]
         link.close()
         share = DescriptorShare(DescriptorBudget(64), 8)
-        other = Link("a", "b", self.a._sites_book, link._handlers, self.logged.append)
+        other = Link("a", "b", self.a._site_storage, link._handlers, self.logged.append)
         other.dial(self.b._door.listener.address, share, folder.client_context("c"))
         await self.until(lambda: "shows the certificate of 'c'" in " ".join(self.logged), "it is rejected")
         self.assertFalse(self.b.sites.links["a"].up)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,7 +8,7 @@
 
 from weldhatch.pullqueue.admission import MIN_ADMITTED, AdmissionQueue, Ticket, Verdict
 from weldhatch.pullqueue.deadlines import Deadlines
-from weldhatch.pullqueue.workers import Matching, Worker, matches, read_worker
+from weldhatch.pullqueue.workers import MatchingMachines, Worker, matches, read_worker
 
 SECOND = 1_000_000
 
@@ -220,6 +220,6 @@
 def test_a_machine_fits_only_with_all_that_is_required(wanted, fits):
     there = worker(["os=linux", "hall=a"], [["cpu=x86"], ["gpu=a"], ["gpu=b"]], ["docker=yes"])
     assert matches(there, wanted) is fits
-    assert (7 in Matching(wanted, {7: there})) is fits
-    assert 8 not in Matching(wanted, {7: there})
+    assert (7 in MatchingMachines(wanted, {7: there})) is fits
+    assert 8 not in MatchingMachines(wanted, {7: there})
     assert isinstance(there, Worker)
--- a/weldhatch/pullqueue/bot_registry.py
+++ b/weldhatch/pullqueue/bot_registry.py
@@ -7,7 +7,7 @@
 
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.machines import Bot, machine_number
-from weldhatch.pullqueue.operator_states import Operators
+from weldhatch.pullqueue.operator_states import OperatorDirectives
 from weldhatch.pullqueue.workers import Worker
 from weldhatch.scheduling.events import MachinesChanged
 from weldhatch.scheduling.types import ListForm, Machine, MachineState, Settings
@@ -43,7 +43,7 @@
     """All build machines of this gateway."""
 
     def __init__(
-        self, settings: Settings, operators: Operators, on_change: Callable[[MachinesChanged], None]
+        self, settings: Settings, operators: OperatorDirectives, on_change: Callable[[MachinesChanged], None]
     ) -> None:
         """Start without machines. `on_change` passes each change of a machine to the policy."""
         self._operators = operators
@@ -94,7 +94,7 @@
 
     def effective_state(self, bot: Bot) -> MachineState:
         """Return the stricter of a machine's own state and the operator's; only READY gets new work."""
-        return self._operators.merged(bot.id, bot.state)
+        return self._operators.effective_state(bot.id, bot.state)
 
     def report(self, bot: Bot) -> None:
         """Report the current state of a machine to the policy."""
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of build machines: the bot sessions of the Remote Workers API, each update a long poll."""
+"""Sessions of build machines: the bot sessions of the Remote Workers API, with updates as long polls."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from weldhatch.pullqueue.lease_dispatch import LeaseDispatcher, lease_json, rfc3339
 from weldhatch.pullqueue.leases import KeyLedger, LeasePhase
 from weldhatch.pullqueue.machines import Bot
-from weldhatch.pullqueue.operator_states import Operators
+from weldhatch.pullqueue.operator_states import OperatorDirectives
 from weldhatch.pullqueue.reports import ReportedLease, masked, read_reported_leases, read_status
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.workers import Worker, read_worker
 from weldhatch.scheduling.events import MachinesChanged
 from weldhatch.scheduling.types import MachineState, Settings
 
-SWEEP_S = 0.05
-BOT_ID_LIMIT = 200
+SWEEP_INTERVAL_S = 0.05
+MAX_BOT_ID_LENGTH = 200
 STALE_STORE_RETRY_S = 30.0
 _HELD_BY_PULLER = (LeasePhase.PENDING, LeasePhase.ACTIVE, LeasePhase.CANCELLED)
 
 
 class BotSessions:
-    """The sessions of all build machines, put together with their registry and their leases."""
+    """The sessions of all build machines, with their registry and their leases."""
 
     def __init__(
         self,
         settings: Settings,
         timing: PullQueueTiming,
         ledger: KeyLedger,
-        operators: Operators,
+        operators: OperatorDirectives,
         storage: QueueStorage | NoStorage,
         on_change: Callable[[MachinesChanged], None],
         log: Callable[[str], None],
         now: Callable[[], float],
     ) -> None:
-        """Start the sweep; needs a running event loop. `now`: Unix seconds that do not leap."""
+        """Start the periodic sweep. Needs an event loop. `now`: Unix seconds of a clock without jumps."""
         self.now = now
         self._storage = storage
         self._log = log
@@ -56,14 +56,12 @@
             settings, timing, self.registry, self._names, ledger, storage, self._deadlines, log, now
         )
         self._dispatcher = LeaseDispatcher(settings, ledger, storage, self._deadlines, self.leases, log, now)
-        self.stale_reason = (
-            ""  # why nothing may be given out: the store is older than what machines have seen
-        )
+        self.stale_reason = ""  # set if the store is an older copy, so that nothing may be handed out
         self._sweeper = asyncio.get_running_loop().create_task(self._sweep())
 
     @property
     def timing(self) -> PullQueueTiming:
-        """How long sessions, leases and offers last."""
+        """The durations of sessions, leases and offers."""
         return self.leases.timing
 
     def close(self) -> None:
@@ -71,14 +69,14 @@
         self._sweeper.cancel()
 
     def reconfigure(self, settings: Settings, rules: ports.Rules) -> None:
-        """Take over settings that are in force from now on; zones and classes keep their numbers."""
+        """Replace the settings and rules; zones and classes keep their numbers."""
         self.leases.settings = settings
         self._dispatcher.settings = settings
         self._dispatcher.rules = rules
         self.registry.reconfigure(settings)
 
     def apply_operator_state(self, bot_id: str) -> None:
-        """Take account of an operator's new state of this machine."""
+        """Apply a new operator's state of a machine: report it, and withdraw offers if it is not READY."""
         bot = self.registry.bots.get(bot_id)
         if bot is None:
             return
@@ -87,24 +85,24 @@
             self.leases.end_offers(bot)
 
     def name_of(self, machine: int) -> str:
-        """Return the bot id of a machine; '' where it is not known."""
+        """Return the bot id of a machine; '' if the machine is unknown."""
         bot = self.registry.by_machine.get(machine)
         return bot.id if bot is not None else ""
 
     def machines_json(self) -> dict[str, dict[str, Any]]:
-        """Return each machine that is known, as the control address shows it."""
+        """Return the known machines in the JSON form of the control address."""
         return {
             bot.id: {"own": bot.state.label, "leases": len(bot.leases)} for bot in self.registry.bots.values()
         }
 
     async def create(self, request: Request) -> dict[str, Any]:
-        """Open a session of a build machine; an earlier one of the same machine is stale from now on.
+        """Open a session of a build machine; an earlier session of the same machine becomes stale.
 
         Raises HttpError.
         """
         tree = request.json()
         bot_id = tree.get("botId")
-        if not isinstance(bot_id, str) or not 0 < len(bot_id) <= BOT_ID_LIMIT:
+        if not isinstance(bot_id, str) or not 0 < len(bot_id) <= MAX_BOT_ID_LENGTH:
             raise HttpError(400, "botId: a text of 1 to 200 characters is needed", "botId")
         caller = _caller_name(request)
         if caller is not None and caller != bot_id:
@@ -113,7 +111,7 @@
         place = self.registry.place_of(worker)
         state = read_status(tree)
         reported = read_reported_leases(tree)
-        self._check_epochs(one.id for one in reported)
+        self._check_epochs(entry.id for entry in reported)
         bot = self.registry.get_or_add(bot_id)
         bot.cores, bot.memory, bot.zone, bot.rack = place
         self.registry.set_worker(bot, worker)
@@ -122,11 +120,14 @@
         bot.session = self._names.next("botSessions")
         self.registry.by_session[bot.session] = bot
         self._log(f"bot {bot_id}: session {bot.session} opened, {len(reported)} leases listed")
-        bot.state = MachineState.REMOVED  # reports the machine to the policy anew
+        bot.state = MachineState.REMOVED  # makes `_update` report the machine to the policy again
         return await self._update(bot, state, reported, request)
 
     async def update(self, name: str, request: Request) -> dict[str, Any]:
-        """Take an update of a session, and answer it once there is something to say. Raises HttpError."""
+        """Apply an update of a session; answer when there is a lease to report, or after the wait.
+
+        Raises HttpError.
+        """
         bot = self.registry.by_session.get(name)
         if bot is None:
             self._check_epochs([name])
@@ -146,7 +147,7 @@
         return await self._update(bot, read_status(tree), read_reported_leases(tree), request)
 
     def _update_worker(self, bot: Bot, worker: Worker) -> None:
-        """Take what a machine says that it is; its size and place are those of its session."""
+        """Set the properties of a machine. Its capacity and location can't change within a session."""
         if self.registry.place_of(worker) != (bot.cores, bot.memory, bot.zone, bot.rack):
             raise HttpError(
                 400, "worker: cores, memory, hall and rack change with a new session only", "worker"
@@ -154,7 +155,10 @@
         self.registry.set_worker(bot, worker)
 
     def _check_epochs(self, names: Iterable[str]) -> None:
-        """Guard against an older copy of the store: machines may run what it knows nothing of."""
+        """Raise HttpError if a name shows that the store is an older copy.
+
+        Such a store lacks leases whose tasks machines may still run.
+        """
         state = self._storage.state
         if (
             state.epoch
@@ -172,7 +176,7 @@
     async def _update(
         self, bot: Bot, state: MachineState, reported: list[ReportedLease], request: Request
     ) -> dict[str, Any]:
-        """Take the report, wait for something to say, and say it."""
+        """Apply the report of a machine, wait for leases to report, and return the answer."""
         wait_s = request.seconds("x-server-timeout", self.timing.poll)
         self._begin_update(bot)
         session = bot.session
@@ -186,7 +190,7 @@
         known = {entry.id for entry in reported}
         await self._wait_for_change(bot, known, wait_s)
         if bot.session != session or bot.update_number != update_number:
-            # Guards against handing a lease to a poll that its machine has given up.
+            # A lease must not be handed out in the answer to a poll that its machine has abandoned.
             raise HttpError(409, "name: a later update of this machine has come", "name")
         leases = [{"id": id, "state": "CANCELLED"} for id in to_end]
         leases += [
@@ -206,7 +210,7 @@
         }
 
     def _begin_update(self, bot: Bot) -> None:
-        """Extend the session; an older update of it that still waits is answered, and gets nothing."""
+        """Extend the session; an older update of it that still waits is woken up and rejected."""
         bot.last_update = self.now()
         bot.update_number += 1
         bot.expires = bot.last_update + self.timing.session
@@ -215,7 +219,7 @@
         bot.changed = asyncio.Event()
 
     async def _wait_for_change(self, bot: Bot, known: set[str], wait_s: float) -> None:
-        """Wait until there is a lease to hand out, one to stop that the puller holds, or a later update."""
+        """Wait until a lease can be handed out, a reported lease must stop, or a later update arrives."""
         update_number = bot.update_number
         end = time.monotonic() + wait_s
         while not bot.offered and known.isdisjoint(bot.stopping) and (left_s := end - time.monotonic()) > 0:
@@ -228,9 +232,9 @@
             bot.changed.clear()
 
     async def _sweep(self) -> None:
-        """Check sessions, leases and offers that are due, and only those."""
+        """Check the sessions, leases and offers whose deadline has passed, at a fixed interval."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = self.now()
             for kind, name in list(self._deadlines.due(now)):
                 if kind == "lease" and name in self.leases.by_id:
@@ -239,7 +243,7 @@
                     self._check_session(self.registry.bots[name], now)
 
     def _check_session(self, bot: Bot, now: float) -> None:
-        """End a session that has expired, or note when it will."""
+        """End a session that has expired, or set its deadline again."""
         if bot.session and now >= bot.expires:
             self._log(f"bot {bot.id}: session {bot.session} has run out")
             self.registry.by_session.pop(bot.session, None)
@@ -252,5 +256,5 @@
 
 
 def _caller_name(request: Request) -> str | None:
-    """Return the name in the caller's token; None where tokens are not asked for."""
-    return None if request.who is None else str(getattr(request.who, "name"))  # noqa: B009
+    """Return the name in the caller's token; None if callers are not authenticated."""
+    return None if request.caller is None else str(getattr(request.caller, "name"))  # noqa: B009
--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -1,4 +1,4 @@
-"""The control address of a running gateway: what is applied, and the carrying out of plans."""
+"""The control address of a running gateway: shows its configuration and applies plans."""
 
 from __future__ import annotations
 
@@ -14,43 +14,51 @@
 from weldhatch.pullqueue.http import Request
 from weldhatch.pullqueue.operator_states import WordError, read_word
 
-if TYPE_CHECKING:  # its libraries are imported only where there are sites
+if TYPE_CHECKING:  # its libraries are imported only if other sites are configured
     from weldhatch.sites.forwarding import SiteForwarder
 
 
 class Refused(HttpError):
-    """A word that is not taken, as the node-control protocol says it."""
+    """A refused directive, in the form of the node-control protocol."""
 
     def __init__(self, fault: WordError) -> None:
+        """Create the answer to a directive that is refused with this error."""
         super().__init__(400 if fault.code == "FIELD" else 409, str(fault), fault.field)
         self._fault = fault
 
     def body(self) -> dict:
+        """Return the JSON body of the answer."""
         error = {"code": self._fault.code, "message": str(self._fault)}
         return {"error": {**error, "fence": self._fault.fence} if self._fault.fence else error}
 
 
 class GroupControl(Protocol):
-    """Where words and versions of a group of gateways are decided."""
+    """The decisions of a group of gateways on directives and settings."""
 
-    async def set_machine_state(self, machine: str, body: dict, /) -> dict: ...
+    async def set_machine_state(self, machine: str, body: dict, /) -> dict:
+        """Have the group decide an operator's directive for a machine; return the answer."""
+        ...
 
     async def propose_and_wait(self, tree: dict, reason: str, /) -> int:
-        """Propose settings and wait until they are in force; their version."""
+        """Propose settings and wait until they are in force; return their version."""
 
 
 class GroupSettings(Protocol):
-    """What a group has agreed on, as this gateway holds it."""
+    """The agreed settings of a group, as known to this gateway."""
 
     @property
-    def control_api(self) -> GroupControl: ...
+    def control_api(self) -> GroupControl:
+        """The interface for decisions of the group."""
+        ...
 
     @property
-    def tree(self) -> dict: ...
+    def tree(self) -> dict:
+        """The agreed settings."""
+        ...
 
 
 class Control(Counter):
-    """Holds the applied configuration. `restart` is called with a tree that only a new start can apply."""
+    """The control address. Holds the applied configuration of the gateway."""
 
     def __init__(
         self,
@@ -61,40 +69,45 @@
         log: Callable[[str], None],
         clock: Callable[[], float],
     ) -> None:
+        """Listen on the address. Raises OSError.
+
+        `tree`: the applied configuration. `restart` is called with a configuration that needs a restart.
+        `clock`: Unix seconds.
+        """
         self._tree, self._front, self._restart, self._clock = tree, front, restart, clock
-        self.front_controller: GroupSettings | None = None  # where a group of gateways agrees on its rules
+        self.front_controller: GroupSettings | None = None  # set if the gateway is in a group
         super().__init__(address, log)
 
     async def _route(self, request: Request) -> tuple[dict, dict[str, str]]:
         match request.method, request.path:
             case "GET", "/v1/applied":
-                self._agreed()
+                self._use_agreed_settings()
                 return {"tree": self._tree, "fingerprint": reconfiguration.fingerprint(self._tree)}, {}
             case "POST", "/v1/apply":
-                return await self._apply_in_group(request.json()), {}
+                return await self._apply_with_group(request.json()), {}
             case "GET", "/v1/machines":
                 return {"machines": self._machines()}, {}
             case "GET", "/v1/sites":
-                return self._sites().status(), {}
+                return self._forwarder().status(), {}
             case "POST", "/v1/sites":
-                return self._sites_word(request.json()), {}
+                return self._sites_command(request.json()), {}
             case "PUT", path if path.startswith("/v1/machines/"):
                 machine = path.removeprefix("/v1/machines/")
                 if self.front_controller is not None:
                     return await self.front_controller.control_api.set_machine_state(
                         machine, request.json()
                     ), {}
-                return self._operate(machine, request.json()), {}
+                return self._set_machine_state(machine, request.json()), {}
         raise HttpError(404, "path: nothing is there", "path")
 
-    def _agreed(self) -> None:
-        """In a group, the settings are those that the group has agreed on."""
+    def _use_agreed_settings(self) -> None:
+        """Copy the agreed settings of the group, if there is one, into the applied configuration."""
         if self.front_controller is not None:
             self._tree = {**self._tree, "settings": self.front_controller.tree}
 
-    async def _apply_in_group(self, plan: dict) -> dict:
-        """Settings are the group's: a plan that changes them becomes a proposal. The rest is ours alone."""
-        self._agreed()
+    async def _apply_with_group(self, plan: dict) -> dict:
+        """Apply a plan. In a group, a change of settings is proposed to the group; other keys are local."""
+        self._use_agreed_settings()
         target = plan.get("target")
         if (
             self.front_controller is None
@@ -102,11 +115,11 @@
             or plan.get("base") != reconfiguration.fingerprint(self._tree)
         ):
             return self._apply(plan)
-        todo = reconfiguration.changes(self._tree, target)
-        agreed = [change for change in todo if change["key"].startswith("settings.")]
-        if not agreed:
+        changes = reconfiguration.changes(self._tree, target)
+        settings_changes = [change for change in changes if change["key"].startswith("settings.")]
+        if not settings_changes:
             return self._apply(plan)
-        if len(agreed) < len(todo):
+        if len(settings_changes) < len(changes):
             raise HttpError(
                 409, "settings: they are the group's; plan them apart from the other keys", "settings"
             )
@@ -114,46 +127,46 @@
             config.pull_queue_config(target)
         except config.ConfigError as fault:
             raise HttpError(400, str(fault), str(fault).split(" ")[0]) from None
-        number = await self.front_controller.control_api.propose_and_wait(
+        version = await self.front_controller.control_api.propose_and_wait(
             target["settings"], "a plan of settings was applied"
         )
         self._tree = target
-        return {"applied": len(agreed), "restarting": False, "version": number}
+        return {"applied": len(settings_changes), "restarting": False, "version": version}
 
     def _apply(self, plan: dict) -> dict:
-        """One plan, wholly or not at all."""
+        """Apply a plan to this gateway, completely or not at all."""
         target = plan.get("target")
         if not isinstance(target, dict):
             raise HttpError(400, "target: a configuration is needed", "target")
         if plan.get("base") != reconfiguration.fingerprint(self._tree):
             raise HttpError(409, "base: the applied configuration has moved on; make a new plan", "base")
         try:
-            told = config.pull_queue_config(target)
+            new_config = config.pull_queue_config(target)
         except config.ConfigError as fault:
             raise HttpError(400, str(fault), str(fault).split(" ")[0]) from None
-        if not told.enabled:
+        if not new_config.enabled:
             raise HttpError(400, "enabled: a gateway is ended by SIGTERM, not by a plan", "enabled")
-        todo = reconfiguration.changes(self._tree, target)
+        changes = reconfiguration.changes(self._tree, target)
         try:
-            if any(change["restart"] for change in todo):
-                self._try_addresses(told)
+            if any(change["restart"] for change in changes):
+                self._check_addresses(new_config)
                 self._restart(target)
             else:
-                self._front.reconfigure(told)
+                self._front.reconfigure(new_config)
         except OSError as fault:
             raise HttpError(409, f"listen: {fault}; nothing was changed", "listen") from None
         self._tree = target
-        self._log(f"applied a plan of {len(todo)} changes")
-        return {"applied": len(todo), "restarting": any(change["restart"] for change in todo)}
+        self._log(f"applied a plan of {len(changes)} changes")
+        return {"applied": len(changes), "restarting": any(change["restart"] for change in changes)}
 
-    def _sites(self) -> SiteForwarder:
+    def _forwarder(self) -> SiteForwarder:
         if self._front.sites is None:
             raise HttpError(404, "sites: this gateway knows of no other site", "sites")
         return self._front.sites
 
-    def _sites_word(self, tree: dict) -> dict:
-        """An operator's word on what crosses: draining, or a site to be forgotten."""
-        sites = self._sites()
+    def _sites_command(self, tree: dict) -> dict:
+        """Carry out an operator's command on the work shared with other sites: drain, or forget a site."""
+        sites = self._forwarder()
         match tree:
             case {"draining": bool(draining)}:
                 sites.draining = draining
@@ -168,32 +181,47 @@
         raise HttpError(400, "draining: true or false, or forget: a site's name, is needed", "draining")
 
     def _machines(self) -> dict[str, dict]:
-        """All machines that are known here, or that an operator has said something of."""
+        """Return the machines that are known here or have an operator's directive."""
         known = self._front.bots.machines_json()
-        words = {
-            name: {"state": word.state, "fence": word.fence, "op": word.op, "since": word.at}
-            for name, word in self._front.operators.words.items()
+        directives = {
+            name: {
+                "state": directive.state,
+                "fence": directive.fence,
+                "op": directive.op,
+                "since": directive.at,
+            }
+            for name, directive in self._front.operators.directives.items()
         }
         return {
-            name: {"state": "ready", **known.get(name, {}), **words.get(name, {})}
-            for name in sorted(known.keys() | words.keys())
+            name: {"state": "ready", **known.get(name, {}), **directives.get(name, {})}
+            for name in sorted(known.keys() | directives.keys())
         }
 
-    def _operate(self, machine: str, tree: dict) -> dict:
+    def _set_machine_state(self, machine: str, tree: dict) -> dict:
         try:
-            word = read_word(machine, tree, self._clock())
-            self._front.operate(word)
+            directive = read_word(machine, tree, self._clock())
+            self._front.operate(directive)
         except WordError as fault:
             raise Refused(fault) from None
-        except OSError as fault:  # it is not on the disk, so it is not in force
+        except OSError as fault:  # the directive is not on the disk, so it is not in force
             raise HttpError(503, f"states: {fault}") from None
-        return {"machine": machine, "state": word.state, "fence": word.fence}
+        return {"machine": machine, "state": directive.state, "fence": directive.fence}
+
+    def _check_addresses(self, new_config: config.PullQueueConfig) -> None:
+        """Try to bind the new addresses, since a gateway that can't listen after a restart would be down.
 
-    def _try_addresses(self, told: config.PullQueueConfig) -> None:
-        """A restart that could not listen again would leave nothing running: it is tried first."""
-        now = config.pull_queue_config(self._tree)
-        for address, held in ((told.listen, now.listen), (told.control, now.control)):
-            if address is not None and address not in (now.listen, now.control) and address != held:
+        Raises OSError.
+        """
+        current = config.pull_queue_config(self._tree)
+        for address, old_address in (
+            (new_config.listen, current.listen),
+            (new_config.control, current.control),
+        ):
+            if (
+                address is not None
+                and address not in (current.listen, current.control)
+                and address != old_address
+            ):
                 with socket.socket() as trial:
                     trial.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                     trial.bind(address)
--- a/weldhatch/pullqueue/errors.py
+++ b/weldhatch/pullqueue/errors.py
@@ -1,4 +1,4 @@
-"""What a call is told when it can't be served: an HTTP code, a google.rpc status, and the field at fault."""
+"""Error answers of the HTTP interface: an HTTP code, a google.rpc status and the invalid field."""
 
 from __future__ import annotations
 
@@ -40,19 +40,21 @@
 
 
 class HttpError(Exception):
-    """An answer that is not 200. Where a field of the request is at fault, it is named.
+    """An error answer. `field` names the invalid field of the request, if there is one.
 
-    `retry_s`: when to come again, for those that are turned away for now. `last`: the connection ends with
-    it.
+    `retry_s`: the time after which the client may retry, 0 for none. `closes_connection`: whether the
+    connection is closed after this answer.
     """
 
     def __init__(
-        self, code: int, message: str, field: str = "", retry_s: float = 0.0, last: bool = False
+        self, code: int, message: str, field: str = "", retry_s: float = 0.0, closes_connection: bool = False
     ) -> None:
+        """Create an error answer with this HTTP code."""
         super().__init__(message)
-        self.code, self.field, self.retry_s, self.last = code, field, retry_s, last
+        self.code, self.field, self.retry_s, self.closes_connection = code, field, retry_s, closes_connection
 
     def body(self) -> dict:
+        """Return the JSON body of the answer."""
         error: dict = {"code": self.code, "status": STATUS[self.code], "message": str(self)}
         details = []
         if self.field:
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -1,4 +1,4 @@
-"""The second front as a whole: routes, connections, and its own core on the same policy."""
+"""The pull queue as a front: listener, connections, routes, and a core of its own on the policy."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from weldhatch.net.listener import Listener
 from weldhatch.pullqueue.bot_sessions import BotSessions
 from weldhatch.pullqueue.errors import HttpError
-from weldhatch.pullqueue.http import Events, HttpLink, Request, encode_error
+from weldhatch.pullqueue.http import EventStream, HttpConnection, Request, encode_error
 from weldhatch.pullqueue.leases import KeyLedger
 from weldhatch.pullqueue.monotonic_unix_time import steady
 from weldhatch.pullqueue.operations import Operations
-from weldhatch.pullqueue.operator_states import Operators, Word
+from weldhatch.pullqueue.operator_states import Directive, OperatorDirectives
 from weldhatch.pullqueue.quotas import CallQuotas
 from weldhatch.pullqueue.security import Security
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
@@ -30,126 +30,138 @@
 from weldhatch.scheduling.types import Settings
 from weldhatch.store.log import Log
 
-PREFIX = "/v1test2/"
-FINISH_S = 0.5
-WATCH_S = 0.5
-HALF_S = 10.0  # for the rest of a request that has begun
+PATH_PREFIX = "/v1test2/"
+FLUSH_TIMEOUT_S = 0.5
+IDLE_CHECK_INTERVAL_S = 0.5
+INCOMPLETE_REQUEST_TIMEOUT_S = 10.0
 
 
 class NoDirectory:
-    """Build machines make themselves known; there is no list to ask for."""
+    """The directory of a pull queue: build machines register themselves, so no list is subscribed to."""
 
     def subscribe(self, on: bool) -> None:
+        """Do nothing."""
         pass
 
 
 class PullQueue:
-    """Listens, routes, and ends in an orderly way. Owns its connections."""
+    """Serves the HTTP interface of the pull queue. Owns its connections."""
 
-    def __init__(self, told: PullQueueConfig, policy: Decider, log: Callable[[str], None]) -> None:
-        self._log, self._told, settings = log, told, told.settings
-        self.settings = settings  # those that are in force
-        self.endpoint_list = None  # machines make themselves known here
+    def __init__(self, config: PullQueueConfig, policy: Decider, log: Callable[[str], None]) -> None:
+        """Restore the stored state and listen. Needs a running event loop.
+
+        Raises ConfigError, or OSError if the address can't be listened on.
+        """
+        self._log, self._config, settings = log, config, config.settings
+        self.settings = settings  # the current settings
+        self.endpoint_list = None  # build machines register themselves
         self.driver = Driver(policy, log)
-        self.book = QueueStorage(told.store, time.time(), log) if told.store else NoStorage(time.time_ns())
-        ledger = self._ledger = KeyLedger(told.remember, "" if told.store else told.ledger)
+        self.storage = (
+            QueueStorage(config.store, time.time(), log) if config.store else NoStorage(time.time_ns())
+        )
+        ledger = self._ledger = KeyLedger(config.remember, "" if config.store else config.ledger)
         ledger.open()
-        self.operators = Operators()
-        self._words = self._open_words(told.states)
+        self.operators = OperatorDirectives()
+        self._directive_log = self._open_directives(config.states)
         self.bots = BotSessions(
-            settings, told.timing, ledger, self.operators, self.book, self.driver.post, log, steady()
+            settings, config.timing, ledger, self.operators, self.storage, self.driver.post, log, steady()
         )
         self.driver.site = self.bots.leases
         self.driver.directory = NoDirectory()
         self.core = Core(self.driver, self.bots.leases, log)
-        self.sites = self._sites_book = self._door = None
-        if told.sites is not None:
-            from weldhatch.pullqueue import remote_sites  # its codec is imported only where there are sites
+        self.sites = self._site_storage = self._door = None
+        if config.sites is not None:
+            from weldhatch.pullqueue import remote_sites  # imports its codec library, so only when needed
 
-            self.sites, self._sites_book, self._door = remote_sites.build(
-                told, settings, self.driver, self.core, ledger, self.book, Random(told.listen[1]), log
+            self.sites, self._site_storage, self._door = remote_sites.build(
+                config, settings, self.driver, self.core, ledger, self.storage, Random(config.listen[1]), log
             )
         self.tasks = Tasks(
             settings,
             self.sites or self.core,
             self.bots,
             ledger,
-            self.book,
-            told.queue,
-            Random(told.listen[1]),
+            self.storage,
+            config.queue,
+            Random(config.listen[1]),
             log,
         )
         self.operations = Operations(self.tasks)
-        if told.store:
-            out, anew = self.tasks.restore()
-            epoch = self.book.epoch_name
-            log(f"store: epoch {epoch}, {out} leases go on, {anew} submissions are asked for anew")
-        self._share = DescriptorShare(DescriptorBudget(told.sockets), told.connections)
-        self._links: dict[Connection, HttpLink] = {}
+        if config.store:
+            leases, resubmitted = self.tasks.restore()
+            epoch = self.storage.epoch_name
+            log(f"store: epoch {epoch}, {leases} leases go on, {resubmitted} submissions are requested again")
+        self._share = DescriptorShare(DescriptorBudget(config.sockets), config.connections)
+        self._links: dict[Connection, HttpConnection] = {}
         self._serving: set[asyncio.Task] = set()
-        self.security = Security(told.security)
-        self._quotas = CallQuotas(told.security.calls)
-        self.listener = Listener(told.listen, self._share, self._taken)
-        self._watching = asyncio.get_running_loop().create_task(self._watch())
+        self.security = Security(config.security)
+        self._quotas = CallQuotas(config.security.calls)
+        self.listener = Listener(config.listen, self._share, self._accept)
+        self._idle_check = asyncio.get_running_loop().create_task(self._close_idle_connections())
+
+    def _open_directives(self, path: str) -> Log | None:
+        """Open the file that keeps operators' directives, if `states` is set, and restore them.
 
-    def _open_words(self, path: str) -> Log | None:
-        """Operators' words outlast the gateway where `states` names a file for them."""
+        Raises ConfigError.
+        """
         if not path:
             return None
         try:
-            words = Log(path)
-            if words.torn_tail is not None:
+            stored = Log(path)
+            if stored.torn_tail is not None:
                 self._log(
-                    f"states: {path}: the last {words.torn_tail.length} bytes were no whole record: dropped"
+                    f"states: {path}: the last {stored.torn_tail.length} bytes were no whole record: dropped"
                 )
-            self.operators.restore(words.recovered_records())
-            if words.count > 2 * len(self.operators.words) + 100:
-                words.rewrite(word.encode() for word in self.operators.words.values())
-        except (OSError, ValueError) as fault:
-            raise ConfigError(f"states: {fault}") from None
-        return words
+            self.operators.restore(stored.recovered_records())
+            if stored.count > 2 * len(self.operators.directives) + 100:
+                stored.rewrite(directive.encode() for directive in self.operators.directives.values())
+        except (OSError, ValueError) as error:
+            raise ConfigError(f"states: {error}") from None
+        return stored
 
     def apply_rules(self, settings: Settings, rules: Rules) -> None:
-        """Decide by settings that a group of gateways has agreed on, as far as `rules` lets anything
-        start."""
+        """Use settings that a group of gateways has agreed on, and start only what `rules` permits."""
         self.settings = settings
         self.core.rules = rules
         self.driver.reconfigure(settings)
         self.bots.reconfigure(settings, rules)
-        self.tasks.rule(settings)
+        self.tasks.reconfigure(settings)
         if self.sites is not None:
             self.sites.reconfigure(settings)
 
-    def operate(self, word: Word) -> None:
-        """Take an operator's word: on the disk first, then in force. Raises WordError, or OSError for the
-        disk."""
-        if self.operators.check(word):
-            if self._words is not None:
-                self._words.append([word.encode()])
-            self.operators.take(word)
-            self._log(f"operator: {word.machine} {word.state}, fence {word.fence}")
-            self.bots.apply_operator_state(word.machine)
+    def operate(self, directive: Directive) -> None:
+        """Store an operator's directive on disk, then put it into force.
+
+        Raises WordError for a refused directive, or OSError for a disk fault.
+        """
+        if self.operators.check(directive):
+            if self._directive_log is not None:
+                self._directive_log.append([directive.encode()])
+            self.operators.set(directive)
+            self._log(f"operator: {directive.machine} {directive.state}, fence {directive.fence}")
+            self.bots.apply_operator_state(directive.machine)
 
     def name_of(self, machine: int) -> str:
+        """Return the bot id of a machine; '' if the machine is unknown."""
         return self.bots.name_of(machine)
 
     def on_break(self, broke: Callable[[int], None]) -> None:
-        """Machines come by themselves: none has a connection of its own that could end."""
+        """Do nothing: the gateway has no permanent connections to build machines that could break."""
 
     def apply_directive(self, machine: str, state: str, fence: int, op: str) -> None:
-        """What a group of gateways acts on for a machine, by its operators' words."""
-        last = self.operators.words.get(machine)
-        if last is None or (last.state, last.fence) != (state, fence):
-            self.operators.take(Word(machine, state, fence, op, time.time()))
+        """Put an operator's directive into force that a group of gateways has agreed on."""
+        current = self.operators.directives.get(machine)
+        if current is None or (current.state, current.fence) != (state, fence):
+            self.operators.set(Directive(machine, state, fence, op, time.time()))
             self.bots.apply_operator_state(machine)
 
-    def _taken(self, stream: IOStream, host: str) -> None:
+    def _accept(self, stream: IOStream, host: str) -> None:
         task = asyncio.get_running_loop().create_task(self._serve(stream, host))
         self._serving.add(task)
         task.add_done_callback(self._serving.discard)
 
     async def _serve(self, stream: IOStream, host: str) -> None:
-        """One client's connection, from its handshake to its end."""
+        """Serve one client's connection, from its TLS handshake to its end."""
         try:
             stream, certificate = await self.security.accept_tls(stream)
         except OSError as fault:
@@ -157,40 +169,42 @@
             self._share.give_back()
             return
         connection = Connection(stream, self._share, f"pull queue client {host}", self._log)
-        link = self._links[connection] = HttpLink(connection, self._route, self._log, host, certificate)
+        link = self._links[connection] = HttpConnection(connection, self._route, self._log, host, certificate)
         try:
             await link.run()
         finally:
             self._links.pop(connection, None)
 
-    async def _watch(self) -> None:
-        """Guards descriptors against clients that connect and say nothing, or stop in the middle."""
+    async def _close_idle_connections(self) -> None:
+        """Close connections that are idle or stop within a request, so that they hold no descriptors."""
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
             now = time.monotonic()
             for connection, link in list(self._links.items()):
                 if not link.idle:
                     continue
-                if link.incomplete_since and now - link.incomplete_since > HALF_S:
-                    self._log(f"{connection.name}: closed: the rest of a request did not come")
+                if link.incomplete_since and now - link.incomplete_since > INCOMPLETE_REQUEST_TIMEOUT_S:
+                    self._log(f"{connection.name}: closed: a request was not received completely in time")
                     connection.send(
-                        encode_error(HttpError(408, "the rest of the request did not come", last=True))
+                        encode_error(
+                            HttpError(408, "the rest of the request did not come", closes_connection=True)
+                        )
                     )
                     await connection.finish(0.1)
-                elif now - max(connection.last_received, link.answered) > self._told.idle:
+                elif now - max(connection.last_received, link.last_answered) > self._config.idle:
                     connection.close()
 
-    async def _route(self, request: Request) -> tuple[dict, dict[str, str]] | Events:
-        path = request.path.removeprefix(PREFIX)
+    async def _route(self, request: Request) -> tuple[dict, dict[str, str]] | EventStream:
+        path = request.path.removeprefix(PATH_PREFIX)
         if path == request.path:
-            raise HttpError(404, f"path: it begins with {PREFIX}", "path")
+            raise HttpError(404, f"path: it begins with {PATH_PREFIX}", "path")
         head, _, rest = path.partition("/")
         name, colon, verb = rest.partition(":")
-        if not self.security.asks:
-            return await self._called(request, path, head, rest, name, colon, verb)
-        request.who = self.security.who(request, head.partition(":")[0])
-        caller = f"{request.who.role} {request.who.tenant} {request.who.name}"
-        if not self._quotas.try_acquire(caller):
+        if not self.security.requires_authentication:
+            return await self._call(request, path, head, rest, name, colon, verb)
+        request.caller = self.security.identify(request, head.partition(":")[0])
+        caller_id = f"{request.caller.role} {request.caller.tenant} {request.caller.name}"
+        if not self._quotas.try_acquire(caller_id):
             raise HttpError(
                 429,
                 f"more than {self._quotas.most_per_caller} calls of one caller at a time",
@@ -198,13 +212,13 @@
                 1.0,
             )
         try:
-            return await self._called(request, path, head, rest, name, colon, verb)
+            return await self._call(request, path, head, rest, name, colon, verb)
         finally:
-            self._quotas.release(caller)
+            self._quotas.release(caller_id)
 
-    async def _called(
+    async def _call(
         self, request: Request, path: str, head: str, rest: str, name: str, colon: str, verb: str
-    ) -> tuple[dict, dict[str, str]] | Events:
+    ) -> tuple[dict, dict[str, str]] | EventStream:
         match request.method, head, bool(rest), verb:
             case "POST", "botSessions", False, _:
                 return await self.bots.create(request), {}
@@ -215,7 +229,7 @@
             case "GET", "tasks", True, _:
                 return await self.tasks.get(path, request), {}
             case "DELETE", "tasks", True, _:
-                return self.tasks.delete(path, request.who), {}
+                return self.tasks.delete(path, request.caller), {}
             case "POST", "operations:batchSubmit", _, _:
                 return await self.operations.batch_submit(request), {}
             case "POST", "operations:batchCancel", _, _:
@@ -239,50 +253,55 @@
         raise HttpError(404, "path: nothing is there", "path")
 
     async def end(self) -> None:
-        """No more connections; whatever was submitted gets its answer before the end."""
+        """Shut down gracefully: accept no connections, and answer all pending submissions first."""
         self.listener.close()
         if self.sites is not None:
-            self.sites.draining = True  # nothing new of other sites'; what they wait for is answered
+            self.sites.draining = True  # accept no new tasks of other sites; pending ones are answered
         while (self.sites or self.core).unanswered:
             await asyncio.sleep(0.01)
-        await asyncio.sleep(0.05)  # the answers' own turns of the loop
-        await asyncio.gather(*(connection.finish(FINISH_S) for connection in list(self._links)))
-        await self.book.flush()
-        if self._sites_book is not None:
-            await self._sites_book.flush()
+        await asyncio.sleep(0.05)  # lets the tasks that send the answers run
+        await asyncio.gather(*(connection.finish(FLUSH_TIMEOUT_S) for connection in list(self._links)))
+        await self.storage.flush()
+        if self._site_storage is not None:
+            await self._site_storage.flush()
         self.abort()
 
     def abort(self) -> None:
-        """Give back every socket at once."""
+        """Close all sockets and files at once."""
         self.listener.close()
         for connection in list(self._links):
             connection.close()
-        self._watching.cancel()
+        self._idle_check.cancel()
         if self.sites is not None:
             self.sites.close()
             self._door.close()
-            self._sites_book.close()
+            self._site_storage.close()
         self.bots.close()
         self.tasks.close()
         self._ledger.close()
-        self.book.close()
-        if self._words is not None:
-            self._words.close()
+        self.storage.close()
+        if self._directive_log is not None:
+            self._directive_log.close()
 
     def reload(self) -> None:
-        """Certificates and keys anew, for connections and calls from now on. ConfigError: the old ones
-        stay."""
+        """Load certificates and keys again, for new connections and calls.
+
+        Raises ConfigError; the old certificates and keys stay in use then.
+        """
         self.security.load()
 
-    def reconfigure(self, told: PullQueueConfig) -> None:
-        """Take over all that can change while it runs. What can fail comes first: wholly or not at all."""
+    def reconfigure(self, config: PullQueueConfig) -> None:
+        """Apply all settings that can change without a restart, completely or not at all.
+
+        The only step that can fail, listening on a new address, is done first. Raises OSError.
+        """
         listener = self.listener
-        if told.listen != self._told.listen:
-            listener = Listener(told.listen, self._share, self._taken)
+        if config.listen != self._config.listen:
+            listener = Listener(config.listen, self._share, self._accept)
             self.listener.close()
-        self.listener, self._told = listener, told
+        self.listener, self._config = listener, config
         self.bots.leases.timing, self._ledger.capacity, self._share.most = (
-            told.timing,
-            told.remember,
-            told.connections,
+            config.timing,
+            config.remember,
+            config.connections,
         )
--- a/weldhatch/pullqueue/machines.py
+++ b/weldhatch/pullqueue/machines.py
@@ -11,7 +11,7 @@
 from weldhatch.core import ports
 from weldhatch.placement_request import PlacementRequest
 from weldhatch.pullqueue.leases import Lease, LeasePhase
-from weldhatch.pullqueue.workers import NOTHING, Worker
+from weldhatch.pullqueue.workers import EMPTY_WORKER, Worker
 from weldhatch.scheduling.types import MachineState
 
 
@@ -44,7 +44,7 @@
     expires: float = 0.0  # expiry of the session, in Unix seconds
     last_update: float = 0.0  # Unix seconds
     state: MachineState = MachineState.REMOVED
-    worker: Worker = NOTHING
+    worker: Worker = EMPTY_WORKER
     leases: dict[str, Lease] = field(default_factory=dict)
     offered: dict[str, Lease] = field(default_factory=dict)  # leases that are not handed out yet
     stopping: dict[str, Lease] = field(default_factory=dict)  # leases that the puller has to stop
--- a/weldhatch/pullqueue/operations.py
+++ b/weldhatch/pullqueue/operations.py
@@ -1,5 +1,4 @@
-"""Submissions as long-running operations: get, list with filter and pages, wait, cancel, delete, watch,
-batches."""
+"""Submissions as long-running operations: get, list, wait, cancel, delete, watch and batch calls."""
 
 from __future__ import annotations
 
@@ -11,14 +10,14 @@
 from collections.abc import AsyncIterator
 
 from weldhatch.pullqueue.errors import HttpError
-from weldhatch.pullqueue.http import Events, Request
+from weldhatch.pullqueue.http import EventStream, Request
 from weldhatch.pullqueue.submission import Submission
 from weldhatch.pullqueue.tasks import Tasks
 
-PAGE_USUAL, PAGE_MOST = 100, 1000
-BATCH_MOST = 100
-WAIT_MOST_S = 60.0
-CODES = {
+DEFAULT_PAGE_SIZE, MAX_PAGE_SIZE = 100, 1000
+MAX_BATCH_SIZE = 100
+MAX_WAIT_S = 60.0
+ERROR_CODES = {
     "REFUSED": (14, "refused: trying again is harmless"),
     "FAILED": (2, "failed"),
     "LOST": (10, "lost"),
@@ -30,116 +29,136 @@
 
 
 class Operations:
-    """The calls below `operations`."""
+    """The calls below the path `operations`. All raise HttpError."""
 
     def __init__(self, tasks: Tasks) -> None:
+        """Serve these submissions."""
         self._tasks = tasks
 
     async def submit(self, request: Request) -> dict:
-        return self.shown(await self._tasks.begin(request.json(), request.who))
+        """Submit a task; answer with its operation without waiting for the placement."""
+        return self.operation_json(await self._tasks.start_operation(request.json(), request.caller))
 
     async def batch_submit(self, request: Request) -> dict:
-        """Each entry is taken or not by itself, and answered in its place."""
-        entries = self._list(request.json(), "requests", dict)
-        out = []
+        """Submit several tasks, each with an operation or an error of its own in the answer."""
+        entries = self._entries(request.json(), "requests", dict)
+        result = []
         for entry in entries:
             try:
-                out.append({"operation": self.shown(await self._tasks.begin(entry, request.who))})
+                result.append(
+                    {
+                        "operation": self.operation_json(
+                            await self._tasks.start_operation(entry, request.caller)
+                        )
+                    }
+                )
             except HttpError as fault:
-                out.append(fault.body())
-        return {"responses": out}
+                result.append(fault.body())
+        return {"responses": result}
 
     def batch_cancel(self, request: Request) -> dict:
-        out = []
-        for name in self._list(request.json(), "names", str):
+        """Cancel several operations, each with an operation or an error of its own in the answer."""
+        result = []
+        for name in self._entries(request.json(), "names", str):
             try:
-                out.append({"operation": self.cancel(name, request)})
+                result.append({"operation": self.cancel(name, request)})
             except HttpError as fault:
-                out.append(fault.body())
-        return {"responses": out}
+                result.append(fault.body())
+        return {"responses": result}
 
     @staticmethod
-    def _list(tree: dict, name: str, kind: type) -> list:
+    def _entries(tree: dict, name: str, kind: type) -> list:
         entries = tree.get(name)
-        if not isinstance(entries, list) or not all(isinstance(one, kind) for one in entries):
+        if not isinstance(entries, list) or not all(isinstance(item, kind) for item in entries):
             raise HttpError(400, f"{name}: a list is needed", name)
-        if not 0 < len(entries) <= BATCH_MOST:
-            raise HttpError(400, f"{name}: 1 to {BATCH_MOST} are taken at a time", name)
+        if not 0 < len(entries) <= MAX_BATCH_SIZE:
+            raise HttpError(400, f"{name}: 1 to {MAX_BATCH_SIZE} are taken at a time", name)
         return entries
 
     def get(self, name: str, request: Request) -> dict:
-        return masked(self.shown(self._find(name, request)), request.query.get("fields", ""))
+        """Return an operation, restricted to the query's `fields`."""
+        return apply_field_mask(
+            self.operation_json(self._find(name, request)), request.query.get("fields", "")
+        )
 
     def list(self, request: Request) -> dict:
-        """Operations by name, in pages; `filter` is clauses of state, class, tenant, key and done with
-        AND."""
+        """Return a page of operations in order of creation.
+
+        The query's `filter` has clauses on state, class, tenant, key and done, joined by AND.
+        """
         wanted = read_filter(request.query.get("filter", ""))
-        size = self._size(request.query.get("pageSize", ""))
-        after = read_page(request.query.get("pageToken", ""))
-        names, out = sorted(self._tasks.known, key=by_age), []
+        size = self._page_size(request.query.get("pageSize", ""))
+        after = decode_page_token(request.query.get("pageToken", ""))
+        names, result = sorted(self._tasks.known, key=creation_order), []
         start = (
-            next((at for at, name in enumerate(names) if by_age(name) > by_age(after)), len(names))
+            next(
+                (at for at, name in enumerate(names) if creation_order(name) > creation_order(after)),
+                len(names),
+            )
             if after
             else 0
         )
         for name in names[start:]:
-            with contextlib.suppress(HttpError):  # another tenant's
-                shown = self.shown(self._tasks.find(name, request.who))
-                if all(holds(shown, *clause) for clause in wanted):
-                    out.append(shown)
-            if len(out) > size:
+            with contextlib.suppress(HttpError):  # skips other tenants' tasks
+                operation_json = self.operation_json(self._tasks.find(name, request.caller))
+                if all(clause_matches(operation_json, *clause) for clause in wanted):
+                    result.append(operation_json)
+            if len(result) > size:
                 break
-        page = {"operations": out[:size]}
-        if len(out) > size:
-            page["nextPageToken"] = write_page(internal(out[size - 1]["name"]))
-        return masked(page, request.query.get("fields", ""))
+        page = {"operations": result[:size]}
+        if len(result) > size:
+            page["nextPageToken"] = encode_page_token(task_name(result[size - 1]["name"]))
+        return apply_field_mask(page, request.query.get("fields", ""))
 
     @staticmethod
-    def _size(text: str) -> int:
+    def _page_size(text: str) -> int:
         if not text:
-            return PAGE_USUAL
+            return DEFAULT_PAGE_SIZE
         if not (text.isascii() and text.isdigit() and int(text[:9]) > 0):
             raise HttpError(400, f"pageSize: the unusable value {text[:40]!r}", "pageSize")
-        return min(int(text[:9]), PAGE_MOST)
+        return min(int(text[:9]), MAX_PAGE_SIZE)
 
     async def wait(self, name: str, request: Request) -> dict:
-        """The operation once it is over, or as it is when the time is up."""
+        """Return an operation once it is over, or its current state after the timeout."""
         submission = self._find(name, request)
         text = request.json().get("timeout", "10s")
         match = _DURATION.fullmatch(text) if isinstance(text, str) else None
         if match is None:
             raise HttpError(400, f"timeout: a duration such as 10s is needed, not {text!r}", "timeout")
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(submission.over.wait(), min(float(match[1]), WAIT_MOST_S))
-        return self.shown(submission)
+            await asyncio.wait_for(submission.over.wait(), min(float(match[1]), MAX_WAIT_S))
+        return self.operation_json(submission)
 
     def cancel(self, name: str, request: Request) -> dict:
+        """Cancel an operation; return it."""
         submission = self._find(name, request)
         self._tasks.cancel(submission)
-        return self.shown(submission)
+        return self.operation_json(submission)
 
     def delete(self, name: str, request: Request) -> dict:
-        """It is told of no more. What is under way or stands is not ended by that: cancel it first."""
+        """Remove an operation that is over. A pending or running one is rejected: cancel it first."""
         submission = self._find(name, request)
         if not submission.over.is_set():
             raise HttpError(409, "name: it is not over; cancel it first", "name")
         self._tasks.drop(submission.name)
         return {}
 
-    def watch(self, name: str, request: Request) -> Events:
+    def watch(self, name: str, request: Request) -> EventStream:
+        """Return a stream of an operation's state changes, from its current state to its end."""
         submission = self._find(name, request)
 
         async def source() -> AsyncIterator[tuple[str, dict]]:
             async for state in self._tasks.changes(submission):
-                yield ("state", self.shown(submission)) if state else ("", {})
+                yield ("state", self.operation_json(submission)) if state else ("", {})
 
-        return Events(source())
+        return EventStream(source())
 
     def _find(self, name: str, request: Request) -> Submission:
-        return self._tasks.find(internal(name), request.who)
+        return self._tasks.find(task_name(name), request.caller)
 
     @staticmethod
-    def shown(submission: Submission) -> dict:
+    def operation_json(submission: Submission) -> dict:
+        """Return a submission as an operation in JSON form."""
         done = submission.over.is_set()
         metadata = {
             "@type": "type.googleapis.com/weldhatch.TaskMetadata",
@@ -151,37 +170,41 @@
         }
         if submission.final_answer is not None:
             metadata["answer"] = submission.final_answer
-        out: dict = {
+        result: dict = {
             "name": f"operations/{submission.name.removeprefix('tasks/')}",
             "metadata": metadata,
             "done": done,
         }
         if done and submission.state == "DONE":
-            out["response"] = {
+            result["response"] = {
                 "@type": "type.googleapis.com/weldhatch.TaskResult",
                 "result": submission.result,
             }
         elif done:
-            code, message = CODES[submission.state]
+            code, message = ERROR_CODES[submission.state]
             reason = submission.message or (submission.final_answer or {}).get("reason", "")
-            out["error"] = {"code": code, "message": f"{message}: {reason}" if reason else message}
-        return out
+            result["error"] = {"code": code, "message": f"{message}: {reason}" if reason else message}
+        return result
 
 
-def internal(name: str) -> str:
+def task_name(name: str) -> str:
+    """Return the task name of an operation."""
     return f"tasks/{name.removeprefix('operations/')}"
 
 
-def by_age(name: str) -> tuple[int, str, int]:
-    """Names in the order in which they were given: epoch, then number."""
+def creation_order(name: str) -> tuple[int, str, int]:
+    """Return a sort key that orders names by creation: by epoch, then by number."""
     epoch, _, number = name.partition("/")[2].rpartition("-")
     count, _, token = epoch.partition(".")
     return (int(count) if count.isdigit() else 0, token or epoch, int(number) if number.isdigit() else 0)
 
 
 def read_filter(text: str) -> list[tuple[str, str, str]]:
-    """Clauses `field = value` or `field != value`, joined by AND. HttpError names the filter."""
-    out, rest = [], text
+    """Read clauses `field = value` or `field != value` joined by AND, as (field, operator, value).
+
+    Raises HttpError.
+    """
+    result, rest = [], text
     while rest.strip():
         match = _CLAUSE.match(rest)
         if match is None:
@@ -189,25 +212,28 @@
                 400, f"filter: {rest.strip()[:40]!r} is no clause such as state = PLACED", "filter"
             )
         value = match[3]
-        out.append((match[1], match[2], json.loads(value) if value.startswith('"') else value))
+        result.append((match[1], match[2], json.loads(value) if value.startswith('"') else value))
         rest = rest[match.end() :]
         if rest:
             if not rest.startswith("AND ") or not rest[4:].strip():
                 raise HttpError(400, f"filter: AND and a clause are needed at {rest[:40]!r}", "filter")
             rest = rest[4:]
-    return out
+    return result
 
 
-def holds(shown: dict, name: str, sign: str, value: str) -> bool:
-    there = str(shown["done"]).lower() if name == "done" else shown["metadata"][name]
-    return (there == value) == (sign == "=")
+def clause_matches(operation_json: dict, name: str, operator: str, value: str) -> bool:
+    """Return whether an operation meets one clause of a filter."""
+    actual = str(operation_json["done"]).lower() if name == "done" else operation_json["metadata"][name]
+    return (actual == value) == (operator == "=")
 
 
-def write_page(name: str) -> str:
+def encode_page_token(name: str) -> str:
+    """Return the token of the page after this name."""
     return base64.urlsafe_b64encode(name.encode()).decode().rstrip("=")
 
 
-def read_page(token: str) -> str:
+def decode_page_token(token: str) -> str:
+    """Return the name in a page token; '' for an empty token. Raises HttpError."""
     if not token:
         return ""
     try:
@@ -216,30 +242,33 @@
         raise HttpError(400, "pageToken: not one that was given", "pageToken") from None
 
 
-def masked(tree: dict, mask: str) -> dict:
-    """Only the fields that a mask names: `name,metadata.state`, through lists too."""
+def apply_field_mask(tree: dict, mask: str) -> dict:
+    """Return only the fields that a mask such as `name,metadata.state` names, also within lists.
+
+    Raises HttpError.
+    """
     if not mask:
         return tree
-    out: dict = {}
+    result: dict = {}
     for path in mask.split(","):
         steps = path.strip().split(".")
         if not all(step.isidentifier() for step in steps):
             raise HttpError(400, f"fields: {path[:40]!r} is no path", "fields")
-        _keep(tree, out, steps)
-    return out
+        _copy_path(tree, result, steps)
+    return result
 
 
-def _keep(tree: dict, out: dict, steps: list[str]) -> None:
+def _copy_path(tree: dict, result: dict, steps: list[str]) -> None:
     name, rest = steps[0], steps[1:]
     if name not in tree:
         return
     value = tree[name]
     if not rest:
-        out[name] = value
+        result[name] = value
     elif isinstance(value, dict):
-        _keep(value, out.setdefault(name, {}), rest)
+        _copy_path(value, result.setdefault(name, {}), rest)
     elif isinstance(value, list):
-        kept = out.setdefault(name, [{} for _ in value])
-        for one, into in zip(value, kept, strict=True):
-            if isinstance(one, dict):
-                _keep(one, into, rest)
+        kept = result.setdefault(name, [{} for _ in value])
+        for item, target in zip(value, kept, strict=True):
+            if isinstance(item, dict):
+                _copy_path(item, target, rest)
--- a/weldhatch/pullqueue/operator_states.py
+++ b/weldhatch/pullqueue/operator_states.py
@@ -1,8 +1,7 @@
-"""Operators' words on build machines: ready, draining or off, beside what a machine says of itself.
+"""Operators' directives for build machines: ready, draining or off, apart from a machine's own state.
 
-Decisions and state only; `control` hears the words and keeps them on disk. A word is fenced: one that an
-older
-apply sends late is refused, also after the machine, or the gateway, has come anew.
+Decisions and state only; the front stores the directives on disk. Each directive has a fencing number: a late
+directive of an older apply is refused, also after a restart of the machine or of the gateway.
 """
 
 from __future__ import annotations
@@ -14,21 +13,25 @@
 from weldhatch.scheduling.types import MachineState
 
 STATES = {"ready": MachineState.READY, "draining": MachineState.DRAINING, "off": MachineState.REMOVED}
-WORDS_MOST = 20_000  # machines that words are kept of
+MAX_DIRECTIVES = 20_000  # machines for which a directive is kept
 
 
 class WordError(ValueError):
-    """A word that can't be taken; `code` as the node-control protocol has it, `field` where one is at
-    fault."""
+    """A directive that is refused.
+
+    `code`: as the node-control protocol defines it; `field`: the invalid field, if there is one; `fence`: the
+    last fencing number of the machine.
+    """
 
     def __init__(self, code: str, text: str, field: str = "", fence: int = 0) -> None:
+        """Create the error with the code and the text that the caller receives."""
         super().__init__(text)
         self.code, self.field, self.fence = code, field, fence
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
-    """An operator's word on one machine, and the fencing number of the apply that gave it."""
+class Directive:
+    """An operator's directive for one machine, with the fencing number of the apply that sent it."""
 
     machine: str
     state: str
@@ -37,11 +40,12 @@
     at: float  # Unix seconds
 
     def encode(self) -> bytes:
+        """Encode the directive as a record."""
         return json.dumps([self.machine, self.state, self.fence, self.op, self.at]).encode()
 
 
-def read_word(machine: str, tree: dict, now: float) -> Word:
-    """A word from the body of a call. Raises WordError naming the field."""
+def read_word(machine: str, tree: dict, now: float) -> Directive:
+    """Read a directive from the body of a call. Raises WordError naming the field."""
     state, fence, op = tree.get("state"), tree.get("fence"), tree.get("op", "")
     if state not in STATES:
         raise WordError("FIELD", f"state: one of {', '.join(STATES)} is needed, not {state!r}", "state")
@@ -51,41 +55,44 @@
         raise WordError("FIELD", "op: a text of at most 200 characters is needed", "op")
     if not 0 < len(machine) <= 200:
         raise WordError("FIELD", "machine: a name of 1 to 200 characters is needed", "machine")
-    return Word(machine, state, fence, op, now)
+    return Directive(machine, state, fence, op, now)
 
 
-class Operators:
-    """The last word on each machine."""
+class OperatorDirectives:
+    """The last directive for each machine."""
 
     def __init__(self) -> None:
-        self.words: dict[str, Word] = {}
+        """Start without directives."""
+        self.directives: dict[str, Directive] = {}
 
     def restore(self, records: Iterable[bytes]) -> None:
-        """Take what a former gateway kept. Raises ValueError for what is no word."""
+        """Restore the directives that a former run of the gateway stored. Raises ValueError."""
         for record in records:
             machine, state, fence, op, at = json.loads(record)
             if state not in STATES:
                 raise ValueError(f"the unusable state {state!r}")
-            self.words[machine] = Word(machine, state, fence, op, at)
-
-    def check(self, word: Word) -> bool:
-        """May this word be taken, and does it change anything? Raises WordError where it may not."""
-        last = self.words.get(word.machine)
-        if last is not None and word.fence < last.fence:
-            # Guards against an older apply that wakes up late.
-            raise WordError("FENCE", f"{last.fence} has been heard, this is {word.fence}", fence=last.fence)
-        if last is None and len(self.words) >= WORDS_MOST:
-            raise WordError("REFUSED", f"words are kept of {WORDS_MOST} machines at the most")
-        return last is None or (last.state, last.fence) != (word.state, word.fence)
-
-    def take(self, word: Word) -> None:
-        """Only after `check`, and once it is on the disk."""
-        self.words[word.machine] = word
-
-    def merged(self, machine: str, own: MachineState) -> MachineState:
-        """What counts for new work: the less of what the machine says and what the operator says."""
-        word = self.words.get(machine)
-        told = STATES[word.state] if word is not None else MachineState.READY
-        if MachineState.REMOVED in (own, told):
+            self.directives[machine] = Directive(machine, state, fence, op, at)
+
+    def check(self, directive: Directive) -> bool:
+        """Return whether a directive changes anything. Raises WordError for one that is refused."""
+        last = self.directives.get(directive.machine)
+        if last is not None and directive.fence < last.fence:
+            # A delayed older apply must not override a newer one.
+            raise WordError(
+                "FENCE", f"{last.fence} has been heard, this is {directive.fence}", fence=last.fence
+            )
+        if last is None and len(self.directives) >= MAX_DIRECTIVES:
+            raise WordError("REFUSED", f"words are kept of {MAX_DIRECTIVES} machines at the most")
+        return last is None or (last.state, last.fence) != (directive.state, directive.fence)
+
+    def set(self, directive: Directive) -> None:
+        """Put a directive into force. Call this only after `check`, once the directive is on the disk."""
+        self.directives[directive.machine] = directive
+
+    def effective_state(self, machine: str, own: MachineState) -> MachineState:
+        """Return the state that counts for new work: the stricter of the machine's and the operator's."""
+        directive = self.directives.get(machine)
+        operator_state = STATES[directive.state] if directive is not None else MachineState.READY
+        if MachineState.REMOVED in (own, operator_state):
             return MachineState.REMOVED
-        return MachineState.DRAINING if MachineState.DRAINING in (own, told) else MachineState.READY
+        return MachineState.DRAINING if MachineState.DRAINING in (own, operator_state) else MachineState.READY
--- a/weldhatch/pullqueue/quotas.py
+++ b/weldhatch/pullqueue/quotas.py
@@ -1,7 +1,7 @@
-"""How many calls of one caller may be in flight, by the name in its token or certificate. No I/O.
+"""A limit on the calls in flight of each caller, by the name in its token or certificate. No I/O.
 
-Callers that nobody asks for a name share an address with others, so they are not told apart: for them the
-bounds of the whole gateway hold.
+Callers without authentication may share an address, so they can't be distinguished; only the limits of the
+whole gateway apply to them.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 
 
 class CallQuotas:
-    """Calls in flight by caller."""
+    """Counts the calls in flight of each caller."""
 
     def __init__(self, most_per_caller: int) -> None:
-        """Allow each caller so many calls at a time."""
+        """Limit the calls in flight of each caller."""
         self.most_per_caller = most_per_caller
         self._in_flight: Counter[str] = Counter()
 
     def try_acquire(self, caller: str) -> bool:
-        """Count one more call; False, and nothing counted, where it would be one too many."""
+        """Count a call; return False, and count nothing, if that would exceed the limit."""
         if self._in_flight[caller] >= self.most_per_caller:
             return False
         self._in_flight[caller] += 1
         return True
 
     def release(self, caller: str) -> None:
-        """End a call that was counted."""
+        """Record the end of a counted call."""
         self._in_flight[caller] -= 1
         if not self._in_flight[caller]:
             del self._in_flight[caller]
--- a/weldhatch/pullqueue/reconfiguration.py
+++ b/weldhatch/pullqueue/reconfiguration.py
@@ -1,7 +1,7 @@
-"""Plan and apply: what would change between a pull queue's file and a running gateway, and the change.
+"""Plans of changes: the differences between a pull queue's file and a running gateway, and their application.
 
-A plan names the configuration it was made against by its fingerprint. A gateway whose configuration has
-moved on since then refuses it, and one that takes it applies it wholly or not at all.
+A plan names the configuration that it is based on by its fingerprint. A gateway whose configuration has
+changed since then rejects the plan. Otherwise it applies the plan completely or not at all.
 """
 
 from __future__ import annotations
@@ -13,21 +13,23 @@
 
 from weldhatch import config
 
-VERSION = 2
-LIVE = ("listen", "connections", "remember", "timing.")  # all other keys need a restart
+PLAN_VERSION = 2
+LIVE_KEYS = ("listen", "connections", "remember", "timing.")  # all other keys need a restart
 
 
 def fingerprint(tree: Mapping) -> str:
+    """Return a hash of a configuration with its defaults."""
     leaves = json.dumps(config.pull_queue_leaves(tree), sort_keys=True)
     return hashlib.sha256(leaves.encode()).hexdigest()
 
 
 def needs_restart(key: str) -> bool:
-    return not any(key == live or (live.endswith(".") and key.startswith(live)) for live in LIVE)
+    """Return whether a change of this key needs a restart."""
+    return not any(key == live or (live.endswith(".") and key.startswith(live)) for live in LIVE_KEYS)
 
 
 def changes(old: Mapping, new: Mapping) -> list[dict]:
-    """The keys that differ, each with its old and its new value; null where it is not there."""
+    """Return the keys that differ, each with its old and its new value; None for a missing key."""
     before, after = config.pull_queue_leaves(old), config.pull_queue_leaves(new)
     return [
         {"key": key, "from": before.get(key), "to": after.get(key), "restart": needs_restart(key)}
@@ -37,10 +39,10 @@
 
 
 def make(applied: Mapping, target: dict) -> dict:
-    """The plan that turns what is applied into the target."""
+    """Make the plan that changes the applied configuration into the target. Raises ConfigError."""
     config.pull_queue_config(target)
     plan = {
-        "version": VERSION,
+        "version": PLAN_VERSION,
         "base": fingerprint(applied),
         "then": config.pull_queue_leaves(applied),
         "target": target,
@@ -50,14 +52,16 @@
 
 
 def checksum(plan: Mapping) -> str:
-    """Of all but itself: a plan that was edited by hand is told by it."""
+    """Return the checksum of a plan without its checksum; it shows whether a plan was edited by hand."""
     rest = {key: value for key, value in plan.items() if key != "checksum"}
     return hashlib.sha256(json.dumps(rest, sort_keys=True).encode()).hexdigest()
 
 
 def moved(plan: Mapping, applied: Mapping) -> list[tuple[str, str, str, str]]:
-    """What has moved since the plan was made: key, as planned, then, now. All keys of the file are its
-    base."""
+    """Return the keys that changed since the plan was made, as (key, planned, value then, value now).
+
+    All keys of the file are compared, not only those of the plan.
+    """
     then, now = plan["then"], config.pull_queue_leaves(applied)
     planned = {change["key"]: change["to"] for change in plan["changes"]}
     return [
@@ -73,7 +77,7 @@
 
 
 def render(plan: Mapping) -> str:
-    """The plan as a person reads it."""
+    """Return the plan as text for an operator."""
     if not plan["changes"]:
         return "No changes: the gateway runs what the file says."
     lines = []
@@ -89,46 +93,52 @@
 
 
 def read(path: str) -> dict:
+    """Read a plan and check its version and checksum. Raises ConfigError."""
     plan = config.read_json_file(path)
-    if plan.get("version") != VERSION or not isinstance(plan.get("target"), dict) or "base" not in plan:
-        raise config.ConfigError(f"{path}: version: this is no plan of version {VERSION}")
+    if plan.get("version") != PLAN_VERSION or not isinstance(plan.get("target"), dict) or "base" not in plan:
+        raise config.ConfigError(f"{path}: version: this is no plan of version {PLAN_VERSION}")
     if plan.get("checksum") != checksum(plan):
         raise config.ConfigError(f"{path}: checksum: the file is not as it was written; make a new plan")
     return plan
 
 
-# ---- the running gateway, as the command line reaches it ---------------------------------------------------
+# ---- client of a gateway's control address -----------------------------------------------------------------
 
 
 class Refused(config.ConfigError):
-    """The gateway won't; `field` says what is at fault."""
+    """The gateway rejected a call; `field` names the invalid field."""
 
     def __init__(self, text: str, field: str) -> None:
+        """Create the error with the gateway's message."""
         super().__init__(text)
         self.field = field
 
 
 class Gateway:
-    """A running gateway's control address."""
+    """A client of a running gateway's control address. Its calls raise ConfigError."""
 
     def __init__(self, address: tuple[str, int]) -> None:
+        """Call the gateway at this address."""
         self._address = address
 
     def applied(self) -> dict:
+        """Return the applied configuration."""
         return self._call("GET", "applied", None)["tree"]
 
     def apply(self, plan: Mapping) -> dict:
+        """Apply a plan; return the answer."""
         return self._call("POST", "apply", plan)
 
     def sites(self) -> dict:
-        """What crosses between its site and others."""
+        """Return the status of links to other sites and of the tasks shared with them."""
         return self._call("GET", "sites", None)
 
     def sites_word(self, word: Mapping) -> dict:
+        """Send an operator's command on other sites; return the answer."""
         return self._call("POST", "sites", word)
 
     def call(self, method: str, path: str, body: Mapping | None = None) -> dict:
-        """Any other call of a control address. Raises ConfigError with what the gateway says."""
+        """Do any other call. Raises ConfigError with the gateway's message."""
         return self._call(method, path, body)
 
     def _call(self, method: str, path: str, body: Mapping | None) -> dict:
@@ -144,12 +154,19 @@
             connection.close()
         if answer.status != 200:
             error = tree.get("error", {})
-            at = [one for detail in error.get("details", ()) for one in detail.get("fieldViolations", ())]
-            raise Refused(error.get("message", f"status {answer.status}"), at[0]["field"] if at else "")
+            violations = [
+                violation
+                for detail in error.get("details", ())
+                for violation in detail.get("fieldViolations", ())
+            ]
+            raise Refused(
+                error.get("message", f"status {answer.status}"), violations[0]["field"] if violations else ""
+            )
         return tree
 
 
 def address(tree: Mapping, override: str | None) -> tuple[str, int]:
+    """Return the control address: the override, else the one in a pull queue's file. Raises ConfigError."""
     text = override or tree.get("control") or config.PULL_QUEUE_DEFAULTS["control"]
     if not text:
         raise config.ConfigError("control is missing: it says where the running gateway is reached")
--- a/weldhatch/pullqueue/remote_sites.py
+++ b/weldhatch/pullqueue/remote_sites.py
@@ -1,6 +1,6 @@
-"""The pull queue among several sites: how its tasks cross, and what its ledger says of those that come.
+"""The pull queue among several sites: encoding of forwarded tasks, and checks of incoming ones by the ledger.
 
-Imported only where `sites` is configured: its codec is not a part of what `run` needs.
+Imported only if `sites` is configured, since its codec library is not among the basic requirements.
 """
 
 from __future__ import annotations
@@ -31,36 +31,36 @@
 from weldhatch.sites.routing import Router
 from weldhatch.sites.storage import SiteStorage
 
-SETTLE_SPARE_S = 0.5
-SOCKETS_A_SITE = 4
-_SETUP: msgspec.json.Decoder[PlacementRequest] = msgspec.json.Decoder(PlacementRequest)
+SETTLE_MARGIN_S = 0.5
+SOCKETS_PER_SITE = 4
+_REQUEST_DECODER: msgspec.json.Decoder[PlacementRequest] = msgspec.json.Decoder(PlacementRequest)
 _Result = tuple[dict[str, Any] | None, str]
-_RESULT: msgspec.json.Decoder[_Result] = msgspec.json.Decoder(_Result)
+_RESULT_DECODER: msgspec.json.Decoder[_Result] = msgspec.json.Decoder(_Result)
 
 
 class PullQueueSiteFront(SiteFrontEnd):
-    """The pull queue as the front of its site."""
+    """The pull queue as the front end of its site."""
 
     def __init__(self, settings: Settings, ledger: KeyLedger, storage: QueueStorage | NoStorage) -> None:
-        """Ask this ledger, and write spent keys to this store."""
+        """Check keys against this ledger, and write spent keys to this store."""
         self._ledger = ledger
         self._storage = storage
         self._classes = {cls.name: cls for cls in settings.classes}
 
     def encode_passed_on(self, task: ports.Task) -> tuple[str, ...]:
-        """Return the placement request of a task, and its description."""
+        """Return the placement request of a task and its description, for another site."""
         payload = payload_of(task)
         return msgspec.json.encode(payload.request).decode(), payload.blob
 
     def decode_passed_on(
         self, site: str, id: TransferId, work: Work, on_result: Callable[[str], None]
     ) -> tuple[object, object]:
-        """Return the label of another site's task, and what a lease of it gets. Raises ValueError."""
+        """Return the label of another site's task and the payload of its leases. Raises ValueError."""
         try:
             setup, blob = work.names
-            request = _SETUP.decode(setup)
+            request = _REQUEST_DECODER.decode(setup)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise ValueError(f"a task that can't be read: {str(error)[:120]}") from None
+            raise ValueError(f"invalid task: {str(error)[:120]}") from None
 
         def encode_result(result: object, message: str) -> None:
             on_result(msgspec.json.encode((result, message)).decode())
@@ -69,29 +69,32 @@
         return f"crossings/{site}-{epoch}-{serial}", LeasePayload(request, blob, encode_result)
 
     def report_result(self, task: ports.Task, result: str) -> None:
-        """Take what a task has come to at another site, as a machine here would say it."""
+        """Set the result of a task that ran at another site."""
         try:
-            value, message = _RESULT.decode(result)
+            value, message = _RESULT_DECODER.decode(result)
         except (msgspec.MsgspecError, ValueError):
-            return  # another site's fault: the task has ended all the same
+            return  # an invalid result of the other site is ignored: the task has ended nevertheless
         payload_of(task).on_result(value, message)
 
     def why_not_admitted(self, work: Work) -> str:
-        """Guard against a start beside a request, a lease, or an earlier hand-out of this gateway's own."""
+        """Return why a task of another site is rejected; '' if it is not.
+
+        A task must not start beside a request, a lease or an earlier hand-out of this gateway with its key.
+        """
         rejection = self._ledger.rejection(work.key, self._classes[work.class_name])
         return rejection.value if rejection is not None else ""
 
     def task_ran(self, work: Work) -> None:
-        """Spend the key of a task that another site has handed out, where it may not start twice."""
+        """Spend the key of a task that another site has handed out, if the task must not start twice."""
         unsafe = self._classes[work.class_name].effect is Effect.UNSAFE
         if work.key and unsafe and self._ledger.spend(work.key):
             self._storage.append_with_retry(durable_state.encode("spent", [work.key]))
 
 
 def link_contexts(keys: str, name: str, key: str) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
-    """Return what links are served and dialled with, from a folder of keys; None without a folder.
+    """Return the server and client TLS contexts of links, from a folder of keys; None without a folder.
 
-    `name`: of this site. Raises ConfigError naming the `key` of the settings.
+    `name`: the name of this site. `key`: the key of the settings that a ConfigError names.
     """
     if not keys:
         return None, None
@@ -115,28 +118,28 @@
     random: Random,
     log: Callable[[str], None],
 ) -> tuple[SiteForwarder, SiteStorage, LinkListener]:
-    """Return the sites of this gateway, dialling and listening, their store and their listener.
+    """Create the forwarder to other sites, its store and its listener; dial and listen.
 
-    Raises ConfigError, or OSError for the address.
+    Raises ConfigError, or OSError if the address can't be listened on.
     """
-    assert file.sites is not None, "the caller looks whether there are other sites"
+    assert file.sites is not None, "the caller checks that other sites are configured"
     site_storage = SiteStorage(file.sites.store, time.time(), log)
     names = list(file.sites.peers)
     router = Router(names, random)
     front = PullQueueSiteFront(settings, ledger, storage)
-    settle_s = file.timing.lease + file.timing.grace + SETTLE_SPARE_S
-    share = DescriptorShare(DescriptorBudget(file.sockets), 2 * SOCKETS_A_SITE * len(names))
+    settle_s = file.timing.lease + file.timing.grace + SETTLE_MARGIN_S
+    share = DescriptorShare(DescriptorBudget(file.sockets), 2 * SOCKETS_PER_SITE * len(names))
     try:
         sites = SiteForwarder(
             file.sites.name, names, settings, core, site_storage, router, front, settle_s, log
         )
-        serves, dials = link_contexts(file.sites.keys, file.sites.name, "sites.keys")
-        listener = LinkListener(file.sites.listen, sites.links, share, log, serves)
+        server_context, client_context = link_contexts(file.sites.keys, file.sites.name, "sites.keys")
+        listener = LinkListener(file.sites.listen, sites.links, share, log, server_context)
     except BaseException:
         site_storage.close()
         raise
     driver.watchers.append(lambda event: sites.capacity.watch(time.monotonic(), event))
     for name, endpoint in file.sites.peers.items():
-        if file.sites.name < name:  # of two sites the one whose name sorts first dials
-            sites.links[name].dial(endpoint, share, dials)
+        if file.sites.name < name:  # the site whose name sorts first dials the other one
+            sites.links[name].dial(endpoint, share, client_context)
     return sites, site_storage, listener
--- a/weldhatch/pullqueue/reports.py
+++ b/weldhatch/pullqueue/reports.py
@@ -1,4 +1,4 @@
-"""What a build machine reports: its status, its leases, and the mask that says what of it counts. No I/O."""
+"""Parsing of a build machine's reports: status, leases and update mask. No I/O."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.scheduling.types import MachineState
 
-LEASES_MOST = 1000  # listed in one update
-RESULT_MOST = 8 * 1024  # of what a machine says its task has come to
+MAX_REPORTED_LEASES = 1000  # in one update
+MAX_RESULT_BYTES = 8 * 1024  # size limit of a task's result as JSON
 STATUSES = {
     "OK": MachineState.READY,
     "INITIALIZING": MachineState.DRAINING,
@@ -18,12 +18,12 @@
     "BOT_TERMINATING": MachineState.DRAINING,
     "MAINTENANCE": MachineState.DRAINING,
 }
-STATES = ("PENDING", "ACTIVE", "COMPLETED", "CANCELLED")
+LEASE_STATES = ("PENDING", "ACTIVE", "COMPLETED", "CANCELLED")
 
 
 @dataclass(slots=True)
 class ReportedLease:
-    """One lease as a puller lists it."""
+    """One lease in a puller's report."""
 
     id: str
     state: str
@@ -33,7 +33,7 @@
 
 
 def masked(tree: dict, mask: str) -> dict:
-    """Only the fields that the mask names count; what it names and the body lacks is empty."""
+    """Return a session update with only the fields that the mask names. Raises HttpError."""
     out = {key: tree[key] for key in ("name", "botId") if key in tree}
     for path in mask.split(","):
         name = path.strip()
@@ -45,6 +45,7 @@
 
 
 def read_status(tree: dict) -> MachineState:
+    """Read the status of a machine. Raises HttpError."""
     status = tree.get("status", "OK")
     if not isinstance(status, str) or status not in STATUSES:
         raise HttpError(400, f"status: the unusable value {status!r}", "status")
@@ -52,17 +53,18 @@
 
 
 def read_reported_leases(tree: dict) -> list[ReportedLease]:
+    """Read the leases of a report. Raises HttpError naming the field."""
     entries = tree.get("leases") or []
     if not isinstance(entries, list):
         raise HttpError(400, "leases: a list is needed", "leases")
-    if len(entries) > LEASES_MOST:
-        raise HttpError(400, f"leases: at most {LEASES_MOST} are taken", "leases")
+    if len(entries) > MAX_REPORTED_LEASES:
+        raise HttpError(400, f"leases: at most {MAX_REPORTED_LEASES} are taken", "leases")
     reported = []
-    for n, entry in enumerate(entries):
-        field = f"leases[{n}]"
+    for index, entry in enumerate(entries):
+        field = f"leases[{index}]"
         if not isinstance(entry, dict) or not isinstance(entry.get("id"), str):
             raise HttpError(400, f"{field}.id: a text is needed", f"{field}.id")
-        if entry.get("state") not in STATES:
+        if entry.get("state") not in LEASE_STATES:
             raise HttpError(
                 400, f"{field}.state: the unusable value {entry.get('state')!r}", f"{field}.state"
             )
@@ -78,10 +80,12 @@
                 f"{field}.status.message",
             )
         result = entry.get("result")
-        if result is not None and (not isinstance(result, dict) or len(json.dumps(result)) > RESULT_MOST):
+        if result is not None and (
+            not isinstance(result, dict) or len(json.dumps(result)) > MAX_RESULT_BYTES
+        ):
             raise HttpError(
                 400,
-                f"{field}.result: an object of at most {RESULT_MOST} bytes is needed",
+                f"{field}.result: an object of at most {MAX_RESULT_BYTES} bytes is needed",
                 f"{field}.result",
             )
         reported.append(ReportedLease(entry["id"], entry["state"], code, message, result))
--- a/weldhatch/pullqueue/security.py
+++ b/weldhatch/pullqueue/security.py
@@ -1,6 +1,6 @@
-"""Who calls the pull queue: by a bearer token, or by the certificate that its connection showed.
+"""Authentication of callers of the pull queue by a bearer token or a client certificate.
 
-Its libraries are imported only where a gateway asks for them.
+The libraries for it are imported only if the gateway is configured to use TLS or tokens.
 """
 
 from __future__ import annotations
@@ -21,44 +21,53 @@
 
 
 class Security:
-    """The gateway's certificate and keyring. `load` reads both anew; open connections keep what they have."""
+    """The gateway's certificate and keyring. `load` reads both again; open connections keep the old ones."""
 
-    def __init__(self, told: SecurityConfig) -> None:
-        self._told = told
+    def __init__(self, config: SecurityConfig) -> None:
+        """Load the certificate and the keyring. Raises ConfigError."""
+        self._config = config
         self._context: ssl.SSLContext | None = None
         self._keyring = None
         self.load()
 
     def load(self) -> None:
-        """Raises ConfigError naming the file that can't be used; what was loaded before stays then."""
-        if not self._told.tls and not self._told.tokens:
+        """Load the certificate and the keyring.
+
+        Raises ConfigError naming the file that can't be used; the old certificate and keyring stay in use.
+        """
+        if not self._config.tls and not self._config.tokens:
             return
-        from weldhatch.keys.folder import Folder, KeysError  # cryptography: only where it is asked for
+        from weldhatch.keys.folder import Folder, KeysError  # imports cryptography, so only when needed
 
-        folder = Folder(self._told.keys)
+        folder = Folder(self._config.keys)
         try:
-            context = folder.server_context(self._told.tls == "mutual") if self._told.tls else None
-            keyring = folder.keyring() if self._told.tokens else None
+            context = folder.server_context(self._config.tls == "mutual") if self._config.tls else None
+            keyring = folder.keyring() if self._config.tokens else None
         except KeysError as fault:
             raise ConfigError(f"security: {fault}") from None
         self._context, self._keyring = context, keyring
 
     @property
-    def asks(self) -> bool:
-        """Must callers say who they are?"""
-        return bool(self._told.tokens or self._told.tls == "mutual")
+    def requires_authentication(self) -> bool:
+        """Whether callers must authenticate themselves."""
+        return bool(self._config.tokens or self._config.tls == "mutual")
 
     async def accept_tls(self, stream: IOStream) -> tuple[IOStream, str]:
-        """The stream to go on with, and the name in the client's certificate. Raises OSError where it
-        fails."""
+        """Do the TLS handshake, if TLS is configured.
+
+        Returns the stream to use from now on, and the name in the client's certificate. Raises OSError if the
+        handshake fails.
+        """
         if self._context is None:
             return stream, ""
         return await accept_tls(stream, self._context)
 
-    def who(self, request: Request, collection: str) -> Claims | None:
-        """Whose call this is; None where nobody is asked. Raises HttpError: 401 for nobody, 403 for the
-        wrong one."""
-        if not self.asks:
+    def identify(self, request: Request, collection: str) -> Claims | None:
+        """Return the claims of the caller; None if callers need no authentication.
+
+        Raises HttpError: 401 for an unauthenticated caller, 403 for a caller without the permission.
+        """
+        if not self.requires_authentication:
             return None
         from weldhatch.keys.tokens import Claims, Role, TokenError, may_call
 
@@ -73,7 +82,7 @@
             if request.certificate and claims.role is Role.MACHINE and claims.name != request.certificate:
                 raise HttpError(403, "the token is another's than the certificate", "authorization")
         elif request.certificate and collection == "botSessions":
-            claims = Claims(request.certificate, Role.MACHINE)  # a machine's certificate is enough
+            claims = Claims(request.certificate, Role.MACHINE)  # machines need no token
         else:
             raise HttpError(401, "a bearer token is needed", "authorization")
         if not may_call(claims, collection):
--- a/weldhatch/pullqueue/storage.py
+++ b/weldhatch/pullqueue/storage.py
@@ -1,4 +1,4 @@
-"""The pull queue's store: writes what `durable_state` folds, by group commit; or nothing, without a store."""
+"""The pull queue's store: writes records of `durable_state` by group commit, or nothing without a store."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class QueueStorage(EpochStore):
-    """The folder of a pull queue's store. One gateway at a time."""
+    """The store of a pull queue in a folder, which one gateway at a time can open."""
 
     def __init__(self, folder: str, now: float, log: Callable[[str], None]) -> None:
         """Open the folder and begin an epoch. `now`: Unix seconds.
 
-        Raises ConfigError where the folder can't be used, is another's, or holds what can't be read.
+        Raises ConfigError if the folder can't be used, is locked by another gateway or has invalid records.
         """
         self.state = QueueState()
         try:
             store = FoldedStore(folder, "queue.log", "store", now, [self.state], log)
-            self.fresh = self.state.epoch == 0  # no gateway has used the folder before
+            self.fresh = self.state.epoch == 0  # whether no gateway has used the folder before
             super().__init__(
                 store,
                 *self.begin_run(
@@ -35,40 +35,46 @@
             raise ConfigError(f"store: {error}") from None
 
     def _begin_epoch(self, epoch: int, token: str, now: float) -> bytes:
-        """Set the epoch, but do not apply its record: it would forget which leases the last run has seen."""
+        """Set the epoch, but do not apply its record: that would reset which leases the last run has seen."""
         self.state.epoch = epoch
         self.state.token = token
         return encode("epoch", epoch, token, now)
 
     @property
     def epoch_name(self) -> str:
-        """The epoch as it stands in the names that this gateway gives."""
+        """The epoch as part of the names that this gateway generates."""
         return f"{self.epoch}.{self.token}"
 
     def append(self, *records: bytes) -> asyncio.Future[None]:
-        """Write what is about to happen: done once it is on the disk, LogError if it may not."""
+        """Write records of something that is about to happen.
+
+        The future is done once they are on the disk, and fails with LogError if they can't be written.
+        """
         return self._store.append(records)
 
     def append_with_retry(self, *records: bytes) -> asyncio.Future[None]:
-        """Write what has happened, as soon as the disk takes it; the future never fails."""
+        """Write records of something that has happened, retrying until the disk accepts them.
+
+        The future never fails.
+        """
         return self._store.append_with_retry(records)
 
 
 class NoStorage:
-    """Without a store: nothing is written, and nothing is there after a restart."""
+    """The replacement for a store if none is configured: nothing is written, nothing survives a restart."""
 
     write_error = ""
     fresh = True
 
     def __init__(self, now_ns: int) -> None:
-        """Name the epoch after the time, in Unix nanoseconds. Needs a running event loop."""
+        """Use the time, in Unix nanoseconds, as the name of the epoch. Needs a running event loop."""
         self.state = QueueState()
         self.epoch_name = f"{now_ns:x}"
         self._done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._done.set_result(None)
 
     def append(self, *records: bytes) -> asyncio.Future[None]:
-        """Forget the records; the future is done."""
+        """Discard the records; return a future that is done."""
         return self._done
 
     append_with_retry = append
--- a/weldhatch/pullqueue/submission.py
+++ b/weldhatch/pullqueue/submission.py
@@ -1,4 +1,4 @@
-"""One submission: the core's owner, and what is told of it by its name."""
+"""One submission: the owner of a request in the core, and the state that callers can query by its name."""
 
 from __future__ import annotations
 
@@ -13,23 +13,28 @@
 
 
 class SubmissionOwner(Protocol):
-    """Who keeps submissions and their records."""
+    """The keeper of submissions and their records."""
 
-    def record(self, submission: Submission, payload: bytes) -> asyncio.Future | None: ...
+    def record(self, submission: Submission, payload: bytes) -> asyncio.Future | None:
+        """Store a record of a submission; None if the submission is not stored."""
+        ...
 
-    def ended(self, submission: Submission) -> None: ...
+    def on_end(self, submission: Submission) -> None:
+        """Handle the end of a submission."""
+        ...
 
 
 class Submission:
-    """One submission: the core's owner, and an operation by its name."""
+    """One submission: the owner of a request in the core, shown as an operation to callers."""
 
-    def __init__(self, tasks: SubmissionOwner, name: str, key: int, tenant: int, meta: dict) -> None:
-        self._tasks, self.name, self.key, self.tenant, self.meta = tasks, name, key, tenant, meta
+    def __init__(self, owner: SubmissionOwner, name: str, key: int, tenant: int, meta: dict) -> None:
+        """Create a submission without an answer. `meta`: see `durable_state.OperationRecord`."""
+        self._owner, self.name, self.key, self.tenant, self.meta = owner, name, key, tenant, meta
         self.fields: dict = {}
         self.answer: asyncio.Future[dict] = asyncio.get_running_loop().create_future()
         self.final_answer: dict | None = None  # the answer, once there is one
         self.over = asyncio.Event()
-        self.changed = asyncio.Event()  # set anew at each change of state
+        self.changed = asyncio.Event()  # set, and replaced by a new event, at each change of state
         self.lifecycle: RequestLifecycle | None = None
         self.ticket: Ticket | None = None
         self.state, self.cause = "ASKED", 0
@@ -38,86 +43,104 @@
         self.bot = ""
         self.recorded = False
 
-    # ---- what the core says --------------------------------------------------------------------------------
+    # ---- implements the core's owner -----------------------------------------------------------------------
 
     def placed(self, description: str | None) -> None:
+        """Answer that the task is placed on the machine with this bot id."""
         self.state, self.bot = "PLACED", description or ""
-        self._say({"answer": "placed", "name": self.name, "botId": description})
+        self._set_answer({"answer": "placed", "name": self.name, "botId": description})
 
     def refused(self, wait_us: int, reason: str = "") -> None:
+        """Answer that the request is rejected and may be retried after this time."""
         self.state = "REFUSED"
         wait = {"waitMs": math.ceil(wait_us / 1000)}
-        self._say({"answer": "refused", "name": self.name, **wait, **({"reason": reason} if reason else {})})
-        self._end()
+        self._set_answer(
+            {"answer": "refused", "name": self.name, **wait, **({"reason": reason} if reason else {})}
+        )
+        self._end_submission()
 
     def failed(self) -> None:
+        """Answer that the request has failed and must not be retried."""
         self.state = "FAILED"
-        self._say({"answer": "failed", "name": self.name})
-        self._end()
+        self._set_answer({"answer": "failed", "name": self.name})
+        self._end_submission()
 
     def released(self, cause: int) -> None:
+        """End the submission: its task has ended, completed or lost."""
         self.cause = cause
-        self._end("DONE" if cause == GIVEN_UP else "LOST")
+        self._end_submission("DONE" if cause == GIVEN_UP else "LOST")
 
     def moved(self) -> None:
-        self._end("MOVED")
+        """End the submission: its task runs elsewhere now."""
+        self._end_submission("MOVED")
 
     def ended_by_owner(self) -> None:
-        self._end("CANCELLED")
+        """End the submission: its submitter has cancelled it."""
+        self._end_submission("CANCELLED")
 
     def set_result(self, result: object, message: str) -> None:
-        """What the machine said with the end of a lease."""
+        """Set the result and message that the machine reported with the end of a lease."""
         self.result, self.message = result, message
 
-    # ---- what follows from it ------------------------------------------------------------------------------
+    # ---- answer and end ------------------------------------------------------------------------------------
 
-    def _say(self, answer: dict) -> None:
+    def _set_answer(self, answer: dict) -> None:
         self.final_answer = answer
-        written = self._tasks.record(self, durable_state.encode("answer", self.name, answer))
+        written = self._owner.record(self, durable_state.encode("answer", self.name, answer))
         if written is None or written.done():
-            self._give(answer)
+            self._deliver_answer(answer)
         else:
-            written.add_done_callback(lambda _: self._give(answer))
-            # A final answer is never held back for long, also where the disk takes nothing.
-            asyncio.get_running_loop().call_later(0.05, self._give, answer)
+            written.add_done_callback(lambda _: self._deliver_answer(answer))
+            # Limits the delay of the final answer if the disk is slow or does not accept writes.
+            asyncio.get_running_loop().call_later(0.05, self._deliver_answer, answer)
 
-    def _give(self, answer: dict) -> None:
+    def _deliver_answer(self, answer: dict) -> None:
         if not self.answer.done():
             self.answer.set_result(answer)
-            self._news()
+            self._notify_change()
 
-    def _news(self) -> None:
+    def _notify_change(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def _end(self, state: str = "") -> None:
+    def _end_submission(self, state: str = "") -> None:
         self.state = state or self.state
         self.over.set()
         if state:
-            self._tasks.record(self, durable_state.encode("end", self.name, state, self.cause, self.result))
-        self._news()
-        self._tasks.ended(self)
-
-    def restore(self, one: durable_state.OperationRecord) -> None:
-        """What a former gateway told of it."""
-        self.state, self.cause, self.result, self.recorded = one.state, one.cause, one.result, True
-        if one.answer is not None:
-            self.final_answer = one.answer
-            self.bot = one.answer.get("botId") or ""
-            self.answer.set_result(one.answer)
-        if one.over:
+            self._owner.record(self, durable_state.encode("end", self.name, state, self.cause, self.result))
+        self._notify_change()
+        self._owner.on_end(self)
+
+    def restore(self, record: durable_state.OperationRecord) -> None:
+        """Restore the state that a former run of the gateway stored."""
+        self.state, self.cause, self.result, self.recorded = record.state, record.cause, record.result, True
+        if record.answer is not None:
+            self.final_answer = record.answer
+            self.bot = record.answer.get("botId") or ""
+            self.answer.set_result(record.answer)
+        if record.over:
             self.over.set()
 
 
-class Nobody:
-    """The owner of a lease whose submission has its final answer: it is only waited for."""
+class NullOwner:
+    """The owner of a restored lease whose submission is already over: it ignores all messages."""
 
-    def placed(self, description: str | None) -> None: ...
+    def placed(self, description: str | None) -> None:
+        """Ignore the message."""
+        ...
 
-    def refused(self, wait_us: int) -> None: ...
+    def refused(self, wait_us: int) -> None:
+        """Ignore the message."""
+        ...
 
-    def failed(self) -> None: ...
+    def failed(self) -> None:
+        """Ignore the message."""
+        ...
 
-    def released(self, cause: int) -> None: ...
+    def released(self, cause: int) -> None:
+        """Ignore the message."""
+        ...
 
-    def moved(self) -> None: ...
+    def moved(self) -> None:
+        """Ignore the message."""
+        ...
--- a/weldhatch/pullqueue/submission_form.py
+++ b/weldhatch/pullqueue/submission_form.py
@@ -1,4 +1,4 @@
-"""A submission as the calls of the HTTP interface bring it: read and checked here, no I/O."""
+"""Parsing and validation of submissions to the HTTP interface. No I/O."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from weldhatch.pullqueue.workers import Worker, read_worker
 from weldhatch.scheduling.types import Effect, Settings
 
-BLOB_LIMIT = 8 * 1024
-REQUEST_ID_LIMIT = 100
-LEAST_TIME_LEFT_US = 1000
+MAX_BLOB_LENGTH = 8 * 1024
+MAX_REQUEST_ID_LENGTH = 100
+MIN_TIME_LEFT_US = 1000
 
 
 @dataclass(slots=True, frozen=True)
 class SubmissionForm:
-    """One submission that was read."""
+    """One valid submission."""
 
     request: PlacementRequest
     blob: str
@@ -26,10 +26,10 @@
 
 
 class SubmissionReader:
-    """Reads submissions by the settings that are in force."""
+    """Reads submissions and checks them against the settings."""
 
     def __init__(self, settings: Settings) -> None:
-        """Read by these settings."""
+        """Check submissions against these settings."""
         self._settings = settings
         self._form = PlacementForm(settings)
 
@@ -39,19 +39,19 @@
             request = self._form.read(tree)
         except FieldError as error:
             raise HttpError(400, str(error), error.field) from None
-        blob = _limited_text(tree, "blob", BLOB_LIMIT)
-        request_id = _limited_text(tree, "requestId", REQUEST_ID_LIMIT)
+        blob = _limited_text(tree, "blob", MAX_BLOB_LENGTH)
+        request_id = _limited_text(tree, "requestId", MAX_REQUEST_ID_LENGTH)
         if request.at:
             raise HttpError(400, "extras.at: a pull queue knows who holds a task", "extras.at")
         if not request.key and self._settings.classes[request.class_index].effect is not Effect.SAFE:
             raise HttpError(400, "key: tasks of this class need one", "key")
-        if request.left_us < LEAST_TIME_LEFT_US:
+        if request.left_us < MIN_TIME_LEFT_US:
             raise HttpError(400, "left: at least 1 millisecond is needed", "left")
         requirements = read_worker(tree.get("requirements"), "requirements")
         return SubmissionForm(request, blob, requirements, request_id)
 
     def tenant_of(self, tree: dict[str, Any], caller: object) -> int:
-        """Return the index of the tenant that a submission is for, checked or not; 0 where there is none."""
+        """Return the index of a submission's tenant; 0 if it names none or an unknown one."""
         names = [tenant.name for tenant in self._settings.tenants]
         name = getattr(caller, "tenant", "") or tree.get("tenant")
         return names.index(name) if name in names else 0
@@ -65,9 +65,9 @@
 
 
 def for_callers_tenant(tree: dict[str, Any], caller: object) -> dict[str, Any]:
-    """Return a submission with the tenant that its caller's token names.
+    """Return a submission with the tenant of its caller's token filled in.
 
-    Raises HttpError where it is for another one.
+    Raises HttpError if the submission names another tenant.
     """
     tenant = getattr(caller, "tenant", "")
     if not tenant:
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -1,8 +1,8 @@
-"""Submission tasks: each submitter gets the one final answer, and may follow or end the task that stands.
+"""Submissions: each submitter gets one final answer, and may follow or end its running task.
 
-A submission is an operation with a name. It passes the gate, then the module decides; its answer and its end
-are
-in the book before they are told, so that whoever comes again by name or by request id hears the same.
+A submission is an operation with a name. It passes the admission queue, then the policy places it. Its answer
+is written to the store before it is sent (a slow disk delays the answer by at most 50 ms), so that a client
+that retries by name or by request id gets the same answer.
 """
 
 from __future__ import annotations
@@ -29,20 +29,22 @@
 from weldhatch.pullqueue.leases import KeyLedger, KeyRejection
 from weldhatch.pullqueue.machines import LeasePayload
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
-from weldhatch.pullqueue.submission import Nobody, Submission
+from weldhatch.pullqueue.submission import NullOwner, Submission
 from weldhatch.pullqueue.submission_form import SubmissionReader, for_callers_tenant
-from weldhatch.pullqueue.workers import NOTHING, Matching, Worker
+from weldhatch.pullqueue.workers import EMPTY_WORKER, MatchingMachines, Worker
 from weldhatch.scheduling.types import RequestClass, Settings
 from weldhatch.store.log import LogError
 
-ENDED_KEPT = 1024  # tasks that are over can still be asked for
-LAG_S = 0.1  # between two looks at the loop's own delay
+MAX_ENDED_KEPT = 1024  # submissions that are over and can still be queried
+LAG_CHECK_INTERVAL_S = 0.1  # interval of measuring the event loop's lag
 RECORDED_FIELDS = ("class", "left", "tenant", "key", "idem", "extras", "retry", "requirements")
 
 
 class Tasks:
-    """Submissions by name. The ledger decides whether a key may be asked for, the gate when, the module the
-    rest."""
+    """All submissions, by name.
+
+    The ledger decides whether a key is accepted, the admission queue when the policy gets the request.
+    """
 
     def __init__(
         self,
@@ -50,70 +52,74 @@
         core: Core,
         bots: BotSessions,
         ledger: KeyLedger,
-        book: QueueStorage | NoStorage,
+        storage: QueueStorage | NoStorage,
         queue: int,
         random: Random,
         log: Callable[[str], None],
     ) -> None:
+        """Start without submissions. `queue`: the maximum number of waiting ones. Needs an event loop."""
         self._settings, self._core, self._bots, self._ledger, self._log = settings, core, bots, ledger, log
-        self._book, self._random = book, random
+        self._storage, self._random = storage, random
         self._reader = SubmissionReader(settings)
         self.known: dict[str, Submission] = {}
         self._by_request: dict[tuple[int, str], Submission] = {}
         self._ended: deque[str] = deque()
         self._serial = 0
         self._started = bots.now()
-        self._epoch = book.epoch_name
+        self._epoch = storage.epoch_name
         self.admission = AdmissionQueue(
             {n: max(tenant.portion, 0.001) for n, tenant in enumerate(settings.tenants)} or {0: 1.0}, queue
         )
-        self._entering: dict[Ticket, asyncio.Future[bool]] = {}
-        self._turns = LoopLag(time.monotonic)
-        self._lagging = asyncio.get_running_loop().create_task(self._watch_lag())
+        self._awaiting_admission: dict[Ticket, asyncio.Future[bool]] = {}
+        self._loop_lag = LoopLag(time.monotonic)
+        self._lag_task = asyncio.get_running_loop().create_task(self._watch_lag())
 
     def close(self) -> None:
-        self._lagging.cancel()
+        """Stop measuring the event loop's lag."""
+        self._lag_task.cancel()
 
     async def _watch_lag(self) -> None:
-        """The loop's own delay, which tells how busy this process is; and those whose time is up at the
-        gate."""
+        """Adapt the admission limit to the event loop's lag, and reject tickets that are late.
+
+        The lag of the event loop is the measure of this process's load.
+        """
         while True:
             before = time.monotonic()
-            await asyncio.sleep(LAG_S)
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
             try:
-                self.admission.update_limit(max(0.0, time.monotonic() - before - LAG_S) * 1e6)
-                self._tell([], self.admission.remove_late(unix_us()))
-                self._let_in()
+                self.admission.update_limit(max(0.0, time.monotonic() - before - LAG_CHECK_INTERVAL_S) * 1e6)
+                self._resolve_tickets([], self.admission.remove_late(unix_us()))
+                self._admit_waiting()
             except Exception as fault:
-                # Guards those who wait at the gate: a fault of ours in one turn must not end all later ones.
-                self._log(f"the gate: {type(fault).__name__}: {fault}")
+                # An internal error in one iteration must not stop the admission of waiting submissions.
+                self._log(f"admission queue: internal error: {type(fault).__name__}: {fault}")
 
     # ---- submitting ----------------------------------------------------------------------------------------
 
     async def submit(self, request: Request) -> tuple[dict, dict[str, str]]:
-        """One submission; the answer is the one final answer."""
-        submission, answer = await self._submit(request.json(), request.who, waits=False)
+        """Take a submission; return its final answer and headers. Raises HttpError."""
+        submission, answer = await self._submit(request.json(), request.caller, fetches_later=False)
         if submission is None:
             return answer, self._headers(answer)
         try:
             answer = await asyncio.shield(submission.answer)
-        except asyncio.CancelledError:  # the submitter has gone
-            if not submission.meta["request"]:  # and nobody can come for the answer
+        except asyncio.CancelledError:  # the submitter has disconnected
+            if not submission.meta["request"]:  # without a request id, no client can fetch the answer later
                 self.give_up(submission)
             raise
         return answer, self._headers(answer)
 
-    def rule(self, settings: Settings) -> None:
-        """Other settings are in force from now on; classes keep their places."""
+    def reconfigure(self, settings: Settings) -> None:
+        """Replace the settings; classes keep their indices."""
         self._settings = settings
         self._reader = SubmissionReader(settings)
 
-    async def begin(self, tree: dict, who: object) -> Submission:
-        """A submission that is answered with its operation at once; HttpError where it can't be taken."""
-        submission, answer = await self._submit(tree, who, waits=True)
-        if submission is None:  # barred: an operation that is over
-            submission = self._make(
-                0, self._reader.tenant_of(tree, who), {"at": unix_us(), "deadline": 0, "request": ""}
+    async def start_operation(self, tree: dict, caller: object) -> Submission:
+        """Take a submission and return it without waiting for its answer. Raises HttpError."""
+        submission, answer = await self._submit(tree, caller, fetches_later=True)
+        if submission is None:  # rejected by its key: shown as an operation that is over
+            submission = self._create(
+                0, self._reader.tenant_of(tree, caller), {"at": unix_us(), "deadline": 0, "request": ""}
             )
             submission.state, submission.final_answer = (
                 answer["answer"].upper(),
@@ -121,146 +127,155 @@
             )
             submission.answer.set_result(submission.final_answer)
             submission.over.set()
-            self.ended(submission)
+            self.on_end(submission)
         return submission
 
     @staticmethod
     def _headers(answer: dict) -> dict[str, str]:
         return {"Retry-After": str(math.ceil(answer["waitMs"] / 1000))} if answer.get("waitMs") else {}
 
-    async def _submit(self, tree: dict, who: object, waits: bool) -> tuple[Submission | None, dict]:
-        """Take one submission: the operation, or the answer to one that is barred."""
-        tree = for_callers_tenant(tree, who)
+    async def _submit(
+        self, tree: dict, caller: object, fetches_later: bool
+    ) -> tuple[Submission | None, dict]:
+        """Take one submission; return it, or None and the answer if its key is rejected.
+
+        Raises HttpError.
+        """
+        tree = for_callers_tenant(tree, caller)
         form = self._reader.read(tree)
-        setup = form.request
+        placement = form.request
         blob = form.blob
         request_id = form.request_id
-        cls = self._settings.classes[setup.class_index]
-        if request_id and (known := self._by_request.get((setup.tenant, request_id))):
-            same = {name: tree.get(name) for name in RECORDED_FIELDS if name != "left"}
-            if known.fields and same != {name: known.fields.get(name) for name in same}:
+        cls = self._settings.classes[placement.class_index]
+        if request_id and (known := self._by_request.get((placement.tenant, request_id))):
+            submitted = {name: tree.get(name) for name in RECORDED_FIELDS if name != "left"}
+            if known.fields and submitted != {name: known.fields.get(name) for name in submitted}:
                 raise HttpError(409, "requestId: another submission had it", "requestId")
             return known, {}
-        if answer := self._barred(setup.key, cls):
+        if answer := self._barred(placement.key, cls):
             return None, answer
-        if self._book.write_error:
-            raise HttpError(503, f"store: {self._book.write_error}", "store", 1.0)
+        if self._storage.write_error:
+            raise HttpError(503, f"store: {self._storage.write_error}", "store", 1.0)
         now = unix_us()
-        # In a busy loop, what is read now has stood unread for a while: its submitter counts from then.
-        age = int(self._turns.age() * 1e6)
-        deadline = now + max(1000, min(setup.left_us, cls.deadline_us) - age)
+        # If the event loop lags, the submission was received some time ago: its deadline counts from then.
+        age = int(self._loop_lag.age() * 1e6)
+        deadline = now + max(1000, min(placement.left_us, cls.deadline_us) - age)
         meta = {
             "at": now,
             "deadline": deadline,
             "request": request_id,
-            "waits": waits,
-            "tenant": setup.tenant,
+            "waits": fetches_later,
+            "tenant": placement.tenant,
         }
-        submission = self._make(setup.key, setup.tenant, meta)
+        submission = self._create(placement.key, placement.tenant, meta)
         submission.fields = {name: tree[name] for name in RECORDED_FIELDS if name in tree}
-        self._ledger.reserve(setup.key)
+        self._ledger.reserve(placement.key)
         if request_id:
-            self._by_request[setup.tenant, request_id] = submission
-        passed = LeasePayload(
-            setup, blob, submission.set_result, lambda: self._first_record(submission, blob)
+            self._by_request[placement.tenant, request_id] = submission
+        payload = LeasePayload(
+            placement, blob, submission.set_result, lambda: self._first_record(submission, blob)
         )
-        if waits or request_id:
+        if fetches_later or request_id:
             try:
-                await self._book.append(*self._first_record(submission, blob))
+                await self._storage.append(*self._first_record(submission, blob))
             except LogError as fault:
                 submission.refused(1_000_000, "the store takes nothing")
                 raise HttpError(503, f"store: {fault}", "store", 1.0) from None
-        task = self._task(submission.name, setup, deadline, passed, form.requirements)
-        submission.ticket = Ticket(setup.tenant, deadline, now, setup.again)
-        self._come(submission, task)
+        task = self._task(submission.name, placement, deadline, payload, form.requirements)
+        submission.ticket = Ticket(placement.tenant, deadline, now, placement.again)
+        self._request_admission(submission, task)
         return submission, {}
 
-    def _make(self, key: int, tenant: int, meta: dict) -> Submission:
+    def _create(self, key: int, tenant: int, meta: dict) -> Submission:
         self._serial += 1
         name = f"tasks/{self._epoch}-{self._serial}"
         submission = self.known[name] = Submission(self, name, key, tenant, meta)
         return submission
 
     def _task(
-        self, name: str, setup: PlacementRequest, deadline: int, passed: LeasePayload, wanted: Worker
+        self, name: str, placement: PlacementRequest, deadline: int, payload: LeasePayload, required: Worker
     ) -> ports.Task:
-        only = Matching(wanted, self._bots.registry.workers) if wanted != NOTHING else None
+        eligible = (
+            MatchingMachines(required, self._bots.registry.workers) if required != EMPTY_WORKER else None
+        )
         return ports.Task(
             name,
-            setup.class_index,
-            setup.service,
-            setup.cores,
-            setup.memory,
+            placement.class_index,
+            placement.service,
+            placement.cores,
+            placement.memory,
             deadline,
-            setup.key,
-            setup.tenant,
-            setup.again,
-            passed,
-            only,
+            placement.key,
+            placement.tenant,
+            placement.again,
+            payload,
+            eligible,
         )
 
     def _first_record(self, submission: Submission, blob: str) -> tuple[bytes, ...]:
-        """A submission is in the book before the first thing that rests on it."""
+        """Return the record of a submission, once: it is stored before the first record that refers to it."""
         if submission.recorded:
             return ()
         submission.recorded = True
         return (durable_state.encode("asked", submission.name, submission.fields, blob, submission.meta),)
 
-    # ---- the gate ------------------------------------------------------------------------------------------
+    # ---- admission -----------------------------------------------------------------------------------------
 
-    def _come(self, submission: Submission, task: ports.Task) -> None:
+    def _request_admission(self, submission: Submission, task: ports.Task) -> None:
         decision = self.admission.request_admission(submission.ticket, unix_us())
         displaced = decision.displaced
-        if displaced is not None and (waiting := self._entering.pop(displaced, None)) is not None:
+        if displaced is not None and (waiting := self._awaiting_admission.pop(displaced, None)) is not None:
             waiting.set_result(False)
         if decision.verdict is Verdict.ADMITTED:
-            self._arrive(submission, task)
+            self._start_lifecycle(submission, task)
         elif decision.verdict is Verdict.REJECTED:
             submission.ticket = None
-            submission.refused(self._spread(decision.retry_after_us), "no answer would come in time")
+            submission.refused(self._add_jitter(decision.retry_after_us), "no answer would come in time")
         else:
-            waiting = self._entering[submission.ticket] = asyncio.get_running_loop().create_future()
-            waiting.add_done_callback(lambda told: self._called(submission, task, told))
+            waiting = self._awaiting_admission[submission.ticket] = asyncio.get_running_loop().create_future()
+            waiting.add_done_callback(lambda outcome: self._on_admission(submission, task, outcome))
 
-    def _called(self, submission: Submission, task: ports.Task, told: asyncio.Future[bool]) -> None:
-        if submission.final_answer is not None or submission.over.is_set():  # given up meanwhile
-            if told.result():
+    def _on_admission(self, submission: Submission, task: ports.Task, outcome: asyncio.Future[bool]) -> None:
+        if submission.final_answer is not None or submission.over.is_set():  # given up while it waited
+            if outcome.result():
                 self.admission.complete(submission.ticket, unix_us())
             return
-        if told.result():
-            self._arrive(submission, task)
+        if outcome.result():
+            self._start_lifecycle(submission, task)
         else:
             submission.ticket = None
-            submission.refused(self._spread(self.admission.retry_after_us()), "no answer would come in time")
+            submission.refused(
+                self._add_jitter(self.admission.retry_after_us()), "no answer would come in time"
+            )
 
-    def _arrive(self, submission: Submission, task: ports.Task) -> None:
+    def _start_lifecycle(self, submission: Submission, task: ports.Task) -> None:
         submission.lifecycle = self._core.arrive(task, submission)
         ticket = submission.ticket
 
-        def left(_: object) -> None:
+        def on_answer(_: object) -> None:
             self.admission.complete(ticket, unix_us())
-            self._let_in()
+            self._admit_waiting()
 
-        submission.answer.add_done_callback(left)
+        submission.answer.add_done_callback(on_answer)
 
-    def _let_in(self) -> None:
+    def _admit_waiting(self) -> None:
         if not self.admission.waiting:
             return
-        self._tell(*self.admission.admit_next(unix_us()))
+        self._resolve_tickets(*self.admission.admit_next(unix_us()))
 
-    def _tell(self, let_in: list[Ticket], late: list[Ticket]) -> None:
-        for tickets, verdict in ((let_in, True), (late, False)):
+    def _resolve_tickets(self, admitted: list[Ticket], late: list[Ticket]) -> None:
+        for tickets, verdict in ((admitted, True), (late, False)):
             for ticket in tickets:
-                if (waiting := self._entering.pop(ticket, None)) is not None and not waiting.done():
+                if (waiting := self._awaiting_admission.pop(ticket, None)) is not None and not waiting.done():
                     waiting.set_result(verdict)
 
-    def _spread(self, wait_us: float) -> int:
-        """Guards against all who were turned away coming back in the same moment."""
-        most = self._settings.max_retry_after_us or 30_000_000
-        return int(min(wait_us * (0.75 + 0.5 * self._random.random()), most))
+    def _add_jitter(self, wait_us: float) -> int:
+        """Add random jitter to a Retry-After, so that rejected clients do not all retry at the same time."""
+        max_us = self._settings.max_retry_after_us or 30_000_000
+        return int(min(wait_us * (0.75 + 0.5 * self._random.random()), max_us))
 
     def _barred(self, key: int, cls: RequestClass) -> dict | None:
-        """The answer to a key that can't go out now, whatever the module would say."""
+        """Return the answer to a key that can't be accepted now; None for one that can. Raises HttpError."""
         if self._bots.stale_reason:
             raise HttpError(503, f"store: {self._bots.stale_reason}", "store", 30.0)
         match self._ledger.rejection(key, cls):
@@ -269,39 +284,44 @@
             case KeyRejection.SPENT:
                 return {"answer": "failed", "reason": KeyRejection.SPENT.value}
             case KeyRejection.IN_DOUBT:
-                wait = self._ledger.in_doubt_until(key) + self._bots.timing.grace - self._bots.now()
-                return self._not_yet(KeyRejection.IN_DOUBT.value, max(0.0, wait) + 0.1)
-        # With a store, all leases of a former gateway are known: only a new one lets time pass first.
-        if self._book.fresh and (left := self._started + self._bots.timing.settle - self._bots.now()) > 0:
-            return self._not_yet("leases of a former gateway may still run", left)
+                wait_s = self._ledger.in_doubt_until(key) + self._bots.timing.grace - self._bots.now()
+                return self._refused_answer(KeyRejection.IN_DOUBT.value, max(0.0, wait_s) + 0.1)
+        # A store knows all leases of former runs, so only a gateway without an earlier store has to wait
+        # until leases that it doesn't know have expired.
+        if (
+            self._storage.fresh
+            and (left_s := self._started + self._bots.timing.settle - self._bots.now()) > 0
+        ):
+            return self._refused_answer("leases of a former gateway may still run", left_s)
         if self._ledger.is_full_for(cls):
             raise HttpError(503, "class: no more tasks of this class can be remembered", "class")
         return None
 
     @staticmethod
-    def _not_yet(reason: str, wait: float) -> dict:
-        return {"answer": "refused", "reason": reason, "waitMs": math.ceil(wait * 1000)}
+    def _refused_answer(reason: str, wait_s: float) -> dict:
+        return {"answer": "refused", "reason": reason, "waitMs": math.ceil(wait_s * 1000)}
 
-    # ---- following and ending ------------------------------------------------------------------------------
+    # ---- queries and cancellation --------------------------------------------------------------------------
 
     async def get(self, name: str, request: Request) -> dict:
-        submission = self.find(name, request.who)
-        wait = request.seconds("x-server-timeout", self._bots.timing.poll)
-        if wait and not submission.over.is_set():
+        """Return the state of a submission, after waiting for its end if asked to. Raises HttpError."""
+        submission = self.find(name, request.caller)
+        wait_s = request.seconds("x-server-timeout", self._bots.timing.poll)
+        if wait_s and not submission.over.is_set():
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(submission.over.wait(), wait)
-        return self._shown(submission)
+                await asyncio.wait_for(submission.over.wait(), wait_s)
+        return self._state_json(submission)
 
-    def delete(self, name: str, who: object) -> dict:
-        """The submitter ends its task: the puller is told to stop it."""
-        submission = self.find(name, who)
+    def delete(self, name: str, caller: object) -> dict:
+        """End a task at its submitter's request; return its state. Raises HttpError."""
+        submission = self.find(name, caller)
         if submission.state == "ASKED":
             raise HttpError(409, "name: no answer yet; close the submission to give the task up", "name")
         self.cancel(submission)
-        return self._shown(submission)
+        return self._state_json(submission)
 
     def cancel(self, submission: Submission) -> None:
-        """End it wherever it stands: waiting, under way, or placed."""
+        """Cancel a submission: waiting for admission, pending in the core, or placed."""
         if submission.state == "PLACED":
             submission.lifecycle.deliver(Released(GIVEN_UP))
             submission.ended_by_owner()
@@ -309,13 +329,14 @@
             self.give_up(submission)
 
     def give_up(self, submission: Submission) -> None:
+        """Give up a submission that has no answer yet, on behalf of its submitter."""
         if submission.state != "ASKED":
             return
         if submission.lifecycle is not None:
             submission.lifecycle.deliver(GivenUp())
         elif submission.ticket is not None:
             self.admission.withdraw(submission.ticket)
-            self._entering.pop(submission.ticket, None)
+            self._awaiting_admission.pop(submission.ticket, None)
         submission.final_answer = {
             "answer": "refused",
             "name": submission.name,
@@ -326,38 +347,40 @@
         if not submission.answer.done():
             submission.answer.set_result(submission.final_answer)
 
-    def ended(self, submission: Submission) -> None:
+    def on_end(self, submission: Submission) -> None:
+        """Release the key of a submission that is over, and drop the oldest such submission if too many."""
         self._ledger.release(submission.key)
         self._ended.append(submission.name)
-        if len(self._ended) > ENDED_KEPT:
+        if len(self._ended) > MAX_ENDED_KEPT:
             self.drop(self._ended.popleft())
 
     def drop(self, name: str) -> None:
-        """It is no longer told of."""
+        """Remove a submission, so that it can't be queried any more."""
         submission = self.known.pop(name, None)
         if submission is not None:
             self._by_request.pop((submission.tenant, submission.meta.get("request", "")), None)
             if submission.recorded:
-                self._book.append_with_retry(durable_state.encode("drop", name))
+                self._storage.append_with_retry(durable_state.encode("drop", name))
 
     def record(self, submission: Submission, payload: bytes) -> asyncio.Future | None:
-        """What has happened to a submission; only for those that are in the book at all."""
-        return self._book.append_with_retry(payload) if submission.recorded else None
+        """Store a record of a submission; None if the submission itself is not stored."""
+        return self._storage.append_with_retry(payload) if submission.recorded else None
 
-    def find(self, name: str, who: object) -> Submission:
+    def find(self, name: str, caller: object) -> Submission:
+        """Return a submission of the caller's tenant by its name. Raises HttpError."""
         submission = self.known.get(name)
-        tenant = getattr(who, "tenant", "")
-        # Guards other tenants' tasks: their names are as unknown as those that never were.
+        tenant = getattr(caller, "tenant", "")
+        # A task of another tenant gets the same answer as an unknown name, to hide its existence.
         if submission is None or (tenant and self._settings.tenants[submission.tenant].name != tenant):
             raise HttpError(404, "name: no such task", "name")
         return submission
 
     @staticmethod
-    def _shown(submission: Submission) -> dict:
+    def _state_json(submission: Submission) -> dict:
         return {"name": submission.name, "state": submission.state}
 
     async def changes(self, submission: Submission) -> AsyncIterator[str]:
-        """Each state from now to the end, the present one first; '' now and then where nothing changes."""
+        """Yield the current state and each later one up to the end, and '' every 5 s without a change."""
         last = None
         while True:
             changed = submission.changed
@@ -375,55 +398,60 @@
     # ---- after a restart -----------------------------------------------------------------------------------
 
     def restore(self) -> tuple[int, int]:
-        """Take over what the store kept: submissions with their answers, and all leases that are out.
+        """Restore submissions, their answers and all leases that machines may hold from the store.
 
-        Returns the leases that go on, and the submissions that are asked for anew.
+        Returns the number of restored leases, and the number of submissions that are requested again.
         """
-        state = self._book.state
-        out, anew, asked_keys = 0, [], []
-        for one in list(state.operations.values()):
+        state = self._storage.state
+        restored_leases, resubmitted, reserved_keys = 0, [], []
+        for stored in list(state.operations.values()):
             try:
-                form = self._reader.read({**one.fields, "blob": one.blob})
+                form = self._reader.read({**stored.fields, "blob": stored.blob})
             except HttpError as fault:
-                self._log(f"store: {one.name} is left out, the settings have changed: {fault}")
+                self._log(f"store: {stored.name} not restored, invalid under the current settings: {fault}")
                 continue
-            setup = form.request
-            submission = self.known[one.name] = Submission(self, one.name, setup.key, setup.tenant, one.meta)
-            submission.fields = one.fields
-            submission.restore(one)
-            if one.meta.get("request"):
-                self._by_request[setup.tenant, one.meta["request"]] = submission
-            passed = LeasePayload(setup, one.blob, submission.set_result)
-            task = self._task(one.name, setup, one.meta["deadline"], passed, form.requirements)
-            lease = state.leases.get(one.lease)
+            placement = form.request
+            submission = self.known[stored.name] = Submission(
+                self, stored.name, placement.key, placement.tenant, stored.meta
+            )
+            submission.fields = stored.fields
+            submission.restore(stored)
+            if stored.meta.get("request"):
+                self._by_request[placement.tenant, stored.meta["request"]] = submission
+            payload = LeasePayload(placement, stored.blob, submission.set_result)
+            task = self._task(stored.name, placement, stored.meta["deadline"], payload, form.requirements)
+            lease = state.leases.get(stored.lease)
             if lease is not None:
-                out += 1
+                restored_leases += 1
                 machine = self._bots.leases.restore(lease, task)
-                if not one.over:
-                    asked_keys.append(setup.key)
+                if not stored.over:
+                    reserved_keys.append(placement.key)
                 submission.lifecycle = self._core.adopt(
                     task,
                     machine,
-                    Nobody() if one.over else submission,
-                    answered=one.over or one.answer is not None,
+                    NullOwner() if stored.over else submission,
+                    answered=stored.over or stored.answer is not None,
                 )
-            elif one.over:
-                self._ended.append(one.name)
-            elif one.answer is not None:  # placed, and its end did not reach the disk
+            elif stored.over:
+                self._ended.append(stored.name)
+            elif stored.answer is not None:  # placed, but its end was not written
                 submission.released(CUT)
             else:
-                anew.append((submission, task))
-        self._ledger.restore(state.spent, self._bots.leases.handed_out(), asked_keys)
-        for submission, task in anew:
-            self._again(submission, task)
-        return out, len(anew)
-
-    def _again(self, submission: Submission, task: ports.Task) -> None:
-        """It was asked for, and never left: it goes its way if somebody may come for the answer in time."""
+                resubmitted.append((submission, task))
+        self._ledger.restore(state.spent, self._bots.leases.handed_out(), reserved_keys)
+        for submission, task in resubmitted:
+            self._request_again(submission, task)
+        return restored_leases, len(resubmitted)
+
+    def _request_again(self, submission: Submission, task: ports.Task) -> None:
+        """Request admission again for a submission without a lease.
+
+        It is refused if its deadline has passed, or if its submitter can't fetch the answer later.
+        """
         now = unix_us()
         if now >= task.deadline_us or not (submission.meta.get("waits") or submission.meta.get("request")):
             submission.refused(0, "the gateway has started anew")
             return
         self._ledger.reserve(submission.key)
         submission.ticket = Ticket(submission.tenant, task.deadline_us, now)
-        self._come(submission, task)
+        self._request_admission(submission, task)
--- a/weldhatch/pullqueue/workers.py
+++ b/weldhatch/pullqueue/workers.py
@@ -1,7 +1,8 @@
-"""What a build machine says that it is, and what a lease requires: read and matched here, no I/O.
+"""Properties of build machines and requirements of leases: parsing and matching. No I/O.
 
-The worker of the Remote Workers API: devices with properties (the first is the machine itself, the others are
-those it owns), and properties and configs of the whole. A requirement is a worker too, and filters only.
+A worker of the Remote Workers API has devices with properties (the first device is the machine itself, the
+others belong to it), and properties and configs of the whole worker. A requirement has the same form; it only
+restricts the choice of machines.
 """
 
 from __future__ import annotations
@@ -11,26 +12,27 @@
 
 from weldhatch.pullqueue.errors import HttpError
 
-PAIRS_MOST, DEVICES_MOST, TEXT_MOST = 64, 32, 200
+MAX_PAIRS, MAX_DEVICES, MAX_TEXT_LENGTH = 64, 32, 200
 Pairs = frozenset[tuple[str, str]]
 
 
 @dataclass(slots=True, frozen=True)
 class Worker:
-    """Devices in their order, each by its properties; properties and configs of the whole."""
+    """Properties and configs of a worker, and the properties of each of its devices, in order."""
 
     properties: Pairs = frozenset()
     devices: tuple[Pairs, ...] = ()
     configs: Pairs = frozenset()
 
     def first(self, key: str) -> str | None:
+        """Return the first value of a property, in sorted order; None if the worker lacks it."""
         return next((value for name, value in sorted(self.properties) if name == key), None)
 
 
-NOTHING = Worker()
+EMPTY_WORKER = Worker()
 
 
-def _bad(field: str, text: str) -> HttpError:
+def _field_error(field: str, text: str) -> HttpError:
     return HttpError(400, f"{field}: {text}", field)
 
 
@@ -38,35 +40,39 @@
     if tree is None:
         return frozenset()
     if not isinstance(tree, list):
-        raise _bad(field, "a list of key and value is needed")
-    if len(tree) > PAIRS_MOST:
-        raise _bad(field, f"at most {PAIRS_MOST} are taken")
+        raise _field_error(field, "a list of key and value is needed")
+    if len(tree) > MAX_PAIRS:
+        raise _field_error(field, f"at most {MAX_PAIRS} are taken")
     out = set()
     for n, one in enumerate(tree):
         pair = (one.get("key"), one.get("value")) if isinstance(one, dict) else (None, None)
         for name, text in zip(("key", "value"), pair, strict=True):
-            if not isinstance(text, str) or len(text) > TEXT_MOST or (name == "key" and not text):
-                raise _bad(f"{field}[{n}].{name}", f"a text of at most {TEXT_MOST} characters is needed")
+            if not isinstance(text, str) or len(text) > MAX_TEXT_LENGTH or (name == "key" and not text):
+                raise _field_error(
+                    f"{field}[{n}].{name}", f"a text of at most {MAX_TEXT_LENGTH} characters is needed"
+                )
         out.add(pair)
     return frozenset(out)
 
 
 def read_worker(tree: object, field: str) -> Worker:
-    """A worker of a call. Raises HttpError naming the field."""
+    """Read a worker from the body of a call. Raises HttpError naming the field."""
     if tree is None:
-        return NOTHING
+        return EMPTY_WORKER
     if not isinstance(tree, dict):
-        raise _bad(field, "an object is needed")
+        raise _field_error(field, "an object is needed")
     devices = tree.get("devices")
-    if devices is not None and (not isinstance(devices, list) or len(devices) > DEVICES_MOST):
-        raise _bad(f"{field}.devices", f"a list of at most {DEVICES_MOST} is needed")
+    if devices is not None and (not isinstance(devices, list) or len(devices) > MAX_DEVICES):
+        raise _field_error(f"{field}.devices", f"a list of at most {MAX_DEVICES} is needed")
     read = []
     for n, device in enumerate(devices or ()):
         if not isinstance(device, dict):
-            raise _bad(f"{field}.devices[{n}]", "an object is needed")
+            raise _field_error(f"{field}.devices[{n}]", "an object is needed")
         handle = device.get("handle")
-        if handle is not None and (not isinstance(handle, str) or len(handle) > TEXT_MOST):
-            raise _bad(f"{field}.devices[{n}].handle", f"a text of at most {TEXT_MOST} characters is needed")
+        if handle is not None and (not isinstance(handle, str) or len(handle) > MAX_TEXT_LENGTH):
+            raise _field_error(
+                f"{field}.devices[{n}].handle", f"a text of at most {MAX_TEXT_LENGTH} characters is needed"
+            )
         read.append(_pairs(device.get("properties"), f"{field}.devices[{n}].properties"))
     return Worker(
         _pairs(tree.get("properties"), f"{field}.properties"),
@@ -75,43 +81,50 @@
     )
 
 
-def matches(worker: Worker, wanted: Worker) -> bool:
-    """Does a machine have all that is required?
+def matches(worker: Worker, required: Worker) -> bool:
+    """Return whether a machine meets a requirement.
 
-    Every required property and config has to be there with its value. Required devices are matched each to
-    one device of its own, the first to the first, which is the machine itself.
+    The machine must have every required property and config with the required value. The first required
+    device must match the first device, the machine itself; each other required device must match a different
+    device of the machine.
     """
-    if not (wanted.properties <= worker.properties and wanted.configs <= worker.configs):
+    if not (required.properties <= worker.properties and required.configs <= worker.configs):
         return False
-    if not wanted.devices:
+    if not required.devices:
         return True
-    if not worker.devices or not wanted.devices[0] <= worker.devices[0]:
+    if not worker.devices or not required.devices[0] <= worker.devices[0]:
         return False
-    return _each_its_own(wanted.devices[1:], worker.devices[1:])
+    return _can_match_devices(required.devices[1:], worker.devices[1:])
 
 
-def _each_its_own(wanted: tuple[Pairs, ...], there: tuple[Pairs, ...]) -> bool:
-    """Augmenting paths: greedy would give a plain device to the wish that only a special one could fill."""
-    taken: dict[int, int] = {}
+def _can_match_devices(required: tuple[Pairs, ...], available: tuple[Pairs, ...]) -> bool:
+    """Return whether each required device can be matched to a different available device.
 
-    def place(at: int, tried: set[int]) -> bool:
-        for n, device in enumerate(there):
-            if n not in tried and wanted[at] <= device:
-                tried.add(n)
-                if n not in taken or place(taken[n], tried):
-                    taken[n] = at
+    Uses augmenting paths: greedy matching could give a device to a requirement that others meet too, and
+    leave none for a more specific requirement.
+    """
+    assigned: dict[int, int] = {}
+
+    def assign(at: int, visited: set[int]) -> bool:
+        for n, device in enumerate(available):
+            if n not in visited and required[at] <= device:
+                visited.add(n)
+                if n not in assigned or assign(assigned[n], visited):
+                    assigned[n] = at
                     return True
         return False
 
-    return all(place(at, set()) for at in range(len(wanted)))
+    return all(assign(at, set()) for at in range(len(required)))
 
 
-class Matching(Container[int]):
-    """The machines that a requirement lets through, as the decision module asks for them: one by one."""
+class MatchingMachines(Container[int]):
+    """The set of machines that meet a requirement; the policy tests machines for membership one by one."""
 
-    def __init__(self, wanted: Worker, workers: dict[int, Worker]) -> None:
-        self._wanted, self._workers = wanted, workers
+    def __init__(self, required: Worker, workers: dict[int, Worker]) -> None:
+        """Match these workers, which are given by machine number."""
+        self._required, self._workers = required, workers
 
     def __contains__(self, machine: object) -> bool:
+        """Return whether a machine is known and meets the requirement."""
         worker = self._workers.get(machine)
-        return worker is not None and matches(worker, self._wanted)
+        return worker is not None and matches(worker, self._required)
