--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -298,7 +298,7 @@
         self.assertEqual(401, caught.exception.code)
 
     async def test_one_caller_has_only_so_much_under_way_and_others_go_on(self):
-        self.gateway._quotas.most_per_caller = 2
+        self.gateway._quotas.max_per_caller = 2
         north, _ = self.token("ci", tokens.Role.SUBMITTER, "north")
         south, _ = self.token("ci", tokens.Role.SUBMITTER, "south")
         greedy, other = (Submitter(self.shown("ci", token=token)) for token in (north, south))
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -155,18 +155,18 @@
 
     async def test_a_plan_applied_at_one_gateway_becomes_a_version_of_all(self):
         rig = await self.rig(3)
-        gateway = reconfiguration.Gateway(("127.0.0.1", rig.nodes["g1"].control))
+        gateway = reconfiguration.ControlClient(("127.0.0.1", rig.nodes["g1"].control))
         now = await asyncio.to_thread(gateway.applied)
-        plan = reconfiguration.make(now, {**now, "settings": settings(limits__mostTries=2)})
+        plan = reconfiguration.make_plan(now, {**now, "settings": settings(limits__mostTries=2)})
         told = await asyncio.to_thread(gateway.apply, plan)
         self.assertEqual((told["applied"], told["version"], told["restarting"]), (1, 2, False))
         await asyncio.gather(*(rig.active(name, 2) for name in rig.nodes))
-        other = reconfiguration.Gateway(("127.0.0.1", rig.nodes["g2"].control))
+        other = reconfiguration.ControlClient(("127.0.0.1", rig.nodes["g2"].control))
         then = await asyncio.to_thread(other.applied)
         self.assertEqual(then["settings"]["limits"]["mostTries"], 2)
         both = {**then, "queue": 100, "settings": settings(limits__mostTries=3)}
         with self.assertRaisesRegex(reconfiguration.Refused, "plan them apart"):
-            await asyncio.to_thread(other.apply, reconfiguration.make(then, both))
+            await asyncio.to_thread(other.apply, reconfiguration.make_plan(then, both))
 
 
 class Voters(Fleet):
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -73,9 +73,9 @@
 
         bots, tasks = self.front.bots, self.front.tasks
         await broken("3.1", bots.leases, "extend_lease", lambda lease: setattr(lease, "expires", 9e9))
-        await broken("6.4", tasks, "_barred", lambda key, cls: None)
+        await broken("6.4", tasks, "_key_rejection", lambda key, cls: None)
         await broken("4.4", tasks, "_by_request", _Forgetful())
-        await broken("2.8", bots_module, "masked", lambda tree, mask: tree)
+        await broken("2.8", bots_module, "apply_update_mask", lambda tree, mask: tree)
 
 
 class _Forgetful(dict):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,16 +6,16 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from test_pullqueue import PullScenario, bot, task
+from test_pullqueue import PullQueueScenario, bot, task
 
 from weldhatch.net.ring_buffer import RingBuffer
 from weldhatch.pullqueue.errors import HttpError
-from weldhatch.pullqueue.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, Reader
+from weldhatch.pullqueue.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, RequestParser
 
 
 def feed(data, size, reader=None):
     """All requests of a stream that comes in pieces."""
-    reader, ring, out = reader or Reader(), RingBuffer(18 * 1024), []
+    reader, ring, out = reader or RequestParser(), RingBuffer(18 * 1024), []
     for at in range(0, len(data), size):
         ring.put(data[at : at + size])
         while (request := reader.parse(ring)) is not None:
@@ -103,7 +103,7 @@
     return f"{method} /v1test2/{path} HTTP/1.1\r\n{head}\r\n{body}".encode()
 
 
-class Wire(PullScenario):
+class Wire(PullQueueScenario):
     def raw(self):
         return Raw(self.gateway.listener.address)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -70,7 +70,7 @@
     [read] = in_pieces(client_codec.parse, line, size)
     assert (read.verb, read.fields, read.description) == ("START", {"left": "5"}, "a\r\nb\u00e9")
     asked = b"POST /v1test2/tasks?x=1 HTTP/1.1\r\nContent-Length: 2\r\nX-A:  b \r\n\r\n{}"
-    [request, _] = in_pieces(http.Reader().parse, asked * 2, size)
+    [request, _] = in_pieces(http.RequestParser().parse, asked * 2, size)
     assert (request.method, request.path, request.headers["x-a"], request.body) == (
         "POST",
         "/v1test2/tasks",
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -7,17 +7,17 @@
 
 import pytest
 from scenario import SETTINGS, Scenario
-from test_pullqueue import PullScenario, bot, lease, task
+from test_pullqueue import PullQueueScenario, bot, lease, task
 
 from weldhatch import config
 from weldhatch.pullqueue.control import Control
 from weldhatch.pullqueue.front import PullQueue
-from weldhatch.pullqueue.operator_states import Directive, OperatorDirectives, WordError, read_word
+from weldhatch.pullqueue.operator_states import Directive, OperatorDirectives, WordError, read_directive
 from weldhatch.scheduling.policy import Policy
 from weldhatch.scheduling.types import MachineState
 
 
-def word(machine="b1", state="draining", fence=3):
+def directive(machine="b1", state="draining", fence=3):
     return Directive(machine, state, fence, "op", 1.0)
 
 
@@ -25,25 +25,25 @@
     operators = OperatorDirectives()
     own = (MachineState.READY, MachineState.DRAINING, MachineState.REMOVED)
     assert [operators.effective_state("b1", state) for state in own] == list(own)
-    operators.set(word())
+    operators.set(directive())
     assert [operators.effective_state("b1", state) for state in own] == [
         MachineState.DRAINING,
         MachineState.DRAINING,
         MachineState.REMOVED,
     ]
-    operators.set(word(state="off"))
+    operators.set(directive(state="off"))
     assert {operators.effective_state("b1", state) for state in own} == {MachineState.REMOVED}
 
 
 def test_a_late_word_of_an_older_apply_is_refused_and_a_repeat_changes_nothing():
     operators = OperatorDirectives()
-    assert operators.check(word())
-    operators.set(word())
-    assert not operators.check(word())
+    assert operators.check(directive())
+    operators.set(directive())
+    assert not operators.check(directive())
     with pytest.raises(WordError, match="3 has been heard, this is 2") as caught:
-        operators.check(word(state="ready", fence=2))
+        operators.check(directive(state="ready", fence=2))
     assert (caught.value.code, caught.value.fence) == ("FENCE", 3)
-    assert operators.check(word(state="ready", fence=4))
+    assert operators.check(directive(state="ready", fence=4))
 
 
 @pytest.mark.parametrize(
@@ -59,26 +59,26 @@
 )
 def test_bad_words_name_their_field(tree, field):
     with pytest.raises(WordError) as caught:
-        read_word("b1", tree, 0.0)
+        read_directive("b1", tree, 0.0)
     assert caught.value.field == field
 
 
 def test_words_come_back_from_their_records():
     first, second = OperatorDirectives(), OperatorDirectives()
-    first.set(word())
+    first.set(directive())
     second.restore(one.encode() for one in first.directives.values())
     assert second.directives == first.directives
     with pytest.raises(ValueError, match="unusable state"):
         second.restore([json.dumps(["b", "up", 1, "", 0.0]).encode()])
 
 
-class Draining(PullScenario):
+class Draining(PullQueueScenario):
     async def test_what_waits_for_a_machine_goes_elsewhere_when_an_operator_drains_it(self):
         await self.play(f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.play(f"c1 send POST tasks | {task()}")
         b1 = self.gateway.bots.registry.bots["b1"]
         await self.until(lambda: b1.leases, "the task is offered")
-        self.gateway.operate(word())
+        self.gateway.set_directive(directive())
         assert not b1.leases
         await self.play(f"""
             p2 send POST botSessions | {bot("b2")}
@@ -90,8 +90,8 @@
         """)
 
     async def test_a_draining_machine_gets_nothing_new_over_its_reconnect_and_keeps_what_it_has(self):
-        await self.placed()
-        self.gateway.operate(word())
+        await self.place_task()
+        self.gateway.set_directive(directive())
         again = json.loads(bot("b1"))
         again["leases"] = [{"id": self.parties["p1"].seen["lease"], "state": "ACTIVE"}]
         holding = json.dumps({"leases": again["leases"]})
@@ -104,7 +104,7 @@
             p2 expect 200 leases.0.state=ACTIVE
         """)
         assert len(self.gateway.bots.registry.bots["b1"].leases) == 1
-        self.gateway.operate(word(state="ready", fence=4))
+        self.gateway.set_directive(directive(state="ready", fence=4))
         await self.play(f"""
             c2 send POST tasks | {task(key="b3")}
             p2 send PATCH $session X-Server-Timeout=9 | {json.dumps({"leases": again["leases"]})}
@@ -115,15 +115,15 @@
 class Restart(Scenario):
     """The words outlast the gateway, and a second start reads them before it gives anything out."""
 
-    newcomer = PullScenario.newcomer
+    newcomer = PullQueueScenario.newcomer
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
         self.parties, self.logged = {}, []
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.begin()
+        self.start_gateway()
 
-    def begin(self):
+    def start_gateway(self):
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
         told = config.pull_queue_config(
@@ -138,10 +138,10 @@
         self.gateway = PullQueue(told, Policy(told.settings, 5), self.logged.append)
 
     async def test_a_drain_holds_over_a_restart_of_the_gateway(self):
-        self.gateway.operate(word())
-        self.gateway.operate(word("b9", "off"))
+        self.gateway.set_directive(directive())
+        self.gateway.set_directive(directive("b9", "off"))
         self.gateway.abort()
-        self.begin()
+        self.start_gateway()
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -150,7 +150,7 @@
             c1 expect 200 answer=refused
             p1 expect 200 leases=[]
         """)
-        self.gateway.operate(word(state="ready", fence=4))
+        self.gateway.set_directive(directive(state="ready", fence=4))
         await self.play(f"""
             c1 send POST tasks | {task(key="a2")}
             p1 send PATCH $session X-Server-Timeout=9 | {{}}
@@ -162,18 +162,18 @@
     async def test_a_word_that_is_not_on_the_disk_is_not_in_force(self):
         self.gateway._directive_log._broken = "the disk is gone"
         with self.assertRaises(OSError):
-            self.gateway.operate(word())
+            self.gateway.set_directive(directive())
         assert not self.gateway.operators.directives
 
     async def test_a_broken_file_of_words_is_named_and_nothing_starts(self):
-        self.gateway.operate(word())
-        self.gateway.operate(word("b2"))
+        self.gateway.set_directive(directive())
+        self.gateway.set_directive(directive("b2"))
         self.gateway.abort()
         data = bytearray((self.folder / "states").read_bytes())
         data[40] ^= 1
         (self.folder / "states").write_bytes(data)
         with self.assertRaisesRegex(config.ConfigError, "states: .*byte 8"):
-            self.begin()
+            self.start_gateway()
 
     async def test_the_control_address_takes_and_lists_words(self):
         control = Control(
--- a/tests/test_pins_sites.py
+++ b/tests/test_pins_sites.py
@@ -20,7 +20,7 @@
 import pytest
 from click.testing import CliRunner
 from test_pullqueue import lease, task
-from test_recovery import Kept
+from test_recovery import StoredQueueScenario
 
 from weldhatch.applying.journal import Journal, story
 from weldhatch.cli.sites import sites as sites_command
@@ -371,13 +371,13 @@
         storage = QueueStorage(str(folder), 2000.0, print)
     report = {
         "epoch": storage.epoch_name,
-        "fresh": storage.fresh,
+        "fresh": storage.is_first_run,
         "operations": {name: list(astuple(one)) for name, one in storage.state.operations.items()},
         "leases": {name: list(astuple(one)) for name, one in storage.state.leases.items()},
         "spent": list(storage.state.spent),
         "size": storage.state.snapshot_size,
         "records": [record.decode() for record in storage.state.snapshot_records()],
-        "later": durable_state.from_later(["leases/2.12345678-1", "leases/3.x-1"], 2, "12345678"),
+        "later": durable_state.find_later_name(["leases/2.12345678-1", "leases/3.x-1"], 2, "12345678"),
     }
     await storage.append(durable_state.encode("seen", "leases/1.0badcafe-1"))
     await storage.append_with_retry(durable_state.encode("over", "leases/1.0badcafe-4"))
@@ -510,9 +510,9 @@
     return type(value).__name__
 
 
-class QueueRecords(Kept):
+class QueueRecords(StoredQueueScenario):
     async def test_a_running_queue_writes_records_of_the_recorded_shapes(self):
-        await self.placed(requestId="r-7")
+        await self.place_task(requestId="r-7")
         result = json.dumps({"leases": [{"id": "$lease", "state": "COMPLETED", "result": {"files": 3}}]})
         await self.play(f"p1 send PATCH $session | {result}\np1 expect 200 leases=[]")
         await self.play(f"""
@@ -526,8 +526,10 @@
             c3 expect 200 answer=refused
         """)
         held = self.parties["p1"].seen["lease"]
-        await self.again()
-        await self.play(f"p2 send POST botSessions | {self.back(held)}\np2 expect 200 leases.0.state=ACTIVE")
+        await self.restart()
+        await self.play(
+            f"p2 send POST botSessions | {self.session_body(held)}\np2 expect 200 leases.0.state=ACTIVE"
+        )
         await self.gateway.storage.flush()
         report = [json.loads(record) for record in logged(self.store / "queue.log")]
         shapes = sorted({json.dumps([one[0], *map(shape, one[1:])]) for one in report if one[0] != "probe"})
@@ -653,15 +655,15 @@
     before = {"enabled": True, "listen": "127.0.0.1:1", "control": "127.0.0.1:2", "sockets": 99}
     after = {"enabled": True, "listen": "127.0.0.1:1", "control": "127.0.0.1:3", "timing": {"lease": 4}}
     for tree in (before, after):
-        tree["settings"] = json.loads(json.dumps(Kept.settings))
-    made = reconfiguration.make(before, after)
+        tree["settings"] = json.loads(json.dumps(StoredQueueScenario.settings))
+    made = reconfiguration.make_plan(before, after)
     return {
         "keys": list(made),
         "changes": made["changes"],
         "base": made["base"],
         "checksum": made["checksum"],
         "rendered": reconfiguration.render(made).splitlines(),
-        "moved": [list(one) for one in reconfiguration.moved(made, after)],
+        "moved": [list(one) for one in reconfiguration.changes_since_plan(made, after)],
     }
 
 
--- a/tests/test_pullqueue.py
+++ b/tests/test_pullqueue.py
@@ -57,7 +57,7 @@
     )
 
 
-class PullScenario(Scenario):
+class PullQueueScenario(Scenario):
     newcomer = Client
     timing = TIMING
 
@@ -71,7 +71,7 @@
         )
         self.gateway = PullQueue(told, Policy(told.settings, 5), self.logged.append)
 
-    async def placed(self, cls="safe", key="a1"):
+    async def place_task(self, cls="safe", key="a1"):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200 botId=b1
@@ -84,9 +84,9 @@
         """)
 
 
-class Sessions(PullScenario):
+class Sessions(PullQueueScenario):
     async def test_a_task_goes_from_its_submission_to_its_end(self):
-        await self.placed()
+        await self.place_task()
         await self.play(f"""
             c1 send GET $task
             c1 expect 200 state=PLACED
@@ -124,7 +124,7 @@
         await self.play(f"c1 send POST tasks | {task('unsafe', left=200)}\nc1 expect 200 answer=refused")
 
     async def test_a_renewal_after_the_expiry_is_cancelled_and_blocks_new_leases(self):
-        await self.placed()
+        await self.place_task()
         held = next(iter(self.gateway.bots.registry.bots["b1"].leases.values()))
         held.expires = time.time() - 0.01
         await self.play(f"""
@@ -135,7 +135,7 @@
         """)
 
     async def test_a_machine_that_comes_back_lists_its_leases(self):
-        await self.placed()
+        await self.place_task()
         again = json.loads(bot("b1"))
         again["leases"] = [
             {"id": self.parties["p1"].seen["lease"], "state": "ACTIVE"},
@@ -165,7 +165,7 @@
         """)
 
     async def test_a_submitter_ends_its_task_and_the_puller_is_told(self):
-        await self.placed()
+        await self.place_task()
         await self.play(f"""
             c1 send DELETE $task
             c1 expect 200 state=CANCELLED
@@ -355,7 +355,7 @@
             self.held[one["id"]][2] = expires
 
 
-class ThousandRuns(PullScenario):
+class ThousandRuns(PullQueueScenario):
     timing: ClassVar = {"lease": 0.3, "grace": 0.1, "session": 0.8, "pickup": 0.12, "poll": 0.1, "settle": 0}
 
     async def test_pullers_killed_mid_task_never_have_two_attempts_out_together(self):
@@ -400,7 +400,7 @@
         self.assertFalse([line for line in self.logged if "fault" in line or "failed on" in line])
 
 
-class Expiry(PullScenario):
+class Expiry(PullQueueScenario):
     """What waits for the end of a lease or of a pickup; nothing in it fails for being slow."""
 
     timing: ClassVar = {**TIMING, "lease": 2.0, "pickup": 0.4, "poll": 0.3}
@@ -453,7 +453,7 @@
         """)
 
 
-class ShortSessions(PullScenario):
+class ShortSessions(PullQueueScenario):
     timing: ClassVar = {**TIMING, "session": 0.2}
 
     async def test_a_session_without_updates_runs_out(self):
@@ -462,7 +462,7 @@
         await self.play("p1 send PATCH $session | {}\np1 expect 404")
 
 
-class Restarts(PullScenario):
+class Restarts(PullQueueScenario):
     timing: ClassVar = {**TIMING, "settle": 30}
 
     async def test_nothing_goes_out_while_leases_of_a_former_gateway_may_still_run(self):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -24,7 +24,7 @@
 from weldhatch.store.log import Log, LogError
 
 
-class Kept(Scenario):
+class StoredQueueScenario(Scenario):
     """A gateway with a store; `again` kills it and starts the next one on the same folder."""
 
     newcomer = Client
@@ -35,9 +35,9 @@
         self.parties, self.logged = {}, []
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.store = self.folder / "store"
-        self.begin()
+        self.start_gateway()
 
-    def begin(self, **more):
+    def start_gateway(self, **more):
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
         told = config.pull_queue_config(
@@ -51,12 +51,12 @@
         )
         self.gateway = PullQueue(told, Policy(told.settings, 5), self.logged.append)
 
-    async def again(self, **more):
+    async def restart(self, **more):
         await self.gateway.storage.flush()
         self.gateway.abort()
-        self.begin(**more)
+        self.start_gateway(**more)
 
-    async def placed(self, cls="unsafe", key="a1", **more):
+    async def place_task(self, cls="unsafe", key="a1", **more):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -69,18 +69,18 @@
         """)
         return self.parties["p1"].seen["lease"], self.parties["c1"].seen["task"]
 
-    def back(self, held, state="ACTIVE"):
+    def session_body(self, held, state="ACTIVE"):
         return json.dumps({**json.loads(bot("b1")), "leases": [{"id": held, "state": state}]})
 
 
-class Restarts(Kept):
+class Restarts(StoredQueueScenario):
     async def test_a_lease_goes_on_and_its_end_is_told_under_the_old_name(self):
-        held, name = await self.placed()
-        await self.again()
+        held, name = await self.place_task()
+        await self.restart()
         await self.play(f"""
             c2 send GET {name}
             c2 expect 200 state=PLACED
-            p2 send POST botSessions | {self.back(held)}
+            p2 send POST botSessions | {self.session_body(held)}
             p2 expect 200 leases.0.id={held} leases.0.state=ACTIVE
             c2 send POST tasks | {task("unsafe")}
             c2 expect 409
@@ -95,20 +95,20 @@
         self.assertIn("1 leases go on", " ".join(self.logged))
 
     async def test_a_key_stays_spent_over_two_restarts(self):
-        held, _ = await self.placed()
+        held, _ = await self.place_task()
         await self.play(f"p1 send PATCH $session | {lease('COMPLETED')}\np1 expect 200")
-        await self.again()
-        await self.again()
+        await self.restart()
+        await self.restart()
         await self.play(f"c3 send POST tasks | {task('unsafe')}\nc3 expect 200 answer=failed")
         assert held not in self.gateway.storage.state.leases
 
     async def test_a_machine_whose_leases_are_all_known_gets_work_at_once(self):
         """`settle` is for a first start only."""
-        held, _ = await self.placed()
+        held, _ = await self.place_task()
         holding = json.dumps({"leases": [{"id": held, "state": "ACTIVE"}]})
-        await self.again(settle=30)
+        await self.restart(settle=30)
         await self.play(f"""
-            p2 send POST botSessions | {self.back(held)}
+            p2 send POST botSessions | {self.session_body(held)}
             p2 expect 200 leases.0.state=ACTIVE
             c2 send POST tasks | {task(key="b2")}
             p2 send PATCH $session X-Server-Timeout=9 | {holding}
@@ -116,18 +116,18 @@
         """)
 
     async def test_a_lease_that_nobody_comes_back_with_ends_at_its_expiry(self):
-        _, name = await self.placed("safe")
-        await self.again(lease=0.5, poll=0.2)
+        _, name = await self.place_task("safe")
+        await self.restart(lease=0.5, poll=0.2)
         await self.play(
             f"c2 send POST {name.replace('tasks', 'operations')}:wait | {json.dumps({'timeout': '15s'})}\n"
             "c2 expect 200 done=True metadata.state=LOST error.code=10"
         )
 
     async def test_a_machine_that_stopped_a_lease_while_nobody_was_there_says_so(self):
-        held, name = await self.placed("safe")
-        await self.again()
+        held, name = await self.place_task("safe")
+        await self.restart()
         await self.play(f"""
-            p2 send POST botSessions | {self.back(held, "CANCELLED")}
+            p2 send POST botSessions | {self.session_body(held, "CANCELLED")}
             p2 expect 200 leases=[]
             c2 send GET {name}
             c2 expect 200 state=LOST
@@ -142,20 +142,20 @@
             p1 expect 200 leases.0.state=PENDING
         """)
         held = self.parties["p1"].seen["lease"]
-        await self.again()
+        await self.restart()
         await self.play(f"c2 send POST tasks | {task('unsafe', requestId='r-1')}")
         await self.play(f"""
-            p2 send POST botSessions | {self.back(held)}
+            p2 send POST botSessions | {self.session_body(held)}
             p2 expect 200 leases.0.state=ACTIVE
             c2 expect 200 answer=placed botId=b1
         """)
 
     async def test_an_answer_that_was_lost_is_heard_again_by_its_request_id(self):
-        _, name = await self.placed(requestId="r-7")
+        _, name = await self.place_task(requestId="r-7")
         await self.play(
             f"c2 send POST tasks | {task('unsafe', requestId='r-7')}\nc2 expect 200 answer=placed name={name}"
         )
-        await self.again()
+        await self.restart()
         await self.play(f"""
             c3 send POST tasks | {task("unsafe", requestId="r-7")}
             c3 expect 200 answer=placed name={name}
@@ -167,7 +167,7 @@
         await self.play(
             f"c1 send POST operations | {task('unsafe')}\nc1 expect 200 done=False metadata.state=ASKED"
         )
-        await self.again()
+        await self.restart()
         await self.play(f"""
             p2 send POST botSessions | {bot("b1")}
             p2 expect 200
@@ -185,11 +185,11 @@
             c1 expect 200 answer=failed
         """)
         held = self.parties["p1"].seen["lease"]
-        await self.again()
+        await self.restart()
         await self.play(f"""
             c2 send POST tasks | {task("keyed")}
             c2 expect 200 answer=refused
-            p2 send POST botSessions | {self.back(held, "CANCELLED")}
+            p2 send POST botSessions | {self.session_body(held, "CANCELLED")}
             p2 expect 200
             c2 send POST tasks | {task("keyed")}
             p2 send PATCH $session X-Server-Timeout=9 | {{}}
@@ -198,16 +198,18 @@
 
     async def test_restarts_do_not_keep_the_lease_of_a_dead_machine_alive(self):
         """Each start gives what was seen in the last epoch one lease more, and what was not nothing."""
-        await self.placed("safe")
-        await self.again(lease=1.0, poll=0.3)
+        await self.place_task("safe")
+        await self.restart(lease=1.0, poll=0.3)
         [first] = [one.expires for one in self.gateway.bots.leases.handed_out()]
         for _ in range(3):
-            await self.again(lease=1.0, poll=0.3)
+            await self.restart(lease=1.0, poll=0.3)
             [again] = [one.expires for one in self.gateway.bots.leases.handed_out()]
             self.assertEqual(first, again)
         held = self.gateway.bots.leases.handed_out()[0].id
-        await self.play(f"p2 send POST botSessions | {self.back(held)}\np2 expect 200 leases.0.state=ACTIVE")
-        await self.again(lease=1.0, poll=0.3)
+        await self.play(
+            f"p2 send POST botSessions | {self.session_body(held)}\np2 expect 200 leases.0.state=ACTIVE"
+        )
+        await self.restart(lease=1.0, poll=0.3)
         [later] = [one.expires for one in self.gateway.bots.leases.handed_out()]
         self.assertGreater(later, first)
 
@@ -245,19 +247,19 @@
         assert not self.gateway.storage.state.leases
 
 
-class Stores(Kept):
+class Stores(StoredQueueScenario):
     async def test_an_older_copy_of_the_store_gives_nothing_out(self):
         copy = self.folder / "copy"
         await self.gateway.storage.flush()
         shutil.copytree(self.store, copy)
-        await self.again()
-        held, _ = await self.placed()
+        await self.restart()
+        held, _ = await self.place_task()
         self.gateway.abort()
         shutil.rmtree(self.store)
         copy.rename(self.store)
-        self.begin()
+        self.start_gateway()
         await self.play(f"""
-            p2 send POST botSessions | {self.back(held)}
+            p2 send POST botSessions | {self.session_body(held)}
             p2 expect 503 error.details.0.fieldViolations.0.field=store
             p2 send POST botSessions | {bot("b2")}
             p2 expect 503
@@ -271,25 +273,25 @@
 
     async def test_a_second_gateway_on_one_store_is_refused(self):
         with self.assertRaisesRegex(config.ConfigError, "store: .*held by a gateway"):
-            self.begin()
+            self.start_gateway()
 
     async def test_a_torn_record_never_left_and_its_lease_is_ended(self):
         """The last record is cut as a crash cuts it: the lease it told of was not on the wire."""
-        held, _ = await self.placed("safe")
+        held, _ = await self.place_task("safe")
         await self.gateway.storage.flush()
         self.gateway.abort()
         path = self.store / "queue.log"
         data = path.read_bytes()
         at = data.rindex(b'["handed"') - 16
         path.write_bytes(data[: at + 20])
-        self.begin()
+        self.start_gateway()
         await self.play(
-            f"p2 send POST botSessions | {self.back(held)}\np2 expect 200 leases.0.state=CANCELLED"
+            f"p2 send POST botSessions | {self.session_body(held)}\np2 expect 200 leases.0.state=CANCELLED"
         )
         self.assertIn("no whole record", " ".join(self.logged))
 
     async def test_a_flipped_bit_is_named_and_nothing_starts(self):
-        await self.placed("safe")
+        await self.place_task("safe")
         await self.gateway.storage.flush()
         self.gateway.abort()
         path = self.store / "queue.log"
@@ -297,12 +299,12 @@
         data[60] ^= 4
         path.write_bytes(data)
         with self.assertRaisesRegex(config.ConfigError, r"store: .*queue.log: byte \d+"):
-            self.begin()
+            self.start_gateway()
         path.write_bytes(b"WHLOG1\r\n")
-        self.begin()
+        self.start_gateway()
 
     async def test_a_full_disk_refuses_new_work_loses_none_and_goes_on(self):
-        held, name = await self.placed("safe")
+        held, name = await self.place_task("safe")
         log, whole = self.gateway.storage._store._log, Log.append
 
         def full(payloads):
@@ -326,16 +328,16 @@
         """)
         log.append = lambda payloads: whole(log, payloads)
         await self.until(lambda: not self.gateway.storage.write_error, "there is room again")
-        await self.again()
+        await self.restart()
         await self.play(f"c3 send GET {name}\nc3 expect 200 state=DONE")
 
 
-class Compaction(Kept):
+class Compaction(StoredQueueScenario):
     async def test_the_log_is_cut_down_while_the_gateway_serves(self):
         before = folded.COMPACTION_SLACK_RECORDS, folded.COMPACTION_FACTOR
         folded.COMPACTION_SLACK_RECORDS, folded.COMPACTION_FACTOR = 30, 1
         try:
-            held, name = await self.placed()
+            held, name = await self.place_task()
             for n in range(40):
                 await self.play(f"c2 send POST operations | {task(key=f'c{n}')}\nc2 expect 200")
                 await self.play(
@@ -353,7 +355,7 @@
         finally:
             folded.COMPACTION_SLACK_RECORDS, folded.COMPACTION_FACTOR = before
         self.assertIn("cut down", " ".join(self.logged))
-        await self.again()
+        await self.restart()
         await self.play(f"c3 send GET {name}\nc3 expect 200 state=PLACED")
         assert held in self.gateway.storage.state.leases
 
@@ -405,12 +407,12 @@
     async def test_epochs_are_told_from_names(self):
         self.assertEqual((7, "3fa0"), durable_state.epoch_of("leases/7.3fa0-12"))
         self.assertIsNone(durable_state.epoch_of("leases/18c2-12"))
-        self.assertEqual("", durable_state.from_later(["leases/7.aa-1", "x", "leases/8.bb-1"], 8, "bb"))
-        self.assertEqual("leases/8.cc-1", durable_state.from_later(["leases/8.cc-1"], 8, "bb"))
-        self.assertEqual("leases/9.bb-1", durable_state.from_later(["leases/9.bb-1"], 8, "bb"))
+        self.assertEqual("", durable_state.find_later_name(["leases/7.aa-1", "x", "leases/8.bb-1"], 8, "bb"))
+        self.assertEqual("leases/8.cc-1", durable_state.find_later_name(["leases/8.cc-1"], 8, "bb"))
+        self.assertEqual("leases/9.bb-1", durable_state.find_later_name(["leases/9.bb-1"], 8, "bb"))
 
 
-class Storm(Kept):
+class Storm(StoredQueueScenario):
     """Machines and the gateway are killed at any moment, over and over; the judge reads what the machines
     did."""
 
@@ -469,7 +471,7 @@
                 await asyncio.sleep(rnd.uniform(0.05, 1.6))
                 self.gateway.abort()  # records that were not written yet are gone
                 await asyncio.sleep(rnd.choice((0.0, 0.1, 0.4)))
-                self.begin()
+                self.start_gateway()
                 kills["gateway"] += 1
 
         jobs = [
@@ -489,7 +491,7 @@
         self.assertGreaterEqual(kills["machine"], 6)
         self.assertFalse([line for line in self.logged if "fault" in line or "failed on" in line])
 
-    def begin(self, **more):
+    def start_gateway(self, **more):
         listen = "127.0.0.1:{}".format(self.fixed[1] if hasattr(self, "fixed") else 0)
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
--- a/tests/test_remote_sites.py
+++ b/tests/test_remote_sites.py
@@ -12,7 +12,7 @@
 import pytest
 from click.testing import CliRunner
 from scenario import SETTINGS, Client, Scenario
-from test_operators import word
+from test_operators import directive
 from test_pullqueue import bot, lease, task
 
 from weldhatch import config
@@ -41,7 +41,7 @@
         self.parties, self.logged = {}, []
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.b = self.begin("b", {"a": "127.0.0.1:1"})  # a dials: its name sorts first
-        host, port = self.b._door.listener.address
+        host, port = self.b._site_listener.listener.address
         self.a = self.begin("a", {"b": f"{host}:{port}"})
         await self.up()
 
@@ -140,7 +140,7 @@
         )
         await self.at(self.a, f"c1 send POST tasks | {task(left=1500)}")
         await self.until(lambda: self.b.sites.incoming.tasks, "it is on its way to b's machine")
-        self.b.operate(word("b1"))
+        self.b.set_directive(directive("b1"))
         await self.at(self.b, "p1 send PATCH $session X-Server-Timeout=1 | {}\np1 expect 200 leases=[]")
         await self.at(self.a, "c1 expect 200 answer=refused")
         await self.until(
@@ -213,7 +213,7 @@
         link.close()
         share = DescriptorShare(DescriptorBudget(64), 8)
         other = Link("a", "b", self.a._site_storage, link._handlers, self.logged.append)
-        other.dial(self.b._door.listener.address, share, folder.client_context("c"))
+        other.dial(self.b._site_listener.listener.address, share, folder.client_context("c"))
         await self.until(lambda: "shows the certificate of 'c'" in " ".join(self.logged), "it is rejected")
         self.assertFalse(self.b.sites.links["a"].up)
         other.close()
@@ -221,11 +221,11 @@
     async def test_a_site_without_a_certificate_is_rejected(self):
         self.a.sites.links["b"].close()
         await self.until(lambda: not self.b.sites.links["a"].up, "the link is down")
-        held = self.b._door._share.held
-        _, writer = await asyncio.open_connection(*self.b._door.listener.address)
+        held = self.b._site_listener._share.held
+        _, writer = await asyncio.open_connection(*self.b._site_listener.listener.address)
         writer.write(frames.encode(Hello(1, "a", 9, "t", (0, ""), "s", 0, True)))
         await self.until(lambda: "no TLS" in " ".join(self.logged), "it is rejected")
-        await self.until(lambda: self.b._door._share.held == held, "its descriptor is given back")
+        await self.until(lambda: self.b._site_listener._share.held == held, "its descriptor is given back")
         writer.close()
 
 
--- a/weldhatch/cli/rules.py
+++ b/weldhatch/cli/rules.py
@@ -54,14 +54,14 @@
     """Who votes, and who takes part."""
 
 
-def control_address(pull_file: str, control: str | None) -> reconfiguration.Gateway:
+def control_address(pull_file: str, control: str | None) -> reconfiguration.ControlClient:
     """Return where the group is asked. Raises ConfigError naming the key that is missing."""
     if control:
-        return reconfiguration.Gateway(config.parse_endpoint("--control", control))
+        return reconfiguration.ControlClient(config.parse_endpoint("--control", control))
     agreement = config.cluster_config(config.read_pull_queue_file(pull_file))
     if agreement is None or agreement.control is None:
         raise config.ConfigError(f"{pull_file}: agreement.control is missing: where the group is asked")
-    return reconfiguration.Gateway(agreement.control)
+    return reconfiguration.ControlClient(agreement.control)
 
 
 def show(answer: Mapping[str, Any], as_json: bool, text: Callable[[Console], None]) -> None:
@@ -125,7 +125,7 @@
 
 
 def _propose(
-    at: reconfiguration.Gateway,
+    at: reconfiguration.ControlClient,
     settings: dict[str, Any],
     why: str,
     base: int | None,
@@ -163,7 +163,7 @@
     return {"active": Exit.DONE, "prepared": unfinished, "dropped": EXIT_DROPPED}[state]
 
 
-def wait_for(at: reconfiguration.Gateway, number: int) -> tuple[str, str]:
+def wait_for(at: reconfiguration.ControlClient, number: int) -> tuple[str, str]:
     """Wait until a version is active or dropped, or the time is up; its state, and the reason."""
     end = time.monotonic() + WAIT_S
     while True:
--- a/weldhatch/cli/settings.py
+++ b/weldhatch/cli/settings.py
@@ -28,8 +28,8 @@
     """Make the plan that turns the running gateway into what a file says, and write it to `out`."""
     target = config.read_pull_queue_file(path)
     config.pull_queue_config(target)
-    made = reconfiguration.make(
-        reconfiguration.Gateway(reconfiguration.address(target, control)).applied(), target
+    made = reconfiguration.make_plan(
+        reconfiguration.ControlClient(reconfiguration.address(target, control)).applied(), target
     )
     with open(out, "w", encoding="utf-8") as file:
         json.dump(made, file, indent=1)
@@ -43,12 +43,12 @@
     that
     is done first, and a plan that is in force already is not sent again.
     """
-    made = reconfiguration.read(path)
-    gateway = reconfiguration.Gateway(reconfiguration.address(made["target"], control))
+    made = reconfiguration.read_plan(path)
+    gateway = reconfiguration.ControlClient(reconfiguration.address(made["target"], control))
     return _apply(path, made, gateway)
 
 
-def _apply(path: str, made: dict, gateway: reconfiguration.Gateway) -> Result:
+def _apply(path: str, made: dict, gateway: reconfiguration.ControlClient) -> Result:
     import time
 
     lock = Lock(f"{path}.lock", f"an apply of {path}", format_time(time.time()))
@@ -65,7 +65,7 @@
                 if cut_off:
                     note("done", applied=len(made["changes"]))
                 return Result(Exit.DONE, "the gateway runs what the plan says already: nothing was done")
-            if moved := reconfiguration.moved(made, now):
+            if moved := reconfiguration.changes_since_plan(made, now):
                 return Result(
                     Exit.MOVED,
                     "the applied configuration has moved on; make a new plan",
--- a/weldhatch/cli/sites.py
+++ b/weldhatch/cli/sites.py
@@ -15,7 +15,7 @@
 
 from weldhatch import config
 from weldhatch.pullqueue import reconfiguration
-from weldhatch.pullqueue.reconfiguration import Gateway
+from weldhatch.pullqueue.reconfiguration import ControlClient
 
 control = click.option(
     "--control",
@@ -39,10 +39,10 @@
     """Other sites: what is lent and taken, what is in doubt, and draining."""
 
 
-def gateway(file: str, address: str | None) -> Gateway:
+def gateway(file: str, address: str | None) -> ControlClient:
     """Return the gateway at an address, or else at the one that a pull queue's file names."""
     tree = {} if address else config.read_pull_queue_file(file)
-    return Gateway(reconfiguration.address(tree, address))
+    return ControlClient(reconfiguration.address(tree, address))
 
 
 @sites.command()
@@ -120,7 +120,7 @@
 @click.option("--undo", is_flag=True, help="Take new work again.")
 def drain(file: str, control: str | None, undo: bool) -> None:
     """Take nothing new from other sites, and place nothing new here; what stands goes on."""
-    gateway(file, control).sites_word({"draining": not undo})
+    gateway(file, control).send_sites_command({"draining": not undo})
     click.echo("it takes new work again" if undo else "it takes nothing new; what stands goes on")
 
 
@@ -140,5 +140,5 @@
             "a task that still runs there could start a second time here: make sure that "
             "none does, then say --yes"
         )
-    answer = gateway(file, control).sites_word({"forget": site})
+    answer = gateway(file, control).send_sites_command({"forget": site})
     click.echo(f"{answer['forgotten']} transfers to {site} are over")
--- a/weldhatch/cluster/control_api.py
+++ b/weldhatch/cluster/control_api.py
@@ -14,17 +14,17 @@
 from weldhatch.coordination.commands import CommandKind, RequestKind
 from weldhatch.coordination.json_types import JsonObject
 from weldhatch.coordination.results import is_error
-from weldhatch.pullqueue.control_listener import Counter
+from weldhatch.pullqueue.control_listener import ControlServer
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.http import Request
-from weldhatch.pullqueue.operator_states import WordError, read_word
+from weldhatch.pullqueue.operator_states import WordError, read_directive
 from weldhatch.scheduling.types import Settings
 
 ZONE_OPERATIONS = ("leave", "return", "hold", "release")
 NO_HEADERS: dict[str, str] = {}
 
 
-class ControlApi(Counter):
+class ControlApi(ControlServer):
     """Reads what is asked, checks it, has it decided."""
 
     def __init__(
@@ -157,7 +157,7 @@
     async def set_machine_state(self, machine: str, body: JsonObject) -> JsonObject:
         """Have an operator's word on a machine decided, for every dispatcher. Raises HttpError."""
         try:
-            directive = read_word(machine, body, self._unix_clock())
+            directive = read_directive(machine, body, self._unix_clock())
         except WordError as error:
             raise HttpError(400, str(error), error.field) from None
         command = {
--- a/weldhatch/pullqueue/bot_sessions.py
+++ b/weldhatch/pullqueue/bot_sessions.py
@@ -19,7 +19,7 @@
 from weldhatch.pullqueue.leases import KeyLedger, LeasePhase
 from weldhatch.pullqueue.machines import Bot
 from weldhatch.pullqueue.operator_states import OperatorDirectives
-from weldhatch.pullqueue.reports import ReportedLease, masked, read_reported_leases, read_status
+from weldhatch.pullqueue.reports import ReportedLease, apply_update_mask, read_reported_leases, read_status
 from weldhatch.pullqueue.storage import NoStorage, QueueStorage
 from weldhatch.pullqueue.workers import Worker, read_worker
 from weldhatch.scheduling.events import MachinesChanged
@@ -137,7 +137,7 @@
             raise HttpError(403, "name: the session of another machine", "name")
         tree = request.json()
         if mask := request.query.get("updateMask"):
-            tree = masked(tree, mask)
+            tree = apply_update_mask(tree, mask)
         if tree.get("name", name) != name:
             raise HttpError(400, "name: not the session that is updated", "name")
         if tree.get("botId", bot.id) != bot.id:
@@ -163,7 +163,7 @@
         if (
             state.epoch
             and not self.stale_reason
-            and (name := durable_state.from_later(names, state.epoch, state.token))
+            and (name := durable_state.find_later_name(names, state.epoch, state.token))
         ):
             self.stale_reason = (
                 f"{name} is of a later gateway than this store knows of: it is an older copy, and "
--- a/weldhatch/pullqueue/control.py
+++ b/weldhatch/pullqueue/control.py
@@ -8,11 +8,11 @@
 
 from weldhatch import config
 from weldhatch.pullqueue import reconfiguration
-from weldhatch.pullqueue.control_listener import Counter
+from weldhatch.pullqueue.control_listener import ControlServer
 from weldhatch.pullqueue.errors import HttpError
 from weldhatch.pullqueue.front import PullQueue
 from weldhatch.pullqueue.http import Request
-from weldhatch.pullqueue.operator_states import WordError, read_word
+from weldhatch.pullqueue.operator_states import WordError, read_directive
 
 if TYPE_CHECKING:  # its libraries are imported only if other sites are configured
     from weldhatch.sites.forwarding import SiteForwarder
@@ -57,7 +57,7 @@
         ...
 
 
-class Control(Counter):
+class Control(ControlServer):
     """The control address. Holds the applied configuration of the gateway."""
 
     def __init__(
@@ -199,8 +199,8 @@
 
     def _set_machine_state(self, machine: str, tree: dict) -> dict:
         try:
-            directive = read_word(machine, tree, self._clock())
-            self._front.operate(directive)
+            directive = read_directive(machine, tree, self._clock())
+            self._front.set_directive(directive)
         except WordError as fault:
             raise Refused(fault) from None
         except OSError as fault:  # the directive is not on the disk, so it is not in force
--- a/weldhatch/pullqueue/control_listener.py
+++ b/weldhatch/pullqueue/control_listener.py
@@ -15,7 +15,7 @@
 MAX_CONNECTIONS = 8
 
 
-class Counter:
+class ControlServer:
     """Owns its connections and, if it has an address, the listener. Subclasses implement `_route`."""
 
     def __init__(self, address: tuple[str, int] | None, log: Callable[[str], None]) -> None:
--- a/weldhatch/pullqueue/durable_state.py
+++ b/weldhatch/pullqueue/durable_state.py
@@ -210,7 +210,7 @@
     return int(number), token
 
 
-def from_later(names: Iterable[str], epoch: int, token: str) -> str:
+def find_later_name(names: Iterable[str], epoch: int, token: str) -> str:
     """Return the first of these names that a later run of the gateway generated; '' if there is none.
 
     Such a name shows that the store is an older copy. It lacks the leases that were handed out after it was
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -69,11 +69,11 @@
         self.driver.site = self.bots.leases
         self.driver.directory = NoDirectory()
         self.core = Core(self.driver, self.bots.leases, log)
-        self.sites = self._site_storage = self._door = None
+        self.sites = self._site_storage = self._site_listener = None
         if config.sites is not None:
             from weldhatch.pullqueue import remote_sites  # imports its codec library, so only when needed
 
-            self.sites, self._site_storage, self._door = remote_sites.build(
+            self.sites, self._site_storage, self._site_listener = remote_sites.build(
                 config, settings, self.driver, self.core, ledger, self.storage, Random(config.listen[1]), log
             )
         self.tasks = Tasks(
@@ -129,7 +129,7 @@
         if self.sites is not None:
             self.sites.reconfigure(settings)
 
-    def operate(self, directive: Directive) -> None:
+    def set_directive(self, directive: Directive) -> None:
         """Store an operator's directive on disk, then put it into force.
 
         Raises WordError for a refused directive, or OSError for a disk fault.
@@ -207,7 +207,7 @@
         if not self._quotas.try_acquire(caller_id):
             raise HttpError(
                 429,
-                f"more than {self._quotas.most_per_caller} calls of one caller at a time",
+                f"more than {self._quotas.max_per_caller} calls of one caller at a time",
                 "authorization",
                 1.0,
             )
@@ -274,7 +274,7 @@
         self._idle_check.cancel()
         if self.sites is not None:
             self.sites.close()
-            self._door.close()
+            self._site_listener.close()
             self._site_storage.close()
         self.bots.close()
         self.tasks.close()
--- a/weldhatch/pullqueue/http.py
+++ b/weldhatch/pullqueue/http.py
@@ -63,7 +63,7 @@
         return min(value, max_s)
 
 
-class Reader:
+class RequestParser:
     """Parses requests incrementally from a connection's ring buffer; a body may exceed the ring."""
 
     def __init__(self, send_continue: Callable[[], None] = lambda: None) -> None:
@@ -268,7 +268,7 @@
         self._waiting: deque[Request] = deque()
         self._bytes = 0
         self._worker: asyncio.Task | None = None
-        self._reader = Reader(self._send_continue)
+        self._parser = RequestParser(self._send_continue)
         self._continue_pending = False
         self._error: HttpError | None = None
         self.last_answered = time.monotonic()
@@ -289,8 +289,8 @@
 
     def _parse(self, ring: RingBuffer) -> Request | None:
         try:
-            request = self._reader.parse(ring)
-            if request is None and (self._reader.body_incomplete or len(ring)):
+            request = self._parser.parse(ring)
+            if request is None and (self._parser.body_incomplete or len(ring)):
                 self.incomplete_since = self.incomplete_since or time.monotonic()
             else:
                 self.incomplete_since = 0.0
--- a/weldhatch/pullqueue/operator_states.py
+++ b/weldhatch/pullqueue/operator_states.py
@@ -44,7 +44,7 @@
         return json.dumps([self.machine, self.state, self.fence, self.op, self.at]).encode()
 
 
-def read_word(machine: str, tree: dict, now: float) -> Directive:
+def read_directive(machine: str, tree: dict, now: float) -> Directive:
     """Read a directive from the body of a call. Raises WordError naming the field."""
     state, fence, op = tree.get("state"), tree.get("fence"), tree.get("op", "")
     if state not in STATES:
--- a/weldhatch/pullqueue/quotas.py
+++ b/weldhatch/pullqueue/quotas.py
@@ -12,14 +12,14 @@
 class CallQuotas:
     """Counts the calls in flight of each caller."""
 
-    def __init__(self, most_per_caller: int) -> None:
+    def __init__(self, max_per_caller: int) -> None:
         """Limit the calls in flight of each caller."""
-        self.most_per_caller = most_per_caller
+        self.max_per_caller = max_per_caller
         self._in_flight: Counter[str] = Counter()
 
     def try_acquire(self, caller: str) -> bool:
         """Count a call; return False, and count nothing, if that would exceed the limit."""
-        if self._in_flight[caller] >= self.most_per_caller:
+        if self._in_flight[caller] >= self.max_per_caller:
             return False
         self._in_flight[caller] += 1
         return True
--- a/weldhatch/pullqueue/reconfiguration.py
+++ b/weldhatch/pullqueue/reconfiguration.py
@@ -38,7 +38,7 @@
     ]
 
 
-def make(applied: Mapping, target: dict) -> dict:
+def make_plan(applied: Mapping, target: dict) -> dict:
     """Make the plan that changes the applied configuration into the target. Raises ConfigError."""
     config.pull_queue_config(target)
     plan = {
@@ -57,7 +57,7 @@
     return hashlib.sha256(json.dumps(rest, sort_keys=True).encode()).hexdigest()
 
 
-def moved(plan: Mapping, applied: Mapping) -> list[tuple[str, str, str, str]]:
+def changes_since_plan(plan: Mapping, applied: Mapping) -> list[tuple[str, str, str, str]]:
     """Return the keys that changed since the plan was made, as (key, planned, value then, value now).
 
     All keys of the file are compared, not only those of the plan.
@@ -92,7 +92,7 @@
     return "\n".join(lines)
 
 
-def read(path: str) -> dict:
+def read_plan(path: str) -> dict:
     """Read a plan and check its version and checksum. Raises ConfigError."""
     plan = config.read_json_file(path)
     if plan.get("version") != PLAN_VERSION or not isinstance(plan.get("target"), dict) or "base" not in plan:
@@ -114,7 +114,7 @@
         self.field = field
 
 
-class Gateway:
+class ControlClient:
     """A client of a running gateway's control address. Its calls raise ConfigError."""
 
     def __init__(self, address: tuple[str, int]) -> None:
@@ -133,7 +133,7 @@
         """Return the status of links to other sites and of the tasks shared with them."""
         return self._call("GET", "sites", None)
 
-    def sites_word(self, word: Mapping) -> dict:
+    def send_sites_command(self, word: Mapping) -> dict:
         """Send an operator's command on other sites; return the answer."""
         return self._call("POST", "sites", word)
 
--- a/weldhatch/pullqueue/reports.py
+++ b/weldhatch/pullqueue/reports.py
@@ -32,7 +32,7 @@
     result: object = None
 
 
-def masked(tree: dict, mask: str) -> dict:
+def apply_update_mask(tree: dict, mask: str) -> dict:
     """Return a session update with only the fields that the mask names. Raises HttpError."""
     out = {key: tree[key] for key in ("name", "botId") if key in tree}
     for path in mask.split(","):
--- a/weldhatch/pullqueue/storage.py
+++ b/weldhatch/pullqueue/storage.py
@@ -21,7 +21,7 @@
         self.state = QueueState()
         try:
             store = FoldedStore(folder, "queue.log", "store", now, [self.state], log)
-            self.fresh = self.state.epoch == 0  # whether no gateway has used the folder before
+            self.is_first_run = self.state.epoch == 0  # whether no gateway has used the folder before
             super().__init__(
                 store,
                 *self.begin_run(
@@ -64,7 +64,7 @@
     """The replacement for a store if none is configured: nothing is written, nothing survives a restart."""
 
     write_error = ""
-    fresh = True
+    is_first_run = True
 
     def __init__(self, now_ns: int) -> None:
         """Use the time, in Unix nanoseconds, as the name of the epoch. Needs a running event loop."""
--- a/weldhatch/pullqueue/tasks.py
+++ b/weldhatch/pullqueue/tasks.py
@@ -152,7 +152,7 @@
             if known.fields and submitted != {name: known.fields.get(name) for name in submitted}:
                 raise HttpError(409, "requestId: another submission had it", "requestId")
             return known, {}
-        if answer := self._barred(placement.key, cls):
+        if answer := self._key_rejection(placement.key, cls):
             return None, answer
         if self._storage.write_error:
             raise HttpError(503, f"store: {self._storage.write_error}", "store", 1.0)
@@ -274,7 +274,7 @@
         max_us = self._settings.max_retry_after_us or 30_000_000
         return int(min(wait_us * (0.75 + 0.5 * self._random.random()), max_us))
 
-    def _barred(self, key: int, cls: RequestClass) -> dict | None:
+    def _key_rejection(self, key: int, cls: RequestClass) -> dict | None:
         """Return the answer to a key that can't be accepted now; None for one that can. Raises HttpError."""
         if self._bots.stale_reason:
             raise HttpError(503, f"store: {self._bots.stale_reason}", "store", 30.0)
@@ -289,7 +289,7 @@
         # A store knows all leases of former runs, so only a gateway without an earlier store has to wait
         # until leases that it doesn't know have expired.
         if (
-            self._storage.fresh
+            self._storage.is_first_run
             and (left_s := self._started + self._bots.timing.settle - self._bots.now()) > 0
         ):
             return self._refused_answer("leases of a former gateway may still run", left_s)
