--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP as real clients speak it: chunks both ways, pipelining, Expect, limits told in the answer."""
+"""The HTTP/1.1 server: chunked bodies in both directions, pipelining, Expect, answers to exceeded limits."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 
 def feed(data, size, reader=None):
-    """All requests of a stream that comes in pieces."""
+    """Return all requests of a byte stream that arrives in pieces of this size."""
     reader, ring, out = reader or RequestParser(), RingBuffer(18 * 1024), []
     for at in range(0, len(data), size):
         ring.put(data[at : at + size])
@@ -36,7 +36,7 @@
 
 
 @given(st.binary(max_size=9000), st.lists(st.integers(1, 3000), max_size=6), st.integers(1, 5000))
-def test_a_body_in_chunks_is_the_body_however_it_comes(body, sizes, pieces):
+def test_a_chunked_body_is_parsed_regardless_of_how_it_is_split(body, sizes, pieces):
     head = b"\r\nPOST /x?a=1&b= HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
     plain = f"POST /y HTTP/1.1\nContent-Length: {len(body)}\n\n".encode() + body
     first, second, third = feed(head + chunked(body, sizes) + plain + plain, pieces)
@@ -68,14 +68,14 @@
         (b"POST / HTTP/1.1\r\nExpect: tea\r\nContent-Length: 1\r\n\r\n", 417, "expect"),
     ],
 )
-def test_what_can_not_be_served_says_which_part(data, code, field):
+def test_an_invalid_request_gets_an_error_that_names_the_faulty_part(data, code, field):
     with pytest.raises(HttpError) as caught:
         feed(data, 700)
     assert (caught.value.code, caught.value.field, caught.value.closes_connection) == (code, field, True)
 
 
-class Raw:
-    """Bytes to and from the gateway."""
+class RawClient:
+    """A client that sends raw bytes to the gateway."""
 
     def __init__(self, address):
         self.address = address
@@ -98,26 +98,30 @@
         return int(head[0].split()[1]), headers, json.loads(body or b"null")
 
 
-def ask(method, path, body="", *more):
+def encode_request(method, path, body="", *more):
     head = "".join(f"{line}\r\n" for line in (f"Content-Length: {len(body)}", *more))
     return f"{method} /v1test2/{path} HTTP/1.1\r\n{head}\r\n{body}".encode()
 
 
-class Wire(PullQueueScenario):
+class HttpConnections(PullQueueScenario):
     def raw(self):
-        return Raw(self.gateway.listener.address)
+        return RawClient(self.gateway.listener.address)
 
-    async def test_pipelined_requests_are_answered_in_order_and_keep_alive_goes_on(self):
+    async def test_pipelined_requests_are_answered_in_order_and_the_connection_stays_open(self):
         async with self.raw() as raw:
-            raw.send(ask("GET", "tasks/x") + ask("POST", "botSessions", bot("b1")) + ask("GET", "what"))
+            raw.send(
+                encode_request("GET", "tasks/x")
+                + encode_request("POST", "botSessions", bot("b1"))
+                + encode_request("GET", "what")
+            )
             codes = [(await raw.answer())[0] for _ in range(3)]
             self.assertEqual([404, 200, 404], codes)
-            raw.send(ask("GET", "tasks/y", "", "Connection: close"))
+            raw.send(encode_request("GET", "tasks/y", "", "Connection: close"))
             code, headers, _ = await raw.answer()
             self.assertEqual((404, "close"), (code, headers["connection"]))
             self.assertEqual(b"", await raw.reader.read())
 
-    async def test_a_client_that_asks_is_told_to_go_on(self):
+    async def test_a_client_that_expects_100_continue_receives_it(self):
         body = bot("b1")
         async with self.raw() as raw:
             raw.send(
@@ -128,7 +132,7 @@
             raw.send(body.encode())
             self.assertEqual(200, (await raw.answer())[0])
 
-    async def test_limits_are_told_in_the_answer_and_not_by_a_close_alone(self):
+    async def test_exceeded_limits_are_answered_before_the_connection_is_closed(self):
         large = b"POST /v1test2/tasks HTTP/1.1\r\nContent-Length: 999999\r\n\r\n" + b"x" * 60000
         for data, code in (
             (large, 413),
@@ -137,18 +141,18 @@
         ):
             async with self.raw() as raw:
                 raw.send(data)
-                told, headers, body = await raw.answer()
-                self.assertEqual((code, "close"), (told, headers["connection"]))
+                status, headers, body = await raw.answer()
+                self.assertEqual((code, "close"), (status, headers["connection"]))
                 self.assertEqual(code, body["error"]["code"])
                 self.assertTrue(body["error"]["details"][0]["fieldViolations"][0]["field"])
         async with self.raw() as raw:
-            raw.send(ask("POST", "tasks", task(left=2000)) + ask("GET", "tasks/x") * 40)
+            raw.send(encode_request("POST", "tasks", task(left=2000)) + encode_request("GET", "tasks/x") * 40)
             codes = []
             while 429 not in codes:
                 codes.append((await raw.answer())[0])
             self.assertLessEqual(len(codes), 18)
 
-    async def test_a_stalled_request_is_told_so(self):
+    async def test_a_stalled_request_is_answered_with_408(self):
         import weldhatch.pullqueue.front as front
 
         before, front.INCOMPLETE_REQUEST_TIMEOUT_S = front.INCOMPLETE_REQUEST_TIMEOUT_S, 0.1
@@ -158,18 +162,18 @@
             self.assertEqual(408, (await raw.answer())[0])
             self.assertEqual(b"", await raw.reader.read())
 
-    async def test_a_silent_connection_is_closed(self):
+    async def test_an_idle_connection_is_closed(self):
         self.gateway._config = __import__("dataclasses").replace(self.gateway._config, idle=0.1)
         async with self.raw() as raw, asyncio.timeout(20):
             self.assertEqual(b"", await raw.reader.read())
 
-    async def test_states_are_streamed_as_events_in_chunks(self):
+    async def test_state_changes_are_streamed_as_chunked_events(self):
         await self.play(f"c1 send POST operations | {task()}\nc1 expect 200 metadata.state=ASKED")
         [name] = self.gateway.tasks.known
         name = name.replace("tasks/", "operations/")
         done = json.dumps({"leases": [{"id": "$lease", "state": "COMPLETED", "result": {"a": 1}}]})
         async with self.raw() as raw:
-            raw.send(ask("GET", f"{name}:watch"))
+            raw.send(encode_request("GET", f"{name}:watch"))
             head = await raw.reader.readuntil(b"\r\n\r\n")
             self.assertIn(b"text/event-stream", head)
             await self.play(f"""
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""An operator's word on a build machine: nothing new to one that drains, over reconnects and restarts."""
+"""Operators' directives for build machines: a draining one gets no new lease, also after restarts."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
     return Directive(machine, state, fence, "op", 1.0)
 
 
-def test_the_less_of_both_words_counts():
+def test_the_stricter_of_both_states_counts():
     operators = OperatorDirectives()
     own = (MachineState.READY, MachineState.DRAINING, MachineState.REMOVED)
     assert [operators.effective_state("b1", state) for state in own] == list(own)
@@ -35,7 +35,7 @@
     assert {operators.effective_state("b1", state) for state in own} == {MachineState.REMOVED}
 
 
-def test_a_late_word_of_an_older_apply_is_refused_and_a_repeat_changes_nothing():
+def test_a_late_directive_of_an_older_apply_is_refused_and_a_repeat_changes_nothing():
     operators = OperatorDirectives()
     assert operators.check(directive())
     operators.set(directive())
@@ -57,13 +57,13 @@
         ({"state": "ready", "fence": 1, "op": 5}, "op"),
     ],
 )
-def test_bad_words_name_their_field(tree, field):
+def test_an_invalid_directive_is_refused_naming_the_field(tree, field):
     with pytest.raises(WordError) as caught:
         read_directive("b1", tree, 0.0)
     assert caught.value.field == field
 
 
-def test_words_come_back_from_their_records():
+def test_directives_are_restored_from_their_records():
     first, second = OperatorDirectives(), OperatorDirectives()
     first.set(directive())
     second.restore(one.encode() for one in first.directives.values())
@@ -73,7 +73,7 @@
 
 
 class Draining(PullQueueScenario):
-    async def test_what_waits_for_a_machine_goes_elsewhere_when_an_operator_drains_it(self):
+    async def test_offers_to_a_drained_machine_are_placed_on_another_machine(self):
         await self.play(f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.play(f"c1 send POST tasks | {task()}")
         b1 = self.gateway.bots.registry.bots["b1"]
@@ -89,7 +89,7 @@
             p2 expect 200 leases.0.state=PENDING
         """)
 
-    async def test_a_draining_machine_gets_nothing_new_over_its_reconnect_and_keeps_what_it_has(self):
+    async def test_a_draining_machine_keeps_its_leases_and_gets_no_new_ones_after_a_reconnect(self):
         await self.place_task()
         self.gateway.set_directive(directive())
         again = json.loads(bot("b1"))
@@ -112,8 +112,8 @@
         """)
 
 
-class Restart(Scenario):
-    """The words outlast the gateway, and a second start reads them before it gives anything out."""
+class StoredDirectives(Scenario):
+    """Directives are stored, and a restarted gateway restores them before it hands out leases."""
 
     newcomer = PullQueueScenario.newcomer
 
@@ -126,7 +126,7 @@
     def start_gateway(self):
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue_config(
+        file_config = config.pull_queue_config(
             {
                 "enabled": True,
                 "listen": "127.0.0.1:0",
@@ -135,9 +135,9 @@
                 "settings": settings,
             }
         )
-        self.gateway = PullQueue(told, Policy(told.settings, 5), self.logged.append)
+        self.gateway = PullQueue(file_config, Policy(file_config.settings, 5), self.logged.append)
 
-    async def test_a_drain_holds_over_a_restart_of_the_gateway(self):
+    async def test_a_drain_survives_a_restart_of_the_gateway(self):
         self.gateway.set_directive(directive())
         self.gateway.set_directive(directive("b9", "off"))
         self.gateway.abort()
@@ -159,13 +159,13 @@
             c1 expect 200 answer=placed
         """)
 
-    async def test_a_word_that_is_not_on_the_disk_is_not_in_force(self):
+    async def test_a_directive_that_is_not_stored_is_not_in_force(self):
         self.gateway._directive_log._broken = "the disk is gone"
         with self.assertRaises(OSError):
             self.gateway.set_directive(directive())
         assert not self.gateway.operators.directives
 
-    async def test_a_broken_file_of_words_is_named_and_nothing_starts(self):
+    async def test_a_corrupt_directive_file_prevents_the_start(self):
         self.gateway.set_directive(directive())
         self.gateway.set_directive(directive("b2"))
         self.gateway.abort()
@@ -175,7 +175,7 @@
         with self.assertRaisesRegex(config.ConfigError, "states: .*byte 8"):
             self.start_gateway()
 
-    async def test_the_control_address_takes_and_lists_words(self):
+    async def test_the_control_address_accepts_and_lists_directives(self):
         control = Control(
             {}, ("127.0.0.1", 0), self.gateway, lambda tree: None, self.logged.append, lambda: 7.0
         )
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Plan and apply against a running gateway, and the whole program as a process."""
+"""Plan and apply of a running gateway, with the whole program as a process."""
 
 import asyncio
 import copy
@@ -24,8 +24,8 @@
         return one.getsockname()[1]
 
 
-class Program(unittest.IsolatedAsyncioTestCase):
-    """`python -m weldhatch`, started as a process of its own."""
+class PlansOnProcess(unittest.IsolatedAsyncioTestCase):
+    """Runs `python -m weldhatch` as a separate process."""
 
     async def asyncSetUp(self):
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -76,7 +76,7 @@
         out, _ = await asyncio.wait_for(process.communicate(), LONG)
         return process.returncode, out.decode()
 
-    async def test_a_plan_is_shown_and_applied_and_a_second_one_on_its_base_is_refused(self):
+    async def test_a_plan_is_applied_and_a_second_plan_on_its_base_is_rejected(self):
         await self.start(self.write("base"))
         target = self.write("target", connections=99, timing={"settle": 0, "lease": 4})
         code, out = await self.cli("plan", target)
@@ -92,7 +92,7 @@
         self.assertIn("moved on", out)
         self.assertIn("No changes", (await self.cli("plan", target))[1])
 
-    async def test_what_can_not_be_carried_out_changes_nothing(self):
+    async def test_a_plan_that_fails_changes_nothing(self):
         await self.start(self.write("base"))
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
@@ -105,7 +105,7 @@
         self.assertIn("nothing was changed", out)
         self.assertIn("No changes", (await self.cli("plan", self.write("base")))[1])
 
-    async def test_a_plan_that_needs_a_restart_says_so_and_starts_the_gateway_anew(self):
+    async def test_a_plan_that_needs_a_restart_restarts_the_gateway(self):
         await self.start(self.write("base"))
         target = self.write("target", sockets=512)
         self.assertIn('~ sockets: "1024" -> "512"  (needs a restart)', (await self.cli("plan", target))[1])
@@ -115,12 +115,12 @@
         while "No changes" not in (await self.cli("plan", target))[1]:
             await asyncio.sleep(0.05)
 
-    async def test_sigterm_ends_it_with_0(self):
+    async def test_sigterm_ends_the_process_with_exit_code_0(self):
         await self.start(self.write("base"))
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(0, await asyncio.wait_for(self.process.wait(), LONG))
 
-    async def test_a_file_that_can_not_be_used_is_named_with_its_key(self):
+    async def test_an_invalid_file_is_rejected_naming_the_key(self):
         for changes, key in (
             ({"timing": {"poll": 9}}, "timing.poll"),
             ({"connections": "x"}, "connections"),
@@ -136,18 +136,18 @@
             self.assertEqual(1, out.count("\n"), out)
 
 
-class Files(unittest.TestCase):
-    def test_the_deploy_file_is_usable_and_off(self):
-        told = config.pull_queue_config(config.read_toml_file(str(ROOT / "deploy" / "pullqueue.toml")))
-        self.assertFalse(told.enabled)
+class ConfigurationFiles(unittest.TestCase):
+    def test_the_deploy_file_is_valid_and_disabled(self):
+        file_config = config.pull_queue_config(config.read_toml_file(str(ROOT / "deploy" / "pullqueue.toml")))
+        self.assertFalse(file_config.enabled)
 
-    def test_defaults_written_out_are_no_change(self):
+    def test_explicit_defaults_are_no_change(self):
         base = {"settings": SETTINGS}
         self.assertEqual(
             [], reconfiguration.changes(base, {**base, "connections": 256, "timing": {"lease": 3.0}})
         )
 
-    def test_the_platform_file_names_its_faulty_key(self):
+    def test_an_invalid_platform_file_is_rejected_naming_the_key(self):
         good = {
             "name": "n0",
             "listen": "127.0.0.1:1",
--- a/tests/test_pullqueue.py
+++ b/tests/test_pullqueue.py
@@ -1,4 +1,4 @@
-"""The pull queue: scenarios of its protocol, and a thousand runs with pullers that are killed mid-task."""
+"""The pull queue: scenarios of its protocol, and a thousand task runs on randomly killed pullers."""
 
 import asyncio
 import copy
@@ -66,10 +66,10 @@
         self.parties, self.logged = {}, []
         settings = copy.deepcopy(SETTINGS)
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue_config(
+        file_config = config.pull_queue_config(
             {"enabled": True, "listen": "127.0.0.1:0", "timing": self.timing, "settings": settings}
         )
-        self.gateway = PullQueue(told, Policy(told.settings, 5), self.logged.append)
+        self.gateway = PullQueue(file_config, Policy(file_config.settings, 5), self.logged.append)
 
     async def place_task(self, cls="safe", key="a1"):
         await self.play(f"""
@@ -85,7 +85,7 @@
 
 
 class Sessions(PullQueueScenario):
-    async def test_a_task_goes_from_its_submission_to_its_end(self):
+    async def test_a_submitted_task_is_placed_and_completed(self):
         await self.place_task()
         await self.play(f"""
             c1 send GET $task
@@ -96,7 +96,7 @@
             c1 expect 200 state=DONE
         """)
 
-    async def test_a_short_task_may_begin_and_end_in_one_report(self):
+    async def test_a_short_task_may_start_and_end_in_one_report(self):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -108,7 +108,7 @@
             c1 expect 200 answer=placed
         """)
 
-    async def test_a_declined_lease_is_offered_again_up_to_the_limit_and_then_refused(self):
+    async def test_a_declined_lease_is_offered_again_up_to_the_attempt_limit(self):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -123,7 +123,7 @@
     async def test_a_task_without_a_build_machine_is_refused_at_its_deadline(self):
         await self.play(f"c1 send POST tasks | {task('unsafe', left=200)}\nc1 expect 200 answer=refused")
 
-    async def test_a_renewal_after_the_expiry_is_cancelled_and_blocks_new_leases(self):
+    async def test_a_renewal_after_the_expiry_cancels_the_lease_and_blocks_new_ones(self):
         await self.place_task()
         held = next(iter(self.gateway.bots.registry.bots["b1"].leases.values()))
         held.expires = time.time() - 0.01
@@ -134,7 +134,7 @@
             p1 expect 200 leases=[]
         """)
 
-    async def test_a_machine_that_comes_back_lists_its_leases(self):
+    async def test_a_reconnected_machine_reports_its_leases_and_must_end_unknown_ones(self):
         await self.place_task()
         again = json.loads(bot("b1"))
         again["leases"] = [
@@ -153,18 +153,20 @@
         """)
 
     async def test_a_stale_session_is_rejected(self):
-        old = "p1 send PATCH $session | {}\np1 expect 404 error.details.0.fieldViolations.0.field=name"
+        stale_update = (
+            "p1 send PATCH $session | {}\np1 expect 404 error.details.0.fieldViolations.0.field=name"
+        )
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
             p2 send POST botSessions | {bot("b1")}
             p2 expect 200
-            {old}
+            {stale_update}
             p2 send PATCH $session | {{}}
             p2 expect 200
         """)
 
-    async def test_a_submitter_ends_its_task_and_the_puller_is_told(self):
+    async def test_a_task_deleted_by_its_submitter_is_cancelled_at_the_puller(self):
         await self.place_task()
         await self.play(f"""
             c1 send DELETE $task
@@ -176,15 +178,15 @@
             p1 send PATCH $session | {lease("CANCELLED")}
             p1 expect 200
         """)
-        await self.until(lambda: not self.gateway.core.requests, "the task was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request was removed")
 
-    async def test_a_submitter_that_hangs_up_gives_its_task_up(self):
+    async def test_a_submission_is_given_up_when_its_submitter_disconnects(self):
         await self.play(f"c1 send POST tasks | {task()}")
-        await self.until(lambda: self.gateway.core.unanswered, "the task is asked for")
+        await self.until(lambda: self.gateway.core.unanswered, "the request is pending")
         await self.play("c1 close")
-        await self.until(lambda: not self.gateway.core.requests, "the task was forgotten")
+        await self.until(lambda: not self.gateway.core.requests, "the request was removed")
 
-    async def test_a_machine_that_is_about_to_stop_gets_nothing_new(self):
+    async def test_a_terminating_machine_gets_no_new_lease(self):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -194,12 +196,12 @@
             c1 expect 200 answer=refused
         """)
 
-    async def test_a_planned_end_answers_what_was_submitted(self):
+    async def test_a_graceful_shutdown_answers_pending_submissions(self):
         await self.play(f"c1 send POST tasks | {task(left=400)}")
-        await self.until(lambda: self.gateway.core.unanswered, "the task is asked for")
+        await self.until(lambda: self.gateway.core.unanswered, "the request is pending")
         await asyncio.gather(self.gateway.end(), self.play("c1 expect 200 answer=refused\nc1 wait closed"))
 
-    async def test_bad_input_gets_a_4xx_that_names_the_field(self):
+    async def test_invalid_input_gets_a_4xx_that_names_the_field(self):
         field = "error.details.0.fieldViolations.0.field"
         bad = json.loads(bot("b1"))
         for path, body, code, name in (
@@ -237,33 +239,36 @@
 
 @dataclass
 class Run:
-    """One start of a task, as its puller records it."""
+    """One run of a task, as recorded by its puller. Times are in Unix seconds."""
 
     key: str
     cls: str
     hall: str
-    began: float
+    started: float
     ended: float = float("inf")
 
 
-def faults(runs):
-    """What the pullers' own records tell of broken rules."""
+def violations(runs):
+    """Return the violations in the pullers' records: second starts of unsafe tasks, and overlapping runs."""
     found, by_key = [], {}
-    for run in sorted(runs, key=lambda run: run.began):
+    for run in sorted(runs, key=lambda run: run.started):
         by_key.setdefault(run.key, []).append(run)
-    for key, mine in by_key.items():
-        if mine[0].cls == "unsafe" and len(mine) > 1:
-            found.append(f"{key}: started {len(mine)} times")
-        found += [f"{key}: two at a time" for a, b in pairwise(mine) if b.began < a.ended]
+    for key, key_runs in by_key.items():
+        if key_runs[0].cls == "unsafe" and len(key_runs) > 1:
+            found.append(f"{key}: started {len(key_runs)} times")
+        found += [f"{key}: overlapping runs" for a, b in pairwise(key_runs) if b.started < a.ended]
     return found
 
 
 class Puller:
-    """A stand-in build machine. `alive` is one life of its process; runs may outlast a life gone silent."""
+    """A simulated build machine.
+
+    `run_process` is one run of its process. If the process only loses its connection, its tasks continue.
+    """
 
-    def __init__(self, address, name, hall, rnd, runs):
-        self.address, self.name, self.hall, self.rnd, self.runs = address, name, hall, rnd, runs
-        self.held, self.killed = {}, 0  # the leases that run here: run, when it is done, expiry
+    def __init__(self, address, name, hall, rng, runs):
+        self.address, self.name, self.hall, self.rng, self.runs = address, name, hall, rng, runs
+        self.held, self.killed_runs = {}, 0  # by lease id: run, time of completion, expiry
 
     async def call(self, client, method, path, body, **headers):
         client.send(method, path, headers, body)
@@ -273,8 +278,8 @@
         run, *_ = self.held.pop(id)
         run.ended = at or time.time()
 
-    async def work(self):
-        """The runs end when they are done, or when their lease expires, whatever the network does."""
+    async def end_runs(self):
+        """End runs when they are done or their lease expires, regardless of the connection."""
         while True:
             await asyncio.sleep(0.004)
             for id, (run, done, expires) in list(self.held.items()):
@@ -283,109 +288,113 @@
                     if run.ended >= expires:
                         del self.held[id]
 
-    async def forever(self):
+    async def run_repeatedly(self):
         keep = False
         while True:
-            life = asyncio.create_task(self.alive(keep))
-            await asyncio.wait([life], timeout=self.rnd.uniform(0.1, 0.9))
-            life.cancel()
-            await asyncio.wait([life])
+            process = asyncio.create_task(self.run_process(keep))
+            await asyncio.wait([process], timeout=self.rng.uniform(0.1, 0.9))
+            process.cancel()
+            await asyncio.wait([process])
             busy = sum(run.ended == float("inf") for run, *_ in self.held.values())
-            self.killed += busy
-            if self.rnd.random() < 0.5:  # the process dies, and its tasks with it
+            self.killed_runs += busy
+            if self.rng.random() < 0.5:  # the process and its tasks are killed
                 for id in list(self.held):
                     if self.held[id][0].ended == float("inf"):
                         self.stop(id)
                 self.held.clear()
                 keep = False
-            else:  # it goes silent: what runs there runs on, up to its expiry
-                keep = self.rnd.random() < 0.5
-            await asyncio.sleep(self.rnd.uniform(0, 0.5))
-            if not keep:  # a new process that knows nothing of what may still run
+            else:  # the machine loses its connection: its tasks continue up to the expiry of their leases
+                keep = self.rng.random() < 0.5
+            await asyncio.sleep(self.rng.uniform(0, 0.5))
+            if not keep:  # a new process does not know the tasks that may still run
                 orphans, self.held = self.held, {}
-                asyncio.get_running_loop().create_task(self.run_out(orphans))
+                asyncio.get_running_loop().create_task(self.end_orphans(orphans))
 
-    async def run_out(self, orphans):
+    async def end_orphans(self, orphans):
         for run, done, expires in sorted(orphans.values(), key=lambda held: min(held[1:])):
             while time.time() < min(done, expires):
                 await asyncio.sleep(0.004)
             run.ended = min(run.ended, time.time())
 
-    async def alive(self, keep):
+    async def run_process(self, keep):
         client = Client()
         try:
             await client.open(self.address)
             body = json.loads(bot(self.name, self.hall))
-            body["leases"] = self.listed()
-            _, said = await self.call(client, "POST", "botSessions", json.dumps(body))
-            while "error" not in said:
-                for one in said["leases"]:
-                    self.take(one)
-                listed = self.listed()
-                code, said = await self.call(
-                    client, "PATCH", said["name"], json.dumps({"leases": listed}), **{"X-Server-Timeout": "9"}
+            body["leases"] = self.report()
+            _, reply = await self.call(client, "POST", "botSessions", json.dumps(body))
+            while "error" not in reply:
+                for entry in reply["leases"]:
+                    self.apply_lease(entry)
+                report = self.report()
+                code, reply = await self.call(
+                    client,
+                    "PATCH",
+                    reply["name"],
+                    json.dumps({"leases": report}),
+                    **{"X-Server-Timeout": "9"},
                 )
-                if code == 200:  # the ends have been heard: they need not be told again
-                    for one in listed:
-                        if one["state"] != "ACTIVE":
-                            self.held.pop(one["id"], None)
+                if code == 200:  # the gateway has received the ends: they are not reported again
+                    for entry in report:
+                        if entry["state"] != "ACTIVE":
+                            self.held.pop(entry["id"], None)
         except (OSError, TimeoutError):
             pass
         finally:
             client.reset()
 
-    def listed(self):
+    def report(self):
         return [
             {"id": id, "state": "ACTIVE" if run.ended == float("inf") else "COMPLETED"}
             for id, (run, *_) in self.held.items()
         ]
 
-    def take(self, one):
-        if one["state"] == "CANCELLED":
-            if one["id"] in self.held:
-                run = self.held[one["id"]][0]
+    def apply_lease(self, entry):
+        if entry["state"] == "CANCELLED":
+            if entry["id"] in self.held:
+                run = self.held[entry["id"]][0]
                 run.ended = min(run.ended, time.time())
             return
-        expires = datetime.fromisoformat(one["expireTime"]).timestamp()
-        if one["state"] == "PENDING" and one["id"] not in self.held and time.time() < expires:
-            run = Run(one["payload"]["key"], one["payload"]["class"], self.hall, time.time())
+        expires = datetime.fromisoformat(entry["expireTime"]).timestamp()
+        if entry["state"] == "PENDING" and entry["id"] not in self.held and time.time() < expires:
+            run = Run(entry["payload"]["key"], entry["payload"]["class"], self.hall, time.time())
             self.runs.append(run)
-            self.held[one["id"]] = [run, time.time() + self.rnd.uniform(0.02, 0.5), expires]
-        elif one["id"] in self.held:
-            self.held[one["id"]][2] = expires
+            self.held[entry["id"]] = [run, time.time() + self.rng.uniform(0.02, 0.5), expires]
+        elif entry["id"] in self.held:
+            self.held[entry["id"]][2] = expires
 
 
-class ThousandRuns(PullQueueScenario):
+class KilledPullers(PullQueueScenario):
     timing: ClassVar = {"lease": 0.3, "grace": 0.1, "session": 0.8, "pickup": 0.12, "poll": 0.1, "settle": 0}
 
-    async def test_pullers_killed_mid_task_never_have_two_attempts_out_together(self):
-        rnd, runs, answers = random.Random(11), [], {"placed": 0, "refused": 0, "failed": 0}
+    async def test_killed_pullers_never_run_two_attempts_of_a_task_at_the_same_time(self):
+        rng, runs, answers = random.Random(11), [], {"placed": 0, "refused": 0, "failed": 0}
         pullers = [
             Puller(self.gateway.listener.address, f"b{n}", ("east", "west")[n % 2], random.Random(n), runs)
             for n in range(8)
         ]
-        tasks = [asyncio.create_task(work()) for p in pullers for work in (p.forever, p.work)]
+        tasks = [asyncio.create_task(job()) for p in pullers for job in (p.run_repeatedly, p.end_runs)]
         keys = iter(range(1, 100_000))
 
         async def submitter():
-            """Asks for one task after the other; after a bad end it asks again at once, by the same key."""
+            """Submit one task after the other; after an unsuccessful end, retry at once with the same key."""
             client = Client()
             await client.open(self.gateway.listener.address)
-            while len(runs) < 1000 or sum(p.killed for p in pullers) < 50:
-                key, cls = f"{next(keys):x}", rnd.choice(("safe", "keyed", "unsafe"))
+            while len(runs) < 1000 or sum(p.killed_runs for p in pullers) < 50:
+                key, cls = f"{next(keys):x}", rng.choice(("safe", "keyed", "unsafe"))
                 for _ in range(3):
-                    client.send("POST", "tasks", {}, task(cls, key, left=rnd.choice((250, 600, 1500))))
-                    code, said = await asyncio.wait_for(client.heard.get(), LONG)
-                    self.assertEqual(200, code, said)
-                    answers[said["answer"]] += 1
-                    if said["answer"] == "refused":
-                        await asyncio.sleep(min(said["waitMs"] / 1000, 0.1) * rnd.random())
-                    elif said["answer"] == "placed":
+                    client.send("POST", "tasks", {}, task(cls, key, left=rng.choice((250, 600, 1500))))
+                    code, reply = await asyncio.wait_for(client.heard.get(), LONG)
+                    self.assertEqual(200, code, reply)
+                    answers[reply["answer"]] += 1
+                    if reply["answer"] == "refused":
+                        await asyncio.sleep(min(reply["waitMs"] / 1000, 0.1) * rng.random())
+                    elif reply["answer"] == "placed":
                         state = "PLACED"
                         while state == "PLACED":
-                            client.send("GET", said["name"], {"X-Server-Timeout": "9"}, "")
-                            _, said = await asyncio.wait_for(client.heard.get(), LONG)
-                            state = said["state"]
+                            client.send("GET", reply["name"], {"X-Server-Timeout": "9"}, "")
+                            _, reply = await asyncio.wait_for(client.heard.get(), LONG)
+                            state = reply["state"]
                         if state == "DONE":
                             break
             client.reset()
@@ -393,7 +402,7 @@
         await asyncio.gather(*(submitter() for _ in range(40)))
         for running in tasks:
             running.cancel()
-        self.assertEqual([], faults(runs))
+        self.assertEqual([], violations(runs))
         self.assertGreaterEqual(len(runs), 1000)
         self.assertTrue(all(answers.values()), answers)
         await self.until(lambda: not self.gateway.core.requests, "every request and attempt has ended")
@@ -401,11 +410,11 @@
 
 
 class Expiry(PullQueueScenario):
-    """What waits for the end of a lease or of a pickup; nothing in it fails for being slow."""
+    """Scenarios that wait for the expiry of a lease or of an offer. A slow machine can't make them fail."""
 
     timing: ClassVar = {**TIMING, "lease": 2.0, "pickup": 0.4, "poll": 0.3}
 
-    async def test_an_offer_that_nobody_picks_up_never_ran_and_may_be_refused(self):
+    async def test_an_offer_that_is_not_picked_up_is_refused_and_its_key_stays_usable(self):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -416,7 +425,7 @@
             p1 expect 200 leases.0.state=PENDING
         """)
 
-    async def test_an_unsafe_task_once_handed_out_to_a_machine_gone_silent_never_goes_out_again(self):
+    async def test_an_unsafe_task_handed_out_to_a_lost_machine_is_never_handed_out_again(self):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -433,8 +442,9 @@
             p2 expect 200 leases=[]
         """)
 
-    async def test_a_key_waits_for_the_lease_that_may_still_run(self):
-        """Guards against two copies: the owner is answered at its deadline, the lease runs on after it."""
+    async def test_a_key_is_refused_while_its_lease_may_still_run(self):
+        """Guards against two copies of a task: its submitter is answered at the deadline, while the lease of
+        the task continues after that."""
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -445,7 +455,7 @@
             c1 send POST tasks | {task("keyed")}
             c1 expect 200 answer=refused
         """)
-        await self.until(lambda: not self.gateway.bots.registry.bots["b1"].leases, "the lease ran out")
+        await self.until(lambda: not self.gateway.bots.registry.bots["b1"].leases, "the lease has expired")
         await self.play(f"""
             c1 send POST tasks | {task("keyed")}
             p1 send PATCH $session X-Server-Timeout=9 | {{}}
@@ -453,19 +463,19 @@
         """)
 
 
-class ShortSessions(PullQueueScenario):
+class SessionExpiry(PullQueueScenario):
     timing: ClassVar = {**TIMING, "session": 0.2}
 
-    async def test_a_session_without_updates_runs_out(self):
+    async def test_a_session_without_updates_expires(self):
         await self.play(f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
-        await self.until(lambda: not self.gateway.bots.registry.by_session, "the session ran out")
+        await self.until(lambda: not self.gateway.bots.registry.by_session, "the session has expired")
         await self.play("p1 send PATCH $session | {}\np1 expect 404")
 
 
 class Restarts(PullQueueScenario):
     timing: ClassVar = {**TIMING, "settle": 30}
 
-    async def test_nothing_goes_out_while_leases_of_a_former_gateway_may_still_run(self):
+    async def test_no_lease_is_handed_out_while_leases_of_a_former_run_may_be_active(self):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -476,8 +486,8 @@
         """)
 
 
-class Judge(unittest.TestCase):
-    def test_a_key_handed_out_once_is_known_after_a_restart(self):
+class LedgerAndChecker(unittest.TestCase):
+    def test_a_spent_key_is_known_after_a_restart(self):
         cls = config.settings_from_json(SETTINGS).classes[2]
         with tempfile.TemporaryDirectory() as folder:
             for expected in (None, KeyRejection.SPENT):
@@ -489,10 +499,10 @@
                     ledger.record_handout(Lease("leases/1", 1, handed, 0, None), cls)
                 ledger.close()
 
-    def test_a_message_to_a_lease_whose_request_is_not_there_yet_is_dropped(self):
+    def test_a_message_to_a_restored_lease_without_a_lifecycle_is_dropped(self):
         NullReceiver().deliver(object())
 
-    def test_a_machine_without_leases_has_nothing_reserved(self):
+    def test_a_machine_without_leases_has_no_reserved_capacity(self):
         bot = Bot("b1", 1, 8.0, 64.0, 0, 0)
         leases = [Lease(f"leases/{n}", 1, ports.Task(n, 0, 1, 0.1 * n, 0.3, 0), 0, None) for n in (1, 2)]
         for lease in leases:
@@ -502,12 +512,14 @@
             bot.remove(lease)
         self.assertEqual(((0.0, 0.0), {}, {}, {}), (bot.reserved, bot.leases, bot.offered, bot.by_task))
 
-    def test_the_judge_sees_overlaps_and_second_starts(self):
+    def test_the_checker_finds_overlaps_and_second_starts(self):
         twice = [Run("a", "safe", "east", 1.0, 3.0), Run("a", "safe", "west", 2.0, 4.0)]
         again = [Run("b", "unsafe", "east", 1.0, 2.0), Run("b", "unsafe", "east", 3.0, 4.0)]
         never_ended = [Run("c", "safe", "east", 1.0), Run("c", "safe", "east", 9.0, 9.5)]
-        self.assertEqual(3, len(faults(twice + again + never_ended)))
-        self.assertEqual([], faults([Run("a", "safe", "east", 1.0, 2.0), Run("a", "safe", "west", 2.0, 4.0)]))
+        self.assertEqual(3, len(violations(twice + again + never_ended)))
+        self.assertEqual(
+            [], violations([Run("a", "safe", "east", 1.0, 2.0), Run("a", "safe", "west", 2.0, 4.0)])
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,5 +1,4 @@
-"""The pull queue over a restart: what is out goes on, answers are heard again, and broken stores are
-named."""
+"""The pull queue over a restart: leases continue, answers are repeated, corrupt stores are rejected."""
 
 import asyncio
 import contextlib
@@ -13,7 +12,7 @@
 from typing import ClassVar
 
 from scenario import SETTINGS, Client, Scenario
-from test_pullqueue import Run, bot, faults, lease, task
+from test_pullqueue import Run, bot, lease, task, violations
 
 from weldhatch import config
 from weldhatch.client import Api, ApiError, BuildMachine, Outcome, Submitter, Task
@@ -25,7 +24,7 @@
 
 
 class StoredQueueScenario(Scenario):
-    """A gateway with a store; `again` kills it and starts the next one on the same folder."""
+    """A gateway with a store; `restart` kills it and starts the next one on the same folder."""
 
     newcomer = Client
     timing: ClassVar = {"lease": 30, "grace": 0.2, "session": 60, "pickup": 10, "poll": 10, "settle": 0}
@@ -40,7 +39,7 @@
     def start_gateway(self, **more):
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue_config(
+        file_config = config.pull_queue_config(
             {
                 "enabled": True,
                 "listen": "127.0.0.1:0",
@@ -49,7 +48,7 @@
                 "settings": settings,
             }
         )
-        self.gateway = PullQueue(told, Policy(told.settings, 5), self.logged.append)
+        self.gateway = PullQueue(file_config, Policy(file_config.settings, 5), self.logged.append)
 
     async def restart(self, **more):
         await self.gateway.storage.flush()
@@ -74,7 +73,7 @@
 
 
 class Restarts(StoredQueueScenario):
-    async def test_a_lease_goes_on_and_its_end_is_told_under_the_old_name(self):
+    async def test_a_lease_survives_a_restart_and_its_end_is_reported_under_the_old_name(self):
         held, name = await self.place_task()
         await self.restart()
         await self.play(f"""
@@ -102,8 +101,8 @@
         await self.play(f"c3 send POST tasks | {task('unsafe')}\nc3 expect 200 answer=failed")
         assert held not in self.gateway.storage.state.leases
 
-    async def test_a_machine_whose_leases_are_all_known_gets_work_at_once(self):
-        """`settle` is for a first start only."""
+    async def test_a_restored_gateway_hands_out_leases_without_the_settle_time(self):
+        """The `settle` time applies only to the first start with a store."""
         held, _ = await self.place_task()
         holding = json.dumps({"leases": [{"id": held, "state": "ACTIVE"}]})
         await self.restart(settle=30)
@@ -115,7 +114,7 @@
             p2 expect 200 leases.1.state=PENDING leases.1.payload.key=b2
         """)
 
-    async def test_a_lease_that_nobody_comes_back_with_ends_at_its_expiry(self):
+    async def test_a_restored_lease_that_is_never_renewed_ends_at_its_expiry(self):
         _, name = await self.place_task("safe")
         await self.restart(lease=0.5, poll=0.2)
         await self.play(
@@ -123,7 +122,7 @@
             "c2 expect 200 done=True metadata.state=LOST error.code=10"
         )
 
-    async def test_a_machine_that_stopped_a_lease_while_nobody_was_there_says_so(self):
+    async def test_a_lease_cancelled_during_the_restart_is_reported_as_lost(self):
         held, name = await self.place_task("safe")
         await self.restart()
         await self.play(f"""
@@ -133,7 +132,7 @@
             c2 expect 200 state=LOST
         """)
 
-    async def test_a_lease_handed_out_and_not_begun_is_answered_by_the_next_gateway(self):
+    async def test_a_lease_that_starts_after_the_restart_is_answered_by_the_next_run(self):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -150,7 +149,7 @@
             c2 expect 200 answer=placed botId=b1
         """)
 
-    async def test_an_answer_that_was_lost_is_heard_again_by_its_request_id(self):
+    async def test_a_retry_with_the_same_request_id_gets_the_same_answer(self):
         _, name = await self.place_task(requestId="r-7")
         await self.play(
             f"c2 send POST tasks | {task('unsafe', requestId='r-7')}\nc2 expect 200 answer=placed name={name}"
@@ -163,7 +162,7 @@
             c3 expect 409 error.details.0.fieldViolations.0.field=requestId
         """)
 
-    async def test_a_submission_that_never_left_is_asked_for_anew_where_somebody_may_come(self):
+    async def test_a_submission_without_a_lease_is_requested_again_if_its_answer_can_be_fetched(self):
         await self.play(
             f"c1 send POST operations | {task('unsafe')}\nc1 expect 200 done=False metadata.state=ASKED"
         )
@@ -175,7 +174,7 @@
             p2 expect 200 leases.0.state=PENDING leases.0.payload.key=a1
         """)
 
-    async def test_a_late_end_of_a_lease_whose_submission_was_answered_frees_its_key(self):
+    async def test_a_late_end_of_the_lease_of_an_answered_submission_frees_its_key(self):
         await self.play(f"""
             p1 send POST botSessions | {bot("b1")}
             p1 expect 200
@@ -197,7 +196,8 @@
         """)
 
     async def test_restarts_do_not_keep_the_lease_of_a_dead_machine_alive(self):
-        """Each start gives what was seen in the last epoch one lease more, and what was not nothing."""
+        """A restart extends only leases that were renewed in the last epoch. Otherwise repeated restarts
+        would extend the lease of a dead machine without end."""
         await self.place_task("safe")
         await self.restart(lease=1.0, poll=0.3)
         [first] = [one.expires for one in self.gateway.bots.leases.handed_out()]
@@ -213,11 +213,12 @@
         [later] = [one.expires for one in self.gateway.bots.leases.handed_out()]
         self.assertGreater(later, first)
 
-    async def test_a_lease_that_was_written_and_did_not_leave_keeps_no_key(self):
-        """Its machine goes away while the disk is waited for, and its submitter then gives it up."""
+    async def test_a_stored_lease_that_was_not_sent_leaves_its_key_unused(self):
+        """The machine disconnects while the record of the lease is written, and the submitter then gives the
+        task up. The key would stay spent, although the task never ran."""
         kept, written = self.gateway.storage.append, asyncio.Event()
 
-        def slow(*records):
+        def append_slowly(*records):
             done = asyncio.get_running_loop().create_future()
 
             async def later():
@@ -225,7 +226,7 @@
                 written.set()
                 await self.parties["p1"].closed.wait()
                 await self.until(
-                    lambda: not self.gateway._links or len(self.gateway._links) == 1, "p1 has gone"
+                    lambda: not self.gateway._links or len(self.gateway._links) == 1, "p1 has disconnected"
                 )
                 done.set_result(None)
 
@@ -234,11 +235,11 @@
 
         await self.play(f"p1 send POST botSessions | {bot('b1')}\np1 expect 200")
         await self.play("p1 send PATCH $session X-Server-Timeout=9 | {}")
-        self.gateway.storage.append = slow
+        self.gateway.storage.append = append_slowly
         await self.play(f"c1 send POST tasks | {task('unsafe')}")
         await asyncio.wait_for(written.wait(), 20)
         await self.play("p1 close\np1 wait closed")
-        await self.until(lambda: self.job.done(), "the disk has answered")
+        await self.until(lambda: self.job.done(), "the record is written")
         await self.play("c1 close")
         await self.until(lambda: not self.gateway.core.requests, "the task was given up")
         self.gateway.storage.append = kept
@@ -247,8 +248,8 @@
         assert not self.gateway.storage.state.leases
 
 
-class Stores(StoredQueueScenario):
-    async def test_an_older_copy_of_the_store_gives_nothing_out(self):
+class StoreFaults(StoredQueueScenario):
+    async def test_an_older_copy_of_the_store_hands_out_no_lease(self):
         copy = self.folder / "copy"
         await self.gateway.storage.flush()
         shutil.copytree(self.store, copy)
@@ -268,15 +269,15 @@
         """)
         self.assertIn("older copy", " ".join(self.logged))
 
-    async def test_a_session_of_a_later_gateway_shows_an_older_store_too(self):
+    async def test_a_session_name_of_a_later_epoch_reveals_an_older_store(self):
         await self.play("p1 send PATCH botSessions/99.abcd-1 | {}\np1 expect 503")
 
-    async def test_a_second_gateway_on_one_store_is_refused(self):
+    async def test_a_second_gateway_on_the_same_store_is_rejected(self):
         with self.assertRaisesRegex(config.ConfigError, "store: .*held by a gateway"):
             self.start_gateway()
 
-    async def test_a_torn_record_never_left_and_its_lease_is_ended(self):
-        """The last record is cut as a crash cuts it: the lease it told of was not on the wire."""
+    async def test_the_lease_of_a_torn_record_is_cancelled(self):
+        """The last record is torn, as by a crash. Its lease was not sent, since records are written first."""
         held, _ = await self.place_task("safe")
         await self.gateway.storage.flush()
         self.gateway.abort()
@@ -290,7 +291,7 @@
         )
         self.assertIn("no whole record", " ".join(self.logged))
 
-    async def test_a_flipped_bit_is_named_and_nothing_starts(self):
+    async def test_a_flipped_bit_prevents_the_start_and_its_position_is_named(self):
         await self.place_task("safe")
         await self.gateway.storage.flush()
         self.gateway.abort()
@@ -303,21 +304,21 @@
         path.write_bytes(b"WHLOG1\r\n")
         self.start_gateway()
 
-    async def test_a_full_disk_refuses_new_work_loses_none_and_goes_on(self):
+    async def test_a_full_disk_rejects_new_work_without_losing_existing_work(self):
         held, name = await self.place_task("safe")
-        log, whole = self.gateway.storage._store._log, Log.append
+        log, original_append = self.gateway.storage._store._log, Log.append
 
-        def full(payloads):
+        def fail_append(payloads):
             raise LogError("No space left on device")
 
-        log.append = full
+        log.append = fail_append
         p1 = json.dumps({"leases": [{"id": held, "state": "ACTIVE"}]})
         await self.play(
             f"c2 send POST tasks | {task('unsafe', 'b2', left=400)}\np1 send PATCH $session "
             f"X-Server-Timeout=9 | {p1}\n"
             "p1 expect 200 leases.0.state=ACTIVE\nc2 expect 200 answer=refused"
         )
-        assert 0xB2 not in self.gateway._ledger._spent  # it never left
+        assert 0xB2 not in self.gateway._ledger._spent  # the lease was never sent
         await self.play(f"""
             c2 send POST tasks | {task("unsafe", "b3")}
             c2 expect 503 error.details.0.fieldViolations.0.field=store
@@ -326,14 +327,14 @@
             c2 send GET {name}
             c2 expect 200 state=DONE
         """)
-        log.append = lambda payloads: whole(log, payloads)
-        await self.until(lambda: not self.gateway.storage.write_error, "there is room again")
+        log.append = lambda payloads: original_append(log, payloads)
+        await self.until(lambda: not self.gateway.storage.write_error, "the store accepts records again")
         await self.restart()
         await self.play(f"c3 send GET {name}\nc3 expect 200 state=DONE")
 
 
 class Compaction(StoredQueueScenario):
-    async def test_the_log_is_cut_down_while_the_gateway_serves(self):
+    async def test_the_log_is_compacted_while_the_gateway_serves(self):
         before = folded.COMPACTION_SLACK_RECORDS, folded.COMPACTION_FACTOR
         folded.COMPACTION_SLACK_RECORDS, folded.COMPACTION_FACTOR = 30, 1
         try:
@@ -360,14 +361,14 @@
         assert held in self.gateway.storage.state.leases
 
 
-class Folds(Scenario):
+class StateFolding(Scenario):
     async def asyncSetUp(self):
         pass
 
     async def asyncTearDown(self):
         pass
 
-    async def test_a_snapshot_folds_to_the_same(self):
+    async def test_a_snapshot_folds_to_the_same_state(self):
         state = durable_state.QueueState()
         for record in (
             ("epoch", 3, "ab", 0),
@@ -404,7 +405,7 @@
             with self.assertRaises(ValueError):
                 state.apply(bad)
 
-    async def test_epochs_are_told_from_names(self):
+    async def test_names_of_later_epochs_are_recognized(self):
         self.assertEqual((7, "3fa0"), durable_state.epoch_of("leases/7.3fa0-12"))
         self.assertIsNone(durable_state.epoch_of("leases/18c2-12"))
         self.assertEqual("", durable_state.find_later_name(["leases/7.aa-1", "x", "leases/8.bb-1"], 8, "bb"))
@@ -412,15 +413,15 @@
         self.assertEqual("leases/9.bb-1", durable_state.find_later_name(["leases/9.bb-1"], 8, "bb"))
 
 
-class Storm(StoredQueueScenario):
-    """Machines and the gateway are killed at any moment, over and over; the judge reads what the machines
-    did."""
+class RandomKills(StoredQueueScenario):
+    """Machines and the gateway are killed again and again at random times; the machines' records are checked
+    for second starts and overlapping runs."""
 
     timing: ClassVar = {"lease": 1.2, "grace": 0.3, "session": 5, "pickup": 1, "poll": 0.3, "settle": 0}
     runs_wanted = 200
 
-    async def test_no_second_start_and_one_answer_whatever_is_killed(self):
-        rnd, runs, answers, kills = random.Random(7), [], {}, Counter()
+    async def test_random_kills_cause_no_second_start_and_no_second_answer(self):
+        rng, runs, answers, kills = random.Random(7), [], {}, Counter()
         self.fixed = self.gateway.listener.address
         address = f"http://127.0.0.1:{self.fixed[1]}"
         done = asyncio.Event()
@@ -429,7 +430,7 @@
             own = Run(lease.payload["key"], lease.payload["class"], hall, time.time())
             runs.append(own)
             try:
-                await asyncio.sleep(rnd.choice((0.02, 0.1, 0.5)))
+                await asyncio.sleep(rng.choice((0.02, 0.1, 0.5)))
                 return Outcome()
             finally:
                 own.ended = time.time()
@@ -446,8 +447,8 @@
                         poll_s=0.3,
                     )
                     serving = asyncio.ensure_future(one.serve())
-                    await asyncio.wait([serving], timeout=rnd.uniform(0.2, 5.0))
-                    serving.cancel()  # killed: what it ran has stopped, and nobody is told
+                    await asyncio.wait([serving], timeout=rng.uniform(0.2, 5.0))
+                    serving.cancel()  # killed: its tasks stop without a report
                     await asyncio.gather(serving, return_exceptions=True)
                     kills["machine"] += 1
 
@@ -457,20 +458,20 @@
                 while not done.is_set():
                     serial += 1
                     asked = Task(
-                        rnd.choice(("safe", "keyed", "unsafe")),
+                        rng.choice(("safe", "keyed", "unsafe")),
                         key=f"{n:x}{serial:04x}",
-                        left_s=rnd.choice((0.5, 1.5)),
+                        left_s=rng.choice((0.5, 1.5)),
                     )
-                    with contextlib.suppress(ApiError):  # nobody answered in its time
+                    with contextlib.suppress(ApiError):  # no answer in time
                         answer = await submitter.submit(asked)
                         if answer.name:
                             self.assertEqual(answer.answer, answers.setdefault(answer.name, answer.answer))
 
         async def killer():
             while not done.is_set():
-                await asyncio.sleep(rnd.uniform(0.05, 1.6))
-                self.gateway.abort()  # records that were not written yet are gone
-                await asyncio.sleep(rnd.choice((0.0, 0.1, 0.4)))
+                await asyncio.sleep(rng.uniform(0.05, 1.6))
+                self.gateway.abort()  # records that are not written yet are lost
+                await asyncio.sleep(rng.choice((0.0, 0.1, 0.4)))
                 self.start_gateway()
                 kills["gateway"] += 1
 
@@ -487,7 +488,7 @@
         for job in jobs:
             job.cancel()
         await asyncio.gather(*jobs, return_exceptions=True)
-        self.assertEqual([], faults(runs))
+        self.assertEqual([], violations(runs))
         self.assertGreaterEqual(kills["machine"], 6)
         self.assertFalse([line for line in self.logged if "fault" in line or "failed on" in line])
 
@@ -495,7 +496,7 @@
         listen = "127.0.0.1:{}".format(self.fixed[1] if hasattr(self, "fixed") else 0)
         settings = json.loads(json.dumps(SETTINGS))
         settings["extra"] |= {"cpuBooking": 1, "memBooking": 1}
-        told = config.pull_queue_config(
+        file_config = config.pull_queue_config(
             {
                 "enabled": True,
                 "listen": listen,
@@ -504,4 +505,4 @@
                 "settings": settings,
             }
         )
-        self.gateway = PullQueue(told, Policy(told.settings, 5), self.logged.append)
+        self.gateway = PullQueue(file_config, Policy(file_config.settings, 5), self.logged.append)
