--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -200,29 +200,29 @@
         would extend the lease of a dead machine without end."""
         await self.place_task("safe")
         await self.restart(lease=1.0, poll=0.3)
-        [first] = [one.expires for one in self.gateway.bots.leases.handed_out()]
+        [first] = [lease.expires for lease in self.gateway.bots.leases.handed_out()]
         for _ in range(3):
             await self.restart(lease=1.0, poll=0.3)
-            [again] = [one.expires for one in self.gateway.bots.leases.handed_out()]
-            self.assertEqual(first, again)
+            [restored] = [lease.expires for lease in self.gateway.bots.leases.handed_out()]
+            self.assertEqual(first, restored)
         held = self.gateway.bots.leases.handed_out()[0].id
         await self.play(
             f"p2 send POST botSessions | {self.session_body(held)}\np2 expect 200 leases.0.state=ACTIVE"
         )
         await self.restart(lease=1.0, poll=0.3)
-        [later] = [one.expires for one in self.gateway.bots.leases.handed_out()]
+        [later] = [lease.expires for lease in self.gateway.bots.leases.handed_out()]
         self.assertGreater(later, first)
 
     async def test_a_stored_lease_that_was_not_sent_leaves_its_key_unused(self):
         """The machine disconnects while the record of the lease is written, and the submitter then gives the
         task up. The key would stay spent, although the task never ran."""
-        kept, written = self.gateway.storage.append, asyncio.Event()
+        original_append, written = self.gateway.storage.append, asyncio.Event()
 
         def append_slowly(*records):
             done = asyncio.get_running_loop().create_future()
 
             async def later():
-                await kept(*records)
+                await original_append(*records)
                 written.set()
                 await self.parties["p1"].closed.wait()
                 await self.until(
@@ -242,7 +242,7 @@
         await self.until(lambda: self.job.done(), "the record is written")
         await self.play("c1 close")
         await self.until(lambda: not self.gateway.core.requests, "the task was given up")
-        self.gateway.storage.append = kept
+        self.gateway.storage.append = original_append
         await self.gateway.storage.flush()
         assert not self.gateway._ledger._leased and not self.gateway._ledger._spent
         assert not self.gateway.storage.state.leases
--- a/weldhatch/pullqueue/http.py
+++ b/weldhatch/pullqueue/http.py
@@ -301,9 +301,9 @@
 
     async def _reject_malformed(self) -> None:
         """Finish the requests received before a malformed one, then send its error and close."""
-        working = self._worker
-        if working is not None:
-            await asyncio.wait([working], timeout=PENDING_ANSWERS_TIMEOUT_S)
+        worker = self._worker
+        if worker is not None:
+            await asyncio.wait([worker], timeout=PENDING_ANSWERS_TIMEOUT_S)
         if self._error is not None:
             self.connection.send(encode_error(self._error))
             await self.connection.linger(LAST_ANSWER_TIMEOUT_S)
--- a/weldhatch/pullqueue/operations.py
+++ b/weldhatch/pullqueue/operations.py
@@ -86,7 +86,7 @@
 
         The query's `filter` has clauses on state, class, tenant, key and done, joined by AND.
         """
-        wanted = read_filter(request.query.get("filter", ""))
+        clauses = read_filter(request.query.get("filter", ""))
         size = self._page_size(request.query.get("pageSize", ""))
         after = decode_page_token(request.query.get("pageToken", ""))
         names, result = sorted(self._tasks.known, key=creation_order), []
@@ -101,7 +101,7 @@
         for name in names[start:]:
             with contextlib.suppress(HttpError):  # skips other tenants' tasks
                 operation_json = self.operation_json(self._tasks.find(name, request.caller))
-                if all(clause_matches(operation_json, *clause) for clause in wanted):
+                if all(clause_matches(operation_json, *clause) for clause in clauses):
                     result.append(operation_json)
             if len(result) > size:
                 break
--- a/weldhatch/pullqueue/workers.py
+++ b/weldhatch/pullqueue/workers.py
@@ -105,16 +105,16 @@
     """
     assigned: dict[int, int] = {}
 
-    def assign(at: int, visited: set[int]) -> bool:
+    def assign(index: int, visited: set[int]) -> bool:
         for n, device in enumerate(available):
-            if n not in visited and required[at] <= device:
+            if n not in visited and required[index] <= device:
                 visited.add(n)
                 if n not in assigned or assign(assigned[n], visited):
-                    assigned[n] = at
+                    assigned[n] = index
                     return True
         return False
 
-    return all(assign(at, set()) for at in range(len(required)))
+    return all(assign(index, set()) for index in range(len(required)))
 
 
 class MatchingMachines(Container[int]):
