--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -304,7 +304,7 @@
         self.assertEqual(401, caught.exception.code)
 
     async def test_a_caller_at_its_limit_of_calls_in_flight_gets_429_and_others_are_served(self):
-        self.gateway._quotas.most_per_caller = 2
+        self.gateway._quotas.max_per_caller = 2
         north, _ = self.token("ci", tokens.Role.SUBMITTER, "north")
         south, _ = self.token("ci", tokens.Role.SUBMITTER, "south")
         limited, other = (Submitter(self.api_with_certificate("ci", token=token)) for token in (north, south))
--- a/tests/test_cluster_processes.py
+++ b/tests/test_cluster_processes.py
@@ -156,18 +156,18 @@
 
     async def test_a_plan_applied_at_one_gateway_becomes_a_version_of_all(self):
         cluster = await self.start_cluster(3)
-        gateway = reconfiguration.Gateway(("127.0.0.1", cluster.nodes["g1"].control))
+        gateway = reconfiguration.ControlClient(("127.0.0.1", cluster.nodes["g1"].control))
         applied = await asyncio.to_thread(gateway.applied)
-        plan = reconfiguration.make(applied, {**applied, "settings": settings(limits__mostTries=2)})
+        plan = reconfiguration.make_plan(applied, {**applied, "settings": settings(limits__mostTries=2)})
         result = await asyncio.to_thread(gateway.apply, plan)
         self.assertEqual((result["applied"], result["version"], result["restarting"]), (1, 2, False))
         await asyncio.gather(*(cluster.active(name, 2) for name in cluster.nodes))
-        other = reconfiguration.Gateway(("127.0.0.1", cluster.nodes["g2"].control))
+        other = reconfiguration.ControlClient(("127.0.0.1", cluster.nodes["g2"].control))
         now_applied = await asyncio.to_thread(other.applied)
         self.assertEqual(now_applied["settings"]["limits"]["mostTries"], 2)
         both = {**now_applied, "queue": 100, "settings": settings(limits__mostTries=3)}
         with self.assertRaisesRegex(reconfiguration.Refused, "plan them apart"):
-            await asyncio.to_thread(other.apply, reconfiguration.make(now_applied, both))
+            await asyncio.to_thread(other.apply, reconfiguration.make_plan(now_applied, both))
 
 
 class Voters(ClusterTestCase):
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -75,9 +75,9 @@
         await assert_detected(
             "3.1", bots.leases, "extend_lease", lambda lease: setattr(lease, "expires", 9e9)
         )
-        await assert_detected("6.4", tasks, "_barred", lambda key, cls: None)
+        await assert_detected("6.4", tasks, "_key_rejection", lambda key, cls: None)
         await assert_detected("4.4", tasks, "_by_request", _DictWithoutLookup())
-        await assert_detected("2.8", bots_module, "masked", lambda tree, mask: tree)
+        await assert_detected("2.8", bots_module, "apply_update_mask", lambda tree, mask: tree)
 
 
 class _DictWithoutLookup(dict):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -70,7 +70,7 @@
     [read] = parse_in_pieces(client_codec.parse, line, size)
     assert (read.verb, read.fields, read.description) == ("START", {"left": "5"}, "a\r\nb\u00e9")
     http_request = b"POST /v1test2/tasks?x=1 HTTP/1.1\r\nContent-Length: 2\r\nX-A:  b \r\n\r\n{}"
-    [request, _] = parse_in_pieces(http.Reader().parse, http_request * 2, size)
+    [request, _] = parse_in_pieces(http.RequestParser().parse, http_request * 2, size)
     assert (request.method, request.path, request.headers["x-a"], request.body) == (
         "POST",
         "/v1test2/tasks",
