--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -24,7 +24,7 @@
 import sys
 import time
 
-from weldhatch.cli.sim import play_all, points_of
+from weldhatch.cli.sim import kill_jobs, run_all
 from weldhatch.simulation import seeded_defects
 from weldhatch.simulation.scenario_runner import run_scenario
 from weldhatch.simulation.scenarios import CALM_S, SCENARIOS
@@ -32,7 +32,7 @@
 
 def many(name: str, seeds: int, workers: int) -> dict:
     began = time.perf_counter()
-    results = list(play_all([(seed, SCENARIOS[name], None, None) for seed in range(seeds)], workers))
+    results = list(run_all([(seed, SCENARIOS[name], None, None) for seed in range(seeds)], workers))
     return {
         "seeds": seeds,
         "seeds_per_s": round(seeds / (time.perf_counter() - began), 2),
@@ -46,12 +46,12 @@
     jobs = [
         job
         for name, who in (("alone", "g0"), ("short", "g0"), ("short", "g1"))
-        for job in points_of(1, SCENARIOS[name], who, every)
+        for job in kill_jobs(1, SCENARIOS[name], who, every)
     ]
     return {
         "points": len(jobs),
         "broken": [
-            (one.scenario, one.kill_at, one.broken[0]) for one in play_all(jobs, workers) if one.broken
+            (one.scenario, one.kill_at, one.broken[0]) for one in run_all(jobs, workers) if one.broken
         ],
     }
 
--- a/weldhatch/cli/__init__.py
+++ b/weldhatch/cli/__init__.py
@@ -1,2 +1,4 @@
-"""The command line: sub-commands, what they print, and structured logs. Imported by commands, not by
-`run`."""
+"""The command line: commands, their output and structured logs.
+
+A serving dispatcher does not import this package; only the commands do.
+"""
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -228,7 +228,7 @@
         data = Path(file).read_bytes()
     except OSError as fault:
         raise config.ConfigError(f"{file}: {fault.strerror}") from None
-    if settings.is_plan(data):
+    if settings.is_settings_plan(data):
         applied(settings.apply_file(file, control), "settings", as_json)
         return
     told = fleet_file.fleet_config(fleet_path)
--- a/weldhatch/cli/keys.py
+++ b/weldhatch/cli/keys.py
@@ -1,4 +1,4 @@
-"""`weldhatch keys`: an authority, certificates and tokens for the pull queue."""
+"""`weldhatch keys`: a certificate authority, certificates and tokens for the pull queue."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from weldhatch.keys.tokens import Role
 
 
-def now() -> datetime.datetime:
-    """Return the time of day, in UTC."""
+def utc_now() -> datetime.datetime:
+    """Return the current date and time in UTC."""
     return datetime.datetime.now(datetime.UTC)
 
 
@@ -21,34 +21,35 @@
 def keys() -> None:
     """Certificates and tokens for the pull queue.
 
-    FOLDER is what `security.keys` in the pull queue's file names. A running gateway reads it again on SIGHUP.
+    FOLDER is the value of `security.keys` in the settings file of the pull queue. A running gateway reads the
+    folder again on SIGHUP.
     """
 
 
 @keys.command()
 @click.argument("folder")
-@click.option("--name", default="weldhatch", show_default=True, help="What the authority is called.")
+@click.option("--name", default="weldhatch", show_default=True, help="The name of the authority.")
 def init(folder: str, name: str) -> None:
-    """Make FOLDER with a new authority and a first key for tokens."""
-    Folder(folder).begin(name, now())
+    """Create FOLDER with a new certificate authority and a first signing key for tokens."""
+    Folder(folder).begin(name, utc_now())
     click.echo(f"{folder} holds an authority and a key for tokens; keep ca.key and signing/ to yourself")
 
 
 @keys.command()
 @click.argument("folder")
-@click.option("--name", default="gateway", show_default=True, help="The certificate's name.")
+@click.option("--name", default="gateway", show_default=True, help="The common name of the certificate.")
 @click.option(
     "--host",
     "hosts",
     multiple=True,
     default=("127.0.0.1", "localhost"),
     show_default=True,
-    help="A host name or address that it answers to; may come several times.",
+    help="A host name or address of the gateway; may be given several times.",
 )
 @click.option("--days", default=LEAF_DAYS, show_default=True, type=click.IntRange(1, 3650))
 def server(folder: str, name: str, hosts: tuple[str, ...], days: int) -> None:
-    """Make, or make anew, the gateway's certificate."""
-    click.echo(f"{Folder(folder).certify(name, list(hosts), True, now(), days)}: good for {days} days")
+    """Create or renew the certificate of the gateway."""
+    click.echo(f"{Folder(folder).certify(name, list(hosts), True, utc_now(), days)}: good for {days} days")
 
 
 @keys.command()
@@ -56,18 +57,18 @@
 @click.argument("name")
 @click.option("--days", default=LEAF_DAYS, show_default=True, type=click.IntRange(1, 3650))
 def client(folder: str, name: str, days: int) -> None:
-    """Make, or make anew, the certificate of a client; a build machine's NAME is its bot id."""
-    click.echo(f"{Folder(folder).certify(name, [], False, now(), days)}: good for {days} days")
+    """Create or renew the certificate of a client; the NAME of a build machine is its bot id."""
+    click.echo(f"{Folder(folder).certify(name, [], False, utc_now(), days)}: good for {days} days")
 
 
 @keys.command()
 @click.argument("folder")
 @click.argument("name")
 @click.option("--role", type=click.Choice([role.value for role in Role]), required=True)
-@click.option("--tenant", default="", help="Whose tasks a submitter may see and end.")
+@click.option("--tenant", default="", help="The tenant whose tasks a submitter may see and end.")
 @click.option("--hours", default=24.0, show_default=True, type=click.FloatRange(0.01, 24 * 366))
 def token(folder: str, name: str, role: str, tenant: str, hours: float) -> None:
-    """Print a token for NAME; its id, for `revoke`, goes to standard error."""
+    """Print a token for NAME; the token's id, which `revoke` takes, goes to standard error."""
     if role == Role.SUBMITTER and not tenant:
         raise click.UsageError("--tenant: a submitter's token names its tenant")
     text, claims = Folder(folder).token(name, Role(role), tenant, time.time(), hours * 3600)
@@ -82,10 +83,10 @@
     default=168.0,
     show_default=True,
     type=click.FloatRange(0, 24 * 366),
-    help="For so long tokens of the earlier keys stay good.",
+    help="How long tokens signed with earlier keys stay valid.",
 )
 def rotate(folder: str, overlap_hours: float) -> None:
-    """A new key signs tokens from now on."""
+    """Create a new key that signs all tokens from now on."""
     click.echo(f"{Folder(folder).rotate(time.time(), overlap_hours * 3600)} signs from now on")
 
 
@@ -93,7 +94,7 @@
 @click.argument("folder")
 @click.argument("token_id")
 def revoke(folder: str, token_id: str) -> None:
-    """A token is no longer good, by its id."""
+    """Revoke a token by its id."""
     Folder(folder).revoke(token_id, time.time())
     click.echo(f"{token_id} is revoked; gateways know on SIGHUP")
 
@@ -101,7 +102,7 @@
 @keys.command()
 @click.argument("folder")
 def show(folder: str) -> None:
-    """The certificates of FOLDER and when they end."""
+    """List the certificates of FOLDER and when they expire."""
     for path in sorted(Folder(folder).path.rglob("*.pem")):
         if "signing" not in path.parts:
             name, until = describe(path.read_bytes())
--- a/weldhatch/cli/output.py
+++ b/weldhatch/cli/output.py
@@ -1,5 +1,8 @@
-"""What the commands print with --json: one object with its schema's name. `weldhatch fleet schema` has the
-schemas."""
+"""The JSON objects that `weldhatch fleet` prints with --json; `weldhatch fleet schema` prints their schemas.
+
+Names and docstrings of these classes are part of the printed schemas; notes on a class are
+therefore comments.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class Shown(msgspec.Struct, kw_only=True):
-    """Base of all: `schema` is the name and the version, `exit` what the command ends with."""
+    """Base of all objects: `schema` has the schema's name and version, `exit` the command's exit code."""
 
     schema: str = ""
     exit: int = 0
@@ -21,11 +24,11 @@
 class FleetShown(Shown):
     fleet: str
     nodes: list[Node]
-    gateways: dict[str, bool]  # whether each answers
+    gateways: dict[str, bool]  # by control address: whether the gateway answers
 
 
 class PlanShown(Shown):
-    plan: str  # its id; '' where nothing is to do
+    plan: str  # the plan's id; empty if there is nothing to do
     file: str
     way: str
     waves: list[WavePlan]
@@ -47,16 +50,16 @@
     step: str
     node: str
     wave: int
-    stand: str  # todo, unknown, taken, refused, done
+    stand: str  # state of the step: todo, unknown, taken, refused, done
     outcome: str = ""
     note: str = ""
     told: list[str] = []
 
 
 class StatusShown(Shown):
-    apply: str  # '' where there is none
+    apply: str  # the apply's id; empty if the journal has no apply
     name: str = ""
-    state: str = "none"  # none, running, done, stopped, interrupted
+    state: str = "none"  # one of none, running, done, stopped, interrupted
     begun: float = 0.0
     last: float = 0.0
     fence: int = 0
@@ -117,15 +120,20 @@
     "fault": FaultShown,
     "settings": SettingsShown,
 }
-_NAMES = {kind: f"weldhatch.fleet.{name}/1" for name, kind in SCHEMAS.items()}
+_SCHEMA_NAMES = {kind: f"weldhatch.fleet.{name}/1" for name, kind in SCHEMAS.items()}
 
 
 def encode(shown: Shown) -> str:
-    shown.schema = _NAMES[type(shown)]
+    """Return an object as JSON, with the name of its schema filled in."""
+    shown.schema = _SCHEMA_NAMES[type(shown)]
     return msgspec.json.encode(shown).decode()
 
 
 def schema(name: str) -> dict:
-    """The JSON Schema of what a command prints."""
-    told = msgspec.json.schema(SCHEMAS[name])
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", "title": _NAMES[SCHEMAS[name]], **told}
+    """Return the JSON Schema of an object by its name in SCHEMAS."""
+    definition = msgspec.json.schema(SCHEMAS[name])
+    return {
+        "$schema": "https://json-schema.org/draft/2020-12/schema",
+        "title": _SCHEMA_NAMES[SCHEMAS[name]],
+        **definition,
+    }
--- a/weldhatch/cli/rules.py
+++ b/weldhatch/cli/rules.py
@@ -1,5 +1,4 @@
-"""`weldhatch rules` and `weldhatch peers`: the versions that a group of dispatchers agrees on, and who is in
-it."""
+"""`weldhatch rules` and `weldhatch peers`: settings that a group agrees on, and the group's members."""
 
 from __future__ import annotations
 
@@ -18,44 +17,46 @@
 from weldhatch.applying.runner import Exit
 from weldhatch.pullqueue import reconfiguration
 
-WAIT_S = 20.0  # for a version to come into force
+ACTIVATION_TIMEOUT_S = 20.0  # how long `propose` waits until a version is in force
 POLL_INTERVAL_S = 0.05
 EXIT_DROPPED = 4
 EXIT_NOT_IN_FORCE = 5
 _STYLES = {"free": "dim", "tightens": "green", "widens": "yellow", "switches": "red"}
 
-_control = click.option("--control", metavar="HOST:PORT", help="The control address of the agreement.")
-_file = click.option(
+_control_option = click.option(
+    "--control", metavar="HOST:PORT", help="The control address of a dispatcher of the group."
+)
+_file_option = click.option(
     "--pullqueue",
     "pull_file",
     metavar="FILE",
     default="deploy/pullqueue.toml",
     show_default=True,
-    help="The file whose agreement.control is asked.",
+    help="The settings file whose agreement.control is called.",
 )
-_json = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
+_json_option = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 
 
 _Command = TypeVar("_Command", bound=Callable[..., Any])
 
 
-def reach(command: _Command) -> _Command:
-    """Add the options of all commands that ask the group."""
-    return _control(_file(_json(command)))
+def group_options(command: _Command) -> _Command:
+    """Add the options that all commands to a group have in common."""
+    return _control_option(_file_option(_json_option(command)))
 
 
 @click.group()
 def rules() -> None:
-    """Versions of the settings that all dispatchers of a group act on."""
+    """Versions of the settings that a group of dispatchers agrees on."""
 
 
 @click.group()
 def peers() -> None:
-    """Who votes, and who takes part."""
+    """Voters and dispatchers of a group."""
 
 
 def control_address(pull_file: str, control: str | None) -> reconfiguration.Gateway:
-    """Return where the group is asked. Raises ConfigError naming the key that is missing."""
+    """Return a client of the group's control address. Raises ConfigError that names a missing key."""
     if control:
         return reconfiguration.Gateway(config.parse_endpoint("--control", control))
     agreement = config.cluster_config(config.read_pull_queue_file(pull_file))
@@ -64,28 +65,28 @@
     return reconfiguration.Gateway(agreement.control)
 
 
-def show(answer: Mapping[str, Any], as_json: bool, text: Callable[[Console], None]) -> None:
-    """Print an answer as JSON, or as `text` does."""
+def print_answer(answer: Mapping[str, Any], as_json: bool, print_text: Callable[[Console], None]) -> None:
+    """Print an answer as JSON, or as text with `print_text`."""
     if as_json:
         click.echo(json.dumps(answer))
     else:
-        text(Console())
+        print_text(Console())
 
 
-def settings_of(path: str) -> dict[str, Any]:
-    """Return the settings of a pull queue's file, or of a file of settings alone. Raises ConfigError."""
+def read_settings(path: str) -> dict[str, Any]:
+    """Return the settings in a file of a pull queue, or in a file of settings alone. Raises ConfigError."""
     tree = config.read_pull_queue_file(path)
     settings: dict[str, Any] = tree.get("settings", tree)
     config.settings_from_json(settings)
     return settings
 
 
-def _changes(console: Console, changes: list[dict[str, Any]]) -> None:
-    for one in changes:
-        how = one["overlap"]
+def _print_changes(console: Console, changes: list[dict[str, Any]]) -> None:
+    for change in changes:
+        overlap = change["overlap"]
         console.print(
-            f"  [{_STYLES[how]}]{how:<9}[/] {escape(one['key'])}: "
-            f"{escape(json.dumps(one['from']))} -> {escape(json.dumps(one['to']))}"
+            f"  [{_STYLES[overlap]}]{overlap:<9}[/] {escape(change['key'])}: "
+            f"{escape(json.dumps(change['from']))} -> {escape(json.dumps(change['to']))}"
         )
 
 
@@ -94,16 +95,16 @@
 
 @rules.command()
 @click.argument("file", metavar="FILE")
-@click.option("--why", required=True, help="What it is for; kept in the history.")
-@click.option("--base", type=int, help="The version it was made on (default: the one in force).")
+@click.option("--why", required=True, help="The reason for the change; kept in the history.")
+@click.option("--base", type=int, help="The version that FILE is based on (default: the one in force).")
 @click.option(
     "--despite",
     multiple=True,
     metavar="NAME",
-    help="A dispatcher that may refuse it: it starts nothing then.",
+    help="A dispatcher that may refuse the version: then that dispatcher starts no tasks.",
 )
-@click.option("--no-wait", is_flag=True, help="Do not wait until it is in force.")
-@reach
+@click.option("--no-wait", is_flag=True, help="Do not wait until the version is in force.")
+@group_options
 def propose(
     file: str,
     why: str,
@@ -116,16 +117,16 @@
 ) -> int:
     """Propose the settings of FILE as the next version, and wait until it is in force.
 
-    Ends with 0 once it is, 3 where the base has moved or another proposal is under way, 4 where it was
-    dropped, 5 where it is not in force in time (it may still come).
+    Exit codes: 0 if the version is in force, 3 if the base has changed or another proposal is in progress,
+    4 if the version was dropped, 5 if it is not in force in time (it may still come into force).
     """
     return _propose(
-        control_address(pull_file, control), settings_of(file), why, base, list(despite), no_wait, as_json
+        control_address(pull_file, control), read_settings(file), why, base, list(despite), no_wait, as_json
     )
 
 
 def _propose(
-    at: reconfiguration.Gateway,
+    gateway: reconfiguration.Gateway,
     settings: dict[str, Any],
     why: str,
     base: int | None,
@@ -134,9 +135,9 @@
     as_json: bool,
 ) -> int:
     if base is None:
-        base = at.call("GET", "rules/held")["number"]
+        base = gateway.call("GET", "rules/held")["number"]
     try:
-        answer = at.call(
+        answer = gateway.call(
             "POST",
             "rules/propose",
             {"tree": settings, "base": base, "why": why, "by": getpass.getuser(), "despite": despite},
@@ -151,45 +152,45 @@
     if not as_json:
         console = Console()
         console.print(f"version {number} is proposed on {base}, {len(answer['changes'])} changes")
-        _changes(console, answer["changes"])
+        _print_changes(console, answer["changes"])
     if not no_wait:
-        state, reason = wait_for(at, number)
+        state, reason = wait_until_decided(gateway, number)
         answer = {**answer, "state": state, "reason": reason}
         if not as_json:
             click.echo(f"version {number}: {state}{': ' + reason if reason else ''}")
     if as_json:
         click.echo(json.dumps(answer))
-    unfinished = Exit.DONE if no_wait else EXIT_NOT_IN_FORCE
-    return {"active": Exit.DONE, "prepared": unfinished, "dropped": EXIT_DROPPED}[state]
+    exit_if_prepared = Exit.DONE if no_wait else EXIT_NOT_IN_FORCE
+    return {"active": Exit.DONE, "prepared": exit_if_prepared, "dropped": EXIT_DROPPED}[state]
 
 
-def wait_for(at: reconfiguration.Gateway, number: int) -> tuple[str, str]:
-    """Wait until a version is active or dropped, or the time is up; its state, and the reason."""
-    end = time.monotonic() + WAIT_S
+def wait_until_decided(gateway: reconfiguration.Gateway, number: int) -> tuple[str, str]:
+    """Wait until a version is active or dropped, or time is up; return the version's state and the reason."""
+    deadline = time.monotonic() + ACTIVATION_TIMEOUT_S
     while True:
-        for one in reversed(at.call("GET", "rules/history")["history"]):
-            if one["number"] == number and one["came"] in ("active", "dropped"):
-                return one["came"], one["why"]
-        if time.monotonic() > end:
-            waits = (at.call("GET", "rules").get("seen_by_leader") or {}).get("waits", {})
+        for version in reversed(gateway.call("GET", "rules/history")["history"]):
+            if version["number"] == number and version["came"] in ("active", "dropped"):
+                return version["came"], version["why"]
+        if time.monotonic() > deadline:
+            waits = (gateway.call("GET", "rules").get("seen_by_leader") or {}).get("waits", {})
             return "prepared", "; ".join(f"{name}: {why}" for name, why in waits.items()) or "no leader"
         time.sleep(POLL_INTERVAL_S)
 
 
 @rules.command()
-@reach
+@group_options
 def status(pull_file: str, control: str | None, as_json: bool) -> int:
-    """Who holds what, and what an activation waits for.
+    """Show the version of each dispatcher, and what an activation waits for.
 
-    Ends with 0 where this process has a lease and nothing is in doubt, with 1 otherwise.
+    Exit codes: 0 if this process has a lease and nothing is in doubt, 1 otherwise.
     """
     answer = control_address(pull_file, control).call("GET", "rules")
-    show(answer, as_json, lambda console: _status(console, answer))
-    sure = answer["footing"] == "lease" and answer["seen_by_leader"]
-    return 0 if sure and not answer["conflicts"] and not answer["lost"] else 1
+    print_answer(answer, as_json, lambda console: _print_status(console, answer))
+    healthy = answer["footing"] == "lease" and answer["seen_by_leader"]
+    return 0 if healthy and not answer["conflicts"] and not answer["lost"] else 1
 
 
-def _status(console: Console, answer: Mapping[str, Any]) -> None:
+def _print_status(console: Console, answer: Mapping[str, Any]) -> None:
     prepared = f", version {answer['prepared']} is being prepared" if answer["prepared"] else ""
     console.print(
         f"{escape(answer['name'])} acts on version {answer['number']}{prepared}: {answer['footing']}"
@@ -201,24 +202,24 @@
     )
     if answer["narrowed"]:
         console.print(f"{answer['narrowed']} machines are out by some dispatcher's list")
-    for one in answer["recoveries"]:
-        console.print(f"[red]recovered by hand[/] by {escape(one['by'])}: {escape(one['why'])}")
-    for text in [*answer["conflicts"], answer["lost"], answer["full"]]:
-        if text:
-            console.print(f"[red]{escape(text)}[/]")
+    for recovery in answer["recoveries"]:
+        console.print(f"[red]recovered by hand[/] by {escape(recovery['by'])}: {escape(recovery['why'])}")
+    for problem in [*answer["conflicts"], answer["lost"], answer["full"]]:
+        if problem:
+            console.print(f"[red]{escape(problem)}[/]")
     leader = answer["seen_by_leader"]
     if not leader:
         console.print("[red]no leader answers: a majority of the voters is out of reach[/]")
         return
     table = Table("dispatcher", "votes", "holds", "granted", "says")
-    for name, one in sorted(leader.get("members", {}).items()):
-        granted = f"{one['granted_s']:.2f} s ago" if one["granted_s"] is not None else "-"
+    for name, member in sorted(leader.get("members", {}).items()):
+        granted = f"{member['granted_s']:.2f} s ago" if member["granted_s"] is not None else "-"
         table.add_row(
             escape(name),
             "yes" if name in answer["voters"] else "",
-            f"{one['index']} of {leader['index']}",
+            f"{member['index']} of {leader['index']}",
             granted,
-            escape(one["fault"]) or "yes",
+            escape(member["fault"]) or "yes",
         )
     console.print(table)
     for name, why in leader.get("waits", {}).items():
@@ -227,64 +228,78 @@
 
 @rules.command()
 @click.argument("file", metavar="FILE")
-@reach
+@group_options
 def diff(file: str, pull_file: str, control: str | None, as_json: bool) -> int:
-    """What FILE would change, and how both may overlap. Ends with 0 for nothing, 1 for something."""
-    answer = control_address(pull_file, control).call("POST", "rules/diff", {"tree": settings_of(file)})
-    show(answer, as_json, lambda console: _changes(console, answer["changes"]))
+    """Show what FILE would change, and how the old and the new values may be in force at the same time.
+
+    Exit codes: 0 if there is no change, 1 otherwise.
+    """
+    answer = control_address(pull_file, control).call("POST", "rules/diff", {"tree": read_settings(file)})
+    print_answer(answer, as_json, lambda console: _print_changes(console, answer["changes"]))
     return int(bool(answer["changes"]))
 
 
 @rules.command()
-@reach
+@group_options
 def history(pull_file: str, control: str | None, as_json: bool) -> None:
-    """All versions, what became of each, and recoveries by hand."""
+    """List all versions with their outcomes, and manual recoveries."""
     answer = control_address(pull_file, control).call("GET", "rules/history")
 
-    def text(console: Console) -> None:
+    def print_history(console: Console) -> None:
         table = Table("version", "on", "came to be", "by", "why")
-        for one in answer["history"]:
+        for version in answer["history"]:
             table.add_row(
-                str(one["number"]), str(one["base"]), one["came"], escape(one["by"]), escape(one["why"])
+                str(version["number"]),
+                str(version["base"]),
+                version["came"],
+                escape(version["by"]),
+                escape(version["why"]),
             )
         console.print(table)
 
-    show(answer, as_json, text)
+    print_answer(answer, as_json, print_history)
 
 
 @rules.command()
-@click.option("--why", required=True, help="What it is for; kept in the history.")
-@click.option("--to", "number", type=int, help="A version to go back to (default: the one before).")
-@reach
+@click.option("--why", required=True, help="The reason for the change; kept in the history.")
+@click.option("--to", "number", type=int, help="The version to go back to (default: the previous one).")
+@group_options
 def undo(why: str, number: int | None, pull_file: str, control: str | None, as_json: bool) -> int:
     """Propose an earlier version's settings as a new version."""
-    at = control_address(pull_file, control)
+    gateway = control_address(pull_file, control)
     if number is None:
-        active = [one for one in at.call("GET", "rules/history")["history"] if one["came"] == "active"]
+        active = [
+            version
+            for version in gateway.call("GET", "rules/history")["history"]
+            if version["came"] == "active"
+        ]
         if len(active) < 2:
             raise config.ConfigError("version: there is none before the one in force")
         number = active[-1]["base"]
-    return _propose(at, at.call("GET", f"rules/versions/{number}")["tree"], why, None, [], False, as_json)
+    return _propose(
+        gateway, gateway.call("GET", f"rules/versions/{number}")["tree"], why, None, [], False, as_json
+    )
 
 
 @rules.command()
 @click.argument("number", type=int)
-@click.option("--why", required=True, help="Kept in the history.")
-@reach
+@click.option("--why", required=True, help="The reason; kept in the history.")
+@group_options
 def drop(number: int, why: str, pull_file: str, control: str | None, as_json: bool) -> None:
-    """Give a version up that is being prepared."""
+    """Drop a version that is being prepared."""
     answer = control_address(pull_file, control).call("POST", "rules/drop", {"number": number, "why": why})
-    show(answer, as_json, lambda console: console.print(f"version {number} is dropped"))
+    print_answer(answer, as_json, lambda console: console.print(f"version {number} is dropped"))
 
 
 @rules.command()
-@click.option("--why", required=True, help="Kept and shown for ever after.")
-@click.option("--yes", is_flag=True, help="The other voters will never come back: I have made sure of it.")
-@reach
+@click.option("--why", required=True, help="The reason; kept and shown permanently.")
+@click.option("--yes", is_flag=True, help="Confirm that the other voters will never return.")
+@group_options
 def recover(why: str, yes: bool, pull_file: str, control: str | None, as_json: bool) -> None:
-    """Have this voter go on alone where the majority is lost for good.
+    """Make this voter continue alone after the majority of the voters is permanently lost.
 
-    What only the lost voters had decided is lost. Others follow once they are added as voters again.
+    Decisions that only the lost voters had stored are lost. Other dispatchers follow this voter once they are
+    added as voters again.
     """
     if not yes:
         raise click.UsageError(
@@ -293,20 +308,22 @@
     answer = control_address(pull_file, control).call(
         "POST", "rules/recover", {"why": why, "by": getpass.getuser()}
     )
-    show(answer, as_json, lambda console: console.print(f"it goes on alone, lineage {answer['lineage']}"))
+    print_answer(
+        answer, as_json, lambda console: console.print(f"it goes on alone, lineage {answer['lineage']}")
+    )
 
 
-# ---- who is in the group --------------------------------------------------------------------------------
+# ---- members of the group -------------------------------------------------------------------------------
 
 
 @peers.command("status")
-@reach
+@group_options
 def peers_status(pull_file: str, control: str | None, as_json: bool) -> None:
-    """Voters, dispatchers, and the links from here."""
+    """List the voters and dispatchers of the group, and the links from this process to them."""
     answer = control_address(pull_file, control).call("GET", "rules")
     answer = {key: answer[key] for key in ("name", "leader", "voters", "members", "peers", "lost")}
 
-    def text(console: Console) -> None:
+    def print_members(console: Console) -> None:
         table = Table("name", "votes at", "dispatcher", "link from here")
         for name in sorted({*answer["voters"], *answer["members"]}):
             link = answer["peers"].get(name)
@@ -325,32 +342,34 @@
             )
         console.print(table)
 
-    show(answer, as_json, text)
+    print_answer(answer, as_json, print_members)
 
 
 @peers.command()
 @click.argument("name")
 @click.argument("address", metavar="HOST:PORT")
-@reach
+@group_options
 def add(name: str, address: str, pull_file: str, control: str | None, as_json: bool) -> None:
-    """Have NAME vote too. It has to serve already, with an agreement.listen at that address."""
+    """Add NAME as a voter. NAME must already serve, with agreement.listen set to HOST:PORT."""
     answer = control_address(pull_file, control).call("POST", "peers", {"add": {name: address}})
-    show(answer, as_json, lambda console: console.print(f"voters: {', '.join(sorted(answer['voters']))}"))
+    print_answer(
+        answer, as_json, lambda console: console.print(f"voters: {', '.join(sorted(answer['voters']))}")
+    )
 
 
 @peers.command()
 @click.argument("name")
-@reach
+@group_options
 def remove(name: str, pull_file: str, control: str | None, as_json: bool) -> None:
-    """Have NAME vote no more; a dispatcher that has gone is forgotten."""
+    """Remove NAME from the voters; a dispatcher that no longer runs is removed from the group."""
     answer = control_address(pull_file, control).call("POST", "peers", {"remove": name})
-    show(answer, as_json, lambda console: console.print(f"{escape(name)} is removed"))
+    print_answer(answer, as_json, lambda console: console.print(f"{escape(name)} is removed"))
 
 
 @peers.command()
 @click.argument("name")
-@reach
+@group_options
 def lead(name: str, pull_file: str, control: str | None, as_json: bool) -> None:
-    """Hand leadership to NAME."""
+    """Transfer leadership to NAME."""
     answer = control_address(pull_file, control).call("POST", "peers", {"hand": name})
-    show(answer, as_json, lambda console: console.print(f"leadership is handed to {escape(name)}"))
+    print_answer(answer, as_json, lambda console: console.print(f"leadership is handed to {escape(name)}"))
--- a/weldhatch/cli/settings.py
+++ b/weldhatch/cli/settings.py
@@ -1,5 +1,4 @@
-"""Plan and apply of a running gateway's settings: the same refusals and the same kind of journal as a
-fleet's."""
+"""Plans and applies settings of a running gateway, with the refusals and the journal of a fleet change."""
 
 from __future__ import annotations
 
@@ -15,8 +14,11 @@
 from weldhatch.store.log import Log
 
 
-def is_plan(data: bytes) -> bool:
-    """Is a plan file one of settings? Anything that can't be told is left to the fleet's reader."""
+def is_settings_plan(data: bytes) -> bool:
+    """Return whether a plan file is a plan of settings.
+
+    Data that is not JSON counts as a plan of the fleet, whose reader reports what is wrong with it.
+    """
     try:
         tree = json.loads(data)
     except ValueError:
@@ -25,57 +27,58 @@
 
 
 def plan_file(path: str, out: str, control: str | None) -> dict:
-    """Make the plan that turns the running gateway into what a file says, and write it to `out`."""
+    """Make the plan that applies the settings file `path` to the running gateway, and write it to `out`."""
     target = config.read_pull_queue_file(path)
     config.pull_queue_config(target)
-    made = reconfiguration.make(
+    plan = reconfiguration.make(
         reconfiguration.Gateway(reconfiguration.address(target, control)).applied(), target
     )
     with open(out, "w", encoding="utf-8") as file:
-        json.dump(made, file, indent=1)
-    return made
+        json.dump(plan, file, indent=1)
+    return plan
 
 
 def apply_file(path: str, control: str | None) -> Result:
-    """Carry a plan of settings out, with a journal beside it.
+    """Apply a plan of settings, with a journal next to the plan file.
 
-    The gateway takes it wholly or not at all, so a cut-off apply is told by asking what the gateway runs:
-    that
-    is done first, and a plan that is in force already is not sent again.
+    The gateway applies all changes of a plan or none. What became of an interrupted apply therefore shows in
+    the applied settings of the gateway: they are fetched first, and a plan in force is not sent again.
     """
-    made = reconfiguration.read(path)
-    gateway = reconfiguration.Gateway(reconfiguration.address(made["target"], control))
-    return _apply(path, made, gateway)
+    plan = reconfiguration.read(path)
+    gateway = reconfiguration.Gateway(reconfiguration.address(plan["target"], control))
+    return _apply(path, plan, gateway)
 
 
-def _apply(path: str, made: dict, gateway: reconfiguration.Gateway) -> Result:
+def _apply(path: str, plan: dict, gateway: reconfiguration.Gateway) -> Result:
     import time
 
     lock = Lock(f"{path}.lock", f"an apply of {path}", format_time(time.time()))
     try:
         journal = Log(f"{path}.journal")
         try:
-            cut_off = [json.loads(one)["record"] for one in journal.recovered_records()][-1:] == ["intent"]
+            interrupted = [json.loads(data)["record"] for data in journal.recovered_records()][-1:] == [
+                "intent"
+            ]
 
-            def note(record: str, **figures: object) -> None:
-                journal.append([json.dumps({"record": record, "at": time.time(), **figures}).encode()])
+            def append_record(record: str, **fields: object) -> None:
+                journal.append([json.dumps({"record": record, "at": time.time(), **fields}).encode()])
 
-            now = gateway.applied()
-            if reconfiguration.fingerprint(now) == reconfiguration.fingerprint(made["target"]):
-                if cut_off:
-                    note("done", applied=len(made["changes"]))
+            applied = gateway.applied()
+            if reconfiguration.fingerprint(applied) == reconfiguration.fingerprint(plan["target"]):
+                if interrupted:
+                    append_record("done", applied=len(plan["changes"]))
                 return Result(Exit.DONE, "the gateway runs what the plan says already: nothing was done")
-            if moved := reconfiguration.moved(made, now):
+            if moved := reconfiguration.moved(plan, applied):
                 return Result(
                     Exit.MOVED,
                     "the applied configuration has moved on; make a new plan",
-                    tuple(Moved(*one) for one in moved),
+                    tuple(Moved(*difference) for difference in moved),
                 )
-            note("intent", base=made["base"])
-            told = gateway.apply(made)
-            note("done", applied=told["applied"])
-            then = "; the gateway starts anew." if told["restarting"] else "."
-            return Result(Exit.DONE, f"{told['applied']} changes applied{then}")
+            append_record("intent", base=plan["base"])
+            answer = gateway.apply(plan)
+            append_record("done", applied=answer["applied"])
+            restart_note = "; the gateway starts anew." if answer["restarting"] else "."
+            return Result(Exit.DONE, f"{answer['applied']} changes applied{restart_note}")
         finally:
             journal.close()
     finally:
--- a/weldhatch/cli/sites.py
+++ b/weldhatch/cli/sites.py
@@ -1,6 +1,6 @@
-"""`weldhatch sites`: what crosses between this gateway's site and the others, and operators' orders on it.
+"""`weldhatch sites`: transfers between the gateway's site and other sites, and operators' commands on them.
 
-The keys of the gateway's JSON, and what the columns are called, are fixed.
+The keys of the gateway's JSON and the titles of the columns are fixed: operators' tools read them.
 """
 
 from __future__ import annotations
@@ -17,59 +17,61 @@
 from weldhatch.pullqueue import reconfiguration
 from weldhatch.pullqueue.reconfiguration import Gateway
 
-control = click.option(
+control_option = click.option(
     "--control",
     metavar="HOST:PORT",
     default=config.PULL_QUEUE_DEFAULTS["control"] or None,
     help="The running gateway's control address.",
 )
-pull_file = click.option(
+file_option = click.option(
     "--pullqueue",
     "file",
     metavar="FILE",
     default="deploy/pullqueue.toml",
     show_default=True,
-    help="The file that names the control address.",
+    help="The settings file that names the control address.",
 )
-COLUMNS = ("site", "link", "delay ms", "breaks", "epoch", "lent", "taken", "room told", "left out")
+STATUS_COLUMNS = ("site", "link", "delay ms", "breaks", "epoch", "lent", "taken", "room told", "left out")
 
 
 @click.group()
 def sites() -> None:
-    """Other sites: what is lent and taken, what is in doubt, and draining."""
+    """Other sites: tasks that are lent, taken or in doubt, and draining."""
 
 
-def gateway(file: str, address: str | None) -> Gateway:
-    """Return the gateway at an address, or else at the one that a pull queue's file names."""
+def connect(file: str, address: str | None) -> Gateway:
+    """Return a client of the gateway at `address`, or at the control address that `file` names."""
     tree = {} if address else config.read_pull_queue_file(file)
     return Gateway(reconfiguration.address(tree, address))
 
 
 @sites.command()
-@pull_file
-@control
+@file_option
+@control_option
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def status(file: str, control: str | None, as_json: bool) -> None:
-    """Links, epochs, what is out where, and what is in doubt and why.
+    """Show links, epochs, lent and taken tasks, and what is in doubt and why.
 
-    Ends with 0 where every link is up and nothing is in doubt, with 1 otherwise.
+    Exit codes: 0 if every link is up and nothing is in doubt, 1 otherwise.
     """
-    report = gateway(file, control).sites()
+    report = connect(file, control).sites()
     if as_json:
         click.echo(json.dumps(report))
     else:
-        show(Console(), report)
-    if not all(one["up"] and not one["doubt"] and not one["in_doubt"] for one in report["sites"].values()):
+        print_status(Console(), report)
+    if not all(
+        site["up"] and not site["doubt"] and not site["in_doubt"] for site in report["sites"].values()
+    ):
         raise click.exceptions.Exit(1)
 
 
-def show(console: Console, report: dict[str, Any]) -> None:
-    """Print the status as a person reads it."""
+def print_status(console: Console, report: dict[str, Any]) -> None:
+    """Print the status report as text and a table."""
     state = "  [yellow]draining: takes nothing new[/]" if report["draining"] else ""
     console.print(f"site {escape(report['site'])}, epoch {report['epoch']}{state}")
-    table = Table(*COLUMNS)
+    table = Table(*STATUS_COLUMNS)
     for name, site in report["sites"].items():
-        table.add_row(*_row(name, site))
+        table.add_row(*_status_row(name, site))
     console.print(table)
     for name, site in report["sites"].items():
         if site["doubt"]:
@@ -81,32 +83,32 @@
             )
 
 
-def _row(name: str, site: dict[str, Any]) -> tuple[str, ...]:
-    """Return the row of one site."""
+def _status_row(name: str, site: dict[str, Any]) -> tuple[str, ...]:
+    """Return the row of one site in the status table."""
     lent = ", ".join(f"{count} {phase}" for phase, count in site["lent"].items()) or "-"
     left_out = f"{site['left_out_s']:.0f} s" if site["left_out_s"] else "-"
     return (
         escape(name),
-        _link(site),
+        _link_state(site),
         str(site["delay_ms"]),
         str(site["breaks"]),
         str(site["epoch"]),
         lent,
         str(site["taken"]),
-        _summary(site["told"]),
+        _free_capacity(site["told"]),
         left_out,
     )
 
 
-def _link(site: dict[str, Any]) -> str:
-    """Return the state of a site's link."""
+def _link_state(site: dict[str, Any]) -> str:
+    """Return the state of the link to a site, with markup."""
     if site["up"]:
         return "[green]up[/]"
     return "[red]older copy[/]" if site["doubt"] else "[red]down[/]"
 
 
-def _summary(summary: dict[str, Any] | None) -> str:
-    """Return what a site has told of its room, and when."""
+def _free_capacity(summary: dict[str, Any] | None) -> str:
+    """Return the free capacity that a site last reported, and the age of that report."""
     if summary is None:
         return "-"
     free = max(summary["free"].values(), default=0)
@@ -115,30 +117,30 @@
 
 
 @sites.command()
-@pull_file
-@control
-@click.option("--undo", is_flag=True, help="Take new work again.")
+@file_option
+@control_option
+@click.option("--undo", is_flag=True, help="Accept new work again.")
 def drain(file: str, control: str | None, undo: bool) -> None:
-    """Take nothing new from other sites, and place nothing new here; what stands goes on."""
-    gateway(file, control).sites_word({"draining": not undo})
+    """Accept no new work from other sites and place none here; running tasks continue."""
+    connect(file, control).sites_word({"draining": not undo})
     click.echo("it takes new work again" if undo else "it takes nothing new; what stands goes on")
 
 
 @sites.command()
 @click.argument("site")
-@click.option("--yes", is_flag=True, help="Nothing of ours runs there any more: I have made sure of it.")
-@pull_file
-@control
+@click.option("--yes", is_flag=True, help="Confirm that none of this site's tasks still runs there.")
+@file_option
+@control_option
 def forget(site: str, yes: bool, file: str, control: str | None) -> None:
-    """End all that is lent to SITE and in doubt there, and free its keys.
+    """End all transfers to SITE, also those in doubt, and free their keys.
 
-    Only for a site that will not come back with what it holds: a task that runs there could start a second
-    time here.
+    Use this only for a site that will not return with the tasks it holds: a task that still runs there could
+    start a second time here.
     """
     if not yes:
         raise click.UsageError(
             "a task that still runs there could start a second time here: make sure that "
             "none does, then say --yes"
         )
-    answer = gateway(file, control).sites_word({"forget": site})
+    answer = connect(file, control).sites_word({"forget": site})
     click.echo(f"{answer['forgotten']} transfers to {site} are over")
--- a/weldhatch/cli/zones.py
+++ b/weldhatch/cli/zones.py
@@ -1,4 +1,4 @@
-"""`weldhatch zones`: places that a group of dispatchers has left, or returns to, and words on them."""
+"""`weldhatch zones`: zones and racks that a group evacuates and restores, and operators' commands on them."""
 
 from __future__ import annotations
 
@@ -13,43 +13,46 @@
 from rich.table import Table
 
 from weldhatch.applying.runner import Exit
-from weldhatch.cli.rules import control_address, reach, show
+from weldhatch.cli.rules import control_address, group_options, print_answer
 from weldhatch.pullqueue import reconfiguration
 
 _STYLES = {"serving": "green", "suspected": "yellow", "leaving": "red", "left": "red", "returning": "cyan"}
-_EXITS = {"moved": Exit.MOVED, "order": 4, "last": 4, "room": 4}
+_EXIT_CODES = {"moved": Exit.MOVED, "order": 4, "last": 4, "room": 4}
 
 
 @click.group()
 def zones() -> None:
-    """Zones and racks that the fleet has left, or returns to."""
+    """Evacuation and restoration of zones and racks."""
 
 
 @zones.command()
-@reach
+@group_options
 def status(pull_file: str, control: str | None, as_json: bool) -> int:
-    """The state of each zone, who says what of it, and what has been handed out for a return.
+    """Show the state of each zone, the witnesses' reports, and the start quotas granted for a return.
 
-    Ends with 0 where all serve and the leader answers, with 1 otherwise.
+    Exit codes: 0 if all zones serve and the leader answers, 1 otherwise.
     """
-    told = control_address(pull_file, control).call("GET", "zones")
-    show(told, as_json, lambda console: _status(console, told))
-    calm = all(one["phase"] == "serving" and not one["held"] for one in told["entries"].values())
-    return 0 if calm and told["seen_by_leader"] else 1
+    answer = control_address(pull_file, control).call("GET", "zones")
+    print_answer(answer, as_json, lambda console: _print_status(console, answer))
+    all_serving = all(
+        place["phase"] == "serving" and not place["held"] for place in answer["entries"].values()
+    )
+    return 0 if all_serving and answer["seen_by_leader"] else 1
 
 
-def _status(console: Console, told: Mapping) -> None:
-    leader = told["seen_by_leader"]
+def _print_status(console: Console, answer: Mapping) -> None:
+    leader = answer["seen_by_leader"]
     console.print(
-        f"{escape(told['name'])}: {told['footing']}; " f"{told['fenced']} tasks may still run behind a cut"
+        f"{escape(answer['name'])}: {answer['footing']}; "
+        f"{answer['fenced']} tasks may still run behind a cut"
     )
     if not leader:
         console.print("[red]no leader answers, or this group does not leave zones[/]")
         leader = {"witnesses": {}, "shares": {}, "kept_last": [], "reports": {}}
     table = Table("place", "state", "down by", "up by", "inside up", "shares out", "why")
-    for name in sorted({*told["entries"], *leader["witnesses"]}):
-        place = told["entries"].get(name, {"phase": "serving", "step": 0, "why": "", "held": False})
-        seen = leader["witnesses"].get(name, {"down": [], "up": [], "inside": []})
+    for name in sorted({*answer["entries"], *leader["witnesses"]}):
+        place = answer["entries"].get(name, {"phase": "serving", "step": 0, "why": "", "held": False})
+        witnesses = leader["witnesses"].get(name, {"down": [], "up": [], "inside": []})
         share = leader["shares"].get(name)
         phase = (
             f"[{_STYLES[place['phase']]}]{place['phase']}[/]"
@@ -59,136 +62,149 @@
         table.add_row(
             escape(name),
             phase,
-            *(_some(seen[key]) for key in ("down", "up", "inside")),
+            *(_abbreviate(witnesses[key]) for key in ("down", "up", "inside")),
             f"{share['shares']} of {share['of']}" if share else "",
             escape(place["why"]),
         )
     console.print(table)
     for name in leader["kept_last"]:
         console.print(f"[red]{escape(name)} is called down, and is the last zone that serves: it is kept[/]")
-    for name, one in sorted(leader["reports"].items()):
-        if one["cut"]:
-            console.print(f"[yellow]{escape(name)} says: {escape(one['cut'])}[/]")
+    for name, dispatcher in sorted(leader["reports"].items()):
+        if dispatcher["cut"]:
+            console.print(f"[yellow]{escape(name)} says: {escape(dispatcher['cut'])}[/]")
 
 
-def _some(names: list[str]) -> str:
+def _abbreviate(names: list[str]) -> str:
     return escape(" ".join(names[:4]) + (f" and {len(names) - 4} more" if len(names) > 4 else ""))
 
 
 @zones.command()
-@reach
+@group_options
 def history(pull_file: str, control: str | None, as_json: bool) -> None:
-    """All changes, with their witnesses and reasons."""
-    told = control_address(pull_file, control).call("GET", "zones")
+    """List all changes of state, with their witnesses and reasons."""
+    answer = control_address(pull_file, control).call("GET", "zones")
 
-    def text(console: Console) -> None:
+    def print_table(console: Console) -> None:
         table = Table("change", "place", "state", "by", "witnesses", "turned away", "why")
-        for one in told["history"]:
-            step = f" {one['step']}/4" if one["phase"] == "returning" else ""
-            at = f" {datetime.fromtimestamp(one['at'], UTC):%Y-%m-%d %H:%M:%SZ}" if one["at"] else ""
+        for change in answer["history"]:
+            step = f" {change['step']}/4" if change["phase"] == "returning" else ""
+            decided_at = (
+                f" {datetime.fromtimestamp(change['at'], UTC):%Y-%m-%d %H:%M:%SZ}" if change["at"] else ""
+            )
             table.add_row(
-                str(one["number"]),
-                escape(one["place"]),
-                one["phase"] + step,
-                escape(one["by"]) + at,
-                _some(one["witnesses"]),
-                escape(_shed(one["shed"], one.get("tenants", {}))),
-                escape(one["why"]),
+                str(change["number"]),
+                escape(change["place"]),
+                change["phase"] + step,
+                escape(change["by"]) + decided_at,
+                _abbreviate(change["witnesses"]),
+                escape(_format_shed_load(change["shed"], change.get("tenants", {}))),
+                escape(change["why"]),
             )
         console.print(table)
 
-    show({"history": told["history"]}, as_json, text)
+    print_answer({"history": answer["history"]}, as_json, print_table)
 
 
-def _shed(shed: Mapping[str, float], tenants: Mapping[str, Mapping[str, float]]) -> str:
-    """`40% lookup (acme 90%, other 0%)`: by class, and whose."""
-    out = []
-    for cls, part in shed.items():
-        whose = ", ".join(f"{name} {one:.0%}" for name, one in tenants.get(cls, {}).items())
-        out.append(f"{part:.0%} {cls}" + (f" ({whose})" if whose else ""))
-    return ", ".join(out)
+def _format_shed_load(shed: Mapping[str, float], tenants: Mapping[str, Mapping[str, float]]) -> str:
+    """Return the shed load by class and tenant, such as `40% lookup (acme 90%, other 0%)`."""
+    classes = []
+    for cls, fraction in shed.items():
+        by_tenant = ", ".join(f"{name} {portion:.0%}" for name, portion in tenants.get(cls, {}).items())
+        classes.append(f"{fraction:.0%} {cls}" + (f" ({by_tenant})" if by_tenant else ""))
+    return ", ".join(classes)
 
 
-def _word(
-    word: str, place: str, why: str, despite: bool, pull_file: str, control: str | None, as_json: bool
+def _send_command(
+    command: str, place: str, why: str, despite: bool, pull_file: str, control: str | None, as_json: bool
 ) -> int:
     try:
-        told = control_address(pull_file, control).call(
+        answer = control_address(pull_file, control).call(
             "POST",
             "zones",
-            {"word": word, "place": place, "why": why, "by": getpass.getuser(), "despite": despite},
+            {"word": command, "place": place, "why": why, "by": getpass.getuser(), "despite": despite},
         )
-    except reconfiguration.Refused as fault:
-        if fault.field not in _EXITS:
+    except reconfiguration.Refused as error:
+        if error.field not in _EXIT_CODES:
             raise
         if as_json:
-            click.echo(json.dumps({"error": fault.field, "text": str(fault)}))
-        click.echo(f"weldhatch: {fault}", err=True)
-        return _EXITS[fault.field]
-    show(told, as_json, lambda console: console.print(f"{escape(place)}: {word}, change {told['number']}"))
+            click.echo(json.dumps({"error": error.field, "text": str(error)}))
+        click.echo(f"weldhatch: {error}", err=True)
+        return _EXIT_CODES[error.field]
+    print_answer(
+        answer,
+        as_json,
+        lambda console: console.print(f"{escape(place)}: {command}, change {answer['number']}"),
+    )
     return Exit.DONE
 
 
-_why = click.option("--why", required=True, help="What it is for; kept in the history.")
+_why_option = click.option("--why", required=True, help="The reason; kept in the history.")
 
 
 @zones.command()
 @click.argument("place", metavar="ZONE[/RACK]")
-@_why
-@click.option("--despite", is_flag=True, help="Also where the rest can't bear all of its work.")
-@reach
+@_why_option
+@click.option(
+    "--despite", is_flag=True, help="Leave even if the remaining zones lack the capacity for its work."
+)
+@group_options
 def leave(place: str, why: str, despite: bool, pull_file: str, control: str | None, as_json: bool) -> int:
-    """Leave a zone or rack for maintenance: nothing new goes there until `return`.
+    """Leave a zone or rack for maintenance: no new work is placed there until `return`.
 
-    Ends with 0 once it is decided, 3 where it has moved meanwhile, 4 where it is refused: the rest can't bear
-    its work, it is the last zone, or it is left already.
+    Exit codes: 0 once the change is decided, 3 if the state has changed in the meantime, 4 if the change is
+    refused: the remaining zones lack the capacity, it is the last zone, or it was already left.
     """
-    return _word("leave", place, why, despite, pull_file, control, as_json)
+    return _send_command("leave", place, why, despite, pull_file, control, as_json)
 
 
 @zones.command("return")
 @click.argument("place", metavar="ZONE[/RACK]")
-@_why
-@reach
+@_why_option
+@group_options
 def return_(place: str, why: str, pull_file: str, control: str | None, as_json: bool) -> int:
-    """Return to a zone or rack that was left, by steps that its servers bear."""
-    return _word("return", place, why, False, pull_file, control, as_json)
+    """Return to a zone or rack that was left, in steps that its servers can sustain."""
+    return _send_command("return", place, why, False, pull_file, control, as_json)
 
 
 @zones.command()
 @click.argument("place", metavar="ZONE[/RACK]")
-@_why
-@click.option("--release", is_flag=True, help="Let it change by itself again.")
-@reach
+@_why_option
+@click.option("--release", is_flag=True, help="Allow automatic changes again.")
+@group_options
 def hold(place: str, why: str, release: bool, pull_file: str, control: str | None, as_json: bool) -> int:
-    """Keep a zone or rack as it is, whatever the dispatchers see of it."""
-    return _word("release" if release else "hold", place, why, False, pull_file, control, as_json)
+    """Keep a zone or rack in its state, whatever the dispatchers observe there."""
+    return _send_command("release" if release else "hold", place, why, False, pull_file, control, as_json)
 
 
 @zones.command()
 @click.argument("out", metavar="FILE.png")
 @click.option(
-    "--from", "saved", metavar="FILE", help="A `zones status --json` that was kept, in place of the group."
+    "--from",
+    "saved",
+    metavar="FILE",
+    help="A saved output of `zones status --json`, read in place of a call to the group.",
 )
-@reach
+@group_options
 def report(out: str, saved: str | None, pull_file: str, control: str | None, as_json: bool) -> int:
-    """A chart over time: states, starts by zone, shares out, requests turned away; as the leader saw it.
+    """Draw a chart over time of states, starts, start quotas and rejected requests, as the leader saw them.
 
-    Ends with 1 where nothing has been left since that leader was elected.
+    Exit code 1 if no zone or rack has been left since that leader was elected.
     """
     from weldhatch import config
-    from weldhatch.cli.zones_chart import draw  # matplotlib: imported where it is used
+    from weldhatch.cli.zones_chart import draw  # imports matplotlib, which only this command needs
 
-    told = config.read_json_file(saved) if saved else control_address(pull_file, control).call("GET", "zones")
-    timeline = (told.get("seen_by_leader") or {}).get("timeline", [])
+    answer = (
+        config.read_json_file(saved) if saved else control_address(pull_file, control).call("GET", "zones")
+    )
+    timeline = (answer.get("seen_by_leader") or {}).get("timeline", [])
     if not timeline:
         click.echo("weldhatch: nothing has been left since this leader was elected", err=True)
         return 1
     try:
         draw(timeline, out)
-    except (KeyError, TypeError, IndexError, AttributeError) as fault:
-        raise config.ConfigError(f"{saved or 'the answer'}: it is no status of zones: {fault!r}") from None
-    show(
+    except (KeyError, TypeError, IndexError, AttributeError) as error:
+        raise config.ConfigError(f"{saved or 'the answer'}: it is no status of zones: {error!r}") from None
+    print_answer(
         {"file": out, "samples": len(timeline)},
         as_json,
         lambda console: console.print(f"{len(timeline)} samples are drawn in {escape(out)}"),
--- a/weldhatch/cli/zones_chart.py
+++ b/weldhatch/cli/zones_chart.py
@@ -1,4 +1,4 @@
-"""A chart of zones over time, from the leader's timeline."""
+"""Draws a chart of the states and the load of zones over time, from the leader's timeline."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 }
 
 
-def draw(timeline: list[dict], out: str) -> None:
-    """`timeline`: samples of `zones.failover_leader`; `out`: a PNG."""
-    times = [one["s"] - timeline[0]["s"] for one in timeline]
-    places = sorted({name for one in timeline for name in one["phases"]})
+def draw(timeline: list[dict], path: str) -> None:
+    """Draw the samples that `zones.failover_leader` recorded, and write the chart to `path` as a PNG file."""
+    times = [sample["s"] - timeline[0]["s"] for sample in timeline]
+    places = sorted({name for sample in timeline for name in sample["phases"]})
     figure, (states, starts, shares) = plt.subplots(
         3, 1, sharex=True, figsize=(10, 7), gridspec_kw={"height_ratios": [max(1, len(places)), 3, 3]}
     )
     ends = [*times[1:], times[-1] + 0.5]
     for row, place in enumerate(places):
-        for one, begin, end in zip(timeline, times, ends, strict=True):
-            phase, step = one["phases"].get(place, ["serving", 0])
+        for sample, begin, end in zip(timeline, times, ends, strict=True):
+            phase, step = sample["phases"].get(place, ["serving", 0])
             states.barh(
                 row,
                 min(end - begin, 1.0),
@@ -48,24 +48,27 @@
         bbox_to_anchor=(0.5, -0.15),
     )
     for place in places:
-        counts = [one["starts"].get(place, [0, 0, 0]) for one in timeline]
-        paces = [
+        counts = [sample["starts"].get(place, [0, 0, 0]) for sample in timeline]
+        rates = [
             [
-                max(0, b[n] - a[n]) / max(0.1, end - begin)
-                for a, b, begin, end in zip(counts, counts[1:], times, times[1:], strict=False)
+                max(0, after[kind] - before[kind]) / max(0.1, end - begin)
+                for before, after, begin, end in zip(counts, counts[1:], times, times[1:], strict=False)
             ]
-            for n in range(3)
+            for kind in range(3)
         ]
-        if any(map(any, paces)):
-            starts.plot(times[1:], paces[0], label=f"{place}: sent", drawstyle="steps-pre")
+        if any(map(any, rates)):
+            starts.plot(times[1:], rates[0], label=f"{place}: sent", drawstyle="steps-pre")
             starts.plot(
-                times[1:], paces[2], label=f"{place}: went wrong", drawstyle="steps-pre", linestyle=":"
+                times[1:], rates[2], label=f"{place}: went wrong", drawstyle="steps-pre", linestyle=":"
             )
-        held = [one["shares"].get(place, 0) for one in timeline]
-        if any(held):
-            shares.plot(times, held, label=f"{place}: shares out", drawstyle="steps-post")
+        granted = [sample["shares"].get(place, 0) for sample in timeline]
+        if any(granted):
+            shares.plot(times, granted, label=f"{place}: shares out", drawstyle="steps-post")
     starts.set_ylabel("starts a second")
-    refused = [max(0, b["refused"] - a["refused"]) / max(0.1, b["s"] - a["s"]) for a, b in pairwise(timeline)]
+    refused = [
+        max(0, after["refused"] - before["refused"]) / max(0.1, after["s"] - before["s"])
+        for before, after in pairwise(timeline)
+    ]
     shares.plot(times[1:], refused, label="turned away a second", color="#555", linewidth=1)
     shares.set_ylabel("shares; refusals")
     shares.set_xlabel("seconds since the first change")
@@ -74,5 +77,5 @@
             axis.legend(fontsize="small", loc="upper right")
         axis.grid(alpha=0.3)
     figure.tight_layout()
-    figure.savefig(out, dpi=110)
+    figure.savefig(path, dpi=110)
     plt.close(figure)
