--- a/tests/test_fleet_cli.py
+++ b/tests/test_fleet_cli.py
@@ -1,4 +1,4 @@
-"""`weldhatch fleet` as a user calls it: against stand-in nodes and a gateway in processes of their own."""
+"""Tests of `weldhatch fleet` as an operator calls it, against simulated nodes and a real gateway process."""
 
 import http.client
 import json
@@ -18,22 +18,22 @@
 ROOT = Path(__file__).parent.parent
 
 
-def ports(count):
-    held = [socket.socket() for _ in range(count)]
-    for one in held:
-        one.bind(("127.0.0.1", 0))
-    out = [one.getsockname()[1] for one in held]
-    for one in held:
-        one.close()
-    return out
+def free_ports(count):
+    sockets = [socket.socket() for _ in range(count)]
+    for opened in sockets:
+        opened.bind(("127.0.0.1", 0))
+    ports = [opened.getsockname()[1] for opened in sockets]
+    for opened in sockets:
+        opened.close()
+    return ports
 
 
-class Stage:
-    """A folder with a fleet's file, its stand-in nodes and a pull queue."""
+class FleetEnvironment:
+    """A folder with a fleet file, and the processes of its simulated nodes and of a gateway."""
 
     def __init__(self, folder):
         self.folder, self.processes = folder, []
-        self.nodes, listen, control = ports(3)
+        self.nodes, listen, control = free_ports(3)
         self.control = control
         text = (
             (ROOT / "examples" / "fleet.toml")
@@ -52,9 +52,9 @@
         self.start("weldhatch", "--pullqueue", str(folder / "queue.toml"))
         self.start("weldhatch.testbed.server", str(self.fleet), "--ready", "--drain-s", "0.2")
 
-    def start(self, *words):
+    def start(self, *arguments):
         process = subprocess.Popen(
-            [sys.executable, "-m", *words],
+            [sys.executable, "-m", *arguments],
             cwd=ROOT,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
@@ -62,7 +62,7 @@
         )
         self.processes.append(process)
         while "listen" not in (line := process.stdout.readline()):
-            assert line, "it ended before it listened"
+            assert line, "the process ended before it was listening"
 
     def stop(self):
         for process in self.processes:
@@ -75,29 +75,29 @@
         path.write_text(text)
         return str(path)
 
-    def script(self, node, **what):
+    def script(self, node, **fields):
         connection = http.client.HTTPConnection("127.0.0.1", self.nodes, timeout=10)
-        connection.request("POST", f"/v1/nodes/{node}/script", json.dumps(what))
+        connection.request("POST", f"/v1/nodes/{node}/script", json.dumps(fields))
         answer = json.loads(connection.getresponse().read())
         connection.close()
         return answer.get("effects")
 
 
 @pytest.fixture
-def stage(tmp_path):
-    made = Stage(tmp_path)
-    yield made
-    made.stop()
+def environment(tmp_path):
+    created = FleetEnvironment(tmp_path)
+    yield created
+    created.stop()
 
 
 @pytest.fixture
-def call(stage, capsys):
-    def weldhatch(*words, code=0, fleet=True):
+def run_fleet(environment, capsys):
+    def weldhatch(*arguments, code=0, fleet=True):
         capsys.readouterr()
-        given = main(["fleet", *words, *(["--fleet", str(stage.fleet)] if fleet else [])])
+        exit_code = main(["fleet", *arguments, *(["--fleet", str(environment.fleet)] if fleet else [])])
         out, err = capsys.readouterr()
-        assert given == code, (given, out, err)
-        if "--json" in words:
+        assert exit_code == code, (exit_code, out, err)
+        if "--json" in arguments:
             tree = json.loads(out)
             name = tree["schema"].split(".")[-1].split("/")[0]
             jsonschema.validate(tree, output.schema(name))
@@ -111,46 +111,50 @@
 CHANGE = '(change "release" (on n7 n8) (off n1) (drain n2) (keep (cores 160)))'
 
 
-def test_a_change_from_its_plan_to_its_undoing(stage, call):
-    told = call("show", "--json")
-    assert [node["state"] for node in told["nodes"]] == ["ready"] * 6 + ["off"] * 2
-    assert told["gateways"] == {f"127.0.0.1:{stage.control}": True}
-    path = stage.change(CHANGE)
-    told = call("plan", path, "--json", "--chart", str(stage.folder / "plan.png"), code=2)
-    assert [wave["nodes"] for wave in told["waves"]] == [["n7", "n8"], ["n1", "n2"]]
-    assert (stage.folder / "plan.png").read_bytes().startswith(b"\x89PNG")
-    assert "wave 2" in call("plan", path, code=2)
+def test_a_change_is_planned_applied_and_undone(environment, run_fleet):
+    """A change is planned, charted and applied; its undo plan brings every node back to the former state."""
+    result = run_fleet("show", "--json")
+    assert [node["state"] for node in result["nodes"]] == ["ready"] * 6 + ["off"] * 2
+    assert result["gateways"] == {f"127.0.0.1:{environment.control}": True}
+    path = environment.change(CHANGE)
+    result = run_fleet("plan", path, "--json", "--chart", str(environment.folder / "plan.png"), code=2)
+    assert [wave["nodes"] for wave in result["waves"]] == [["n7", "n8"], ["n1", "n2"]]
+    assert (environment.folder / "plan.png").read_bytes().startswith(b"\x89PNG")
+    assert "wave 2" in run_fleet("plan", path, code=2)
     plan = f"{path}.plan"
-    assert call("apply", plan, "--json")["text"] == "done"
-    assert "already" in call("apply", plan)
-    told = call("status", "--json")
-    assert told["state"] == "done" and not told["half_done"]
-    assert {step["stand"] for step in told["steps"]} == {"done"}
-    assert call("drift", "--json")["drift"] == []
-    states = {node["id"]: (node["state"], node["held"]) for node in call("show", "--json")["nodes"]}
+    assert run_fleet("apply", plan, "--json")["text"] == "done"
+    assert "already" in run_fleet("apply", plan)
+    result = run_fleet("status", "--json")
+    assert result["state"] == "done" and not result["half_done"]
+    assert {step["stand"] for step in result["steps"]} == {"done"}
+    assert run_fleet("drift", "--json")["drift"] == []
+    states = {node["id"]: (node["state"], node["held"]) for node in run_fleet("show", "--json")["nodes"]}
     assert (
         states["n1"] == ("off", True)
         and states["n2"] == ("draining", True)
         and states["n7"] == ("ready", False)
     )
-    assert "nothing to do" in call("plan", path)
-    # and the way back
-    back = str(stage.folder / "back.plan")
-    call("undo", "--out", back, code=2)
-    assert call("apply", back) == "done\n"
-    told = call("show", "--json")
-    assert [node["state"] for node in told["nodes"]] == ["ready"] * 6 + ["off"] * 2
-    assert [entry["state"] for entry in call("history", "--json")["applies"]] == ["done", "done"]
-    for words in (["show"], ["status"], ["history"], ["drift"]):
-        call(*words)
-
-
-def test_a_world_that_has_moved_is_refused_and_told_three_ways(stage, call):
-    path = stage.change(CHANGE)
-    call("plan", path, code=2)
-    stage.script("n2", do="fall")
-    told = call("apply", f"{path}.plan", "--json", code=3)
-    assert told["moved"] == [
+    assert "nothing to do" in run_fleet("plan", path)
+    undo_plan = str(environment.folder / "back.plan")
+    run_fleet("undo", "--out", undo_plan, code=2)
+    assert run_fleet("apply", undo_plan) == "done\n"
+    result = run_fleet("show", "--json")
+    assert [node["state"] for node in result["nodes"]] == ["ready"] * 6 + ["off"] * 2
+    assert [entry["state"] for entry in run_fleet("history", "--json")["applies"]] == ["done", "done"]
+    for command in (["show"], ["status"], ["history"], ["drift"]):
+        run_fleet(*command)
+
+
+def test_a_plan_is_refused_if_a_node_has_changed_since_it_was_made(environment, run_fleet):
+    """A node that fails after planning must not be drained on stale data: the apply gives no order.
+
+    The refusal reports the planned action, the node's state at planning time and its state now.
+    """
+    path = environment.change(CHANGE)
+    run_fleet("plan", path, code=2)
+    environment.script("n2", do="fall")
+    result = run_fleet("apply", f"{path}.plan", "--json", code=3)
+    assert result["moved"] == [
         {
             "what": "n2",
             "planned": "drain in wave 2",
@@ -158,54 +162,62 @@
             "now": "no answer",
         }
     ]
-    assert "planned: drain in wave 2; then: ready" in call("apply", f"{path}.plan", code=3)
-    assert "no apply has been begun" in call("status")
-    assert stage.script("n1", do="forget") == []
+    assert "planned: drain in wave 2; then: ready" in run_fleet("apply", f"{path}.plan", code=3)
+    assert "no apply has been begun" in run_fleet("status")
+    assert environment.script("n1", do="forget") == []
 
 
-def test_an_apply_that_stops_half_way_says_so_and_goes_on(stage, call):
-    path = stage.change(CHANGE)
-    call("plan", path, code=2)
-    stage.script("n1", do="refuse", reason="REFUSED the last copy is here")
-    told = call("apply", f"{path}.plan", "--json", code=4)
+def test_an_apply_that_a_node_refuses_stops_half_way_and_resumes(environment, run_fleet):
+    """A refused order stops the apply half way; the next call resumes it, and each order takes effect once.
+
+    Until then, another change is rejected, since it could collide with the half-done node.
+    """
+    path = environment.change(CHANGE)
+    run_fleet("plan", path, code=2)
+    environment.script("n1", do="refuse", reason="REFUSED the last copy is here")
+    result = run_fleet("apply", f"{path}.plan", "--json", code=4)
     assert (
-        told["reason"] == "refused" and "the last copy is here" in told["text"] and "n1" in told["half_done"]
+        result["reason"] == "refused"
+        and "the last copy is here" in result["text"]
+        and "n1" in result["half_done"]
     )
-    told = call("status", "--json", code=4)
-    assert told["state"] == "stopped"
-    assert [step["stand"] for step in told["steps"] if step["step"] == "w2.n1.drain"] == ["refused"]
-    assert call("drift", "--json", code=2)["unfinished"]
-    other = stage.change('(change "other" (drain n3))', "other")
-    call("plan", other, code=2)
-    assert "stands half done at n1" in call("apply", f"{other}.plan", code=1)
-    assert call("apply", f"{path}.plan") == "done\n"
-    assert [order for _, order in stage.script("n1", do="forget")] == ["drain", "stop"]
-
-
-def test_a_second_apply_is_told_who_holds_the_lock(stage, call):
-    path = stage.change('(change "slow" (drain n1))')
-    call("plan", path, code=2)
-    stage.folder.joinpath("fleet-journal").mkdir()
+    result = run_fleet("status", "--json", code=4)
+    assert result["state"] == "stopped"
+    assert [step["stand"] for step in result["steps"] if step["step"] == "w2.n1.drain"] == ["refused"]
+    assert run_fleet("drift", "--json", code=2)["unfinished"]
+    other = environment.change('(change "other" (drain n3))', "other")
+    run_fleet("plan", other, code=2)
+    assert "stands half done at n1" in run_fleet("apply", f"{other}.plan", code=1)
+    assert run_fleet("apply", f"{path}.plan") == "done\n"
+    assert [order for _, order in environment.script("n1", do="forget")] == ["drain", "stop"]
+
+
+def test_a_second_apply_is_rejected_with_the_holder_of_the_lock(environment, run_fleet):
+    """Two applies at a time could give contradictory orders: the second fails and names the lock holder."""
+    path = environment.change('(change "slow" (drain n1))')
+    run_fleet("plan", path, code=2)
+    environment.folder.joinpath("fleet-journal").mkdir()
     code = (
         "import sys; from weldhatch.applying.journal import Journal\n"
         "journal = Journal(sys.argv[1], 'someone for apply x', 0.0); print('held', flush=True); input()"
     )
     holder = subprocess.Popen(
-        [sys.executable, "-c", code, str(stage.folder / "fleet-journal")],
+        [sys.executable, "-c", code, str(environment.folder / "fleet-journal")],
         cwd=ROOT,
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
     )
     assert holder.stdout.readline() == "held\n"
-    told = call("apply", f"{path}.plan", "--json", code=1)
-    assert f"held by someone for apply x (process {holder.pid}) since 1970-01-01" in told["lines"][0]
+    result = run_fleet("apply", f"{path}.plan", "--json", code=1)
+    assert f"held by someone for apply x (process {holder.pid}) since 1970-01-01" in result["lines"][0]
     holder.communicate("\n")
-    assert call("apply", f"{path}.plan") == "done\n"
+    assert run_fleet("apply", f"{path}.plan") == "done\n"
 
 
-def test_bad_input_is_one_clear_line_each_and_changes_nothing(stage, call):
-    for text, said in (
+def test_bad_input_is_rejected_with_a_clear_message_and_changes_nothing(environment, run_fleet):
+    """A faulty change, plan or call ends with a message and no traceback, and begins no journal."""
+    for text, message in (
         ('(change "x" (drain n77))', "c.change:1:20: no node is named n77"),
         ('(change "x" (drain (all of rack r9)))', "no rack is named r9"),
         ('(change "x" (keep (hall hall-q) (cores 3)))', "no hall is named hall-q"),
@@ -214,47 +226,48 @@
         ('(change "x" (drain n1 n2 n3) (keep (cores 160)))', "these 2 exclude each other:"),
         ('(change "x" (drain n1)', "is never closed"),
     ):
-        said_now = call("plan", stage.change(text), code=1)
-        assert said in said_now and "Traceback" not in said_now
-    path = stage.change('(change "x" (drain n1))')
-    call("plan", path, code=2)
+        output_text = run_fleet("plan", environment.change(text), code=1)
+        assert message in output_text and "Traceback" not in output_text
+    path = environment.change('(change "x" (drain n1))')
+    run_fleet("plan", path, code=2)
     plan = Path(f"{path}.plan")
-    good = plan.read_bytes()
-    for data, said in (
-        (good[:-30], "cut"),
-        (good.replace(b'"n1"', b'"n2"'), "checksum"),
-        (good.replace(b'"version": 1', b'"version": 7'), "version: 7"),
+    valid_data = plan.read_bytes()
+    for data, message in (
+        (valid_data[:-30], "cut"),
+        (valid_data.replace(b'"n1"', b'"n2"'), "checksum"),
+        (valid_data.replace(b'"version": 1', b'"version": 7'), "version: 7"),
     ):
         plan.write_bytes(data)
-        assert said in call("apply", str(plan), code=1)
-    assert "No such file" in call("apply", "nowhere.plan", code=1)
-    assert "no-such" in call("status", "--fleet", "no-such.toml", code=1, fleet=False)
-    assert call("apply", code=1, fleet=False)
-    assert not stage.folder.joinpath("fleet-journal").exists()
-    assert call("plan", "--json", stage.change("(change"), code=1)["error"] == "FormError"
-
-
-def test_settings_are_one_more_subject_with_the_same_refusals(stage, call):
-    target = stage.folder / "new.toml"
-    text = (stage.folder / "queue.toml").read_text()
+        assert message in run_fleet("apply", str(plan), code=1)
+    assert "No such file" in run_fleet("apply", "nowhere.plan", code=1)
+    assert "no-such" in run_fleet("status", "--fleet", "no-such.toml", code=1, fleet=False)
+    assert run_fleet("apply", code=1, fleet=False)
+    assert not environment.folder.joinpath("fleet-journal").exists()
+    assert run_fleet("plan", "--json", environment.change("(change"), code=1)["error"] == "FormError"
+
+
+def test_a_plan_of_settings_is_applied_and_refused_like_a_fleet_plan(environment, run_fleet):
+    """A settings plan is applied once; an outdated or altered settings plan is refused."""
+    target = environment.folder / "new.toml"
+    text = (environment.folder / "queue.toml").read_text()
     target.write_text(text.replace("connections = 256", "connections = 99"))
-    other = stage.folder / "other.toml"
+    other = environment.folder / "other.toml"
     other.write_text(text.replace("connections = 256", "connections = 50"))
-    told = call("plan", str(target), "--json", code=2)
-    assert told["changes"] == [{"key": "connections", "from": "256", "to": "99", "restart": False}]
-    call("plan", str(other), code=2)
-    assert "1 changes applied" in call("apply", f"{target}.plan")
-    assert "already" in call("apply", f"{target}.plan")
-    told = call("apply", f"{other}.plan", "--json", code=3)
-    assert told["moved"] == [{"what": "connections", "planned": '"50"', "then": '"256"', "now": '"99"'}]
-    spoilt = json.loads(Path(f"{other}.plan").read_text())
-    spoilt["base"] = "0" * 64
-    Path(f"{other}.plan").write_text(json.dumps(spoilt))
-    assert "checksum" in call("apply", f"{other}.plan", code=1)
-    call("plan", str(target))
-
-
-def test_fmt_prints_the_canonical_form(tmp_path, capsys):
+    result = run_fleet("plan", str(target), "--json", code=2)
+    assert result["changes"] == [{"key": "connections", "from": "256", "to": "99", "restart": False}]
+    run_fleet("plan", str(other), code=2)
+    assert "1 changes applied" in run_fleet("apply", f"{target}.plan")
+    assert "already" in run_fleet("apply", f"{target}.plan")
+    result = run_fleet("apply", f"{other}.plan", "--json", code=3)
+    assert result["moved"] == [{"what": "connections", "planned": '"50"', "then": '"256"', "now": '"99"'}]
+    corrupted_plan = json.loads(Path(f"{other}.plan").read_text())
+    corrupted_plan["base"] = "0" * 64
+    Path(f"{other}.plan").write_text(json.dumps(corrupted_plan))
+    assert "checksum" in run_fleet("apply", f"{other}.plan", code=1)
+    run_fleet("plan", str(target))
+
+
+def test_fmt_rewrites_a_change_file_in_its_canonical_form(tmp_path, capsys):
     path = tmp_path / "a.change"
     path.write_text('(change   "x"\n;note\n(drain n1))')
     assert main(["fleet", "fmt", "--check", str(path)]) == 2
@@ -266,7 +279,7 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "said"),
+    ("corrupt", "message"),
     [
         (lambda text: text.replace('id = "n2"', 'id = "n1"'), "n1 is named twice"),
         (
@@ -284,14 +297,14 @@
         (lambda text: text + "=", "fleet.toml"),
     ],
 )
-def test_a_fleets_file_that_can_not_be_used_names_its_key(tmp_path, spoil, said):
+def test_an_unusable_fleet_file_is_rejected_with_the_name_of_its_key(tmp_path, corrupt, message):
     path = tmp_path / "fleet.toml"
-    path.write_text(spoil((ROOT / "examples" / "fleet.toml").read_text()))
-    with pytest.raises(config.ConfigError, match=said):
+    path.write_text(corrupt((ROOT / "examples" / "fleet.toml").read_text()))
+    with pytest.raises(config.ConfigError, match=message):
         fleet_file.fleet_config(str(path))
 
 
-def test_the_deploy_file_is_usable():
+def test_the_fleet_file_in_deploy_is_valid():
     assert fleet_file.fleet_config(str(ROOT / "deploy" / "fleet.toml")).name == "aarhus-main"
 
 
--- a/weldhatch/cli/fleet.py
+++ b/weldhatch/cli/fleet.py
@@ -17,7 +17,7 @@
 import click
 from rich.console import Console
 from rich.progress import BarColumn, TextColumn, TimeElapsedColumn
-from rich.progress import Progress as Bar
+from rich.progress import Progress as ProgressBar
 
 from weldhatch import config
 from weldhatch.applying.journal import Journal, current_applier, story
@@ -30,82 +30,89 @@
 from weldhatch.planning.fleet import Fleet
 from weldhatch.planning.records import Progress
 from weldhatch.planning.search import search
-from weldhatch.planning.undo import drift as drifted
+from weldhatch.planning.undo import drift as find_drift
 from weldhatch.planning.undo import undo_change
 from weldhatch.pullqueue import reconfiguration
 from weldhatch.sexpr import printer, reader
 
-FLEET = "deploy/fleet.toml"
-WIDTH = 140  # where the output is no terminal
-console = Console(highlight=False, soft_wrap=True, width=None if sys.stdout.isatty() else WIDTH)
+DEFAULT_FLEET_FILE = "deploy/fleet.toml"
+NON_TERMINAL_WIDTH = 140  # columns of the output if it is not a terminal
+console = Console(highlight=False, soft_wrap=True, width=None if sys.stdout.isatty() else NON_TERMINAL_WIDTH)
 
 
 def fleet_option(command):
+    """Add the option --fleet to a command."""
     return click.option(
         "--fleet",
         "fleet_path",
         metavar="FILE",
-        default=FLEET,
+        default=DEFAULT_FLEET_FILE,
         show_default=True,
-        help="The fleet's file: nodes, gateways, journal.",
+        help="The file that defines the fleet: nodes, gateways and journal.",
     )(command)
 
 
 def json_option(command):
+    """Add the option --json to a command."""
     return click.option("--json", "as_json", is_flag=True, help="Print one JSON object (see `schema`).")(
         command
     )
 
 
 @click.group()
-@click.option("--log-json", is_flag=True, help="Log as JSON lines, to standard error.")
+@click.option("--log-json", is_flag=True, help="Log JSON lines to standard error.")
 @click.option(
     "--log-level",
     type=click.Choice(["debug", "info", "warning", "error"]),
     default="warning",
     show_default=True,
-    help="Log from this level on.",
+    help="The lowest level that is logged.",
 )
 def fleet(log_json: bool, log_level: str) -> None:
-    """Change the fleet by files: plan, then apply just that plan.
+    """Change the fleet by files: make a plan, then apply exactly that plan.
 
-    Exit codes: 0 done or nothing to do, 1 a fault, 2 changes are pending, 3 refused because the world has
-    moved, 4 stopped half way.
+    Exit codes: 0 done or nothing to do, 1 an error, 2 changes are pending, 3 refused because the fleet has
+    changed since the plan was made, 4 stopped half way.
     """
     logs.configure(as_json=log_json, level=log_level)
 
 
-def say(shown: output.Shown, as_json: bool, draw: object = None) -> None:
-    """Print, and end with the exit code that is part of it."""
+def print_result(shown: output.Shown, as_json: bool, render_text: object = None) -> None:
+    """Print a result as JSON, or as text with `render_text`, and end the command with its exit code."""
     if as_json:
         click.echo(output.encode(shown))
-    elif draw is not None:
-        draw(console, shown)
+    elif render_text is not None:
+        render_text(console, shown)
     if shown.exit:
         raise click.exceptions.Exit(shown.exit)
 
 
 @contextmanager
-def wire(told: fleet_file.FleetConfig) -> Iterator[NodeClient]:
-    made = NodeClient(told.control, told.gateways, told.patience.answer_s)
+def open_node_client(fleet_config: fleet_file.FleetConfig) -> Iterator[NodeClient]:
+    """Open a client of the fleet's nodes and gateways, and close it at the end of the block."""
+    client = NodeClient(fleet_config.control, fleet_config.gateways, fleet_config.patience.answer_s)
     try:
-        yield made
+        yield client
     finally:
-        made.close()
+        client.close()
 
 
-async def look(told: fleet_file.FleetConfig) -> tuple[Fleet, dict[str, bool]]:
-    """The fleet as it is, and which gateways answer."""
-    with wire(told) as world:
-        seen, held = await asyncio.gather(observe(told.fleet, world), world.draining_machines())
-    return seen, {name: name in held for name in told.gateways}
+async def observe_fleet(fleet_config: fleet_file.FleetConfig) -> tuple[Fleet, dict[str, bool]]:
+    """Return the current state of the fleet, and for each gateway whether it answers."""
+    with open_node_client(fleet_config) as client:
+        observed, draining = await asyncio.gather(
+            observe(fleet_config.fleet, client), client.draining_machines()
+        )
+    return observed, {name: name in draining for name in fleet_config.gateways}
 
 
 def read_forms(path: str) -> list:
+    """Read the forms of a change file and of the files that it includes."""
     return reader.read_whole(path, lambda name: Path(name).read_text(encoding="utf-8"))
 
 
-def is_settings(path: str) -> bool:
+def is_settings_file(path: str) -> bool:
+    """Return whether a file has settings of a gateway, by its extension; others are changes of the fleet."""
     return path.endswith((".toml", ".json"))
 
 
@@ -116,11 +123,11 @@
 @fleet_option
 @json_option
 def show(fleet_path: str, as_json: bool) -> None:
-    """The fleet as its nodes and gateways say it is."""
-    told = fleet_file.fleet_config(fleet_path)
-    seen, gateways = asyncio.run(look(told))
-    say(
-        output.FleetShown(fleet=told.name, nodes=list(seen.nodes.values()), gateways=gateways),
+    """Show the fleet as its nodes and gateways report it."""
+    fleet_config = fleet_file.fleet_config(fleet_path)
+    observed, gateways = asyncio.run(observe_fleet(fleet_config))
+    print_result(
+        output.FleetShown(fleet=fleet_config.name, nodes=list(observed.nodes.values()), gateways=gateways),
         as_json,
         render.fleet,
     )
@@ -129,16 +136,20 @@
 @fleet.command("plan")
 @click.argument("file", metavar="FILE")
 @fleet_option
-@click.option("--out", metavar="PLAN", help="Where the plan goes (default: FILE.plan).")
+@click.option("--out", metavar="PLAN", help="The file to write the plan to (default: FILE.plan).")
 @click.option(
     "--way",
     type=click.Choice(["highs", "cp-sat", "greedy"]),
     default="highs",
     show_default=True,
-    help="Who finds the waves.",
+    help="The method that finds the waves.",
+)
+@click.option(
+    "--chart", metavar="PICTURE", help="Draw the plan's timeline into this file (.png, .svg, .pdf)."
+)
+@click.option(
+    "--control", metavar="HOST:PORT", help="For settings: the control address of the running gateway."
 )
-@click.option("--chart", metavar="PICTURE", help="Draw the plan's timeline there (.png, .svg, .pdf).")
-@click.option("--control", metavar="HOST:PORT", help="For settings: the running gateway's control address.")
 @json_option
 def plan_(
     file: str,
@@ -149,68 +160,75 @@
     control: str | None,
     as_json: bool,
 ) -> None:
-    """What FILE would change, and in which order; FILE is a change of the fleet, or a gateway's settings."""
+    """Show what FILE, a change of the fleet or a gateway's settings, would change and in which order."""
     out = out or f"{file}.plan"
-    if is_settings(file):
-        made = settings.plan_file(file, out, control)
+    if is_settings_file(file):
+        settings_plan = settings.plan_file(file, out, control)
         changes = [
-            output.SettingsChange(key=one["key"], old=one["from"], new=one["to"], restart=one["restart"])
-            for one in made["changes"]
+            output.SettingsChange(
+                key=change["key"], old=change["from"], new=change["to"], restart=change["restart"]
+            )
+            for change in settings_plan["changes"]
         ]
-        say(
+        print_result(
             output.SettingsShown(file=out, changes=changes, exit=Exit.PENDING if changes else Exit.DONE),
             as_json,
-            lambda *_: click.echo(f"{reconfiguration.render(made)}\nThe plan is in {out}."),
+            lambda *_: click.echo(f"{reconfiguration.render(settings_plan)}\nThe plan is in {out}."),
         )
         return
-    told = fleet_file.fleet_config(fleet_path)
-    change = read_change(read_forms(file), told.fleet)
-    seen, _ = asyncio.run(look(told))
-    finish_plan(told, change, seen, out, way, chart, as_json)
+    fleet_config = fleet_file.fleet_config(fleet_path)
+    change = read_change(read_forms(file), fleet_config.fleet)
+    observed, _ = asyncio.run(observe_fleet(fleet_config))
+    make_plan(fleet_config, change, observed, out, way, chart, as_json)
 
 
-def finish_plan(
-    told: fleet_file.FleetConfig,
+def make_plan(
+    fleet_config: fleet_file.FleetConfig,
     change: Change,
-    seen: Fleet,
+    observed: Fleet,
     out: str,
-    way: str,
+    method: str,
     chart: str | None,
     as_json: bool,
     undoes: str = "",
 ) -> None:
-    """Find the waves, write the plan, and say it."""
-    made = planning.make(
-        change, seen, search(change, seen, way), name=told.name, now=time.time(), undoes=undoes
+    """Find the waves of a change with `method`, write the plan to `out` and print it."""
+    plan = planning.make(
+        change,
+        observed,
+        search(change, observed, method),
+        name=fleet_config.name,
+        now=time.time(),
+        undoes=undoes,
     )
-    if made.steps:
-        write_whole(out, planning.encode(made))
+    if plan.steps:
+        write_atomically(out, planning.encode(plan))
         if chart:
-            from weldhatch.cli.chart import draw  # heavy: only where a picture is wanted
+            from weldhatch.cli.chart import draw  # imports matplotlib, which only a chart needs
 
-            draw(made, chart)
+            draw(plan, chart)
     shown = output.PlanShown(
-        plan=made.id if made.steps else "",
-        file=out if made.steps else "",
-        way=made.way,
-        waves=list(made.waves),
-        steps=list(made.steps),
-        rests=list(made.rests),
-        greedy_waves=made.greedy_waves,
-        seconds=sum(wave.seconds for wave in made.waves),
-        exit=Exit.PENDING if made.steps else Exit.DONE,
+        plan=plan.id if plan.steps else "",
+        file=out if plan.steps else "",
+        way=plan.way,
+        waves=list(plan.waves),
+        steps=list(plan.steps),
+        rests=list(plan.rests),
+        greedy_waves=plan.greedy_waves,
+        seconds=sum(wave.seconds for wave in plan.waves),
+        exit=Exit.PENDING if plan.steps else Exit.DONE,
     )
-    say(shown, as_json, lambda on, _: render.plan(on, made, out))
+    print_result(shown, as_json, lambda console, _: render.plan(console, plan, out))
 
 
-def write_whole(path: str, data: bytes) -> None:
-    """Guards against half a plan under the name of a whole one."""
-    beside = f"{path}.new"
-    with open(beside, "wb") as file:
+def write_atomically(path: str, data: bytes) -> None:
+    """Write a file through a temporary file, so that a crash can't leave an incomplete file at `path`."""
+    temporary = f"{path}.new"
+    with open(temporary, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(beside, path)
+    os.replace(temporary, path)
 
 
 # ---- apply, undo -------------------------------------------------------------------------------------------
@@ -219,63 +237,72 @@
 @fleet.command("apply")
 @click.argument("file", metavar="PLAN")
 @fleet_option
-@click.option("--over", is_flag=True, help="Leave another apply that stands half done as it is.")
-@click.option("--control", metavar="HOST:PORT", help="For settings: the running gateway's control address.")
+@click.option("--over", is_flag=True, help="Leave another, half-done apply as it is.")
+@click.option(
+    "--control", metavar="HOST:PORT", help="For settings: the control address of the running gateway."
+)
 @json_option
 def apply_(file: str, fleet_path: str, over: bool, control: str | None, as_json: bool) -> None:
-    """Carry PLAN out: exactly that, or nothing. After a crash or a stop, the same call goes on."""
+    """Apply exactly PLAN, or nothing. After a crash or a stop, the same call resumes the apply."""
     try:
         data = Path(file).read_bytes()
-    except OSError as fault:
-        raise config.ConfigError(f"{file}: {fault.strerror}") from None
+    except OSError as error:
+        raise config.ConfigError(f"{file}: {error.strerror}") from None
     if settings.is_settings_plan(data):
-        applied(settings.apply_file(file, control), "settings", as_json)
+        print_apply_result(settings.apply_file(file, control), "settings", as_json)
         return
-    told = fleet_file.fleet_config(fleet_path)
+    fleet_config = fleet_file.fleet_config(fleet_path)
     plan = planning.decode(data, file)
-    if plan.fleet != told.name:
-        raise planning.PlanError(f"{file}: fleet: the plan is for {plan.fleet!r}, and this is {told.name!r}")
-    result, half = asyncio.run(carry_out(told, plan, over, quiet=as_json))
-    applied(result, plan.id, as_json, half)
+    if plan.fleet != fleet_config.name:
+        raise planning.PlanError(
+            f"{file}: fleet: the plan is for {plan.fleet!r}, and this is {fleet_config.name!r}"
+        )
+    result, half_done = asyncio.run(run_apply(fleet_config, plan, over, quiet=as_json))
+    print_apply_result(result, plan.id, as_json, half_done)
 
 
-def applied(result: Result, name: str, as_json: bool, half: list[str] | None = None) -> None:
+def print_apply_result(result: Result, name: str, as_json: bool, half_done: list[str] | None = None) -> None:
+    """Print how an apply ended, on standard error if it is not done, and end with its exit code."""
     shown = output.ApplyShown(
         apply=name,
         text=result.text,
         moved=list(result.moved),
-        half_done=half or [],
+        half_done=half_done or [],
         exit=result.exit,
         reason=result.stopped.reason if result.stopped else "",
     )
 
-    def draw(*_: object) -> None:
+    def render_text(*_: object) -> None:
         click.echo(result.text, err=result.exit != Exit.DONE)
-        for one in result.moved:
-            click.echo(f"  {one}", err=True)
-        if half:
-            click.echo(f"half done: {', '.join(half)}; weldhatch fleet status tells the steps", err=True)
+        for difference in result.moved:
+            click.echo(f"  {difference}", err=True)
+        if half_done:
+            click.echo(f"half done: {', '.join(half_done)}; weldhatch fleet status tells the steps", err=True)
 
-    say(shown, as_json, draw)
+    print_result(shown, as_json, render_text)
 
 
-def who() -> str:
+def current_user() -> str:
+    """Return the user and host of this process, as the journal records who applies."""
     try:
         return f"{getpass.getuser()} on {socket.gethostname()}"
-    except (KeyError, OSError):  # no name for this user
+    except (KeyError, OSError):  # the user id has no name
         return f"user {os.getuid()} on {socket.gethostname()}"
 
 
-async def carry_out(
-    told: fleet_file.FleetConfig, plan: planning.Plan, over: bool, quiet: bool
+async def run_apply(
+    fleet_config: fleet_file.FleetConfig, plan: planning.Plan, over: bool, quiet: bool
 ) -> tuple[Result, list[str]]:
-    """Run the apply under the journal's lock; the first interrupt stops it at a safe point."""
+    """Run an apply under the journal's lock; SIGINT and SIGTERM stop the apply at a safe point.
+
+    Returns the result, and the nodes that are half done if the apply has stopped.
+    """
     log = logs.logger("apply")
-    by = who()
-    journal = Journal(told.journal, f"{by} for apply {plan.id}", time.time())
+    applier = current_user()
+    journal = Journal(fleet_config.journal, f"{applier} for apply {plan.id}", time.time())
     if journal.torn_tail is not None:
         log.warning("journal.torn", dropped_bytes=journal.torn_tail.length, offset=journal.torn_tail.offset)
-    bar = Bar(
+    progress_bar = ProgressBar(
         TextColumn("{task.description}"),
         BarColumn(),
         TextColumn("{task.completed}/{task.total} steps"),
@@ -284,23 +311,30 @@
         disable=quiet or not sys.stderr.isatty(),
     )
     try:
-        with wire(told) as world, bar:
-            task = bar.add_task(plan.change.name, total=len(plan.steps))
+        with open_node_client(fleet_config) as client, progress_bar:
+            task = progress_bar.add_task(plan.change.name, total=len(plan.steps))
 
-            def tell(event: str, **figures: object) -> None:
-                log.info(event, **figures)
+            def report_event(event: str, **fields: object) -> None:
+                log.info(event, **fields)
                 progress = journal.story.applies.get(plan.id)
                 if progress is not None:
-                    bar.update(
+                    progress_bar.update(
                         task, completed=sum(state.stand == "done" for state in progress.steps.values())
                     )
 
             runner = Runner(
-                plan, told.fleet, world, journal, told.patience, clock=time.time, by=by, report_event=tell
+                plan,
+                fleet_config.fleet,
+                client,
+                journal,
+                fleet_config.patience,
+                clock=time.time,
+                by=applier,
+                report_event=report_event,
             )
             loop = asyncio.get_running_loop()
-            for number in (signal.SIGINT, signal.SIGTERM):
-                loop.add_signal_handler(number, lambda: setattr(runner, "stop_requested", True))
+            for signal_number in (signal.SIGINT, signal.SIGTERM):
+                loop.add_signal_handler(signal_number, lambda: setattr(runner, "stop_requested", True))
             result = await runner.run(over=over)
         progress = journal.story.applies.get(plan.id)
         return result, progress.half_nodes if progress is not None and result.exit is Exit.STOPPED else []
@@ -311,20 +345,20 @@
 @fleet.command()
 @click.argument("apply_id", metavar="[APPLY]", required=False)
 @fleet_option
-@click.option("--out", metavar="PLAN", help="Where the plan goes (default: undo-APPLY.plan).")
+@click.option("--out", metavar="PLAN", help="The file to write the plan to (default: undo-APPLY.plan).")
 @click.option("--way", type=click.Choice(["highs", "cp-sat", "greedy"]), default="highs", show_default=True)
 @json_option
 def undo(apply_id: str | None, fleet_path: str, out: str | None, way: str, as_json: bool) -> None:
-    """Plan the way back from wherever an apply (the last one) stands; `apply` then carries it out."""
-    told = fleet_file.fleet_config(fleet_path)
-    progress = find(told, apply_id)
+    """Plan how to undo an apply (by default the last one) from its current state; `apply` runs the plan."""
+    fleet_config = fleet_file.fleet_config(fleet_path)
+    progress = find_apply(fleet_config, apply_id)
     if progress is None:
         raise config.ConfigError("no apply has been begun here: there is nothing to take back")
-    seen, _ = asyncio.run(look(told))
-    finish_plan(
-        told,
-        undo_change(progress, seen),
-        seen,
+    observed, _ = asyncio.run(observe_fleet(fleet_config))
+    make_plan(
+        fleet_config,
+        undo_change(progress, observed),
+        observed,
         out or f"undo-{progress.plan.id}.plan",
         way,
         None,
@@ -333,12 +367,12 @@
     )
 
 
-def find(told: fleet_file.FleetConfig, apply_id: str | None) -> Progress | None:
-    """An apply of the journal by its id or the beginning of it; the last one without."""
-    known = story(told.journal)
+def find_apply(fleet_config: fleet_file.FleetConfig, apply_id: str | None) -> Progress | None:
+    """Return an apply of the journal by its id or the start of it, without an id the last one."""
+    journal_story = story(fleet_config.journal)
     if apply_id is None:
-        return known.last
-    matching = [progress for name, progress in known.applies.items() if name.startswith(apply_id)]
+        return journal_story.last
+    matching = [progress for name, progress in journal_story.applies.items() if name.startswith(apply_id)]
     if len(matching) != 1:
         raise config.ConfigError(f"{apply_id}: {len(matching)} applies of the journal begin so")
     return matching[0]
@@ -347,7 +381,8 @@
 # ---- status, history, drift --------------------------------------------------------------------------------
 
 
-def state_of(progress: Progress, last: Progress | None, holder: str) -> str:
+def apply_state(progress: Progress, last: Progress | None, holder: str) -> str:
+    """Return the state of an apply; only the last apply can be running, if `holder` holds the journal."""
     if progress.ended:
         return "done"
     if progress is last and holder:
@@ -360,28 +395,31 @@
 @fleet_option
 @json_option
 def status(apply_id: str | None, fleet_path: str, as_json: bool) -> None:
-    """What is done, half done and not done of an apply (the last one); 4 where it stands half way."""
-    told = fleet_file.fleet_config(fleet_path)
-    progress, holder = find(told, apply_id), current_applier(told.journal)
+    """Show which steps of an apply (by default the last one) are done, half done and not done.
+
+    Exit code 4 if the apply has stopped half way.
+    """
+    fleet_config = fleet_file.fleet_config(fleet_path)
+    progress, holder = find_apply(fleet_config, apply_id), current_applier(fleet_config.journal)
     if progress is None:
-        say(output.StatusShown(apply=""), as_json, render.status)
+        print_result(output.StatusShown(apply=""), as_json, render.status)
         return
-    last = find(told, None)
-    state = state_of(progress, last if last.plan.id != progress.plan.id else progress, holder)
+    last = find_apply(fleet_config, None)
+    state = apply_state(progress, last if last.plan.id != progress.plan.id else progress, holder)
     steps = [
         output.StepShown(
-            step=one.step.id,
-            node=one.step.node,
-            wave=one.step.wave,
-            stand=one.stand,
-            outcome=one.outcome,
-            note=one.note,
-            told=sorted(one.told),
+            step=step_state.step.id,
+            node=step_state.step.node,
+            wave=step_state.step.wave,
+            stand=step_state.stand,
+            outcome=step_state.outcome,
+            note=step_state.note,
+            told=sorted(step_state.told),
         )
-        for one in progress.steps.values()
+        for step_state in progress.steps.values()
     ]
     stop = progress.stopped
-    say(
+    print_result(
         output.StatusShown(
             apply=progress.plan.id,
             name=progress.plan.change.name,
@@ -406,39 +444,41 @@
 @fleet_option
 @json_option
 def history(fleet_path: str, as_json: bool) -> None:
-    """All applies of the journal, oldest first."""
-    told = fleet_file.fleet_config(fleet_path)
-    known, holder = story(told.journal), current_applier(told.journal)
+    """List all applies of the journal, oldest first."""
+    fleet_config = fleet_file.fleet_config(fleet_path)
+    journal_story, holder = story(fleet_config.journal), current_applier(fleet_config.journal)
     entries = [
         output.HistoryEntry(
             apply=name,
-            name=one.plan.change.name,
-            state=state_of(one, known.last, holder),
-            begun=one.begun_at,
-            last=one.last_at,
-            by=one.by,
-            undoes=one.plan.undoes,
-            steps=len(one.steps),
-            done=len(one.steps) if one.ended else sum(step.stand == "done" for step in one.steps.values()),
+            name=progress.plan.change.name,
+            state=apply_state(progress, journal_story.last, holder),
+            begun=progress.begun_at,
+            last=progress.last_at,
+            by=progress.by,
+            undoes=progress.plan.undoes,
+            steps=len(progress.steps),
+            done=len(progress.steps)
+            if progress.ended
+            else sum(step.stand == "done" for step in progress.steps.values()),
         )
-        for name, one in known.applies.items()
+        for name, progress in journal_story.applies.items()
     ]
-    say(output.HistoryShown(applies=entries), as_json, render.history)
+    print_result(output.HistoryShown(applies=entries), as_json, render.history)
 
 
 @fleet.command()
 @fleet_option
 @json_option
 def drift(fleet_path: str, as_json: bool) -> None:
-    """What is no longer as the last apply left it; 2 where something is."""
-    told = fleet_file.fleet_config(fleet_path)
-    last = story(told.journal).last
+    """Show which nodes are no longer as the last apply left them. Exit code 2 if there are any."""
+    fleet_config = fleet_file.fleet_config(fleet_path)
+    last = story(fleet_config.journal).last
     if last is None:
-        say(output.DriftShown(apply="", drift=[]), as_json, render.drift)
+        print_result(output.DriftShown(apply="", drift=[]), as_json, render.drift)
         return
-    seen, _ = asyncio.run(look(told))
-    found = drifted(last, seen)
-    say(
+    observed, _ = asyncio.run(observe_fleet(fleet_config))
+    found = find_drift(last, observed)
+    print_result(
         output.DriftShown(
             apply=last.plan.id,
             drift=found,
@@ -455,28 +495,30 @@
 
 @fleet.command()
 @click.argument("files", metavar="FILE...", nargs=-1, required=True)
-@click.option("--check", is_flag=True, help="Change nothing; 2 where a file is not in its canonical form.")
+@click.option(
+    "--check", is_flag=True, help="Change nothing; exit code 2 if a file is not in its canonical form."
+)
 def fmt(files: tuple[str, ...], check: bool) -> None:
-    """Bring change files into their canonical form; - reads standard input and prints."""
-    changed = False
+    """Rewrite change files in their canonical form; with -, read standard input and print the result."""
+    has_changes = False
     for path in files:
         text = sys.stdin.read() if path == "-" else Path(path).read_text(encoding="utf-8")
         canonical = printer.canonical(reader.read(text, path))
         if path == "-" and not check:
             click.echo(canonical, nl=False)
         elif canonical != text:
-            changed = True
+            has_changes = True
             if check:
                 click.echo(f"{path} is not in its canonical form")
             else:
-                write_whole(path, canonical.encode())
+                write_atomically(path, canonical.encode())
                 click.echo(f"{path} is rewritten")
-    if check and changed:
+    if check and has_changes:
         raise click.exceptions.Exit(Exit.PENDING)
 
 
 @fleet.command()
 @click.argument("name", type=click.Choice(sorted(output.SCHEMAS)))
 def schema(name: str) -> None:
-    """The JSON Schema of what a command prints with --json."""
+    """Print the JSON Schema of a command's output with --json."""
     click.echo(json.dumps(output.schema(name), indent=1))
--- a/weldhatch/cli/render.py
+++ b/weldhatch/cli/render.py
@@ -1,4 +1,4 @@
-"""Plans, applies and fleets as a person reads them, on rich."""
+"""Prints plans, applies and fleets as text and tables, with rich."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from weldhatch.cli.output import DriftShown, FleetShown, HistoryShown, StatusShown
 from weldhatch.planning.plan import Plan
 
-NODES_SHOWN = 60  # a longer list is summed up by hall and rack
+MAX_LISTED_NODES = 60  # a larger fleet is summed up by zone and rack
 COLOURS = {
     "ready": "green",
     "draining": "yellow",
@@ -28,14 +28,17 @@
 
 
 def coloured(word: str) -> str:
+    """Return the name of a state with the markup of its colour, or any other word escaped."""
     return f"[{COLOURS[word]}]{word}[/]" if word in COLOURS else escape(word)
 
 
-def span(seconds: float) -> str:
+def format_duration(seconds: float) -> str:
+    """Return a duration in seconds, or in minutes from two minutes on."""
     return f"{seconds:.0f} s" if seconds < 120 else f"{seconds / 60:.1f} min"
 
 
 def fleet(console: Console, shown: FleetShown) -> None:
+    """Print the nodes of a fleet, or a summary by zone and rack for a large one."""
     states = Counter(node.state.value for node in shown.nodes)
     console.print(
         f"{escape(shown.fleet)}: {len(shown.nodes)} nodes, "
@@ -43,18 +46,18 @@
     )
     for gateway, answers in shown.gateways.items():
         console.print(f"gateway {gateway}: {'answers' if answers else '[red]does not answer[/]'}")
-    if len(shown.nodes) > NODES_SHOWN:
+    if len(shown.nodes) > MAX_LISTED_NODES:
         table = Table("hall", "rack", "nodes", "ready", "draining", "off", "other", "ready cores", "ready GB")
-        for hall, rack in sorted({(node.hall, node.rack) for node in shown.nodes}):
-            own = [node for node in shown.nodes if node.rack == rack]
-            by = Counter(node.state.value for node in own)
-            other = len(own) - by["ready"] - by["draining"] - by["off"]
+        for zone, rack in sorted({(node.hall, node.rack) for node in shown.nodes}):
+            rack_nodes = [node for node in shown.nodes if node.rack == rack]
+            by_state = Counter(node.state.value for node in rack_nodes)
+            other = len(rack_nodes) - by_state["ready"] - by_state["draining"] - by_state["off"]
             table.add_row(
-                hall,
+                zone,
                 rack,
-                *map(str, (len(own), by["ready"], by["draining"], by["off"], other)),
-                f"{sum(node.cores for node in own if node.ready):g}",
-                f"{sum(node.memory for node in own if node.ready):g}",
+                *map(str, (len(rack_nodes), by_state["ready"], by_state["draining"], by_state["off"], other)),
+                f"{sum(node.cores for node in rack_nodes if node.ready):g}",
+                f"{sum(node.memory for node in rack_nodes if node.ready):g}",
             )
     else:
         table = Table("node", "hall", "rack", "kind", "cores", "GB", "state", "generation", "tasks", "held")
@@ -74,50 +77,51 @@
     console.print(table)
 
 
-def plan(console: Console, made: Plan, path: str) -> None:
-    """What will happen, in which order, and what is left of each floor meanwhile."""
-    name = escape(made.change.name)
-    if not made.steps:
+def plan(console: Console, plan: Plan, path: str) -> None:
+    """Print the waves of a plan, and the capacity that stays ready for each floor during a wave."""
+    name = escape(plan.change.name)
+    if not plan.steps:
         console.print(f"{name}: nothing to do, the fleet is as the file says.")
         return
-    seconds = sum(wave.seconds for wave in made.waves)
-    by = (
-        made.way
-        if made.way == "greedy"
-        else f"{made.way}; greedy needs {made.greedy_waves or 'more than it finds'}"
+    seconds = sum(wave.seconds for wave in plan.waves)
+    method = (
+        plan.way
+        if plan.way == "greedy"
+        else f"{plan.way}; greedy needs {plan.greedy_waves or 'more than it finds'}"
     )
-    console.print(f"{name}: {len(made.waves)} waves, about {span(seconds)}, by {by}")
+    console.print(f"{name}: {len(plan.waves)} waves, about {format_duration(seconds)}, by {method}")
     kinds: dict[str, list[str]] = {}
-    for step in made.steps:
+    for step in plan.steps:
         if step.kind.orders_node or step.kind == "await" or step.id.endswith("welcome"):
             kinds.setdefault(step.node, []).append(step.kind.value)
-    for wave in made.waves:
-        console.print(f"[bold]wave {wave.number}[/], about {span(wave.seconds)}")
+    for wave in plan.waves:
+        console.print(f"[bold]wave {wave.number}[/], about {format_duration(wave.seconds)}")
         table = Table("node", "what", "from", "hall, rack", "asked for at", box=None, pad_edge=True)
-        places = {step.node: step.because for step in made.steps}
-        then = {node.id: node for node in made.world}
+        origins = {step.node: step.because for step in plan.steps}
+        nodes = {node.id: node for node in plan.world}
         for node in wave.nodes:
-            what = [kind for kind in kinds[node] if kind != "welcome" or len(kinds[node]) == 1]
-            held = ", held" if then[node].held else ""
+            actions = [kind for kind in kinds[node] if kind != "welcome" or len(kinds[node]) == 1]
+            held = ", held" if nodes[node].held else ""
             table.add_row(
                 node,
-                " then ".join(what),
-                f"{then[node].state}{held}, {then[node].tasks} tasks",
-                f"{then[node].hall}, {then[node].rack}",
-                escape(places[node].rpartition("/")[2]),
+                " then ".join(actions),
+                f"{nodes[node].state}{held}, {nodes[node].tasks} tasks",
+                f"{nodes[node].hall}, {nodes[node].rack}",
+                escape(origins[node].rpartition("/")[2]),
             )
         console.print(table)
-        for rest in made.rests:
+        for rest in plan.rests:
             if rest.wave == wave.number:
                 console.print(
                     f"  ready meanwhile: {rest.cores:g} cores, {rest.memory:g} GB for "
                     f"{escape(rest.line.text)}"
                 )
     if path:
-        console.print(f"The plan {made.id} is in {escape(path)}. Every drain is told to all gateways first.")
+        console.print(f"The plan {plan.id} is in {escape(path)}. Every drain is told to all gateways first.")
 
 
 def status(console: Console, shown: StatusShown) -> None:
+    """Print the state of an apply and of each of its steps."""
     if shown.state == "none":
         console.print("no apply has been begun here")
         return
@@ -141,6 +145,7 @@
 
 
 def history(console: Console, shown: HistoryShown) -> None:
+    """Print a table of applies."""
     table = Table("apply", "change", "state", "begun", "last word", "by", "steps done", "takes back")
     for entry in shown.applies:
         table.add_row(
@@ -157,11 +162,12 @@
 
 
 def drift(console: Console, shown: DriftShown) -> None:
+    """Print the nodes that are not as the last apply left them."""
     if shown.unfinished:
         console.print(
             f"apply {shown.apply} is not finished: weldhatch fleet status tells how far it has come"
         )
-    for one in shown.drift:
-        console.print(f"{one.node}: to be {one.wanted}, and is {escape(one.now)}")
+    for difference in shown.drift:
+        console.print(f"{difference.node}: to be {difference.wanted}, and is {escape(difference.now)}")
     if not shown.drift:
         console.print("nothing has drifted")
