--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -842,7 +842,7 @@
     kept = json.loads(DATA.read_text())["samples"]
     page = {**kept["state"], "fenced": 0, "name": "g0", "footing": "lease", "seen_by_leader": kept["status"]}
     with (
-        mock.patch.object(cli_zones, "control_address", lambda *_: SimpleNamespace(call=lambda *_: page)),
+        mock.patch.object(cli_zones, "group_gateway", lambda *_: SimpleNamespace(call=lambda *_: page)),
         tempfile.NamedTemporaryFile("w", suffix=".json") as file,
     ):
         as_json = CliRunner().invoke(
--- a/weldhatch/cli/rules.py
+++ b/weldhatch/cli/rules.py
@@ -55,7 +55,7 @@
     """Voters and dispatchers of a group."""
 
 
-def control_address(pull_file: str, control: str | None) -> reconfiguration.Gateway:
+def group_gateway(pull_file: str, control: str | None) -> reconfiguration.Gateway:
     """Return a client of the group's control address. Raises ConfigError that names a missing key."""
     if control:
         return reconfiguration.Gateway(config.parse_endpoint("--control", control))
@@ -121,7 +121,7 @@
     4 if the version was dropped, 5 if it is not in force in time (it may still come into force).
     """
     return _propose(
-        control_address(pull_file, control), read_settings(file), why, base, list(despite), no_wait, as_json
+        group_gateway(pull_file, control), read_settings(file), why, base, list(despite), no_wait, as_json
     )
 
 
@@ -184,7 +184,7 @@
 
     Exit codes: 0 if this process has a lease and nothing is in doubt, 1 otherwise.
     """
-    answer = control_address(pull_file, control).call("GET", "rules")
+    answer = group_gateway(pull_file, control).call("GET", "rules")
     print_answer(answer, as_json, lambda console: _print_status(console, answer))
     healthy = answer["footing"] == "lease" and answer["seen_by_leader"]
     return 0 if healthy and not answer["conflicts"] and not answer["lost"] else 1
@@ -234,7 +234,7 @@
 
     Exit codes: 0 if there is no change, 1 otherwise.
     """
-    answer = control_address(pull_file, control).call("POST", "rules/diff", {"tree": read_settings(file)})
+    answer = group_gateway(pull_file, control).call("POST", "rules/diff", {"tree": read_settings(file)})
     print_answer(answer, as_json, lambda console: _print_changes(console, answer["changes"]))
     return int(bool(answer["changes"]))
 
@@ -243,7 +243,7 @@
 @group_options
 def history(pull_file: str, control: str | None, as_json: bool) -> None:
     """List all versions with their outcomes, and manual recoveries."""
-    answer = control_address(pull_file, control).call("GET", "rules/history")
+    answer = group_gateway(pull_file, control).call("GET", "rules/history")
 
     def print_history(console: Console) -> None:
         table = Table("version", "on", "came to be", "by", "why")
@@ -266,7 +266,7 @@
 @group_options
 def undo(why: str, number: int | None, pull_file: str, control: str | None, as_json: bool) -> int:
     """Propose an earlier version's settings as a new version."""
-    gateway = control_address(pull_file, control)
+    gateway = group_gateway(pull_file, control)
     if number is None:
         active = [
             version
@@ -287,7 +287,7 @@
 @group_options
 def drop(number: int, why: str, pull_file: str, control: str | None, as_json: bool) -> None:
     """Drop a version that is being prepared."""
-    answer = control_address(pull_file, control).call("POST", "rules/drop", {"number": number, "why": why})
+    answer = group_gateway(pull_file, control).call("POST", "rules/drop", {"number": number, "why": why})
     print_answer(answer, as_json, lambda console: console.print(f"version {number} is dropped"))
 
 
@@ -305,7 +305,7 @@
         raise click.UsageError(
             "two groups would decide if the others came back: make sure that they can't, then say --yes"
         )
-    answer = control_address(pull_file, control).call(
+    answer = group_gateway(pull_file, control).call(
         "POST", "rules/recover", {"why": why, "by": getpass.getuser()}
     )
     print_answer(
@@ -320,7 +320,7 @@
 @group_options
 def peers_status(pull_file: str, control: str | None, as_json: bool) -> None:
     """List the voters and dispatchers of the group, and the links from this process to them."""
-    answer = control_address(pull_file, control).call("GET", "rules")
+    answer = group_gateway(pull_file, control).call("GET", "rules")
     answer = {key: answer[key] for key in ("name", "leader", "voters", "members", "peers", "lost")}
 
     def print_members(console: Console) -> None:
@@ -351,7 +351,7 @@
 @group_options
 def add(name: str, address: str, pull_file: str, control: str | None, as_json: bool) -> None:
     """Add NAME as a voter. NAME must already serve, with agreement.listen set to HOST:PORT."""
-    answer = control_address(pull_file, control).call("POST", "peers", {"add": {name: address}})
+    answer = group_gateway(pull_file, control).call("POST", "peers", {"add": {name: address}})
     print_answer(
         answer, as_json, lambda console: console.print(f"voters: {', '.join(sorted(answer['voters']))}")
     )
@@ -362,7 +362,7 @@
 @group_options
 def remove(name: str, pull_file: str, control: str | None, as_json: bool) -> None:
     """Remove NAME from the voters; a dispatcher that no longer runs is removed from the group."""
-    answer = control_address(pull_file, control).call("POST", "peers", {"remove": name})
+    answer = group_gateway(pull_file, control).call("POST", "peers", {"remove": name})
     print_answer(answer, as_json, lambda console: console.print(f"{escape(name)} is removed"))
 
 
@@ -371,5 +371,5 @@
 @group_options
 def lead(name: str, pull_file: str, control: str | None, as_json: bool) -> None:
     """Transfer leadership to NAME."""
-    answer = control_address(pull_file, control).call("POST", "peers", {"hand": name})
+    answer = group_gateway(pull_file, control).call("POST", "peers", {"hand": name})
     print_answer(answer, as_json, lambda console: console.print(f"leadership is handed to {escape(name)}"))
--- a/weldhatch/cli/sim.py
+++ b/weldhatch/cli/sim.py
@@ -24,7 +24,7 @@
 from weldhatch.simulation.scenario_runner import run_scenario
 from weldhatch.simulation.scenarios import SCENARIOS, Scenario, draw_plan, unplayable_reason
 
-MAX_LISTED = 10  # broken runs that are listed in the output
+MAX_LISTED = 10  # broken runs that the text output lists
 
 
 def ensure_fixed_hash_seed() -> None:
--- a/weldhatch/cli/zones.py
+++ b/weldhatch/cli/zones.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from weldhatch.applying.runner import Exit
-from weldhatch.cli.rules import control_address, group_options, print_answer
+from weldhatch.cli.rules import group_gateway, group_options, print_answer
 from weldhatch.pullqueue import reconfiguration
 
 _STYLES = {"serving": "green", "suspected": "yellow", "leaving": "red", "left": "red", "returning": "cyan"}
@@ -32,7 +32,7 @@
 
     Exit codes: 0 if all zones serve and the leader answers, 1 otherwise.
     """
-    answer = control_address(pull_file, control).call("GET", "zones")
+    answer = group_gateway(pull_file, control).call("GET", "zones")
     print_answer(answer, as_json, lambda console: _print_status(console, answer))
     all_serving = all(
         place["phase"] == "serving" and not place["held"] for place in answer["entries"].values()
@@ -82,7 +82,7 @@
 @group_options
 def history(pull_file: str, control: str | None, as_json: bool) -> None:
     """List all changes of state, with their witnesses and reasons."""
-    answer = control_address(pull_file, control).call("GET", "zones")
+    answer = group_gateway(pull_file, control).call("GET", "zones")
 
     def print_table(console: Console) -> None:
         table = Table("change", "place", "state", "by", "witnesses", "turned away", "why")
@@ -118,7 +118,7 @@
     command: str, place: str, why: str, despite: bool, pull_file: str, control: str | None, as_json: bool
 ) -> int:
     try:
-        answer = control_address(pull_file, control).call(
+        answer = group_gateway(pull_file, control).call(
             "POST",
             "zones",
             {"word": command, "place": place, "why": why, "by": getpass.getuser(), "despite": despite},
@@ -193,9 +193,7 @@
     from weldhatch import config
     from weldhatch.cli.zones_chart import draw  # imports matplotlib, which only this command needs
 
-    answer = (
-        config.read_json_file(saved) if saved else control_address(pull_file, control).call("GET", "zones")
-    )
+    answer = config.read_json_file(saved) if saved else group_gateway(pull_file, control).call("GET", "zones")
     timeline = (answer.get("seen_by_leader") or {}).get("timeline", [])
     if not timeline:
         click.echo("weldhatch: nothing has been left since this leader was elected", err=True)
