--- a/weldhatch/cli/zones.py
+++ b/weldhatch/cli/zones.py
@@ -30,7 +30,7 @@
 def status(pull_file: str, control: str | None, as_json: bool) -> int:
     """Show the state of each zone, the witnesses' reports, and the start quotas granted for a return.
 
-    Exit codes: 0 if all zones serve and the leader answers, 1 otherwise.
+    Exit codes: 0 if all zones serve, none is held and the leader answers, 1 otherwise.
     """
     answer = group_gateway(pull_file, control).call("GET", "zones")
     print_answer(answer, as_json, lambda console: _print_status(console, answer))
