--- a/tests/test_pins_zones.py
+++ b/tests/test_pins_zones.py
@@ -878,7 +878,7 @@
         "seen_by_leader": recorded["status"],
     }
     with (
-        mock.patch.object(cli_zones, "control_address", lambda *_: SimpleNamespace(call=lambda *_: status)),
+        mock.patch.object(cli_zones, "group_gateway", lambda *_: SimpleNamespace(call=lambda *_: status)),
         tempfile.NamedTemporaryFile("w", suffix=".json") as file,
     ):
         as_json = CliRunner().invoke(
