--- a/weldhatch/pullqueue/bot_leases.py
+++ b/weldhatch/pullqueue/bot_leases.py
@@ -143,7 +143,7 @@
             else:
                 self._deadlines.set(("lease", lease.id), lease.expires)
         elif now >= lease.expires + self.timing.grace:
-            self._log(f"bot {bot.id}: lease {lease.id} has run out in state {lease.phase.value}")
+            self._log(f"bot {bot.id}: lease {lease.id} has run out, {lease.phase.value}")
             self.end_lease(lease, Outcome.RESET)
         else:
             self._deadlines.set(("lease", lease.id), lease.expires + self.timing.grace)
--- a/weldhatch/pullqueue/front.py
+++ b/weldhatch/pullqueue/front.py
@@ -90,7 +90,7 @@
         if config.store:
             leases, resubmitted = self.tasks.restore()
             epoch = self.storage.epoch_name
-            log(f"store: epoch {epoch}, {leases} leases go on, {resubmitted} submissions are requested again")
+            log(f"store: epoch {epoch}, {leases} leases go on, {resubmitted} submissions are asked for anew")
         self._share = DescriptorShare(DescriptorBudget(config.sockets), config.connections)
         self._links: dict[Connection, HttpConnection] = {}
         self._serving: set[asyncio.Task] = set()
--- a/weldhatch/pullqueue/lease_dispatch.py
+++ b/weldhatch/pullqueue/lease_dispatch.py
@@ -143,7 +143,7 @@
             ):
                 permitted.append(lease)
                 continue
-            self._log(f"lease {lease.id} not handed out: {reason}")
+            self._log(f"lease {lease.id} stays: {reason}")
             if lease.phase is LeasePhase.PENDING:
                 self._ledger.undo_handout(lease, lease.id in newly_spent)
             self._owner.end_lease(lease, Outcome.NOT_SENT)
