--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,7 +20,7 @@
 
 from weldhatch.applying.journal import Journal, read_history
 from weldhatch.applying.runner import Exit
-from weldhatch.planning.actions import UnplannableError, actions
+from weldhatch.planning.actions import Unplannable, actions
 from weldhatch.planning.change import Change, read_change
 from weldhatch.planning.check import find_violations
 from weldhatch.planning.fleet import Fleet, State
@@ -114,7 +114,7 @@
                         found.method,
                     )
                     row[f"{way}_proven"] = found.proven
-                except UnplannableError:
+                except Unplannable:
                     row[way] = None
                 row[f"{way}_s"] = time.perf_counter() - start
             rows.append(row)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from weldhatch.planning import plan as plans
-from weldhatch.planning.actions import ActionKind, UnplannableError, actions
+from weldhatch.planning.actions import ActionKind, Unplannable, actions
 from weldhatch.planning.change import read_change
 from weldhatch.planning.check import find_violations
 from weldhatch.planning.fleet import Fleet, Node, Pace, ServiceClass, State
@@ -103,7 +103,7 @@
     nodes = dict(small_fleet().nodes)
     nodes["n1"] = msgspec.structs.replace(nodes["n1"], state=State.LOST)
     fleet = Fleet(nodes.values())
-    with pytest.raises(UnplannableError, match="n1 does not answer"):
+    with pytest.raises(Unplannable, match="n1 does not answer"):
         search(read_text('(change "x" (drain n1))', fleet), fleet)
 
 
@@ -138,7 +138,7 @@
     nodes = dict(small_fleet().nodes)
     nodes["n5"] = msgspec.structs.replace(nodes["n5"], state=State.DRAINING)  # in rack r1, with tasks
     fleet = Fleet(nodes.values())
-    with pytest.raises(UnplannableError, match="at-most 1 draining per rack"):
+    with pytest.raises(Unplannable, match="at-most 1 draining per rack"):
         search(read_text('(change "x" (drain n1) (at-most 1 draining per rack))', fleet), fleet, method)
     assert (
         len(
@@ -240,7 +240,7 @@
     for method in SOLVER_NAMES:
         try:
             found = search(change, fleet, method)
-        except UnplannableError:
+        except Unplannable:
             assert fewest is None, (text, method)
             continue
         assert not find_violations(change, fleet, found.waves)
@@ -253,18 +253,18 @@
         '(change "x"\n (drain n1 n2)\n (drain n3)\n (drain n4)\n (keep (cores 160))\n'
         " (at-most 2 draining per rack))"
     )
-    with pytest.raises(UnplannableError) as caught:
+    with pytest.raises(Unplannable) as caught:
         search(read_text(text, fleet), fleet)
     assert [line.text for line in caught.value.conflict] == ["(drain n1 n2)", "(keep (cores 160))"]
     assert "f:5:2: (keep (cores 160))" in str(caught.value)
-    with pytest.raises(UnplannableError) as caught:
+    with pytest.raises(Unplannable) as caught:
         search(read_text('(change "x" (on n7) (drain n1 n2) (order n1 n2) (order n2 n1))', fleet), fleet)
     assert [line.text for line in caught.value.conflict] == [
         "(drain n1 n2)",
         "(order n1 n2)",
         "(order n2 n1)",
     ]
-    with pytest.raises(UnplannableError) as caught:
+    with pytest.raises(Unplannable) as caught:
         search(
             read_text(
                 '(change "x" (drain n1 n5) (at-most 1 draining per rack) (within 1 waves) (within 1h))', fleet
--- a/weldhatch/cli/main.py
+++ b/weldhatch/cli/main.py
@@ -12,7 +12,7 @@
 from weldhatch.cli import output, settings
 from weldhatch.cli.fleet import fleet
 from weldhatch.keys.errors import KeysError
-from weldhatch.planning.actions import UnplannableError
+from weldhatch.planning.actions import Unplannable
 from weldhatch.planning.plan import PlanError
 from weldhatch.pullqueue import reconfiguration
 from weldhatch.sexpr.reader import FormError
@@ -115,7 +115,7 @@
     except click.ClickException as error:
         error.show()
         return LEGACY_EXIT_FAULT if is_legacy else Exit.FAULT
-    except (FormError, UnplannableError, PlanError, config.ConfigError, KeysError, OSError) as error:
+    except (FormError, Unplannable, PlanError, config.ConfigError, KeysError, OSError) as error:
         lines = str(error).split("\n")
         if "--json" in arguments:
             click.echo(
--- a/weldhatch/planning/actions.py
+++ b/weldhatch/planning/actions.py
@@ -58,7 +58,7 @@
     goal: Goal
 
 
-class UnplannableError(ValueError):
+class Unplannable(ValueError):  # noqa: N818 (commands print the name with --json)
     """A change that can't be planned: `lines` has the reasons, `conflict` the statements in conflict."""
 
     def __init__(self, lines: list[str], conflict: tuple[Line, ...] = ()) -> None:
@@ -77,7 +77,7 @@
 def actions(change: Change, fleet: Fleet) -> tuple[Action, ...]:
     """Return the actions that the change needs on this fleet, ordered by node id.
 
-    A node that is in its target state needs none. Raises UnplannableError for nodes that do not answer, since
+    A node that is in its target state needs none. Raises Unplannable for nodes that do not answer, since
     their state is unknown.
     """
     found, unanswered = [], []
@@ -91,7 +91,7 @@
             elif kind := action_kind_for(goal.want, node):
                 found.append(Action(node, kind, goal))
     if unanswered:
-        raise UnplannableError(unanswered)
+        raise Unplannable(unanswered)
     return tuple(sorted(found, key=lambda action: action.node.id))
 
 
--- a/weldhatch/planning/search.py
+++ b/weldhatch/planning/search.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from weldhatch.planning.actions import Action, UnplannableError, Waves, actions
+from weldhatch.planning.actions import Action, Unplannable, Waves, actions
 from weldhatch.planning.change import Change, TargetState
 from weldhatch.planning.check import (
     Violation,
@@ -42,7 +42,7 @@
 def search(
     change: Change, fleet: Fleet, method: str = "highs", effort: float = SOLVER_EFFORT
 ) -> SearchResult:
-    """Return the best waves. Raises UnplannableError with the smallest set of conflicting statements.
+    """Return the best waves. Raises Unplannable with the smallest set of conflicting statements.
 
     `method` is a solver's name or `greedy`. A solver's waves are checked by `check.find_violations` and used
     only if they are no worse than the greedy ones.
@@ -200,7 +200,7 @@
 
 def _conflict_error(
     change: Change, fleet: Fleet, method: str, effort: float, violations: list[Violation]
-) -> UnplannableError:
+) -> Unplannable:
     """Return the error for a change without a plan: the smallest conflict, and one violation."""
     statements = change.statements()
 
@@ -221,7 +221,7 @@
         )
 
     if possible(list(statements)):  # the effort was too small, or the method too weak
-        return UnplannableError(
+        return Unplannable(
             [f"no plan was found by {method} in the time given; nothing proves that there is none"]
         )
     conflict = smallest_conflict(statements, possible)
@@ -236,4 +236,4 @@
         lines.append(
             "with all else left out: " + (figures or [str(violation) for violation in violations])[0]
         )
-    return UnplannableError(lines, tuple(statement.line for statement in conflict))
+    return Unplannable(lines, tuple(statement.line for statement in conflict))
--- a/weldhatch/testbed/crash_points.py
+++ b/weldhatch/testbed/crash_points.py
@@ -16,7 +16,7 @@
 from weldhatch.applying.runner import Exit, Result, Runner, observe
 from weldhatch.nodes.protocol import Answer
 from weldhatch.planning import plan as plans
-from weldhatch.planning.actions import UnplannableError
+from weldhatch.planning.actions import Unplannable
 from weldhatch.planning.change import read_change
 from weldhatch.planning.engine import Order, Patience
 from weldhatch.planning.fleet import Fleet, Node
@@ -192,7 +192,7 @@
         if progress is None:
             return
         seen = await observe(fleet, world)
-        with contextlib.suppress(UnplannableError):
+        with contextlib.suppress(Unplannable):
             change = undo_change(progress, seen)
             back = plans.make(
                 change,
