--- a/weldhatch/cluster/zone_agent.py
+++ b/weldhatch/cluster/zone_agent.py
@@ -27,7 +27,10 @@
 
 
 class ZoneAgent:
-    """Owns the front's part in zone failover, and its timer."""
+    """Runs zone failover at one front: passes events and timer ticks to `FailoverMember`, which decides.
+
+    It sends the health checks that the member asks for, and passes the member's reports to the group.
+    """
 
     def __init__(
         self,
--- a/weldhatch/coordination/timing.py
+++ b/weldhatch/coordination/timing.py
@@ -19,7 +19,10 @@
 
     @property
     def lease(self) -> float:
-        """Time from a lease request for which all tasks may start."""
+        """Time after the request for the lease was sent during which tasks of all classes may be started.
+
+        In the grace period, which follows until `grace`, only tasks of `Effect.SAFE` classes may be started.
+        """
         return 0.4 * self.consistency_bound
 
     @property
--- a/weldhatch/core/placement.py
+++ b/weldhatch/core/placement.py
@@ -58,7 +58,10 @@
 
 
 async def _await_decision(request: RequestState) -> Attempt | None:
-    """Carry out offers until one is placed or the request ends."""
+    """Carry out the policy's offers one after another, until a machine accepts the task or the request ends.
+
+    Return the attempt that placed the task, or None if the request ended without one.
+    """
     batch_flushed = False
     while True:
         match await request.next_message():
--- a/weldhatch/platform/health_check.py
+++ b/weldhatch/platform/health_check.py
@@ -19,7 +19,10 @@
 
 @dataclass(slots=True)
 class HealthCheckSchedule:
-    """The quiet limit of servers, by cells (zone, cell) with unresponsive servers; times in seconds."""
+    """Sets the quiet limit: how many seconds a server may send nothing before a health check is sent to it.
+
+    The limit is shorter in suspect cells, where a server was unresponsive recently, and in suspect zones.
+    """
 
     # Time of the last unresponsive server by cell, oldest first.
     _cells: dict[tuple[int, int], float] = field(default_factory=dict)
--- a/weldhatch/scheduling/policy.py
+++ b/weldhatch/scheduling/policy.py
@@ -141,7 +141,8 @@
         request.open_attempt = None
         request.placed_attempt = event.attempt
         request.answered = True
-        if len(machine.open_offers) >= machine.offer_limit - 1:  # starts at the limit raise it
+        # A placed offer raises the limit if the open offers, including this one, are within one of the limit.
+        if len(machine.open_offers) >= machine.offer_limit - 1:
             machine.offer_limit += 1 / machine.offer_limit
         machine.remove_offer(request)
         machine.add_task(request, self._context.now, LIST_LAG_US)
--- a/weldhatch/scheduling/ranking.py
+++ b/weldhatch/scheduling/ranking.py
@@ -14,7 +14,9 @@
 OUTLIER_TIER = 32
 FAILED_HERE_TIER = 64  # the machine has answered this request with an error before
 LOW_LOAD_SHARE = 0.7  # below this fraction of the load limit of a class, any machine counts as a home
-UNSTARTED_LIMIT = 2  # but not with this many unstarted own tasks, which wait for their programs
+# With this many tasks of this dispatcher that do not run yet, since they wait for their programs, a machine
+# does not count as a home because of its low load.
+UNSTARTED_LIMIT = 2
 
 
 class MachineRanking:
--- a/weldhatch/zones/state.py
+++ b/weldhatch/zones/state.py
@@ -195,7 +195,7 @@
     # ---- commands ----------------------------------------------------------------------------------------
 
     def apply(self, index: int, command: Mapping[str, Any], zones: Iterable[str]) -> dict[str, Any]:
-        """Apply one change and return its result; a change that would leave the last zone is an error.
+        """Apply one change and return its result; taking the last zone out of service is an error.
 
         `index`: of the command in the group's log; `zones`: all zones of the settings.
         """
